--- a/logic/logic.go
+++ b/balancer/balancer.go
@@ -1,11 +1,11 @@
-// Package logic decides for one relay where each new link goes, by weighted turns whose bucket counts follow
+// Package balancer decides for one relay where each new link goes, by weighted turns whose bucket counts follow
 // probed load. A link that stands keeps its server for life. Callers use it like a client library, one
 // Balancer a relay, never shared. Three calls answer: Place (where to send this link, or not yet, or never),
 // After (what to do after this outcome) and Next (how long to wait, and the probe or subscription due; asked
 // until it names none). Leave paces links that must go, Lost tells of a silent server. What is seen comes in
 // by ListBegan, Listed, ListEnded, ListFailed, Probed, Reported, Accepted, Weighed, Resumed and Vanished.
 // Plain types and their bookkeeping are in types.go. Times are milliseconds, on one clock.
-package logic
+package balancer
 
 import (
 	"cmp"
--- a/logic/due.go
+++ b/balancer/due.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"math"
--- a/logic/recovery.go
+++ b/balancer/recovery.go
@@ -1,9 +1,9 @@
-package logic
+package balancer
 
 import (
 	"math"
 
-	"valeshift/internal/admit"
+	"valeshift/internal/admission"
 )
 
 // This file is how the balancer takes what outlives a relay: what was learnt before its start, a list that
@@ -70,9 +70,9 @@
 	return true
 }
 
-func (b *Balancer) admits() *admit.Admission {
+func (b *Balancer) admits() *admission.Admission {
 	if b.admission == nil {
-		b.admission = admit.New()
+		b.admission = admission.New()
 	}
 	return b.admission
 }
--- a/logic/types.go
+++ b/balancer/types.go
@@ -1,11 +1,11 @@
-package logic
+package balancer
 
 import (
 	"math"
 	"math/rand"
 	"slices"
 
-	"valeshift/internal/admit"
+	"valeshift/internal/admission"
 )
 
 // Effect says what a second run of a link would do.
@@ -378,9 +378,9 @@
 	part      float64 // of the fleet that is in use
 	ranks     []float64
 	track     track
-	admission *admit.Admission // nil: nothing is known from before the start
-	hushed    float64          // until which links wait, as news does
-	supposed  map[int]bool     // servers of a list that was kept, whose start nobody has told
+	admission *admission.Admission // nil: nothing is known from before the start
+	hushed    float64              // until which links wait, as news does
+	supposed  map[int]bool         // servers of a list that was kept, whose start nobody has told
 
 	directions []Direction // of a decision in common; none: there is none
 	seenZones  []ZoneLook
--- a/cmd/valeshift-council/disk.go
+++ b/cmd/valeshift-coordinator/disk.go
@@ -1,4 +1,4 @@
-//go:build !lab
+//go:build !faultdisk
 
 package main
 
--- a/cmd/valeshift-council/main.go
+++ b/cmd/valeshift-coordinator/main.go
@@ -1,4 +1,4 @@
-// Command valeshift-council is one voter of the council that decides which zones serve. It is a program of
+// Command valeshift-coordinator is one voter of the council that decides which zones serve. It is a program of
 // its own, as what it is made of would cost each start of a relay a quarter more.
 package main
 
@@ -15,7 +15,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"valeshift/internal/chamber"
+	"valeshift/internal/coordinator"
 	"valeshift/internal/fleet"
 )
 
@@ -28,13 +28,13 @@
 		Check string `help:"Read this file and name the field that is wrong; start nothing." placeholder:"FILE"`
 		File  string `arg:"" optional:"" help:"The voter's file, in TOML."`
 	}
-	kong.Parse(&l, kong.Name("valeshift-council"), kong.UsageOnError(),
+	kong.Parse(&l, kong.Name("valeshift-coordinator"), kong.UsageOnError(),
 		kong.Description("A voter of the council that decides which zones serve."))
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	err := errors.New("which file?")
 	switch {
 	case l.Check != "":
-		_, err = chamber.ReadFile(l.Check)
+		_, err = coordinator.ReadFile(l.Check)
 	case l.File != "":
 		err = serve(l.File, log, signals)
 	}
@@ -45,7 +45,7 @@
 }
 
 func serve(path string, log *slog.Logger, signals <-chan os.Signal) error {
-	f, err := chamber.ReadFile(path)
+	f, err := coordinator.ReadFile(path)
 	if err != nil {
 		return err
 	}
@@ -58,7 +58,7 @@
 		return fmt.Errorf("ops: %w", err)
 	}
 	me, voters, zones := f.Council()
-	r, err := chamber.Start(me, voters, zones, key, folder(f.Folder), log)
+	r, err := coordinator.Start(me, voters, zones, key, folder(f.Folder), log)
 	if err != nil {
 		return err
 	}
--- a/cmd/valelab/main.go
+++ b/cmd/valeshift-testbed/main.go
@@ -1,4 +1,4 @@
-// Command valelab plays experiments on the relay: under virtual time, or on loopback sockets.
+// Command valeshift-testbed plays experiments on the relay: under virtual time, or on loopback sockets.
 package main
 
 import (
@@ -16,12 +16,12 @@
 
 	"github.com/alecthomas/kong"
 
-	"valeshift/internal/lab/cost"
-	"valeshift/internal/lab/experiment"
-	"valeshift/internal/lab/hunt"
-	"valeshift/internal/lab/live"
-	"valeshift/internal/lab/report"
-	"valeshift/internal/lab/sim"
+	"valeshift/internal/testbed/cost"
+	"valeshift/internal/testbed/experiment"
+	"valeshift/internal/testbed/explore"
+	"valeshift/internal/testbed/live"
+	"valeshift/internal/testbed/report"
+	"valeshift/internal/testbed/sim"
 )
 
 type line struct {
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	dir, err := os.MkdirTemp("", "valelab")
+	dir, err := os.MkdirTemp("", "valeshift-testbed")
 	if err != nil {
 		return err
 	}
@@ -100,7 +100,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	var l line
-	asked := kong.Parse(&l, kong.Name("valelab"), kong.UsageOnError(),
+	asked := kong.Parse(&l, kong.Name("valeshift-testbed"), kong.UsageOnError(),
 		kong.Description("A model of the fleet, with a load and experiment tool."),
 		kong.BindTo(ctx, (*context.Context)(nil)))
 	asked.FatalIfErrorf(asked.Run())
@@ -250,7 +250,7 @@
 	}
 	dir := c.Logs
 	if dir == "" {
-		made, err := os.MkdirTemp("", "valelab")
+		made, err := os.MkdirTemp("", "valeshift-testbed")
 		if err != nil {
 			return err
 		}
@@ -307,7 +307,7 @@
 		if c.Relay, err = program(""); err != nil {
 			return err
 		}
-		c.Relay += "-lab" // whose disk loses what was not synced
+		c.Relay += "-faultdisk" // whose disk loses what was not synced
 	}
 	fmt.Printf("logs, operators' files and disks of the machines: %s\n", c.Logs)
 	return c.play(ctx, x)
@@ -354,37 +354,37 @@
 
 	Processes bool   `help:"Draw schedules for relay processes on loopback, each some seconds long."`
 	Side      int    `default:"4" help:"With processes: so many schedules side by side."`
-	Relay     string `help:"With processes: the relay's program; valeshift-lab beside this one, if none is named." type:"path"`
+	Relay     string `help:"With processes: the relay's program; valeshift-faultdisk beside this one, if none is named." type:"path"`
 	late      atomic.Int64
 }
 
 // processes plays a schedule with relay processes. One that the machine was too slow for is not counted,
 // twice at the most.
-func (c *huntCommand) processes(ctx context.Context, x *experiment.Experiment) *hunt.Found {
+func (c *huntCommand) processes(ctx context.Context, x *experiment.Experiment) *explore.Found {
 	binary := c.Relay
 	if binary == "" {
 		own, err := program("")
 		if err != nil {
-			return &hunt.Found{Experiment: x, Panic: err.Error()}
+			return &explore.Found{Experiment: x, Panic: err.Error()}
 		}
-		binary = own + "-lab"
+		binary = own + "-faultdisk"
 	}
 	dir := filepath.Join(c.Out, x.Name)
 	for range 2 {
 		os.RemoveAll(dir)
 		if err := os.MkdirAll(dir, 0o755); err != nil {
-			return &hunt.Found{Experiment: x, Panic: err.Error()}
+			return &explore.Found{Experiment: x, Panic: err.Error()}
 		}
 		r, err := live.Play(ctx, x, binary, dir)
 		switch {
 		case ctx.Err() != nil:
 			return nil
 		case err != nil:
-			return &hunt.Found{Experiment: x, Panic: err.Error()}
+			return &explore.Found{Experiment: x, Panic: err.Error()}
 		case r.Late:
 			continue
 		}
-		found := hunt.Of(x, r.Audit)
+		found := explore.Of(x, r.Audit)
 		if found == nil {
 			os.RemoveAll(dir) // logs and disks are kept of what broke a rule
 		}
@@ -400,16 +400,16 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	began := time.Now()
-	var all []*hunt.Found
+	var all []*explore.Found
 	last, seen := time.Now(), 0
-	side, play := runtime.GOMAXPROCS(0), hunt.Play
-	draw := hunt.Draw
+	side, play := runtime.GOMAXPROCS(0), explore.Play
+	draw := explore.Draw
 	if c.Processes {
-		side, draw = c.Side, hunt.Machines
-		play = func(x *experiment.Experiment) *hunt.Found { return c.processes(ctx, x) }
+		side, draw = c.Side, explore.Machines
+		play = func(x *experiment.Experiment) *explore.Found { return c.processes(ctx, x) }
 	}
-	each := func(seed uint64) *hunt.Found { return play(draw(seed)) }
-	hunt.HuntBy(ctx, c.From, c.From+c.Count, side, each, func(f *hunt.Found) {
+	each := func(seed uint64) *explore.Found { return play(draw(seed)) }
+	explore.HuntBy(ctx, c.From, c.From+c.Count, side, each, func(f *explore.Found) {
 		if all = append(all, f); len(all) >= c.Most {
 			stop()
 		}
@@ -427,7 +427,7 @@
 	}
 	for _, f := range all {
 		if c.Shrink > 0 {
-			f = hunt.ShrinkBy(f, c.Shrink, play)
+			f = explore.ShrinkBy(f, c.Shrink, play)
 		}
 		text, err := f.Text()
 		if err != nil {
--- a/cmd/valeshift/holdings.go
+++ b/cmd/valeshift/holdings.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"valeshift/internal/fleet"
-	"valeshift/internal/holdings"
+	"valeshift/internal/replication"
 )
 
 // holdingsCommand passes its words on, as zoneCommand does.
@@ -39,7 +39,7 @@
 
 // Run sums what the relays say.
 func (c *holdingsShow) Run() error {
-	standing, counts := map[string]holdings.Standing{}, map[string]holdings.Counts{}
+	standing, counts := map[string]replication.Standing{}, map[string]replication.Counts{}
 	for _, address := range c.Addresses {
 		var s fleet.Status
 		if _, err := ask(calls(c.Within), address, "/_fleet", &s); err != nil {
@@ -82,9 +82,9 @@
 }
 
 // pages reads all that a relay holds.
-func (c *asked) pages(address string, take func(p *holdings.Page) error) error {
-	for part := range holdings.Parts {
-		var p holdings.Page
+func (c *asked) pages(address string, take func(p *replication.Page) error) error {
+	for part := range replication.Parts {
+		var p replication.Page
 		if _, err := ask(calls(c.Within), address, fmt.Sprintf("/_holdings?part=%d", part), &p); err != nil {
 			return fmt.Errorf("%s: %w", address, err)
 		}
@@ -103,11 +103,11 @@
 func (c *holdingsExport) Run() error {
 	out := json.NewEncoder(os.Stdout)
 	for _, address := range c.Addresses {
-		if err := c.pages(address, func(p *holdings.Page) error {
+		if err := c.pages(address, func(p *replication.Page) error {
 			for _, r := range p.Records {
 				if err := out.Encode(struct {
 					Holder string
-					holdings.Shown
+					replication.Shown
 				}{p.Name, r}); err != nil {
 					return err
 				}
@@ -126,13 +126,13 @@
 
 // Run says how whole copies are, and fails where something contradicts itself or is not whole.
 func (c *holdingsVerify) Run() error {
-	var all []holdings.Page
+	var all []replication.Page
 	for _, address := range c.Addresses {
-		if err := c.pages(address, func(p *holdings.Page) error { all = append(all, *p); return nil }); err != nil {
+		if err := c.pages(address, func(p *replication.Page) error { all = append(all, *p); return nil }); err != nil {
 			return err
 		}
 	}
-	found, bad := holdings.Verify(all), 0
+	found, bad := replication.Verify(all), 0
 	for _, kind := range sorted(found) {
 		f := found[kind]
 		fmt.Printf("%s: %d open, %d whole, %d under-copied, %d short, %d with holders that were not asked\n", kind,
--- a/cmd/valeshift/main.go
+++ b/cmd/valeshift/main.go
@@ -13,8 +13,8 @@
 
 	"github.com/alecthomas/kong"
 
+	"valeshift/internal/config"
 	"valeshift/internal/fleet"
-	"valeshift/internal/operator"
 	"valeshift/internal/relay"
 	"valeshift/internal/store"
 )
@@ -55,7 +55,7 @@
 
 // Run serves. All errors are logged here, in the form that the operators chose.
 func (runCommand) Run(l *line, signals signals) error {
-	log := operator.NewLogger(os.Stderr, operator.Log{})
+	log := config.NewLogger(os.Stderr, config.Log{})
 	told, file, err := read(l, relay.ReadTold)
 	if err != nil {
 		log.Slog().Error("bad configuration", "err", err)
@@ -93,7 +93,7 @@
 }
 
 // mates is what the operators' file says of other relays and a disk; nil where it names neither.
-func mates(told *relay.Told, file *operator.File, log *slog.Logger) (relay.Mates, error) {
+func mates(told *relay.Told, file *config.File, log *slog.Logger) (relay.Mates, error) {
 	p := file.Peers
 	if p.Listen == "" && file.Disk.Folder == "" {
 		return nil, nil
@@ -152,13 +152,13 @@
 }
 
 // read reads the platform's file by the function given, and the operators'.
-func read(l *line, platform func(func(string) string) (*relay.Told, error)) (*relay.Told, *operator.File,
+func read(l *line, platform func(func(string) string) (*relay.Told, error)) (*relay.Told, *config.File,
 	error) {
 	told, err := platform(os.Getenv)
 	if err != nil {
 		return nil, nil, err
 	}
-	file, err := operator.Read(l.Operator)
+	file, err := config.Read(l.Operator)
 	return told, file, err
 }
 
--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -8,15 +8,15 @@
 	"io"
 	"math"
 
-	"valeshift/internal/hand"
+	"valeshift/balancer"
+	"valeshift/internal/dispatch"
 	"valeshift/internal/settings"
 	"valeshift/internal/wire"
-	"valeshift/logic"
 )
 
 // link is a link in hand.
 type link struct {
-	hand.Link
+	dispatch.Link
 	id uint32
 }
 
@@ -24,7 +24,7 @@
 type instance struct {
 	number  uint16
 	host    *host
-	table   *hand.Table[*link] // nil: not begun
+	table   *dispatch.Table[*link] // nil: not begun
 	links   map[uint32]*link
 	wake    float64 // when the timer that counts fires
 	ticket  uint32
@@ -127,7 +127,7 @@
 		if err != nil {
 			h.say(i, wire.InternalError).Text(err.Error())
 		} else {
-			i.table = hand.NewTable(balancer, i)
+			i.table = dispatch.NewTable(balancer, i)
 		}
 	case wire.CrashNow:
 		*i = instance{number: i.number, host: h, touched: true}
@@ -221,27 +221,27 @@
 }
 
 // outcome puts our word to the wire's reason; one not known may have run.
-func outcome(reason uint8) logic.Outcome {
+func outcome(reason uint8) balancer.Outcome {
 	switch reason {
 	case 0:
-		return logic.Satisfied
+		return balancer.Satisfied
 	case 8:
-		return logic.TurnedAway
+		return balancer.TurnedAway
 	case 4:
-		return logic.TimedOut
+		return balancer.TimedOut
 	case 14:
-		return logic.Unreachable
+		return balancer.Unreachable
 	case 10:
-		return logic.Broken
+		return balancer.Broken
 	case 1:
-		return logic.CalledOff
+		return balancer.CalledOff
 	case 9:
-		return logic.Unsent
+		return balancer.Unsent
 	}
-	return logic.Errored
+	return balancer.Errored
 }
 
-func (h *host) list(b hand.Module, how uint8, page uint32) {
+func (h *host) list(b dispatch.Module, how uint8, page uint32) {
 	if how == 3 {
 		b.ListFailed(h.now)
 		return
@@ -249,7 +249,7 @@
 	b.ListBegan(how != 0)
 	rows := wire.Over(h.pages[page])
 	for n := len(h.pages[page]) / wire.EntrySize; n > 0; n-- {
-		zone, condition, cell := int(rows.U8()), logic.Condition(rows.U8()), int(rows.U16())
+		zone, condition, cell := int(rows.U8()), balancer.Condition(rows.U8()), int(rows.U16())
 		started := rows.F64()
 		rows.U8()
 		weight, id := rows.F32(), rows.U32()
@@ -273,14 +273,14 @@
 }
 
 // Carry says what the module answered.
-func (i *instance) Carry(l *link, a logic.Answer) {
+func (i *instance) Carry(l *link, a balancer.Answer) {
 	switch a.Verdict {
-	case logic.Send:
+	case balancer.Send:
 		i.host.say(i, wire.Assign).U32(l.id).U32(a.Backend).F64(a.Timeout)
-	case logic.Reject:
+	case balancer.Reject:
 		i.host.say(i, wire.NotNow).U32(l.id).F64(a.Wait)
 		i.drop(l)
-	case logic.Fail:
+	case balancer.Fail:
 		i.host.say(i, wire.RespondError).U32(l.id)
 		i.drop(l)
 	default:
--- a/internal/ops/ops_test.go
+++ b/internal/admin/admin_test.go
@@ -1,4 +1,4 @@
-package ops
+package admin
 
 import (
 	"bufio"
--- a/internal/admit/admit.go
+++ b/internal/admission/admission.go
@@ -3,7 +3,7 @@
 // such case: its buckets follow probed load (section IV-B), which says nothing of servers that nobody has
 // used yet. It is asked by the decision module, knows no server and no link, and is silent until the module
 // is told what was learnt before, or that the fleet recovers. Times are milliseconds.
-package admit
+package admission
 
 import "math"
 
--- a/internal/admit/admit_test.go
+++ b/internal/admission/admission_test.go
@@ -1,4 +1,4 @@
-package admit
+package admission
 
 import (
 	"math"
--- a/internal/operator/operator.go
+++ b/internal/config/config.go
@@ -2,7 +2,7 @@
 // platform tells. It is TOML, optional, and read whole or not at all. Each section is a type here, with the
 // values that hold where the file is silent. The package says where the file is wrong, by line, column and
 // field; it must never act on what it reads, nor keep it.
-package operator
+package config
 
 import (
 	"bytes"
--- a/internal/operator/log.go
+++ b/internal/config/log.go
@@ -1,4 +1,4 @@
-package operator
+package config
 
 import (
 	"context"
--- a/internal/council/council.go
+++ b/internal/consensus/consensus.go
@@ -3,7 +3,7 @@
 // its votes on; that nothing is spoken of before it is on that disk; and for how long a leader may hold that
 // it leads. It touches no disk, socket or clock: frames and times come in, what is to be saved and sent goes
 // out, and what is to be sent waits until the caller has told that it is durable. Times are milliseconds.
-package council
+package consensus
 
 import (
 	"bytes"
--- a/internal/council/council_test.go
+++ b/internal/consensus/consensus_test.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"encoding/json"
--- a/internal/chamber/core.go
+++ b/internal/coordinator/core.go
@@ -2,7 +2,7 @@
 // of it is agreed on with the other voters, and what was decided goes out to whoever asks. Core has all
 // state and no I/O, so that it runs under virtual time; Run drives it on sockets and a disk. No relay's link
 // ever waits for it.
-package chamber
+package coordinator
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"math"
 	"math/rand"
 
-	"valeshift/internal/council"
+	"valeshift/internal/consensus"
 	"valeshift/internal/failover"
 )
 
@@ -21,7 +21,7 @@
 
 // Core is one voter.
 type Core struct {
-	voter  *council.Voter
+	voter  *consensus.Voter
 	book   *failover.Book
 	judge  *failover.Judge
 	wall   float64 // clock time less the time that comes in
@@ -36,12 +36,12 @@
 }
 
 // New starts a voter on what its disk has.
-func New(now float64, me council.Member, voters []council.Member, zones []failover.Zone, disk []byte,
+func New(now float64, me consensus.Member, voters []consensus.Member, zones []failover.Zone, disk []byte,
 	chance *rand.Rand) (*Core, error) {
 	c := &Core{book: &failover.Book{}, judge: failover.NewJudge(zones), judged: math.Inf(-1), out: math.Inf(1),
 		toldAt: math.Inf(-1), ending: map[string]float64{}}
 	var err error
-	c.voter, err = council.New(now, me, voters, disk, c.book, chance)
+	c.voter, err = consensus.New(now, me, voters, disk, c.book, chance)
 	return c, err
 }
 
@@ -106,7 +106,7 @@
 func (c *Core) Take(now float64, data []byte) { c.voter.Take(now, data) }
 
 // Next and Saved are the voter's: what is to be saved before what is to be sent, and that it is.
-func (c *Core) Next() council.Out { return c.voter.Next() }
+func (c *Core) Next() consensus.Out { return c.voter.Next() }
 
 // Saved says so.
 func (c *Core) Saved() { c.voter.Saved() }
@@ -166,7 +166,7 @@
 
 // Status is what operators are told.
 type Status struct {
-	council.Status
+	consensus.Status
 	Leads  bool
 	Number uint64
 	Zones  []failover.Zone
--- a/internal/chamber/core_test.go
+++ b/internal/coordinator/core_test.go
@@ -1,4 +1,4 @@
-package chamber
+package coordinator
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"valeshift/internal/council"
+	"valeshift/internal/consensus"
 	"valeshift/internal/failover"
 )
 
@@ -17,8 +17,8 @@
 	for z := range zones {
 		all = append(all, failover.Zone{Name: fmt.Sprint("zone-", z), Region: fmt.Sprint("r", z/3)})
 	}
-	me := council.Member{Name: "v", Address: "x"}
-	c, err := New(0, me, []council.Member{me}, all, nil, rand.New(rand.NewSource(1)))
+	me := consensus.Member{Name: "v", Address: "x"}
+	c, err := New(0, me, []consensus.Member{me}, all, nil, rand.New(rand.NewSource(1)))
 	require.NoError(t, err)
 	now := 0.0
 	for ; now < 5000; now += 10 {
--- a/internal/chamber/file.go
+++ b/internal/coordinator/file.go
@@ -1,4 +1,4 @@
-package chamber
+package coordinator
 
 import (
 	"errors"
@@ -7,9 +7,9 @@
 	"os"
 	"slices"
 
-	"valeshift/internal/council"
+	"valeshift/internal/config"
+	"valeshift/internal/consensus"
 	"valeshift/internal/failover"
-	"valeshift/internal/operator"
 )
 
 // File is a voter's file, in TOML.
@@ -47,7 +47,7 @@
 		return nil, err
 	}
 	f := &File{}
-	if err := operator.Strict(text, f); err != nil {
+	if err := config.Strict(text, f); err != nil {
 		return nil, fmt.Errorf("%s:%w", path, err)
 	}
 	if err := f.check(); err != nil {
@@ -112,9 +112,9 @@
 }
 
 // Council is who this voter is, who all are, and which zones are decided on.
-func (f *File) Council() (me council.Member, voters []council.Member, zones []failover.Zone) {
+func (f *File) Council() (me consensus.Member, voters []consensus.Member, zones []failover.Zone) {
 	for _, v := range f.Voters {
-		m := council.Member{Name: v.Name, Address: v.Address}
+		m := consensus.Member{Name: v.Name, Address: v.Address}
 		if voters = append(voters, m); v.Name == f.Name {
 			me = m
 		}
--- a/internal/chamber/processes_test.go
+++ b/internal/coordinator/processes_test.go
@@ -1,4 +1,4 @@
-package chamber
+package coordinator
 
 import (
 	"bytes"
@@ -22,9 +22,9 @@
 	"github.com/stretchr/testify/require"
 
 	"valeshift/internal/failover"
-	"valeshift/internal/lab/proc"
-	"valeshift/internal/lab/way"
-	"valeshift/internal/peers"
+	"valeshift/internal/membership"
+	"valeshift/internal/testbed/netem"
+	"valeshift/internal/testbed/procstat"
 )
 
 const key = "a key that all share"
@@ -38,29 +38,29 @@
 	ops    string
 	file   string
 	hears  string
-	ways   map[int]*way.Way // to the others
+	ways   map[int]*netem.Way // to the others
 	cmd    *exec.Cmd
 }
 
 // voters are processes of the lab's build: a kill loses what was not synced.
 func voters(t *testing.T, count int) (all []*machine) {
 	dir := t.TempDir()
-	binary := filepath.Join(dir, "valeshift-council")
-	said, err := exec.Command("go", "build", "-tags", "lab", "-o", binary,
-		"valeshift/cmd/valeshift-council").CombinedOutput()
+	binary := filepath.Join(dir, "valeshift-coordinator")
+	said, err := exec.Command("go", "build", "-tags", "faultdisk", "-o", binary,
+		"valeshift/cmd/valeshift-coordinator").CombinedOutput()
 	require.NoError(t, err, "%s", said)
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "key"), []byte(key), 0o600))
 	for i := range count {
 		m := &machine{t: t, name: fmt.Sprint("v", i), dir: filepath.Join(dir, fmt.Sprint(i)), binary: binary,
-			ways: map[int]*way.Way{}}
+			ways: map[int]*netem.Way{}}
 		require.NoError(t, os.MkdirAll(filepath.Join(m.dir, "disk"), 0o700))
-		m.hears, err = proc.FreeOn(fmt.Sprintf("127.0.10.%d", i+1))
+		m.hears, err = procstat.FreeOn(fmt.Sprintf("127.0.10.%d", i+1))
 		require.NoError(t, err)
 		all = append(all, m)
 		t.Cleanup(m.kill)
 	}
 	for i, m := range all {
-		m.ops, err = proc.FreeOn(fmt.Sprintf("127.0.10.%d", i+1))
+		m.ops, err = procstat.FreeOn(fmt.Sprintf("127.0.10.%d", i+1))
 		require.NoError(t, err)
 		text := fmt.Sprintf("name = %q\nops = %q\nkey-file = %q\nfolder = %q\n", m.name, m.ops, filepath.Join(dir,
 			"key"),
@@ -68,7 +68,7 @@
 		for k, to := range all {
 			address := to.hears
 			if k != i {
-				m.ways[k], err = way.New(fmt.Sprintf("127.0.10.%d", i+1), to.hears,
+				m.ways[k], err = netem.New(fmt.Sprintf("127.0.10.%d", i+1), to.hears,
 					rand.New(rand.NewSource(int64(10*i+k))))
 				require.NoError(t, err)
 				t.Cleanup(m.ways[k].Close)
@@ -108,8 +108,8 @@
 	i := slices.Index(all, m)
 	for _, k := range others {
 		if k != i {
-			m.ways[k].Set(way.State{Cut: there}, way.State{Cut: there})
-			all[k].ways[i].Set(way.State{Cut: back}, way.State{Cut: back})
+			m.ways[k].Set(netem.State{Cut: there}, netem.State{Cut: there})
+			all[k].ways[i].Set(netem.State{Cut: back}, netem.State{Cut: back})
 		}
 	}
 }
@@ -193,7 +193,7 @@
 			e.Looks[z] = l
 		}
 		r.mutex.Unlock()
-		sealed := peers.Seal([]byte(key), append([]byte{failover.Shown}, e.Text()...))
+		sealed := membership.Seal([]byte(key), append([]byte{failover.Shown}, e.Text()...))
 		for k := range all { // to all voters: who leads is one of them
 			to, _ := net.ResolveUDPAddr("udp", all[k].hears)
 			conn.WriteToUDP(sealed, to)
@@ -204,7 +204,7 @@
 			if err != nil {
 				break
 			}
-			body, err := peers.Open([]byte(key), buffer[:got])
+			body, err := membership.Open([]byte(key), buffer[:got])
 			var w failover.Word
 			if err == nil && body[0] == failover.Says && json.Unmarshal(body[1:], &w) == nil && w.Age >= 0 {
 				r.take(i, w)
--- a/internal/chamber/run.go
+++ b/internal/coordinator/run.go
@@ -1,4 +1,4 @@
-package chamber
+package coordinator
 
 import (
 	"crypto/rand"
@@ -14,9 +14,9 @@
 	"sync"
 	"time"
 
-	"valeshift/internal/council"
+	"valeshift/internal/consensus"
 	"valeshift/internal/failover"
-	"valeshift/internal/peers"
+	"valeshift/internal/membership"
 	"valeshift/internal/store"
 )
 
@@ -40,13 +40,13 @@
 	core  *Core
 	udp   *net.UDPConn
 	store *store.Store
-	saves chan council.Out
+	saves chan consensus.Out
 	ended chan struct{}
 	done  sync.WaitGroup
 }
 
 // Start starts a voter that hears others at its address; fs is its folder.
-func Start(me council.Member, voters []council.Member, zones []failover.Zone, key []byte, fs store.FS,
+func Start(me consensus.Member, voters []consensus.Member, zones []failover.Zone, key []byte, fs store.FS,
 	log *slog.Logger) (*Run, error) {
 	kept, found, err := store.Open(fs, me.Name, mostDisk)
 	if err != nil {
@@ -59,7 +59,7 @@
 	if _, err := rand.Read(lot[:]); err != nil {
 		return nil, err
 	}
-	r := &Run{log: log, key: key, base: time.Now(), store: kept, saves: make(chan council.Out, 1),
+	r := &Run{log: log, key: key, base: time.Now(), store: kept, saves: make(chan consensus.Out, 1),
 		ended: make(chan struct{})}
 	record, _ := kept.Get(store.Council, "")
 	chance := mathrand.New(mathrand.NewSource(int64(binary.LittleEndian.Uint64(lot[:]))))
@@ -117,7 +117,7 @@
 	}
 }
 
-func (r *Run) sends(all []council.Send) {
+func (r *Run) sends(all []consensus.Send) {
 	for _, s := range all {
 		r.send(s.To, failover.Frame, s.Data)
 	}
@@ -126,7 +126,7 @@
 // send loses what can't be sent: all of it is said again.
 func (r *Run) send(to string, kind byte, data []byte) {
 	if at, err := net.ResolveUDPAddr("udp", to); err == nil {
-		r.udp.WriteToUDP(peers.Seal(r.key, append([]byte{kind}, data...)), at)
+		r.udp.WriteToUDP(membership.Seal(r.key, append([]byte{kind}, data...)), at)
 	}
 }
 
@@ -169,7 +169,7 @@
 		if err != nil {
 			continue
 		}
-		body, err := peers.Open(r.key, buffer[:n])
+		body, err := membership.Open(r.key, buffer[:n])
 		if err != nil || len(body) == 0 {
 			continue
 		}
@@ -250,7 +250,7 @@
 		}
 		entry, err := r.Order(o)
 		switch {
-		case errors.Is(err, council.ErrNotLeading):
+		case errors.Is(err, consensus.ErrNotLeading):
 			http.Error(w, err.Error(), http.StatusMisdirectedRequest)
 		case err != nil:
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
--- a/internal/hand/hand.go
+++ b/internal/dispatch/dispatch.go
@@ -1,17 +1,17 @@
 // Package hand keeps the links that a driver has in hand for one relay: it puts them to the module, asks
 // again about those held, and asks what is due until nothing is. Both drivers, the wire's and the sockets',
 // stand on it, so that the same decisions come of the same news. It decides nothing and knows no wire.
-package hand
+package dispatch
 
 import (
 	"math"
 
-	"valeshift/logic"
+	"valeshift/balancer"
 )
 
 // Link is the part of a driver's link that stands here; the driver embeds it.
 type Link struct {
-	logic.Link
+	balancer.Link
 	Round int     // number of the setup try that is out, or was last
 	again float64 // when to ask again, while it is held
 }
@@ -28,29 +28,29 @@
 // Driver does what the module answers.
 type Driver[L Held] interface {
 	// Carry does an answer that isn't to hold; after any but a send the link is no longer in hand.
-	Carry(l L, a logic.Answer)
+	Carry(l L, a balancer.Answer)
 	Probe(id uint32)
 	Subscribe()
 }
 
-// Module decides. In service it is the balancer of logic; the lab compares others with it.
+// Module decides. In service it is the balancer package; the testbed compares others with it.
 type Module interface {
-	Place(now float64, l *logic.Link) logic.Answer
-	After(now float64, l *logic.Link, outcome logic.Outcome, last bool) logic.Answer
-	Next(now float64) logic.Due
+	Place(now float64, l *balancer.Link) balancer.Answer
+	After(now float64, l *balancer.Link, outcome balancer.Outcome, last bool) balancer.Answer
+	Next(now float64) balancer.Due
 
 	ListBegan(whole bool)
-	Listed(id uint32, zone int, cond logic.Condition, cell int, started, weight float64)
+	Listed(id uint32, zone int, cond balancer.Condition, cell int, started, weight float64)
 	ListEnded(now float64)
 	ListFailed(now float64)
 	Probed(now float64, id uint32, ok bool, report []float64)
 	Unasked(id uint32)
 	Reported(now float64, id uint32, report []float64)
-	Accepted(now float64, l *logic.Link)
-	Weighed(l *logic.Link, load float64)
-	Resumed(now float64, l *logic.Link, id uint32)
-	Adopted(now float64, l *logic.Link, id uint32, load float64, measured bool)
-	Vanished(l *logic.Link) bool
+	Accepted(now float64, l *balancer.Link)
+	Weighed(l *balancer.Link, load float64)
+	Resumed(now float64, l *balancer.Link, id uint32)
+	Adopted(now float64, l *balancer.Link, id uint32, load float64, measured bool)
+	Vanished(l *balancer.Link) bool
 
 	Leave(nth, of int, within float64) float64
 	Lost(id uint32, quiet float64) bool
@@ -59,9 +59,9 @@
 	Census() (listed, avoided int)
 	Fit(now float64) bool
 	Yield(on bool)
-	Record(now float64) logic.Record
-	Learnt() logic.Learnt
-	Recall(l logic.Learnt) bool
+	Record(now float64) balancer.Record
+	Learnt() balancer.Learnt
+	Recall(l balancer.Learnt) bool
 	Recover(on bool, part float64)
 	Warmth(now float64) (cold, usable int)
 	Restart(now float64)
@@ -77,16 +77,16 @@
 	Others(load float64)
 	// Direct has links meant for zones by those parts; Zones gives what was seen of each zone, and this
 	// relay's load.
-	Direct(parts []logic.Direction)
-	Zones(now float64) (all []logic.ZoneLook, demand float64)
+	Direct(parts []balancer.Direction)
+	Zones(now float64) (all []balancer.ZoneLook, demand float64)
 	Told(now float64) map[uint64]float64
 	Promised(now float64, told map[uint64]float64)
 	Forgo(key uint64)
 	// Ran takes, before the link is placed, that an earlier one of its client's may have run there and then.
-	Ran(l *logic.Link, id uint32, at float64)
+	Ran(l *balancer.Link, id uint32, at float64)
 	// Prefer takes, before the link is placed, where it or its group stood: a hint.
-	Prefer(l *logic.Link, id uint32)
-	Inherit(now float64, r *logic.Record) error
+	Prefer(l *balancer.Link, id uint32)
+	Inherit(now float64, r *balancer.Record) error
 }
 
 // Table is what one relay has in hand.
@@ -108,7 +108,7 @@
 }
 
 // After tells the outcome of a setup try, or of its link, and does what follows.
-func (t *Table[L]) After(now float64, l L, outcome logic.Outcome, last bool) {
+func (t *Table[L]) After(now float64, l L, outcome balancer.Outcome, last bool) {
 	t.carry(now, l, t.Balancer.After(now, &l.Hand().Link, outcome, last))
 }
 
@@ -121,15 +121,15 @@
 // Drop has nothing asked about the link again.
 func (t *Table[L]) Drop(l L) { l.Hand().again = math.Inf(1) }
 
-func (t *Table[L]) carry(now float64, l L, a logic.Answer) {
+func (t *Table[L]) carry(now float64, l L, a balancer.Answer) {
 	h := l.Hand()
 	h.again = math.Inf(1)
 	switch a.Verdict {
-	case logic.Hold:
+	case balancer.Hold:
 		h.again = now + a.Wait
 		t.held = append(t.held, l)
 		return
-	case logic.Send:
+	case balancer.Send:
 		h.Round = a.Round
 	}
 	t.driver.Carry(l, a)
--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -11,10 +11,10 @@
 	"math/rand"
 	"slices"
 
-	"valeshift/internal/holdings"
-	"valeshift/internal/peers"
+	"valeshift/internal/membership"
 	"valeshift/internal/recovery"
 	"valeshift/internal/relay"
+	"valeshift/internal/replication"
 	"valeshift/internal/store"
 )
 
@@ -35,12 +35,12 @@
 
 // Act is something that Core asks for, one field at a time.
 type Act struct {
-	Send *peers.Datagram
+	Send *membership.Datagram
 	Ask  *Question
 	Save *store.Record
 	Kept uint64 // where not 0: Core's Kept is to be told of it once that is durable, or can't be
 	// where not nil: Core's Durable is to be told of it once that is durable, and only then
-	Then    *holdings.Save
+	Then    *replication.Save
 	Tell    *relay.Event
 	Settled *Settled
 	Note    string
@@ -51,7 +51,7 @@
 
 // Core is one relay's side of the fleet.
 type Core struct {
-	peers      *peers.Peers // nil: none are named
+	peers      *membership.Peers // nil: none are named
 	plan       *recovery.Plan
 	phase      recovery.Phase
 	boot       uint64 // as it was saved
@@ -77,14 +77,14 @@
 
 // New starts the relay's side: with others, where an own word is given that says where it hears them, and
 // with a disk, which is told of by Disk.
-func New(now float64, own peers.Word, seeds []string, key []byte, disk bool, chance *rand.Rand) *Core {
+func New(now float64, own membership.Word, seeds []string, key []byte, disk bool, chance *rand.Rand) *Core {
 	c := &Core{plan: recovery.New(now, disk, own.Address != ""), hasDisk: disk, turnedAt: now,
 		keepAt: now + keepEvery, kept: &relay.Kept{}, beyondSaid: -1, diskWhy: "being read"}
 	if !disk {
 		c.diskWhy = "none is named"
 	}
 	if own.Address != "" {
-		c.peers = peers.New(now, own, seeds, key, chance)
+		c.peers = membership.New(now, own, seeds, key, chance)
 	}
 	return c
 }
@@ -204,11 +204,11 @@
 }
 
 // heard are the relays that are alive now.
-func (c *Core) heard(now float64) []peers.Member {
+func (c *Core) heard(now float64) []membership.Member {
 	if c.peers == nil {
 		return nil
 	}
-	return slices.DeleteFunc(c.peers.Members(now), func(m peers.Member) bool { return m.State != peers.Alive })
+	return slices.DeleteFunc(c.peers.Members(now), func(m membership.Member) bool { return m.State != membership.Alive })
 }
 
 // others are those as the plan sees them.
@@ -438,11 +438,11 @@
 	return acts
 }
 
-func (c *Core) member(name string) (peers.Member, bool) {
+func (c *Core) member(name string) (membership.Member, bool) {
 	members := c.peers.Members(c.seen.Now) // of some is asked only where there are others
-	i := slices.IndexFunc(members, func(m peers.Member) bool { return m.Name == name })
+	i := slices.IndexFunc(members, func(m membership.Member) bool { return m.Name == name })
 	if i < 0 {
-		return peers.Member{}, false
+		return membership.Member{}, false
 	}
 	return members[i], true
 }
@@ -461,7 +461,7 @@
 	Ahead    float64 // of the fleet's clock, ms
 	Twin     bool    // another process serves under this relay's name
 	Members  []MemberStatus
-	Wire     peers.Counts
+	Wire     membership.Counts
 	Council  *CouncilStatus `json:",omitempty"`
 
 	Holdings *HoldingsStatus `json:",omitempty"`
--- a/internal/fleet/council.go
+++ b/internal/fleet/council.go
@@ -7,11 +7,11 @@
 	"math/rand"
 	"slices"
 
+	"valeshift/balancer"
 	"valeshift/internal/failover"
-	"valeshift/internal/peers"
+	"valeshift/internal/membership"
 	"valeshift/internal/relay"
 	"valeshift/internal/store"
-	"valeshift/logic"
 )
 
 // This file is a relay's side of the council: it tells voters what it sees of zones, takes their word on
@@ -39,7 +39,7 @@
 
 type sight struct {
 	at    float64
-	zones map[string]logic.ZoneLook
+	zones map[string]balancer.ZoneLook
 }
 
 // Follows has the relay follow the council whose voters are there.
@@ -53,7 +53,7 @@
 
 // Show takes what the relay has seen of zones since its start, and what its links weigh, and gives what
 // voters are told of the last seconds: who leads, or all while nobody is known to.
-func (c *Core) Show(now float64, zones map[string]logic.ZoneLook, demand float64) (acts []Act) {
+func (c *Core) Show(now float64, zones map[string]balancer.ZoneLook, demand float64) (acts []Act) {
 	k := c.council
 	k.showAt = now + showEvery
 	k.seen = append(k.seen, sight{now, zones})
@@ -67,10 +67,10 @@
 		e.Looks[name] = failover.Look{Tries: l.Tries - was.Tries, Failed: l.Failed - was.Failed,
 			Probes: l.Probes - was.Probes, Silent: l.Silent - was.Silent, Load: max(l.Load, 0), Room: l.Room}
 	}
-	data := peers.Seal(k.key, append([]byte{failover.Shown}, e.Text()...))
+	data := membership.Seal(k.key, append([]byte{failover.Shown}, e.Text()...))
 	for i, to := range k.voters {
 		if i == k.leads && now < k.leadsAt+leadsFor || k.leads < 0 || now >= k.leadsAt+leadsFor {
-			acts = append(acts, Act{Send: &peers.Datagram{To: to, Data: data}})
+			acts = append(acts, Act{Send: &membership.Datagram{To: to, Data: data}})
 		}
 	}
 	return acts
@@ -86,7 +86,7 @@
 	if i < 0 {
 		return nil, false
 	}
-	body, err := peers.Open(k.key, data)
+	body, err := membership.Open(k.key, data)
 	var w failover.Word
 	if err != nil || len(body) == 0 || body[0] != failover.Says || json.Unmarshal(body[1:], &w) != nil {
 		return nil, true
--- a/internal/fleet/holdings.go
+++ b/internal/fleet/holdings.go
@@ -7,10 +7,10 @@
 	"math/rand"
 	"slices"
 
-	"valeshift/internal/holdings"
-	"valeshift/internal/peers"
+	"valeshift/internal/membership"
 	"valeshift/internal/recovery"
 	"valeshift/internal/relay"
+	"valeshift/internal/replication"
 	"valeshift/internal/store"
 )
 
@@ -58,12 +58,12 @@
 }
 
 type held struct {
-	core    *holdings.Core
+	core    *replication.Core
 	key     []byte
 	life    uint64
 	viewAt  float64
 	sweepAt float64
-	members []holdings.Member
+	members []replication.Member
 	entrust map[uint64]entrusted // by token
 	took    [latest]float64      // ms, that the latest words took to be held, in turn
 	words   int
@@ -75,11 +75,11 @@
 	againAt float64
 	older   bool // this disk is not the one that the relay has spoken by
 
-	orders  map[uint64]bool // tokens of those that are being held, or read
-	reads   int             // times that it was read so far
-	nextAt  float64         // when it is read, or held anew, at the soonest
-	ordered holdings.Record // as it was promised last
-	former  holdings.Record // and before that: its holders are told so some times, as nobody answers to it
+	orders  map[uint64]bool    // tokens of those that are being held, or read
+	reads   int                // times that it was read so far
+	nextAt  float64            // when it is read, or held anew, at the soonest
+	ordered replication.Record // as it was promised last
+	former  replication.Record // and before that: its holders are told so some times, as nobody answers to it
 	tells   int
 }
 
@@ -87,7 +87,7 @@
 // of setup tries for so long beyond their links' hard limits, 0: none are kept; and where clients stand.
 func (c *Core) Holds(name string, life uint64, copies int, remember float64, stood bool, key []byte,
 	chance *rand.Rand) []Act {
-	c.held = &held{core: holdings.New(name, life, copies, mostHoldings, chance), key: key, life: life,
+	c.held = &held{core: replication.New(name, life, copies, mostHoldings, chance), key: key, life: life,
 		entrust: map[uint64]entrusted{}, claims: map[uint64]relay.Effect{}, given: map[given]uint64{},
 		hints:  map[uint64]relay.Effect{},
 		orders: map[uint64]bool{}}
@@ -107,7 +107,7 @@
 // HoldOrder has others hold the order that this relay was given last; a Settled follows, under that token.
 func (c *Core) HoldOrder(now float64) (token uint64, acts []Act) {
 	body, _ := json.Marshal(orderBody{c.order, c.lame}) // of plain values
-	token, all := c.held.core.Put(c.fleetTime(now), holdings.Record{Kind: holdings.Order,
+	token, all := c.held.core.Put(c.fleetTime(now), replication.Record{Kind: replication.Order,
 		Key:     c.peers.Own().Name,
 		Version: c.order, End: c.fleetTime(now) + orderFor, Body: body}, orderWithin)
 	c.held.orders[token], c.held.nextAt = true, now+orderEvery
@@ -116,7 +116,7 @@
 
 // orders reads once what others hold of this relay's orders, and has its last one held anew where a holder
 // has gone or leaves, or its time has half run out.
-func (c *Core) orders(now float64, members []holdings.Member) []Act {
+func (c *Core) orders(now float64, members []replication.Member) []Act {
 	h := c.held
 	if now < h.nextAt || c.plan.Phase() < recovery.Admitting || !c.read {
 		return nil
@@ -124,7 +124,7 @@
 	h.nextAt = now + orderEvery
 	if h.reads < orderReads && c.order == 0 && len(members) > 1 {
 		h.reads++
-		token, acts := h.core.Read(c.fleetTime(now), holdings.Order, c.peers.Own().Name, orderReadFor)
+		token, acts := h.core.Read(c.fleetTime(now), replication.Order, c.peers.Own().Name, orderReadFor)
 		h.orders[token] = true
 		return c.holds(now, acts)
 	}
@@ -132,10 +132,10 @@
 		h.tells--
 		return c.holds(now, h.core.Release(c.fleetTime(now), h.former))
 	}
-	there := func(o holdings.Holder) bool {
-		return slices.ContainsFunc(members, func(m holdings.Member) bool { return m.Name == o.Name && !m.Leaves })
+	there := func(o replication.Holder) bool {
+		return slices.ContainsFunc(members, func(m replication.Member) bool { return m.Name == o.Name && !m.Leaves })
 	}
-	missing := slices.ContainsFunc(h.ordered.Holders, func(o holdings.Holder) bool { return !there(o) })
+	missing := slices.ContainsFunc(h.ordered.Holders, func(o replication.Holder) bool { return !there(o) })
 	if c.order == 0 || (h.ordered.Version == c.order && !missing &&
 		c.fleetTime(now) < h.ordered.End-orderFor/2) {
 		return nil
@@ -154,14 +154,14 @@
 	h, at, key := c.held, c.fleetTime(now), placeKey(f.Key)
 	mine := given{f.Word, f.Conn}
 	var token uint64
-	var acts []holdings.Act
+	var acts []replication.Act
 	switch {
 	case f.Do == relay.Release:
 		token = h.given[mine]
 		delete(h.given, mine)
 		return c.holds(now, h.core.Over(at, token))
 	case f.Do == relay.Claim && f.Word == relay.Place:
-		token, acts = h.core.Take(at, holdings.Place, key)
+		token, acts = h.core.Take(at, replication.Place, key)
 	case f.Do == relay.Claim:
 		token, acts = h.core.Read(at, kinds[f.Word], key, max(f.At-now-wordBack, 1))
 	}
@@ -169,7 +169,7 @@
 		h.claims[token] = f
 		return c.holds(now, acts)
 	}
-	r := holdings.Record{Kind: kinds[f.Word], Key: key, Version: uint64(max(at, 0)), At: at,
+	r := replication.Record{Kind: kinds[f.Word], Key: key, Version: uint64(max(at, 0)), At: at,
 		Body: []byte(f.Text)}
 	switch f.Word {
 	case relay.Place:
@@ -195,15 +195,15 @@
 }
 
 // kinds are what words are held as.
-var kinds = [...]holdings.Kind{relay.Place: holdings.Place, relay.Ran: holdings.Mark,
-	relay.Stood: holdings.Affinity}
+var kinds = [...]replication.Kind{relay.Place: replication.Place, relay.Ran: replication.Mark,
+	relay.Stood: replication.Affinity}
 
 // heldFrame takes a datagram of another's holdings; false: it is none.
 func (c *Core) heldFrame(now float64, from string, data []byte) ([]Act, bool) {
 	if c.held == nil || len(data) == 0 || data[0] != holdingFrame {
 		return nil, false
 	}
-	body, err := peers.Open(c.held.key, data)
+	body, err := membership.Open(c.held.key, data)
 	if err != nil {
 		return nil, true
 	}
@@ -215,20 +215,20 @@
 }
 
 // Durable says that what holdings had saved is on the disk.
-func (c *Core) Durable(now float64, s *holdings.Save) []Act {
+func (c *Core) Durable(now float64, s *replication.Save) []Act {
 	return c.holds(now, c.held.core.Saved(c.fleetTime(now), s))
 }
 
 // holds turns its acts into those of the whole.
-func (c *Core) holds(now float64, all []holdings.Act) (acts []Act) {
+func (c *Core) holds(now float64, all []replication.Act) (acts []Act) {
 	for _, a := range all {
 		switch {
 		case a.Save != nil:
 			acts = append(acts, Act{Save: &store.Record{Kind: store.Holding, Key: a.Save.Name, Boot: c.boot, At: now,
 				Body: a.Save.Body}, Then: a.Save})
 		case a.Data != nil:
-			acts = append(acts, Act{Send: &peers.Datagram{To: a.To,
-				Data: peers.Seal(c.held.key, append([]byte{holdingFrame}, a.Data...))}})
+			acts = append(acts, Act{Send: &membership.Datagram{To: a.To,
+				Data: membership.Seal(c.held.key, append([]byte{holdingFrame}, a.Data...))}})
 		case a.Done != nil:
 			acts = append(acts, c.outcome(now, a.Done)...)
 		}
@@ -236,7 +236,7 @@
 	return acts
 }
 
-func (c *Core) outcome(now float64, o *holdings.Outcome) []Act {
+func (c *Core) outcome(now float64, o *replication.Outcome) []Act {
 	h := c.held
 	if w, there := h.entrust[o.Token]; there {
 		delete(h.entrust, o.Token)
@@ -258,7 +258,7 @@
 		if !o.OK && o.Record.Owner != "" {
 			acts = append(acts, Act{Note: "an order is not held by others: " + o.Why})
 		}
-		if o.OK && o.Record.Kind == holdings.Order {
+		if o.OK && o.Record.Kind == replication.Order {
 			var kept orderBody
 			if json.Unmarshal(o.Record.Body, &kept) == nil { // one that its own disk has lost
 				acts = append(acts, c.reminded(now, kept.Number, kept.Lame)...)
@@ -291,11 +291,11 @@
 	if now >= h.viewAt {
 		h.viewAt = now + viewEvery
 		own := c.peers.Own()
-		all := []holdings.Member{{Name: own.Name, Zone: own.Zone, Address: own.Address, Life: h.life,
+		all := []replication.Member{{Name: own.Name, Zone: own.Zone, Address: own.Address, Life: h.life,
 			Leaves: c.lame}}
 		for _, m := range c.heard(now) {
 			if at := c.peers.Reach(m); at != "" {
-				all = append(all, holdings.Member{Name: m.Name, Zone: m.Zone, Address: at, Life: m.Life,
+				all = append(all, replication.Member{Name: m.Name, Zone: m.Zone, Address: at, Life: m.Life,
 					Leaves: m.Lame})
 			}
 		}
@@ -358,16 +358,16 @@
 
 // HoldingsStatus is what operators are told.
 type HoldingsStatus struct {
-	Kinds  map[string]holdings.Standing
-	Able   bool                       // there are relays enough for a promise
-	Counts map[string]holdings.Counts // by kind
+	Kinds  map[string]replication.Standing
+	Able   bool                          // there are relays enough for a promise
+	Counts map[string]replication.Counts // by kind
 	// ms, that the latest words took until others held them; 0: there were none
 	P50 float64
 	P99 float64
 }
 
 // Page shows one part of what this relay holds for others; nil where it holds nothing for any.
-func (c *Core) Page(now float64, part int) *holdings.Page {
+func (c *Core) Page(now float64, part int) *replication.Page {
 	if c.held == nil {
 		return nil
 	}
--- a/internal/fleet/processes_test.go
+++ b/internal/fleet/processes_test.go
@@ -18,7 +18,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"valeshift/internal/lab/proc"
+	"valeshift/internal/testbed/procstat"
 )
 
 // machine is one relay process with a folder as its disk.
@@ -45,7 +45,7 @@
 func machines(t *testing.T, count int) (all []*machine) {
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "valeshift")
-	said, err := exec.Command("go", "build", "-tags", "lab", "-o", binary,
+	said, err := exec.Command("go", "build", "-tags", "faultdisk", "-o", binary,
 		"valeshift/cmd/valeshift").CombinedOutput()
 	require.NoError(t, err, "%s", said)
 	var seeds []string
@@ -53,7 +53,7 @@
 		m := &machine{t: t, number: i, dir: filepath.Join(dir, fmt.Sprint(i)), binary: binary,
 			key: "a key that all share"}
 		require.NoError(t, os.MkdirAll(m.disk(), 0o700))
-		m.hears, err = proc.FreeOn(fmt.Sprintf("127.0.9.%d", i+1))
+		m.hears, err = procstat.FreeOn(fmt.Sprintf("127.0.9.%d", i+1))
 		require.NoError(t, err)
 		if seeds = append(seeds, m.hears); len(seeds) > 3 {
 			seeds = seeds[:3]
@@ -78,9 +78,9 @@
 
 func (m *machine) start() {
 	var err error
-	m.ops, err = proc.FreeOn(fmt.Sprintf("127.0.9.%d", m.number+1))
+	m.ops, err = procstat.FreeOn(fmt.Sprintf("127.0.9.%d", m.number+1))
 	require.NoError(m.t, err)
-	listen, err := proc.FreeOn(fmt.Sprintf("127.0.9.%d", m.number+1))
+	listen, err := procstat.FreeOn(fmt.Sprintf("127.0.9.%d", m.number+1))
 	require.NoError(m.t, err)
 	quoted := strings.Join(m.seeds, `", "`)
 	operator := m.write("operator.toml",
@@ -293,7 +293,7 @@
 
 	// A second process under the name and with the disk of another: it is kept from the disk, and both are told.
 	twin := *all[2]
-	twin.hears, err = proc.FreeOn("127.0.9.8")
+	twin.hears, err = procstat.FreeOn("127.0.9.8")
 	require.NoError(t, err)
 	twin.dir = filepath.Join(all[7].dir, "twin")
 	require.NoError(t, os.MkdirAll(twin.dir, 0o700))
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -14,10 +14,10 @@
 	"sync"
 	"time"
 
-	"valeshift/internal/peers"
+	"valeshift/balancer"
+	"valeshift/internal/membership"
 	"valeshift/internal/relay"
 	"valeshift/internal/store"
-	"valeshift/logic"
 )
 
 const (
@@ -62,7 +62,7 @@
 	tell func(relay.Event)
 	seen func() relay.Seen
 	kept func() *relay.Kept
-	look func() (map[string]logic.ZoneLook, float64)
+	look func() (map[string]balancer.ZoneLook, float64)
 
 	mutex sync.Mutex // over core; never held while the relay, a peer or the disk is waited for
 	core  *Core
@@ -117,13 +117,13 @@
 // Start begins: tell gives the relay an event; seen, kept and looked ask it how it fares, what it knows and
 // what it has seen of zones.
 func (r *Run) Start(now float64, tell func(relay.Event), seen func() relay.Seen, kept func() *relay.Kept,
-	looked func() (map[string]logic.ZoneLook, float64)) error {
+	looked func() (map[string]balancer.ZoneLook, float64)) error {
 	r.base, r.ms, r.tell, r.seen, r.kept, r.look = time.Now(), now, tell, seen, kept, looked
 	var lot [16]byte
 	if _, err := rand.Read(lot[:]); err != nil {
 		return err
 	}
-	own := peers.Word{Name: r.name, Zone: r.peers.Zone, Region: r.peers.Region, Address: r.peers.Listen,
+	own := membership.Word{Name: r.name, Zone: r.peers.Zone, Region: r.peers.Region, Address: r.peers.Listen,
 		Life: binary.LittleEndian.Uint64(lot[:])}
 	chance := mathrand.New(mathrand.NewSource(int64(binary.LittleEndian.Uint64(lot[8:]))))
 	if own.Address != "" {
@@ -299,7 +299,7 @@
 	if _, err := io.ReadFull(conn, question); err != nil {
 		return
 	}
-	asked, err := peers.Open(r.key, question)
+	asked, err := membership.Open(r.key, question)
 	if err != nil {
 		return
 	}
@@ -307,7 +307,7 @@
 	r.mutex.Lock()
 	text := r.core.Answer(r.now(), k)
 	r.mutex.Unlock()
-	conn.Write(peers.Seal(r.key, append(asked, text...)))
+	conn.Write(membership.Seal(r.key, append(asked, text...)))
 	conn.(*net.TCPConn).CloseWrite()
 }
 
@@ -327,14 +327,14 @@
 	if _, err := rand.Read(own[:]); err != nil {
 		return nil, err
 	}
-	if _, err := conn.Write(peers.Seal(r.key, own[:])); err != nil {
+	if _, err := conn.Write(membership.Seal(r.key, own[:])); err != nil {
 		return nil, err
 	}
 	sealed, err := io.ReadAll(io.LimitReader(conn, mostAnswer))
 	if err != nil {
 		return nil, err
 	}
-	body, err := peers.Open(r.key, sealed)
+	body, err := membership.Open(r.key, sealed)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/handover/handover.go
+++ b/internal/hotrestart/hotrestart.go
@@ -3,7 +3,7 @@
 // which it keeps locked while it lives; a lock that can be had means a dead owner, whatever the file says. It
 // carries what one leaves to another as bytes, whole or not at all. It must never know what they mean, or
 // decide who serves.
-package handover
+package hotrestart
 
 import (
 	"errors"
--- a/internal/handover/pass.go
+++ b/internal/hotrestart/pass.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"errors"
--- a/internal/peers/peers.go
+++ b/internal/membership/membership.go
@@ -3,7 +3,7 @@
 // part of the others'. Of two words on one relay the later holds (boot, then beat), so that whatever is lost,
 // late, doubled or out of order takes nothing back. It decides nothing, touches no socket, asks no clock:
 // times come in and datagrams go out. Nobody waits for an answer.
-package peers
+package membership
 
 import (
 	"cmp"
--- a/internal/peers/peers_test.go
+++ b/internal/membership/membership_test.go
@@ -1,4 +1,4 @@
-package peers
+package membership
 
 import (
 	"container/heap"
--- a/internal/lines/lines_test.go
+++ b/internal/protocol/protocol_test.go
@@ -1,4 +1,4 @@
-package lines
+package protocol
 
 import (
 	"bytes"
--- a/internal/relay/backends.go
+++ b/internal/relay/backends.go
@@ -8,8 +8,8 @@
 	"hash/fnv"
 	"slices"
 
-	"valeshift/internal/lines"
-	"valeshift/logic"
+	"valeshift/balancer"
+	"valeshift/internal/protocol"
 )
 
 const (
@@ -28,7 +28,7 @@
 type backend struct {
 	Entry
 	id        uint32
-	condition logic.Condition
+	condition balancer.Condition
 	links     []*link // that stand
 	heard     float64 // when one of them last brought anything
 	probe     *end
@@ -114,13 +114,13 @@
 		named[b] = true
 		switch e.Status {
 		case "active":
-			if b.condition = logic.Ready; r.dismissed[e.Name] {
-				b.condition = logic.Draining
+			if b.condition = balancer.Ready; r.dismissed[e.Name] {
+				b.condition = balancer.Draining
 			}
 		case "leaving":
-			b.condition = logic.Draining
+			b.condition = balancer.Draining
 		default:
-			b.condition = logic.Gone
+			b.condition = balancer.Gone
 		}
 		r.table.Balancer.Listed(b.id, r.zone(e.Zone), b.condition, e.Group, r.started(e), e.Weight)
 		if b.probe != nil && moved {
@@ -131,15 +131,15 @@
 	r.table.Balancer.ListEnded(r.now)
 	for _, b := range r.order {
 		if news.Whole && !named[b] {
-			b.condition = logic.Gone
+			b.condition = balancer.Gone
 		}
 		for i, l := range b.links {
 			r.leaves(b, l, i)
 		}
-		if b.condition == logic.Gone && b.probe != nil {
+		if b.condition == balancer.Gone && b.probe != nil {
 			r.probeOver(b)
 		}
-		if booked, _, _ := r.table.Balancer.View(b.id); b.condition == logic.Gone && booked == 0 {
+		if booked, _, _ := r.table.Balancer.View(b.id); b.condition == balancer.Gone && booked == 0 {
 			// Against a fleet whose names never come again filling the memory. One with a try out stays: under
 			// the same name it may come again, and its links would be on a backend that nothing tells of.
 			delete(r.backends, b.Name)
@@ -156,15 +156,15 @@
 func (r *Reducer) overtaken(named map[*backend]bool) {
 	at := map[string]*backend{}
 	for _, b := range r.order {
-		if named[b] && b.condition != logic.Gone {
+		if named[b] && b.condition != balancer.Gone {
 			at[b.Address] = b
 		}
 	}
 	for _, b := range r.order {
-		if by := at[b.Address]; by != nil && !named[b] && b.condition != logic.Gone {
+		if by := at[b.Address]; by != nil && !named[b] && b.condition != balancer.Gone {
 			r.note("backend's address is another's now", "backend", b.Name, "by", by.Name)
-			b.condition = logic.Gone
-			r.table.Balancer.Listed(b.id, r.zone(b.Zone), logic.Gone, b.Group, r.started(b.Entry), b.Weight)
+			b.condition = balancer.Gone
+			r.table.Balancer.Listed(b.id, r.zone(b.Zone), balancer.Gone, b.Group, r.started(b.Entry), b.Weight)
 		}
 	}
 }
@@ -323,8 +323,8 @@
 				return
 			}
 			data = rest
-			verb, said := lines.Verb(line)
-			r.probed(b, string(verb) == "PONG", lines.Report(said, r.fields))
+			verb, said := protocol.Verb(line)
+			r.probed(b, string(verb) == "PONG", protocol.Report(said, r.fields))
 		}
 	}
 }
@@ -355,7 +355,7 @@
 }
 
 func (r *Reducer) reported(b *backend, said []byte) {
-	if report := lines.Report(said, r.fields); report != nil {
+	if report := protocol.Report(said, r.fields); report != nil {
 		r.table.Balancer.Reported(r.now, b.id, report)
 	}
 }
--- a/internal/relay/ending.go
+++ b/internal/relay/ending.go
@@ -4,7 +4,7 @@
 // and those in which a client without a link is turned away, of which the module hears nothing. It
 // must never look at a connection or a link: whoever sees the end names it.
 
-import "valeshift/logic"
+import "valeshift/balancer"
 
 // Ending is how a connection of a link ended.
 type Ending uint8
@@ -38,24 +38,24 @@
 func (e Ending) String() string { return endingNames[e] }
 
 // outcome is the one place where an ending becomes what the module knows.
-func (e Ending) outcome() logic.Outcome {
+func (e Ending) outcome() balancer.Outcome {
 	switch e {
 	case NotSent:
-		return logic.Unsent
+		return balancer.Unsent
 	case NeverUp:
-		return logic.Unreachable
+		return balancer.Unreachable
 	case TurnedDown:
-		return logic.TurnedAway
+		return balancer.TurnedAway
 	case BackendError, BadAnswer:
-		return logic.Errored
+		return balancer.Errored
 	case NoAnswer:
-		return logic.TimedOut
+		return balancer.TimedOut
 	case ServedOut, ClientDone:
-		return logic.Satisfied
+		return balancer.Satisfied
 	case SentAway, MovedAway, ClientBroke, SlowReader, HandedOver:
-		return logic.CalledOff
+		return balancer.CalledOff
 	}
-	return logic.Broken
+	return balancer.Broken
 }
 
 // Badness is why a client was turned away before it had a link.
--- a/internal/relay/figures.go
+++ b/internal/relay/figures.go
@@ -8,7 +8,7 @@
 	"errors"
 	"sync/atomic"
 
-	"valeshift/internal/ops"
+	"valeshift/internal/admin"
 )
 
 // answers are how the links of one category were answered: by the UP that its client was passed, by BUSY, by
@@ -25,15 +25,15 @@
 	return append(to, r.Written, uint64(r.links), uint64(known), uint64(excluded))
 }
 
-func (r *Reducer) figureNames() []ops.Figure {
-	names := make([]ops.Figure, 3*len(r.answers))
+func (r *Reducer) figureNames() []admin.Figure {
+	names := make([]admin.Figure, 3*len(r.answers))
 	for name, i := range r.categories {
 		for k, what := range []string{"served.", "refused.", "failed."} {
-			names[3*i+k] = ops.Figure{Name: what + name, Counter: true}
+			names[3*i+k] = admin.Figure{Name: what + name, Counter: true}
 		}
 	}
-	return append(names, ops.Figure{Name: "attempts", Counter: true}, ops.Figure{Name: "in_flight"},
-		ops.Figure{Name: "backends_known"}, ops.Figure{Name: "backends_excluded"})
+	return append(names, admin.Figure{Name: "attempts", Counter: true}, admin.Figure{Name: "in_flight"},
+		admin.Figure{Name: "backends_known"}, admin.Figure{Name: "backends_excluded"})
 }
 
 // serving tells whether the relay is fit to be sent clients.
@@ -41,7 +41,7 @@
 
 // board is what was published last.
 type board struct {
-	names  []ops.Figure
+	names  []admin.Figure
 	values []atomic.Uint64
 	ready  atomic.Bool
 	now    []uint64 // the publisher's own
@@ -74,8 +74,8 @@
 
 func (c calls) Ready() bool { return c.ready.Load() }
 
-func (c calls) Figures() []ops.Figure {
-	all := append([]ops.Figure(nil), c.names...)
+func (c calls) Figures() []admin.Figure {
+	all := append([]admin.Figure(nil), c.names...)
 	for i := range all {
 		all[i].Value = c.values[i].Load()
 	}
--- a/internal/relay/passing.go
+++ b/internal/relay/passing.go
@@ -14,7 +14,7 @@
 
 	"github.com/lesismal/nbio"
 
-	"valeshift/internal/handover"
+	"valeshift/internal/hotrestart"
 )
 
 const mostEpoll = 64 // descriptors among which the poller's own is looked for: it is opened at the start
@@ -22,7 +22,7 @@
 // passing is the way to the younger process.
 type passing struct {
 	mutex   sync.Mutex // over the way, one link at a time
-	way     *handover.Way
+	way     *hotrestart.Way
 	closed  bool
 	pending sync.WaitGroup
 	epoll   int // the poller's own descriptor, once found
@@ -58,7 +58,7 @@
 	for _, fd := range fds {
 		syscall.Close(fd)
 	}
-	if err != nil && !errors.Is(err, handover.ErrRefused) {
+	if err != nil && !errors.Is(err, hotrestart.ErrRefused) {
 		s.log.Warn("can't pass a link", "err", err)
 		p.way.Close()
 		p.closed = true
@@ -98,10 +98,10 @@
 // part has the reducer give the link up, and takes its sockets out of the poller, with descriptors of their
 // own to be sent. All under the relay's lock: no descriptor's number can come to another connection
 // meanwhile.
-func (s *Sockets) part(client uint64, c, b *socket) (*Passed, [handover.Pair]int) {
+func (s *Sockets) part(client uint64, c, b *socket) (*Passed, [hotrestart.Pair]int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	var fds [handover.Pair]int
+	var fds [hotrestart.Pair]int
 	both := [...]*socket{c, b}
 	for _, k := range both {
 		if k.unsent.Load() > 0 || k.closing.Load() || over(k.nb) {
@@ -170,12 +170,12 @@
 
 // adopt takes a link that the elder process passes. Where that says when it has let go, nothing is read or
 // written before.
-func (s *Sockets) adopt(text []byte, files [handover.Pair]*os.File) (bool, func()) {
+func (s *Sockets) adopt(text []byte, files [hotrestart.Pair]*os.File) (bool, func()) {
 	record := &Passed{}
 	if json.Unmarshal(text, record) != nil {
 		return false, nil
 	}
-	var both [handover.Pair]*nbio.Conn
+	var both [hotrestart.Pair]*nbio.Conn
 	for i, f := range files {
 		plain, err := net.FileConn(f)
 		if err == nil {
@@ -199,7 +199,7 @@
 		both[1].Close()
 		return false, nil
 	}
-	var links [handover.Pair]*socket
+	var links [hotrestart.Pair]*socket
 	for i, conn := range [...]uint64{client, s.adopted} {
 		links[i] = &socket{conn: conn, nb: both[i], early: true}
 		both[i].SetSession(links[i])
@@ -217,7 +217,7 @@
 }
 
 // polls begins to read what was adopted, and writes what is to be written by now.
-func (s *Sockets) polls(links [handover.Pair]*socket) {
+func (s *Sockets) polls(links [hotrestart.Pair]*socket) {
 	for _, c := range links {
 		if c.early = false; s.open[c.conn] != c {
 			continue
--- a/internal/relay/random_test.go
+++ b/internal/relay/random_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"valeshift/logic"
+	"valeshift/balancer"
 )
 
 // fixedTimers is how many timers may be armed without a connection: of the list, the start, the door and the stop.
@@ -63,7 +63,7 @@
 					first := strings.SplitN(said, " ", 3)[2]
 					if c := s.ends[s.conn(f[1])]; strings.HasPrefix(first, "OPEN") && c != nil {
 						require.NotNil(t, c.link.client, "seed %d: %s for a client that left", seed, said)
-						require.Equal(t, logic.Ready, c.backend.condition, "seed %d: %s to one that drains", seed, said)
+						require.Equal(t, balancer.Ready, c.backend.condition, "seed %d: %s to one that drains", seed, said)
 					}
 					if limit, link := due[f[1]]; link && !answered[f[1]] {
 						require.Regexp(t, `^(UP|BUSY|ERR)`, first, "seed %d", seed)
--- a/internal/relay/recall.go
+++ b/internal/relay/recall.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"math"
 
-	"valeshift/logic"
+	"valeshift/balancer"
 )
 
 const keptVersion = 1
@@ -109,7 +109,7 @@
 func (r *Reducer) listNow() *News {
 	n := &News{Index: r.index, Whole: true}
 	for _, b := range r.order {
-		if b.condition != logic.Gone {
+		if b.condition != balancer.Gone {
 			n.Entries = append(n.Entries, b.Entry)
 		}
 	}
@@ -119,7 +119,7 @@
 // recall takes what is believed of what was kept. A list counts only until discovery tells one, and its
 // servers are held to have just started, as nobody knows better.
 func (r *Reducer) recall(k *Kept) {
-	l := logic.Learnt{Capacity: k.Capacity, LoadMean: k.LoadMean, Loads: make([]float64, len(r.categories)),
+	l := balancer.Learnt{Capacity: k.Capacity, LoadMean: k.LoadMean, Loads: make([]float64, len(r.categories)),
 		Weighed: make([]float64, len(r.categories))}
 	for name, i := range r.categories {
 		if c, known := k.Categories[name]; known {
--- a/internal/relay/reducer.go
+++ b/internal/relay/reducer.go
@@ -12,12 +12,12 @@
 	"math"
 	"strconv"
 
-	"valeshift/internal/hand"
-	"valeshift/internal/handover"
-	"valeshift/internal/lines"
-	"valeshift/internal/ops"
+	"valeshift/balancer"
+	"valeshift/internal/admin"
+	"valeshift/internal/dispatch"
+	"valeshift/internal/hotrestart"
+	"valeshift/internal/protocol"
 	"valeshift/internal/settings"
-	"valeshift/logic"
 )
 
 // Kind is what an event tells.
@@ -178,7 +178,7 @@
 	pings   int
 	since   float64 // a client's: when it came; a backend's: its start, as it was told at the choice
 	brought float64 // and when it last brought anything of its head
-	in      lines.Splitter
+	in      protocol.Splitter
 	wait    timer
 }
 
@@ -198,12 +198,12 @@
 
 // link is one client's connection.
 type link struct {
-	hand.Link
+	dispatch.Link
 	stage  stage
 	client *end // nil: the client has gone
 	server *end // of the setup try that is out, or of the link that stands
 	id     string
-	head   lines.Head
+	head   protocol.Head
 	giveUp float64
 	mark   uint64  // of a setup try that others hold, or are asked to: its connection; 0: none
 	stood  uint64  // where it stands is held by others, or they are asked to: its connection; 0: not
@@ -220,7 +220,7 @@
 type Reducer struct {
 	Counters
 	answers []answers // by category
-	table   *hand.Table[*link]
+	table   *dispatch.Table[*link]
 	now     float64
 
 	effects []Effect
@@ -301,7 +301,7 @@
 }
 
 // NewOn does so on a module that is made already.
-func NewOn(now float64, t *Told, balancer hand.Module) (*Reducer, error) {
+func NewOn(now float64, t *Told, balancer dispatch.Module) (*Reducer, error) {
 	if t.ReportAge > 0 {
 		balancer.Late(t.ReportAge)
 	}
@@ -325,7 +325,7 @@
 		r.reserve = spareFiles
 		r.reserve += t.Besides
 		if t.Ops != "" {
-			r.reserve += ops.Files
+			r.reserve += admin.Files
 		}
 		if r.files = t.Sockets - r.reserve; r.files-max(r.files/mutePart, fewHeads) < perLink {
 			return nil, fmt.Errorf("limits.sockets: %d or more expected, got %d",
@@ -336,7 +336,7 @@
 	if err := p.Err(); err != nil {
 		return nil, err
 	}
-	r.table = hand.NewTable(balancer, r)
+	r.table = dispatch.NewTable(balancer, r)
 	r.begins(t.Known)
 	if p.Text("discovery") == "automatic" {
 		r.watch()
@@ -356,7 +356,7 @@
 // Check tells whether a relay could start from what it is told.
 func Check(t *Told) error {
 	if t.SocketFD > 0 {
-		if err := handover.Check(t.SocketFD); err != nil {
+		if err := hotrestart.Check(t.SocketFD); err != nil {
 			return fmt.Errorf("RELAY_SOCKET_FD: %w", err)
 		}
 	}
@@ -619,7 +619,7 @@
 		}
 		data = rest
 		switch {
-		case string(lines.Bare(line)) == "PING":
+		case string(protocol.Bare(line)) == "PING":
 			r.ping(l)
 		case len(data) > 0: // a client waits after its head: this one is none, and no backend sees any of it
 			r.refuse(l, SaidMore, errLine)
@@ -700,7 +700,7 @@
 // begin takes a link in, once its head has been judged whole: against work and wrong blame at a backend that
 // closes on what it can't use. It is copied, as read buffers are used again, and read in that copy.
 func (r *Reducer) begin(l *link, line []byte) {
-	head, err := lines.ReadHead(append([]byte(nil), line...))
+	head, err := protocol.ReadHead(append([]byte(nil), line...))
 	if err != nil {
 		r.refuse(l, BadHead, errLine)
 		return
@@ -736,14 +736,14 @@
 	switch {
 	case r.quit:
 		// Against a request that nobody is left to see through to its answer.
-		r.Carry(l, logic.Answer{Verdict: logic.Reject, Wait: r.maxBack})
+		r.Carry(l, balancer.Answer{Verdict: balancer.Reject, Wait: r.maxBack})
 	case len(head.At) > 0:
 		r.resume(l)
 	case r.short() || r.links > r.mostHeld:
 		// Against running out of descriptors in mid-flow: nothing was sent, so trying again is harmless. A link
 		// that waits for a server counts with the connection that it will have: else those held take all there
 		// are once they go on, and whoever comes then waits to be accepted until its time is up.
-		r.Carry(l, logic.Answer{Verdict: logic.Reject, Wait: r.maxBack})
+		r.Carry(l, balancer.Answer{Verdict: balancer.Reject, Wait: r.maxBack})
 	default:
 		if r.claims(l); !r.asks(l) {
 			r.table.Place(r.now, l)
@@ -755,17 +755,17 @@
 func (r *Reducer) short() bool { return perLink*r.links+r.others > r.room }
 
 // Carry does what the module answered.
-func (r *Reducer) Carry(l *link, a logic.Answer) {
+func (r *Reducer) Carry(l *link, a balancer.Answer) {
 	switch a.Verdict {
-	case logic.Send:
+	case balancer.Send:
 		r.try(l, r.byID[a.Backend], a.Timeout)
-	case logic.Reject:
+	case balancer.Reject:
 		r.Rejected++
 		r.answers[l.Category].refused++
 		if !r.entrusts(l, a.Wait) {
 			r.answer(l, busyLine(a.Wait))
 		}
-	case logic.Fail:
+	case balancer.Fail:
 		r.Errored++
 		r.answers[l.Category].failed++
 		r.answer(l, errLine)
@@ -813,7 +813,7 @@
 	}
 	c := l.server
 	c.up = true
-	if l.stage == trying && (c.backend.condition != logic.Ready || c.backend.Since > c.since) {
+	if l.stage == trying && (c.backend.condition != balancer.Ready || c.backend.Since > c.since) {
 		// Against a send to a backend that has begun to drain since it was chosen, or is cold by what was
 		// told since: all that were chosen while it was held to be warm would come to it at once.
 		r.tryOver(l, NotSent)
@@ -841,7 +841,7 @@
 			return
 		}
 		data = rest
-		verb, said := lines.Verb(line)
+		verb, said := protocol.Verb(line)
 		if r.reports && (string(verb) == "ERR" || string(verb) == "BUSY") {
 			r.reported(c.backend, said)
 		}
--- a/internal/relay/reducer_test.go
+++ b/internal/relay/reducer_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"valeshift/balancer"
 	"valeshift/internal/settings"
-	"valeshift/logic"
 )
 
 const told = `{"replicas-of-me": 1, "zone": 0, "localities": ["hall"], "discovery": "automatic",
@@ -267,12 +267,12 @@
 }
 
 func TestEndingsTellTheModule(t *testing.T) {
-	want := map[Ending]logic.Outcome{NotSent: logic.Unsent, NeverUp: logic.Unreachable,
-		TurnedDown:   logic.TurnedAway,
-		BackendError: logic.Errored, BadAnswer: logic.Errored, BrokeOff: logic.Broken, NoAnswer: logic.TimedOut,
-		ServedOut: logic.Satisfied, SentAway: logic.CalledOff, BrokeUp: logic.Broken, FellSilent: logic.Broken,
-		SlowReader: logic.CalledOff, MovedAway: logic.CalledOff, ClientDone: logic.Satisfied,
-		ClientBroke: logic.CalledOff, HandedOver: logic.CalledOff}
+	want := map[Ending]balancer.Outcome{NotSent: balancer.Unsent, NeverUp: balancer.Unreachable,
+		TurnedDown:   balancer.TurnedAway,
+		BackendError: balancer.Errored, BadAnswer: balancer.Errored, BrokeOff: balancer.Broken, NoAnswer: balancer.TimedOut,
+		ServedOut: balancer.Satisfied, SentAway: balancer.CalledOff, BrokeUp: balancer.Broken, FellSilent: balancer.Broken,
+		SlowReader: balancer.CalledOff, MovedAway: balancer.CalledOff, ClientDone: balancer.Satisfied,
+		ClientBroke: balancer.CalledOff, HandedOver: balancer.CalledOff}
 	assert.Len(t, want, len(endingNames))
 	for how, outcome := range want {
 		assert.Equal(t, outcome, how.outcome(), how.String())
@@ -584,8 +584,8 @@
 	s.named("b1").Entry.Bad = ""
 	bad := []Entry{{Name: "b1", Status: "odd", Bad: "status"}, {Name: "b2", Status: "left"}}
 	s.Take(12902, Event{Kind: ListNews, Conn: 6, News: &News{Index: 4, Whole: true, Entries: bad}})
-	assert.Equal(t, logic.Ready, s.named("b1").condition, "what was known of a bad entry stays")
-	assert.Equal(t, logic.Gone, s.named("b2").condition)
+	assert.Equal(t, balancer.Ready, s.named("b1").condition, "what was known of a bad entry stays")
+	assert.Equal(t, balancer.Gone, s.named("b2").condition)
 }
 
 // Against a reload that loses what is known, waits too long for a new discovery, or refuses its fresh count.
@@ -601,7 +601,7 @@
 		step{3860, "tick", "unwatch"}, step{4110, "tick", "watch 4 after 0 at 10.1.0.2:85"},
 		step{4111, "news 4 2 whole b1=active b3=active", ""}, step{6910, "tick", ""},
 		step{6911, "tick", "watch 5 after 2 at 10.1.0.2:85"})
-	assert.Equal(t, logic.Gone, s.named("b2").condition)
+	assert.Equal(t, balancer.Gone, s.named("b2").condition)
 	assert.Equal(t, []uint64{2, 1}, []uint64{s.Reloads, s.BadReloads})
 	assert.Equal(t, 1, s.Standing)
 	s = open(t, nil, 0, "b1=active")
@@ -614,7 +614,7 @@
 		step{4, "stop", ""},
 		step{5, "reload 10.1.0.1:85", "watch 4 after 0"}, step{6, "news 4 1 delta b1=leaving", ""},
 		step{504, "tick", "quit"})
-	assert.Equal(t, logic.Draining, s.named("b1").condition)
+	assert.Equal(t, balancer.Draining, s.named("b1").condition)
 }
 
 func TestNews(t *testing.T) {
--- a/internal/relay/sockets.go
+++ b/internal/relay/sockets.go
@@ -26,9 +26,9 @@
 	"github.com/lesismal/nbio"
 	"github.com/lesismal/nbio/logging"
 
-	"valeshift/internal/handover"
-	"valeshift/internal/ops"
-	"valeshift/logic"
+	"valeshift/balancer"
+	"valeshift/internal/admin"
+	"valeshift/internal/hotrestart"
 )
 
 const (
@@ -80,9 +80,9 @@
 	mates    Mates  // nil: this relay keeps nothing and knows no other
 
 	listener *net.TCPListener
-	seat     *handover.Seat // among the processes of this relay; nil: there can be no other
-	younger  int            // number of the one that was left to
-	other    int            // of the one that is there, and nearest; 0: none
+	seat     *hotrestart.Seat // among the processes of this relay; nil: there can be no other
+	younger  int              // number of the one that was left to
+	other    int              // of the one that is there, and nearest; 0: none
 	passing  passing
 	parted   *Passed // and
 	adopted  uint64  // of the event that is carried out
@@ -95,7 +95,7 @@
 	// Start begins: tell gives the relay an event; seen, kept and looked ask it how it fares, what it knows
 	// and what it has seen of zones.
 	Start(now float64, tell func(Event), seen func() Seen, kept func() *Kept,
-		looked func() (map[string]logic.ZoneLook, float64)) error
+		looked func() (map[string]balancer.ZoneLook, float64)) error
 	// Order takes an operators' order to empty the relay, or take it back to work; an error says what is
 	// missing.
 	Order(lame bool) error
@@ -157,7 +157,7 @@
 		defer mates.Stop()
 	}
 	if called != nil { // once all that is asked there has begun
-		go ops.Serve(called, calls{s, s.board}, log)
+		go admin.Serve(called, calls{s, s.board}, log)
 	}
 	go s.accept()
 	log.Info("serving", "name", t.Name, "listen", s.listener.Addr().String(), "backends", len(t.Known.Entries))
@@ -194,7 +194,7 @@
 	return s.reducer.Seen(s.now())
 }
 
-func (s *Sockets) lookedAt() (map[string]logic.ZoneLook, float64) {
+func (s *Sockets) lookedAt() (map[string]balancer.ZoneLook, float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.reducer.Looked(s.now())
@@ -219,10 +219,10 @@
 		return nil
 	}
 	var err error
-	if s.listener, err = handover.Listener(t.SocketFD); err != nil {
+	if s.listener, err = hotrestart.Listener(t.SocketFD); err != nil {
 		return fmt.Errorf("RELAY_SOCKET_FD: %w", err)
 	}
-	if s.seat, err = handover.Sit(t.Dir); err != nil {
+	if s.seat, err = hotrestart.Sit(t.Dir); err != nil {
 		s.log.Warn("no seat beside other processes of this relay", "err", err)
 		return nil
 	}
@@ -242,7 +242,7 @@
 }
 
 // look sees who else is there, and tells the reducer what is new.
-func (s *Sockets) look() (younger handover.Other) {
+func (s *Sockets) look() (younger hotrestart.Other) {
 	elder, younger := s.seat.Others()
 	fresh := younger.Number > 0 && younger.Number != s.younger && !younger.Ready
 	e := Event{Kind: Beside, Elder: elder.Number > 0, Younger: younger.Number > 0, Leave: fresh}
--- a/internal/relay/standing.go
+++ b/internal/relay/standing.go
@@ -8,8 +8,8 @@
 	"cmp"
 	"slices"
 
-	"valeshift/internal/lines"
-	"valeshift/logic"
+	"valeshift/balancer"
+	"valeshift/internal/protocol"
 )
 
 const (
@@ -42,7 +42,7 @@
 // error.
 func (r *Reducer) resumeLater(l *link) {
 	if r.now+resumeGap >= l.giveUp {
-		r.Carry(l, logic.Answer{Verdict: logic.Fail})
+		r.Carry(l, balancer.Answer{Verdict: balancer.Fail})
 		return
 	}
 	l.quiet.fire = func() { r.resumeTry(l) }
@@ -68,14 +68,14 @@
 	}
 	r.answers[l.Category].served++
 	r.write(l.client, line)
-	l.head = lines.Head{}
+	l.head = protocol.Head{}
 	r.stands(l)
 	if r.yielded {
 		r.pass(l)
 		r.arm(&l.leave, max(r.now+lastComers, r.leaveAt(0, 1)))
 	} else if r.stopping || r.lame {
 		r.arm(&l.leave, max(r.now, r.leaveAt(0, 1)))
-	} else if c.backend.condition != logic.Ready {
+	} else if c.backend.condition != balancer.Ready {
 		r.arm(&l.leave, r.now)
 	}
 }
@@ -118,9 +118,9 @@
 		r.disarm(&l.quiet)
 		r.Lines++
 		r.write(l.client, line)
-		switch verb, said := lines.Verb(line); string(verb) {
+		switch verb, said := protocol.Verb(line); string(verb) {
 		case "LOAD":
-			if load, ok := lines.Load(said); ok {
+			if load, ok := protocol.Load(said); ok {
 				r.table.Balancer.Weighed(&l.Link.Link, load)
 			}
 		case "BYE":
@@ -239,7 +239,7 @@
 
 // leaves has a link go that stands on a backend which goes, if it is not told yet.
 func (r *Reducer) leaves(b *backend, l *link, nth int) {
-	if b.condition != logic.Ready && l.leave.place == 0 {
+	if b.condition != balancer.Ready && l.leave.place == 0 {
 		r.arm(&l.leave, r.now+r.table.Balancer.Leave(nth, len(b.links), 0))
 	}
 }
@@ -287,7 +287,7 @@
 			if l.server != nil {
 				r.forget(l.server, End)
 			}
-			r.Carry(l, logic.Answer{Verdict: logic.Fail})
+			r.Carry(l, balancer.Answer{Verdict: balancer.Fail})
 		case trying:
 			l.Limit = r.now // so that the module gives it up
 			r.tryOver(l, NoAnswer)
--- a/internal/relay/succession.go
+++ b/internal/relay/succession.go
@@ -9,7 +9,7 @@
 	"fmt"
 	"math"
 
-	"valeshift/logic"
+	"valeshift/balancer"
 )
 
 const (
@@ -25,7 +25,7 @@
 	Version int
 	At      float64
 	List    *News
-	Module  logic.Record
+	Module  balancer.Record
 	Names   []string // of the module's servers, in its order
 	Files   int      // descriptors that the elder keeps to, what it needs besides connections included
 	Links   int      // and links
@@ -229,7 +229,7 @@
 		Tail: l.server.in.Tail(), Waits: l.quiet.place > 0, Leaves: -1,
 		Files: perLink*(r.links+r.heads-1) + r.others + r.besides(), Links: r.links + r.heads - 1, Frees: true}
 	p.Load, p.Measured = l.Link.Link.Load()
-	if l.server.backend.condition != logic.Ready && l.leave.place > 0 {
+	if l.server.backend.condition != balancer.Ready && l.leave.place > 0 {
 		p.Leaves = max(l.leave.at-r.now, 0)
 	}
 	r.do(Effect{Do: Parted, Conn: conn, Passed: p})
--- a/internal/relay/succession_test.go
+++ b/internal/relay/succession_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"valeshift/logic"
+	"valeshift/balancer"
 )
 
 // beside is the younger of two processes, which has been left what the elder knows, by the form of the file.
@@ -35,7 +35,7 @@
 		step{400, "beside younger", "bequeath"}, step{401, "beside younger", "bequeath"})
 	s := beside(t, old.left, 0)
 	assert.Contains(t, strings.Join(s.notes, " "), "took over what the elder process knew")
-	assert.Equal(t, logic.Draining, s.backends["b2"].condition, "a drain that the elder was told")
+	assert.Equal(t, balancer.Draining, s.backends["b2"].condition, "a drain that the elder was told")
 	assert.Nil(t, s.backends["b9"], "the elder's list is the newer")
 	s.play("fit with the elder's figures as soon as the list is heard", step{1, "tick", ""})
 	assert.False(t, s.serving())
@@ -104,7 +104,7 @@
 		conditions := func() (all string) {
 			for _, name := range []string{"b1", "b2", "b3", "b4"} {
 				b := s.backends[name]
-				all += fmt.Sprintf("%t@%.0f ", b.condition == logic.Ready, b.Since)
+				all += fmt.Sprintf("%t@%.0f ", b.condition == balancer.Ready, b.Since)
 			}
 			return all
 		}
--- a/internal/holdings/message.go
+++ b/internal/replication/message.go
@@ -1,4 +1,4 @@
-package holdings
+package replication
 
 import (
 	"encoding/binary"
--- a/internal/holdings/holdings.go
+++ b/internal/replication/replication.go
@@ -5,7 +5,7 @@
 // split either. It touches no disk, socket or clock: messages, times and members come in; what is to be
 // saved, sent and told goes out, and what rests on a save waits for it. Times are milliseconds of the fleet's
 // clock.
-package holdings
+package replication
 
 import (
 	"cmp"
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"strings"
 
-	"valeshift/logic"
+	"valeshift/balancer"
 )
 
 // Pairs looks settings up by path and keeps the first that was needed and not there.
@@ -124,7 +124,7 @@
 }
 
 // budget reads the budget of setup tries beyond a link's first; without its three settings there is none.
-func (p *Pairs) budget() *logic.Budget {
+func (p *Pairs) budget() *balancer.Budget {
 	paths := [...]string{"contract.free-resends", "contract.extra-share", "contract.extra-window-ms"}
 	there := 0
 	for _, path := range paths {
@@ -139,25 +139,25 @@
 	if window <= 0 {
 		p.fail(paths[2], "a length over 0")
 	}
-	return logic.NewBudget(free, share, window)
+	return balancer.NewBudget(free, share, window)
 }
 
 // Assemble builds the module of one relay.
-func (p *Pairs) Assemble(seed uint64) (*logic.Balancer, error) {
+func (p *Pairs) Assemble(seed uint64) (*balancer.Balancer, error) {
 	chance := rand.New(rand.NewSource(int64(seed)))
 	relays := max(1, p.Count("replicas-of-me"))
 
 	n := p.Count("categories.count")
-	var categories []logic.Category
+	var categories []balancer.Category
 	for i := 0; i < n && p.err == nil; i++ {
 		at := fmt.Sprintf("categories.%d.", i)
-		c := logic.Category{
+		c := balancer.Category{
 			PromisedTime: p.Number(at + "promised-time-ms"),
 			Gain:         p.Number(at + "gain"),
-			Effect:       logic.Effect(p.Word(at+"effect", "idempotent", "deduplicated", "at_most_once")),
+			Effect:       balancer.Effect(p.Word(at+"effect", "idempotent", "deduplicated", "at_most_once")),
 		}
-		if c.Effect == logic.Referenced {
-			c.Scope = logic.Scope(p.Word(at+"group", "all", "zone", "cell"))
+		if c.Effect == balancer.Referenced {
+			c.Scope = balancer.Scope(p.Word(at+"group", "all", "zone", "cell"))
 			c.RepeatWindow = p.Number(at + "repeat-window-ms")
 		}
 		categories = append(categories, c)
@@ -183,16 +183,16 @@
 		askWithin = p.Number("contract.ask-within-ms")
 	}
 	fields, maxBack := p.Fields(), p.MaxBack()
-	warmup := logic.NewWarmup(p.Number("contract.cold-from"), p.Number("contract.cold-ms"),
+	warmup := balancer.NewWarmup(p.Number("contract.cold-from"), p.Number("contract.cold-ms"),
 		p.Number("contract.tip-multiple"), p.Number("contract.fall-ms"), relays)
-	probing := logic.NewProbing(p.Flag("limits.probes"), p.Optional("fees.probe", 0), fields)
-	effects := logic.NewEffects(categories, p.Count("limits.most-setup-tries"), maxBack, relays, p.budget())
-	shares := logic.NewShares(categories, quotas, p.Optional("beyond-share-gain", 1), relays)
+	probing := balancer.NewProbing(p.Flag("limits.probes"), p.Optional("fees.probe", 0), fields)
+	effects := balancer.NewEffects(categories, p.Count("limits.most-setup-tries"), maxBack, relays, p.budget())
+	shares := balancer.NewShares(categories, quotas, p.Optional("beyond-share-gain", 1), relays)
 	zone := p.Count("zone")
 	if p.err != nil {
 		return nil, p.err
 	}
-	return logic.New(logic.NewRoster(asked, askWithin), logic.NewTurns(chance), warmup, probing, effects, shares,
+	return balancer.New(balancer.NewRoster(asked, askWithin), balancer.NewTurns(chance), warmup, probing, effects, shares,
 		zone, p.Optional("fees.cross-zone", 0), p.values["family-info.groups"] == "true",
 		p.values["family-info.mode"] == "pass"), nil
 }
--- a/internal/lab/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -12,7 +12,7 @@
 	"math/rand"
 	"slices"
 
-	"valeshift/logic"
+	"valeshift/balancer"
 )
 
 // Module is one baseline in one relay.
@@ -21,7 +21,7 @@
 	zone       int // the relay's own
 	zones      []int
 	chance     *rand.Rand
-	categories []logic.Category
+	categories []balancer.Category
 	mostTries  int
 	maxBack    float64
 	truth      func(id uint32) float64 // load, for perfect sight
@@ -34,7 +34,7 @@
 	mention []bool
 	whole   bool
 	turn    int
-	state   map[*logic.Link]*link
+	state   map[*balancer.Link]*link
 	askAt   float64
 	shifts  []int
 }
@@ -48,7 +48,7 @@
 // New takes the policy's name, the relay's zone, what its chance is drawn from, the categories, the most
 // setup tries of a link, the longest time to come back that may be told, the servers' true loads, which only
 // "sight" reads, and whether they bear one more link, which only "sight-kept" does.
-func New(policy string, zone int, seed uint64, categories []logic.Category, mostTries int, maxBack float64,
+func New(policy string, zone int, seed uint64, categories []balancer.Category, mostTries int, maxBack float64,
 	truth func(id uint32) float64, bears func(id uint32) bool) (*Module, error) {
 	switch policy {
 	case "random", "round-robin", "least", "two", "near", "sight", "sight-kept":
@@ -58,17 +58,17 @@
 	return &Module{policy: policy, zone: zone, chance: rand.New(rand.NewSource(int64(seed))),
 		categories: categories,
 		mostTries:  mostTries, maxBack: maxBack, truth: truth, bears: bears, index: map[uint32]int{},
-		state: map[*logic.Link]*link{}, askAt: math.Inf(1)}, nil
+		state: map[*balancer.Link]*link{}, askAt: math.Inf(1)}, nil
 }
 
 // Place says where the link goes, or that it is given up.
-func (m *Module) Place(now float64, l *logic.Link) logic.Answer {
+func (m *Module) Place(now float64, l *balancer.Link) balancer.Answer {
 	s := m.state[l]
 	if s == nil {
 		s = &link{server: -1}
 		m.state[l] = s
 	}
-	once := s.ran && m.categories[l.Category].Effect != logic.Replayable
+	once := s.ran && m.categories[l.Category].Effect != balancer.Replayable
 	if s.tries >= m.mostTries || now >= l.Limit || once {
 		return m.end(l, s)
 	}
@@ -79,15 +79,15 @@
 	s.server, s.out = server, true
 	s.tries++
 	m.links[server]++
-	return logic.Answer{Verdict: logic.Send, Backend: m.ids[server], Timeout: l.Limit - now, Round: s.tries - 1}
+	return balancer.Answer{Verdict: balancer.Send, Backend: m.ids[server], Timeout: l.Limit - now, Round: s.tries - 1}
 }
 
-func (m *Module) end(l *logic.Link, s *link) logic.Answer {
+func (m *Module) end(l *balancer.Link, s *link) balancer.Answer {
 	delete(m.state, l)
-	if !s.ran || m.categories[l.Category].Effect == logic.Replayable {
-		return logic.Answer{Verdict: logic.Reject, Wait: m.maxBack}
+	if !s.ran || m.categories[l.Category].Effect == balancer.Replayable {
+		return balancer.Answer{Verdict: balancer.Reject, Wait: m.maxBack}
 	}
-	return logic.Answer{Verdict: logic.Fail}
+	return balancer.Answer{Verdict: balancer.Fail}
 }
 
 // choose picks among the servers that are ready, but for the one that the link was tried on last.
@@ -134,28 +134,28 @@
 }
 
 // After says what follows the outcome of a setup try, or of its link.
-func (m *Module) After(now float64, l *logic.Link, outcome logic.Outcome, last bool) logic.Answer {
+func (m *Module) After(now float64, l *balancer.Link, outcome balancer.Outcome, last bool) balancer.Answer {
 	s := m.state[l]
 	if s == nil || !s.out {
-		return logic.Answer{}
+		return balancer.Answer{}
 	}
 	s.out = false
 	m.links[s.server]--
 	if last || s.open || s.gone {
 		delete(m.state, l)
-		return logic.Answer{}
+		return balancer.Answer{}
 	}
-	s.ran = s.ran || (outcome != logic.TurnedAway && outcome != logic.Unreachable && outcome != logic.Unsent)
+	s.ran = s.ran || (outcome != balancer.TurnedAway && outcome != balancer.Unreachable && outcome != balancer.Unsent)
 	return m.Place(now, l)
 }
 
 // Next asks for the list where it has failed. Baselines send no probes.
-func (m *Module) Next(now float64) logic.Due {
+func (m *Module) Next(now float64) balancer.Due {
 	if now >= m.askAt {
 		m.askAt = math.Inf(1)
-		return logic.Due{Subscribe: true}
+		return balancer.Due{Subscribe: true}
 	}
-	return logic.Due{Wait: m.askAt - now}
+	return balancer.Due{Wait: m.askAt - now}
 }
 
 // ListBegan starts news of the list.
@@ -165,7 +165,7 @@
 }
 
 // Listed takes one entry.
-func (m *Module) Listed(id uint32, zone int, cond logic.Condition, _ int, _, _ float64) {
+func (m *Module) Listed(id uint32, zone int, cond balancer.Condition, _ int, _, _ float64) {
 	s, known := m.index[id]
 	if !known {
 		s = len(m.ids)
@@ -174,7 +174,7 @@
 		m.mention, m.zones = append(m.mention, false), append(m.zones, zone)
 	}
 	m.zones[s] = zone
-	m.ready[s], m.mention[s] = cond == logic.Ready, true
+	m.ready[s], m.mention[s] = cond == balancer.Ready, true
 }
 
 // ListEnded closes the news.
@@ -195,17 +195,17 @@
 func (m *Module) Reported(float64, uint32, []float64) {}
 
 // Accepted takes that a link stands.
-func (m *Module) Accepted(_ float64, l *logic.Link) {
+func (m *Module) Accepted(_ float64, l *balancer.Link) {
 	if s := m.state[l]; s != nil {
 		s.open = true
 	}
 }
 
 // Weighed takes nothing.
-func (m *Module) Weighed(*logic.Link, float64) {}
+func (m *Module) Weighed(*balancer.Link, float64) {}
 
 // Resumed takes a link that stood before.
-func (m *Module) Resumed(_ float64, l *logic.Link, id uint32) {
+func (m *Module) Resumed(_ float64, l *balancer.Link, id uint32) {
 	if s, known := m.index[id]; known {
 		m.state[l] = &link{server: s, out: true, open: true}
 		m.links[s]++
@@ -213,7 +213,7 @@
 }
 
 // Vanished takes that the client has left.
-func (m *Module) Vanished(l *logic.Link) bool {
+func (m *Module) Vanished(l *balancer.Link) bool {
 	s := m.state[l]
 	if s == nil {
 		return false
@@ -262,13 +262,13 @@
 func (m *Module) Yield(bool) {}
 
 // Record is empty: nothing is learnt.
-func (m *Module) Record(now float64) logic.Record { return logic.Record{At: now} }
+func (m *Module) Record(now float64) balancer.Record { return balancer.Record{At: now} }
 
 // Inherit takes nothing.
-func (m *Module) Inherit(float64, *logic.Record) error { return nil }
+func (m *Module) Inherit(float64, *balancer.Record) error { return nil }
 
 // Adopted takes a link that stood at another process.
-func (m *Module) Adopted(now float64, l *logic.Link, id uint32, _ float64, _ bool) {
+func (m *Module) Adopted(now float64, l *balancer.Link, id uint32, _ float64, _ bool) {
 	m.Resumed(now, l, id)
 }
 
@@ -276,10 +276,10 @@
 func (m *Module) Unasked(uint32) {}
 
 // Learnt and what follows are of a fleet that recovers, which baselines know nothing of.
-func (m *Module) Learnt() logic.Learnt { return logic.Learnt{} }
+func (m *Module) Learnt() balancer.Learnt { return balancer.Learnt{} }
 
 // Recall takes nothing.
-func (m *Module) Recall(logic.Learnt) bool { return false }
+func (m *Module) Recall(balancer.Learnt) bool { return false }
 
 // Recover changes nothing.
 func (m *Module) Recover(bool, float64) {}
@@ -309,16 +309,16 @@
 func (m *Module) Others(float64) {}
 
 // Direct changes nothing: no policy here knows of zones decided in common.
-func (m *Module) Direct([]logic.Direction) {}
+func (m *Module) Direct([]balancer.Direction) {}
 
 // Zones gives nothing.
-func (m *Module) Zones(float64) ([]logic.ZoneLook, float64) { return nil, 0 }
+func (m *Module) Zones(float64) ([]balancer.ZoneLook, float64) { return nil, 0 }
 
 // Ran changes nothing: no policy here hears of others' tries.
-func (m *Module) Ran(*logic.Link, uint32, float64) {}
+func (m *Module) Ran(*balancer.Link, uint32, float64) {}
 
 // Prefer changes nothing either.
-func (m *Module) Prefer(*logic.Link, uint32) {}
+func (m *Module) Prefer(*balancer.Link, uint32) {}
 
 // Forgo changes nothing.
 func (m *Module) Forgo(uint64) {}
--- a/internal/lab/cost/cost.go
+++ b/internal/testbed/cost/cost.go
@@ -24,8 +24,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"valeshift/internal/lab/experiment"
-	"valeshift/internal/lab/proc"
+	"valeshift/internal/testbed/experiment"
+	"valeshift/internal/testbed/procstat"
 )
 
 // Figures are what one way through came to.
@@ -124,7 +124,7 @@
 	if w.cmd == nil {
 		return 0, 0
 	}
-	cpu, held := proc.Usage(w.cmd.Process.Pid)
+	cpu, held := procstat.Usage(w.cmd.Process.Pid)
 	return cpu, float64(held)
 }
 
@@ -343,7 +343,7 @@
 }
 
 func startForwarder(ctx context.Context, p Plan, s *servers) (*way, error) {
-	address, err := proc.Free()
+	address, err := procstat.Free()
 	if err != nil {
 		return nil, err
 	}
@@ -353,7 +353,7 @@
 }
 
 func startRelay(ctx context.Context, p Plan, s *servers) (*way, error) {
-	address, err := proc.Free()
+	address, err := procstat.Free()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/cost/cost_test.go
+++ b/internal/testbed/cost/cost_test.go
@@ -16,7 +16,7 @@
 // are is the machine's.
 func TestMeasure(t *testing.T) {
 	dir := t.TempDir()
-	for _, name := range []string{"valeshift", "valelab"} {
+	for _, name := range []string{"valeshift", "valeshift-testbed"} {
 		said, err := exec.Command("go", "build", "-o", filepath.Join(dir, name),
 			"valeshift/cmd/"+name).CombinedOutput()
 		require.NoError(t, err, "%s", said)
@@ -24,7 +24,7 @@
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
 	all, err := Measure(ctx, Plan{Relay: []string{filepath.Join(dir, "valeshift")},
-		Forwarder: []string{filepath.Join(dir, "valelab"), "forward"}, Servers: 30, Clients: 4,
+		Forwarder: []string{filepath.Join(dir, "valeshift-testbed"), "forward"}, Servers: 30, Clients: 4,
 		Lasts: 300 * time.Millisecond, Standing: 5, Every: 10 * time.Millisecond, Idle: 50, Rounds: 1, Dir: dir})
 	require.NoError(t, err)
 	require.Len(t, all, 3)
--- a/internal/lab/experiment/experiment.go
+++ b/internal/testbed/experiment/experiment.go
@@ -1,6 +1,6 @@
 // Package experiment reads the lab's experiment files: a fleet, its traffic, faults on a time axis and the
-// variants to compare. The same file is played under virtual time (valelab sim) and on loopback sockets
-// (valelab load). The package says which field is wrong and fills in what is left out; it plays nothing.
+// variants to compare. The same file is played under virtual time (valeshift-testbed sim) and on loopback sockets
+// (valeshift-testbed load). The package says which field is wrong and fills in what is left out; it plays nothing.
 package experiment
 
 import (
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"valeshift/internal/operator"
+	"valeshift/internal/config"
 )
 
 // Span is a length of time in milliseconds, written like "1.5s".
@@ -20,7 +20,7 @@
 
 // UnmarshalText reads a length such as "250ms".
 func (s *Span) UnmarshalText(text []byte) error {
-	ms, ok := operator.Length(text, 24*time.Hour)
+	ms, ok := config.Length(text, 24*time.Hour)
 	if !ok {
 		return fmt.Errorf("a length from 0 to 24h expected, such as \"250ms\", got %q", text)
 	}
@@ -251,7 +251,7 @@
 // Parse reads an experiment, fills in what is left out and checks the whole.
 func Parse(text []byte) (*Experiment, error) {
 	x := Default()
-	if err := operator.Strict(text, x); err != nil {
+	if err := config.Strict(text, x); err != nil {
 		return nil, err
 	}
 	if err := x.Complete(); err != nil {
--- a/internal/lab/hunt/hunt.go
+++ b/internal/testbed/explore/explore.go
@@ -1,6 +1,6 @@
 // Package hunt draws experiments at random, plays each under virtual time, and cuts those that break a rule
 // down to the smallest that still do. One seed draws one experiment, on any machine.
-package hunt
+package explore
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"valeshift/internal/lab/audit"
-	"valeshift/internal/lab/experiment"
-	"valeshift/internal/lab/sim"
+	"valeshift/internal/testbed/audit"
+	"valeshift/internal/testbed/experiment"
+	"valeshift/internal/testbed/sim"
 )
 
 // Found is an experiment that breaks a rule.
--- a/internal/lab/hunt/hunt_test.go
+++ b/internal/testbed/explore/explore_test.go
@@ -1,4 +1,4 @@
-package hunt
+package explore
 
 import (
 	"context"
@@ -10,15 +10,15 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"valeshift/internal/lab/audit"
-	"valeshift/internal/lab/experiment"
+	"valeshift/internal/testbed/audit"
+	"valeshift/internal/testbed/experiment"
 )
 
 // What is drawn keeps the rules: 200 experiments by the command, which is built without the race detector, as
 // one run is one routine; and some of them here.
 func TestDrawnExperimentsKeepTheRules(t *testing.T) {
-	binary := filepath.Join(t.TempDir(), "valelab")
-	said, err := exec.Command("go", "build", "-o", binary, "valeshift/cmd/valelab").CombinedOutput()
+	binary := filepath.Join(t.TempDir(), "valeshift-testbed")
+	said, err := exec.Command("go", "build", "-o", binary, "valeshift/cmd/valeshift-testbed").CombinedOutput()
 	require.NoError(t, err, "%s", said)
 	cmd := exec.Command(binary, "hunt", "--count", "200", "--shrink", "0", "--out", t.TempDir())
 	cmd.Env = append(os.Environ(), "GOMAXPROCS=3") // other packages' tests run beside this one
--- a/internal/lab/spoiled/spoiled.go
+++ b/internal/testbed/faultdisk/faultdisk.go
@@ -1,6 +1,6 @@
 // Package spoiled is a disk for the lab's build of the relay: what was not synced is gone when the process is
 // killed, as at a power loss, and a file beside the store's, named faults, has it be full, read-only or slow.
-package spoiled
+package faultdisk
 
 import (
 	"os"
--- a/internal/lab/live/council.go
+++ b/internal/testbed/live/council.go
@@ -8,8 +8,8 @@
 	"path/filepath"
 	"strings"
 
-	"valeshift/internal/lab/experiment"
-	"valeshift/internal/lab/way"
+	"valeshift/internal/testbed/experiment"
+	"valeshift/internal/testbed/netem"
 )
 
 // seat is a voter's process on a relay's machine: what kills one kills both, and the ways between machines
@@ -33,7 +33,7 @@
 		if from == to {
 			return hears[to], nil
 		}
-		w, err := way.New(r.road(from), hears[to], r.x.Chance("way", 100000*(from+1)+to))
+		w, err := netem.New(r.road(from), hears[to], r.x.Chance("way", 100000*(from+1)+to))
 		if err != nil {
 			return "", err
 		}
@@ -96,7 +96,7 @@
 	}
 	defer log.Close()
 	// Of the same build as the relays, beside them.
-	name := strings.Replace(filepath.Base(r.binary), "valeshift", "valeshift-council", 1)
+	name := strings.Replace(filepath.Base(r.binary), "valeshift", "valeshift-coordinator", 1)
 	s.cmd = exec.Command(filepath.Join(filepath.Dir(r.binary), name), s.file)
 	s.cmd.Stderr = log
 	if err := s.cmd.Start(); err != nil {
--- a/internal/lab/live/ground.go
+++ b/internal/testbed/live/ground.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"valeshift/internal/lab/model"
+	"valeshift/internal/testbed/model"
 )
 
 const (
--- a/internal/lab/live/live.go
+++ b/internal/testbed/live/live.go
@@ -19,12 +19,12 @@
 	"syscall"
 	"time"
 
-	"valeshift/internal/lab/audit"
-	"valeshift/internal/lab/experiment"
-	"valeshift/internal/lab/model"
-	"valeshift/internal/lab/proc"
-	"valeshift/internal/lab/way"
 	"valeshift/internal/relay"
+	"valeshift/internal/testbed/audit"
+	"valeshift/internal/testbed/experiment"
+	"valeshift/internal/testbed/model"
+	"valeshift/internal/testbed/netem"
+	"valeshift/internal/testbed/procstat"
 )
 
 const (
@@ -68,7 +68,7 @@
 	given  map[string]bool
 
 	ways     map[[2]int]experiment.Way // as they are, by who sends and who is sent to
-	forwards map[[2]int][]*way.Way     // by who dials and who is dialed
+	forwards map[[2]int][]*netem.Way   // by who dials and who is dialed
 }
 
 // process is one relay, in all its lives.
@@ -95,7 +95,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	r := &Run{ground: newGround(ctx), x: x, dir: dir, binary: binary, number: runs.Add(1),
-		ways: map[[2]int]experiment.Way{}, forwards: map[[2]int][]*way.Way{}, given: map[string]bool{},
+		ways: map[[2]int]experiment.Way{}, forwards: map[[2]int][]*netem.Way{}, given: map[string]bool{},
 		audit: audit.New(slack, x.Fleet.TipMultiple, float64(x.Fleet.Fall))}
 	defer r.close()
 	home, err := r.place(-1)
@@ -139,7 +139,7 @@
 	result := &Result{Memory: map[int]int64{}, CPU: map[int]float64{}, Logs: dir}
 	for _, p := range r.relays {
 		if p.cmd != nil && p.cmd.Process != nil {
-			result.CPU[p.number], result.Memory[p.number] = proc.Usage(p.cmd.Process.Pid)
+			result.CPU[p.number], result.Memory[p.number] = procstat.Usage(p.cmd.Process.Pid)
 		}
 	}
 	result.Fleet = r.fleets()
@@ -188,7 +188,7 @@
 		if err != nil {
 			return err
 		}
-		w, err := way.New(r.road(p.number), l.Addr().String(), r.x.Chance("way", 10*p.number+i))
+		w, err := netem.New(r.road(p.number), l.Addr().String(), r.x.Chance("way", 10*p.number+i))
 		if err != nil {
 			return err
 		}
@@ -220,7 +220,7 @@
 // listened on later being given twice.
 func (r *Run) free(machine int) (string, error) {
 	for {
-		address, err := proc.FreeOn(r.home(machine))
+		address, err := procstat.FreeOn(r.home(machine))
 		if err != nil || !r.given[address] {
 			r.given[address] = true
 			return address, err
--- a/internal/lab/live/live_test.go
+++ b/internal/testbed/live/live_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"valeshift/internal/lab/experiment"
+	"valeshift/internal/testbed/experiment"
 )
 
 // smallFleet is what both experiments play on, with so many new chats a second.
@@ -162,9 +162,9 @@
 // lab builds the lab's relay.
 func lab(t *testing.T, flags ...string) string {
 	dir := t.TempDir()
-	build := append([]string{"build", "-tags", "lab", "-o", dir}, flags...)
+	build := append([]string{"build", "-tags", "faultdisk", "-o", dir}, flags...)
 	said, err := exec.Command("go", append(build, "valeshift/cmd/valeshift",
-		"valeshift/cmd/valeshift-council")...).CombinedOutput()
+		"valeshift/cmd/valeshift-coordinator")...).CombinedOutput()
 	require.NoError(t, err, "%s", said)
 	return filepath.Join(dir, "valeshift")
 }
--- a/internal/lab/live/mates.go
+++ b/internal/testbed/live/mates.go
@@ -10,9 +10,9 @@
 	"path/filepath"
 	"strings"
 
-	"valeshift/internal/lab/experiment"
-	"valeshift/internal/lab/spoiled"
-	"valeshift/internal/lab/way"
+	"valeshift/internal/testbed/experiment"
+	"valeshift/internal/testbed/faultdisk"
+	"valeshift/internal/testbed/netem"
 )
 
 const lockFile = "lock" // the store's
@@ -47,7 +47,7 @@
 				if j == i {
 					continue
 				}
-				w, err := way.New(r.road(i), to, x.Chance("way", 1000*(i+1)+j))
+				w, err := netem.New(r.road(i), to, x.Chance("way", 1000*(i+1)+j))
 				if err != nil {
 					return err
 				}
@@ -103,7 +103,7 @@
 func files(disk string) (names []string) {
 	all, _ := os.ReadDir(disk)
 	for _, e := range all {
-		if e.Name() != lockFile && e.Name() != spoiled.Faults {
+		if e.Name() != lockFile && e.Name() != faultdisk.Faults {
 			names = append(names, e.Name())
 		}
 	}
@@ -117,7 +117,7 @@
 		return
 	}
 	chance := rand.New(rand.NewSource(r.x.Chance("disk", 1000*i+p.turn).Int63()))
-	os.WriteFile(filepath.Join(p.disk, spoiled.Faults), []byte(what), 0o600)
+	os.WriteFile(filepath.Join(p.disk, faultdisk.Faults), []byte(what), 0o600)
 	each := func(change func(data []byte) []byte) {
 		for _, name := range files(p.disk) {
 			path := filepath.Join(p.disk, name)
--- a/internal/lab/live/zones_test.go
+++ b/internal/testbed/live/zones_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"valeshift/internal/lab/experiment"
+	"valeshift/internal/testbed/experiment"
 )
 
 // twoRegions is nine relays and five voters, fourteen processes in two regions of three zones.
--- a/internal/lab/model/crowd.go
+++ b/internal/testbed/model/crowd.go
@@ -7,8 +7,8 @@
 	"math/rand"
 	"strconv"
 
-	"valeshift/internal/lab/experiment"
-	"valeshift/internal/lines"
+	"valeshift/internal/protocol"
+	"valeshift/internal/testbed/experiment"
 )
 
 const (
@@ -60,7 +60,7 @@
 	place       int     // among those known
 	conn        uint64
 	relay       int
-	in          lines.Splitter
+	in          protocol.Splitter
 	stage       int
 	retry       bool
 	errands     int // that are done
@@ -205,7 +205,7 @@
 			break
 		}
 	}
-	l.stage, l.in = dialing, lines.Splitter{}
+	l.stage, l.in = dialing, protocol.Splitter{}
 	l.conn = c.host.Dial(c.fronts[l.relay].address)
 	c.conns[l.conn] = l
 	c.limit(l, 3000)
@@ -428,7 +428,7 @@
 			return
 		}
 		data = rest
-		verb, said := lines.Verb(line)
+		verb, said := protocol.Verb(line)
 		if l.stage == waiting {
 			c.answer(l, string(verb), said)
 		} else {
--- a/internal/lab/model/world.go
+++ b/internal/testbed/model/world.go
@@ -5,8 +5,8 @@
 	"math"
 	"math/rand"
 
-	"valeshift/internal/lab/experiment"
 	"valeshift/internal/relay"
+	"valeshift/internal/testbed/experiment"
 )
 
 // Ground is where a world stands: under virtual time, or on loopback sockets.
--- a/internal/lab/way/way.go
+++ b/internal/testbed/netem/netem.go
@@ -1,7 +1,7 @@
 // Package way is what lies between two machines of the lab, by ordered pair: a forwarder for TCP and UDP
 // whose two directions can be cut, slowed, doubled and so on while it runs. What it does to a direction is a
 // State; the package never knows what passes.
-package way
+package netem
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"valeshift/internal/lab/experiment"
+	"valeshift/internal/testbed/experiment"
 )
 
 // State is what a direction does to what passes.
--- a/internal/lab/way/way_test.go
+++ b/internal/testbed/netem/netem_test.go
@@ -1,4 +1,4 @@
-package way
+package netem
 
 import (
 	"bytes"
--- a/internal/lab/proc/proc.go
+++ b/internal/testbed/procstat/procstat.go
@@ -1,6 +1,6 @@
 // Package proc has what the lab needs of the machine to run programs beside itself: a free port, and what a
 // process has used.
-package proc
+package procstat
 
 import (
 	"bytes"
--- a/internal/lab/report/report.go
+++ b/internal/testbed/report/report.go
@@ -19,9 +19,9 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"valeshift/internal/lab/audit"
-	"valeshift/internal/lab/experiment"
-	"valeshift/internal/lab/model"
+	"valeshift/internal/testbed/audit"
+	"valeshift/internal/testbed/experiment"
+	"valeshift/internal/testbed/model"
 )
 
 // Run is one variant's run. Times are milliseconds, latencies too.
--- a/internal/lab/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"valeshift/internal/lab/experiment"
-	"valeshift/internal/lab/sim"
+	"valeshift/internal/testbed/experiment"
+	"valeshift/internal/testbed/sim"
 )
 
 // A report says what the runs came to, on one page that needs nothing else.
--- a/internal/lab/sim/council.go
+++ b/internal/testbed/sim/council.go
@@ -4,11 +4,11 @@
 	"fmt"
 	"strings"
 
-	"valeshift/internal/chamber"
-	"valeshift/internal/council"
+	"valeshift/internal/consensus"
+	"valeshift/internal/coordinator"
 	"valeshift/internal/failover"
-	"valeshift/internal/lab/experiment"
-	"valeshift/internal/peers"
+	"valeshift/internal/membership"
+	"valeshift/internal/testbed/experiment"
 )
 
 const voterTick = 10.0
@@ -18,16 +18,16 @@
 	s      *Sim
 	k      int
 	p      *process
-	core   *chamber.Core
+	core   *coordinator.Core
 	disk   []byte
 	saving bool
 }
 
 func voterAddress(k int) string { return fmt.Sprintf("voter-%d", k) }
 
-func (s *Sim) voters() (all []council.Member, addresses []string) {
+func (s *Sim) voters() (all []consensus.Member, addresses []string) {
 	for k := range s.x.Relays.Council {
-		all = append(all, council.Member{Name: fmt.Sprint("v", k), Address: voterAddress(k)})
+		all = append(all, consensus.Member{Name: fmt.Sprint("v", k), Address: voterAddress(k)})
 		addresses = append(addresses, voterAddress(k))
 	}
 	return all, addresses
@@ -44,7 +44,7 @@
 	for z := range s.x.Fleet.Zones {
 		zones = append(zones, failover.Zone{Name: experiment.Zone(z), Region: s.x.Region(z)})
 	}
-	core, err := chamber.New(p.clock(), all[k], all, zones, disk, s.x.Chance("voter", 1000*k+s.lives[k]))
+	core, err := coordinator.New(p.clock(), all[k], all, zones, disk, s.x.Chance("voter", 1000*k+s.lives[k]))
 	if err != nil {
 		panic(err) // of a disk that it wrote itself
 	}
@@ -89,21 +89,21 @@
 	}
 }
 
-func (v *seat) sends(all []council.Send) {
+func (v *seat) sends(all []consensus.Send) {
 	for _, m := range all {
 		v.send(m.To, failover.Frame, m.Data)
 	}
 }
 
 func (v *seat) send(to string, kind byte, data []byte) {
-	v.s.datagram(v.k, peers.Datagram{To: to, Data: append([]byte{kind}, data...)}, voterAddress(v.k))
+	v.s.datagram(v.k, membership.Datagram{To: to, Data: append([]byte{kind}, data...)}, voterAddress(v.k))
 }
 
 // heard takes a datagram for a voter; a relay's is sealed, and a voter's word to it as well.
 func (v *seat) heard(from string, data []byte) {
 	relay := strings.HasPrefix(from, "peer-")
 	if relay {
-		body, err := peers.Open(fleetKey, data)
+		body, err := membership.Open(fleetKey, data)
 		if err != nil {
 			return
 		}
@@ -115,8 +115,8 @@
 		v.core.Take(now, data[1:])
 	case failover.Shown:
 		if word, err := v.core.Hear(now, data[1:]); err == nil && relay {
-			v.s.datagram(v.k, peers.Datagram{To: from,
-				Data: peers.Seal(fleetKey, append([]byte{failover.Says}, word...))}, voterAddress(v.k))
+			v.s.datagram(v.k, membership.Datagram{To: from,
+				Data: membership.Seal(fleetKey, append([]byte{failover.Says}, word...))}, voterAddress(v.k))
 		} else if err == nil {
 			v.send(from, failover.Says, word)
 		}
--- a/internal/lab/sim/holdings_test.go
+++ b/internal/testbed/sim/holdings_test.go
@@ -7,18 +7,18 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"valeshift/internal/holdings"
+	"valeshift/internal/replication"
 )
 
 // entrusted plays a fleet whose relays have others hold what they tell clients, and sums what came of it at
 // those that live at the end.
-func entrusted(t *testing.T, text string) (*Result, holdings.Counts, map[string]int) {
+func entrusted(t *testing.T, text string) (*Result, replication.Counts, map[string]int) {
 	s := New(parse(t, text), "module", nil)
 	r, err := s.Run()
 	require.NoError(t, err)
 	assert.Zero(t, r.Audit.Broken(), "%v", r.Audit.Breaks)
 	assert.Zero(t, r.Fallen, "servers pushed over")
-	sum, left := holdings.Counts{}, map[string]int{}
+	sum, left := replication.Counts{}, map[string]int{}
 	for _, p := range s.relays {
 		if !p.over {
 			h := p.mates.core.Status(p.clock()).Holdings
@@ -91,7 +91,7 @@
 			assert.Zero(t, r.Audit.Broken(), "%v", r.Audit.Breaks)
 			assert.LessOrEqual(t, r.Audit.Repeated, c.repeated)
 			assert.GreaterOrEqual(t, r.Audit.Repeated, c.least)
-			sum := holdings.Counts{}
+			sum := replication.Counts{}
 			for _, p := range s.relays {
 				if h := p.mates.core.Status(p.clock()).Holdings; h != nil && !p.over {
 					sum.Add(h.Counts["marks"])
@@ -155,7 +155,7 @@
 	require.NoError(t, err)
 	assert.Zero(t, r.Audit.Broken(), "%v", r.Audit.Breaks)
 	assert.Zero(t, r.Fallen, "servers pushed over")
-	sums := map[string]holdings.Counts{}
+	sums := map[string]replication.Counts{}
 	for _, p := range s.relays {
 		if !p.over {
 			for kind, n := range p.mates.core.Status(p.clock()).Holdings.Counts {
--- a/internal/lab/sim/mates.go
+++ b/internal/testbed/sim/mates.go
@@ -8,11 +8,11 @@
 	"strings"
 
 	"valeshift/internal/fleet"
-	"valeshift/internal/lab/experiment"
-	"valeshift/internal/peers"
+	"valeshift/internal/membership"
 	"valeshift/internal/recovery"
 	"valeshift/internal/relay"
 	"valeshift/internal/store"
+	"valeshift/internal/testbed/experiment"
 )
 
 const (
@@ -54,7 +54,7 @@
 		return
 	}
 	chance := x.Chance("mates", i*1000+s.lives[i])
-	own := peers.Word{Name: fmt.Sprintf("relay-%d", i), Zone: experiment.Zone(i % x.Fleet.Zones),
+	own := membership.Word{Name: fmt.Sprintf("relay-%d", i), Zone: experiment.Zone(i % x.Fleet.Zones),
 		Life: chance.Uint64()}
 	var seeds []string
 	if x.Relays.Peers {
@@ -204,7 +204,7 @@
 }
 
 // datagram takes one from a machine, by whoever has that address there.
-func (s *Sim) datagram(from int, d peers.Datagram, by string) {
+func (s *Sim) datagram(from int, d membership.Datagram, by string) {
 	var to int
 	_, number, _ := strings.Cut(d.To, "-")
 	fmt.Sscan(number, &to)
--- a/internal/lab/sim/net.go
+++ b/internal/testbed/sim/net.go
@@ -9,7 +9,7 @@
 	"io"
 	"math/rand"
 
-	"valeshift/internal/lab/model"
+	"valeshift/internal/testbed/model"
 )
 
 // start is the clock at the beginning of a run: late enough that 0 is long ago.
--- a/internal/lab/sim/relay.go
+++ b/internal/testbed/sim/relay.go
@@ -7,9 +7,9 @@
 	"maps"
 	"slices"
 
-	"valeshift/internal/lab/experiment"
-	"valeshift/internal/lab/model"
 	"valeshift/internal/relay"
+	"valeshift/internal/testbed/experiment"
+	"valeshift/internal/testbed/model"
 )
 
 func sorted[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- a/internal/lab/sim/sim.go
+++ b/internal/testbed/sim/sim.go
@@ -6,15 +6,15 @@
 	"io"
 	"time"
 
-	"valeshift/internal/hand"
-	"valeshift/internal/lab/audit"
-	"valeshift/internal/lab/baseline"
-	"valeshift/internal/lab/experiment"
-	"valeshift/internal/lab/model"
+	"valeshift/balancer"
+	"valeshift/internal/dispatch"
 	"valeshift/internal/relay"
 	"valeshift/internal/settings"
 	"valeshift/internal/store"
-	"valeshift/logic"
+	"valeshift/internal/testbed/audit"
+	"valeshift/internal/testbed/baseline"
+	"valeshift/internal/testbed/experiment"
+	"valeshift/internal/testbed/model"
 )
 
 // Result is what one run came to.
@@ -235,15 +235,15 @@
 
 // Policy makes the module of one relay for a variant.
 func Policy(x *experiment.Experiment, variant string, zone int, told *relay.Told,
-	truth func(uint32) float64, bears func(uint32) bool) (hand.Module, error) {
+	truth func(uint32) float64, bears func(uint32) bool) (dispatch.Module, error) {
 	if variant == experiment.Known[0] {
 		return settings.Over(told.Settings).Assemble(told.Seed)
 	}
-	var categories []logic.Category
+	var categories []balancer.Category
 	for _, t := range x.Categories() {
-		effect := map[string]logic.Effect{"replayable": logic.Replayable, "referenced": logic.Referenced,
-			"single-use": logic.SingleUse}[t.Effect]
-		categories = append(categories, logic.Category{PromisedTime: float64(t.Promised), Gain: t.Gain,
+		effect := map[string]balancer.Effect{"replayable": balancer.Replayable, "referenced": balancer.Referenced,
+			"single-use": balancer.SingleUse}[t.Effect]
+		categories = append(categories, balancer.Category{PromisedTime: float64(t.Promised), Gain: t.Gain,
 			Effect: effect})
 	}
 	return baseline.New(variant, zone, told.Seed, categories, x.Relays.Tries, float64(x.Relays.MaxBack), truth,
--- a/internal/lab/sim/sim_test.go
+++ b/internal/testbed/sim/sim_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"valeshift/internal/lab/experiment"
+	"valeshift/internal/testbed/experiment"
 )
 
 const calm = `
--- a/internal/lab/sim/spoil_test.go
+++ b/internal/testbed/sim/spoil_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"valeshift/internal/lab/audit"
 	"valeshift/internal/relay"
+	"valeshift/internal/testbed/audit"
 )
 
 // spoiled puts something wrong between the network and a reducer.
--- a/internal/lab/sim/zones_test.go
+++ b/internal/testbed/sim/zones_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"valeshift/internal/lab/experiment"
+	"valeshift/internal/testbed/experiment"
 )
 
 // regions is a fleet in two regions of three zones, whose relays follow a council of five.
