--- a/balancer/record.go
+++ b/balancer/record.go
@@ -10,35 +10,45 @@
 
 // Record is what a balancer has learnt. Times are clock times; -1 stands for none.
 type Record struct {
-	At             float64
-	Servers        []ServerRecord
-	Loads, Weighed []float64 // by category
-	LoadMean       float64
-	Known          float64
-	Guessed        float64
-	Listed         float64
-	Stood, Over    float64
-	AsOf           float64
-	Width, CutAt   float64
-	Asked          float64
-	Slot           float64 // of the budget; -1: none
-	Taken, More    []float64
-	Ended          map[uint64]float64
+	At       float64            `json:"At"`
+	Servers  []ServerRecord     `json:"Servers"`
+	Loads    []float64          `json:"Loads"`   // by category
+	Weighed  []float64          `json:"Weighed"` // by category
+	LoadMean float64            `json:"LoadMean"`
+	Known    float64            `json:"Known"`
+	Guessed  float64            `json:"Guessed"`
+	Listed   float64            `json:"Listed"`
+	Stood    float64            `json:"Stood"`
+	Over     float64            `json:"Over"`
+	AsOf     float64            `json:"AsOf"`
+	Width    float64            `json:"Width"`
+	CutAt    float64            `json:"CutAt"`
+	Asked    float64            `json:"Asked"`
+	Slot     float64            `json:"Slot"` // of the budget; -1: none
+	Taken    []float64          `json:"Taken"`
+	More     []float64          `json:"More"`
+	Ended    map[uint64]float64 `json:"Ended"`
 }
 
 // ServerRecord is what it has learnt of one server.
 type ServerRecord struct {
-	ID                               uint32
-	Started                          float64
-	Load, HeardAt, AskedAt, WarmFrom float64
-	Failed                           int
-	Lost                             bool
-	Against                          float64
-	Placed                           []PlacedRecord // of late
+	ID       uint32         `json:"ID"`
+	Started  float64        `json:"Started"`
+	Load     float64        `json:"Load"`
+	HeardAt  float64        `json:"HeardAt"`
+	AskedAt  float64        `json:"AskedAt"`
+	WarmFrom float64        `json:"WarmFrom"`
+	Failed   int            `json:"Failed"`
+	Lost     bool           `json:"Lost"`
+	Against  float64        `json:"Against"`
+	Placed   []PlacedRecord `json:"Placed"` // of late
 }
 
 // PlacedRecord is a link sent to a server that its figure may not hold yet.
-type PlacedRecord struct{ At, Load float64 }
+type PlacedRecord struct {
+	At   float64 `json:"At"`
+	Load float64 `json:"Load"`
+}
 
 const mostEnded = 4096 // keys whose links' loads are left, against a record without bound
 
--- a/balancer/recovery.go
+++ b/balancer/recovery.go
@@ -14,11 +14,14 @@
 
 // Learnt is what a relay knows of servers and links in general, not of any one: a hint to one just back.
 type Learnt struct {
-	Capacity       float64 // of a server, microseconds of work a second; 0: not known
-	LoadMean       float64 // of a link
-	Loads, Weighed []float64
-
-	Own, Figures float64 // of warm servers: the load of this relay's links that figures hold, and their sum
+	Capacity float64   `json:"Capacity"` // of a server, microseconds of work a second; 0: not known
+	LoadMean float64   `json:"LoadMean"` // of a link
+	Loads    []float64 `json:"Loads"`
+	Weighed  []float64 `json:"Weighed"`
+
+	// Own and Figures are of warm servers: the load of this relay's links that figures hold, and their sum.
+	Own     float64 `json:"Own"`
+	Figures float64 `json:"Figures"`
 }
 
 // Learnt gives what this relay has learnt, for its next life and for others. With too few links for a word of
--- a/balancer/zones.go
+++ b/balancer/zones.go
@@ -10,14 +10,21 @@
 
 // ZoneLook is what this relay has seen of a zone: tries and probes since its start, those without an answer
 // in time, and what its servers hold and bear now, in what one of them bears.
-type ZoneLook struct{ Tries, Failed, Probes, Silent, Load, Room float64 }
+type ZoneLook struct {
+	Tries  float64 `json:"Tries"`
+	Failed float64 `json:"Failed"`
+	Probes float64 `json:"Probes"`
+	Silent float64 `json:"Silent"`
+	Load   float64 `json:"Load"`
+	Room   float64 `json:"Room"`
+}
 
 // Direction is a zone that a part of the links is meant for. An open one also takes links meant for others
 // that find no room there.
 type Direction struct {
-	Zone int
-	Part float64
-	Open bool
+	Zone int     `json:"Zone"`
+	Part float64 `json:"Part"`
+	Open bool    `json:"Open"`
 }
 
 // Direct has links meant for zones by those parts from now on; none: wherever there is room, as ever.
--- a/internal/adapter/adapter_test.go
+++ b/internal/adapter/adapter_test.go
@@ -6,6 +6,7 @@
 	"encoding/hex"
 	"fmt"
 	"math"
+	"os"
 	"strings"
 	"testing"
 
@@ -84,6 +85,60 @@
 		"0000000000409f40"+empty(3)+empty(4)+empty(5)+empty(6), hex.EncodeToString(out.Bytes()))
 }
 
+// goldenConversation has each record that the wire knows at least once.
+func goldenConversation() []byte {
+	f64 := func(v float64) string {
+		return hex.EncodeToString(binary.LittleEndian.AppendUint64(nil, math.Float64bits(v)))
+	}
+	f32 := func(v float32) string {
+		return hex.EncodeToString(binary.LittleEndian.AppendUint32(nil, math.Float32bits(v)))
+	}
+	u32 := func(v uint32) string { return hex.EncodeToString(binary.LittleEndian.AppendUint32(nil, v)) }
+	settings := strings.NewReplacer("limits.probes=false", "limits.probes=true", "idempotent", "at_most_once",
+		"stats.how=none", "stats.how=probe\nstats.fields=x0,queue", "automatic", "subscribe").Replace(profile) +
+		"fees.probe=0.001\ncontract.ask-within-ms=10000\n"
+	row := func(id uint32, weight float32) string { // zone, condition, cell, start, flags, weight, id
+		return "00 01 0000" + f64(0) + "00" + f32(weight) + u32(id)
+	}
+	page := "0c01 00000000" + u32(3) + row(9, 1) + row(10, 2) + row(11, 1)
+	news := func(how string) string { return "0301" + how + "00000000 0100000000000000" }
+	arrive := func(code string, id uint32, limit, hint float64) string {
+		return code + u32(id) + "00" + u32(7) + "1100000000000000" + f64(limit) + f64(hint) + "2200000000000000 0100"
+	}
+	report := "02" + f32(0.25) + f32(3)
+	health := func(server uint32, reason string) string { return "0601" + u32(server) + f64(4) + reason + report }
+	completed := func(id uint32, last, reason string) string {
+		return "0d01" + u32(id) + last + "0000" + u32(9) + f64(5) + reason + report
+	}
+	return bytes.Join([][]byte{
+		batch(900, 1, 0),
+		batch(1000, 2, 4, about, hello(settings), page, news("00")),
+		batch(1010, 3, 4, about, health(9, "00"), health(10, "00"), health(11, "04")),
+		batch(1020, 4, 6, about, arrive("0001", 1, 3000, 0), arrive("0001", 2, 3000, 0.5), arrive("0001", 3, 3000, 0),
+			arrive("0001", 4, 1000, 0), arrive("0501", 5, 1e9, 0)+u32(10)),
+		batch(1040, 5, 4, about, "0201"+u32(1)+"0000"+u32(9)+f64(20), "0801"+u32(1)+"0000"+u32(9)+"01"+f32(850),
+			completed(2, "00", "04")),
+		batch(1060, 6, 5, about, completed(3, "01", "08"), "0101"+u32(4), "0101"+u32(2), completed(5, "01", "0a")),
+		batch(1100, 7, 4, about, news("03"), "0401"+u32(1), "0a01"+u32(4)+"0200 aabb"),
+		batch(5000, 8, 4, about, "0401"+u32(2), news("01"), arrive("0001", 6, 8000, 0)),
+		batch(5100, 9, 2, about, "0901"),
+		batch(15000, 10, 5, about, hello(settings), page, news("02"), arrive("0001", 7, 18000, 0)),
+	}, nil)
+}
+
+// The simulator's frames, as they were before any name of the code changed: what comes in and what goes out,
+// byte for byte.
+func TestGoldenConversation(t *testing.T) {
+	in, err := os.ReadFile("testdata/golden/conversation.in")
+	require.NoError(t, err)
+	want, err := os.ReadFile("testdata/golden/conversation.out")
+	require.NoError(t, err)
+	assert.Equal(t, hex.EncodeToString(in), hex.EncodeToString(goldenConversation()))
+	var out bytes.Buffer
+	require.NoError(t, Run(bytes.NewReader(in), &out))
+	assert.Equal(t, hex.EncodeToString(want), hex.EncodeToString(out.Bytes()))
+}
+
 func TestMalformedRecords(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
