--- a/cmd/valeshift/fleet.go
+++ b/cmd/valeshift/fleet.go
@@ -18,14 +18,14 @@
 
 // fleetCommand passes its words on, as zoneCommand does.
 type fleetCommand struct {
-	Words []string `arg:"" optional:"" help:"Addresses, or leave and one: docs/recovery.md tells."`
+	Words []string `arg:"" name:"words" optional:"" help:"Addresses, or leave and one: docs/recovery.md tells."`
 }
 
 // Run reads the words, and does what they say.
 func (c *fleetCommand) Run() error {
 	var l struct {
-		Show  fleetShow  `cmd:"" default:"withargs" help:"What relays keep and hear of each other."`
-		Leave fleetLeave `cmd:"" help:"Have a relay hand over all that it has, and say when it can be switched off."`
+		Show  fleetShow  `cmd:"" name:"show" default:"withargs" help:"What relays keep and hear of each other."`
+		Leave fleetLeave `cmd:"" name:"leave" help:"Have a relay hand over all that it has, and say when it can be switched off."`
 	}
 	return words(&l, "valeshift fleet", c.Words)
 }
@@ -46,9 +46,9 @@
 }
 
 type fleetShow struct {
-	Addresses []string      `arg:"" help:"Where operators call the relays, address:port each."`
-	JSON      bool          `help:"Print what each relay says, as it says it."`
-	Within    time.Duration `default:"1s" help:"How long a relay is waited for."`
+	Addresses []string      `arg:"" name:"addresses" help:"Where operators call the relays, address:port each."`
+	JSON      bool          `name:"json" help:"Print what each relay says, as it says it."`
+	Within    time.Duration `name:"within" default:"1s" help:"How long a relay is waited for."`
 }
 
 // Run asks each relay, and shows what it says of itself and of the others.
@@ -96,9 +96,9 @@
 const mostSaid = 64 << 20 // bytes of an answer
 
 type fleetLeave struct {
-	Address string        `arg:"" help:"Where operators call the relay, address:port."`
-	Within  time.Duration `default:"60s" help:"How long it has for it. It goes on after that as well."`
-	Every   time.Duration `default:"500ms" hidden:""`
+	Address string        `arg:"" name:"address" help:"Where operators call the relay, address:port."`
+	Within  time.Duration `name:"within" default:"60s" help:"How long it has for it. It goes on after that as well."`
+	Every   time.Duration `name:"every" default:"500ms" hidden:""`
 }
 
 // Run has the relay empty itself, and waits until nothing rests on it: no link that stands, nothing that it
--- a/cmd/valeshift/main.go
+++ b/cmd/valeshift/main.go
@@ -21,15 +21,15 @@
 
 // line is the command line.
 type line struct {
-	Operator string `help:"The operators' file, in TOML. None: its defaults." placeholder:"FILE" env:"VALESHIFT_OPERATOR"`
+	Operator string `name:"operator" help:"The operators' file, in TOML. None: its defaults." placeholder:"FILE" env:"VALESHIFT_OPERATOR"`
 
-	Run   runCommand   `cmd:"" default:"1" help:"Serve until SIGTERM (what is done with no arguments)."`
-	Check checkCommand `cmd:"" help:"Read all configuration and name the field that is wrong; start nothing."`
-	Fleet fleetCommand `cmd:"" passthrough:"" help:"Ask relays what they keep and hear of each other."`
-	Zone  zoneCommand  `cmd:"" passthrough:"" help:"Ask the council on zones, or order it."`
+	Run   runCommand   `cmd:"" name:"run" default:"1" help:"Serve until SIGTERM (what is done with no arguments)."`
+	Check checkCommand `cmd:"" name:"check" help:"Read all configuration and name the field that is wrong; start nothing."`
+	Fleet fleetCommand `cmd:"" name:"fleet" passthrough:"" help:"Ask relays what they keep and hear of each other."`
+	Zone  zoneCommand  `cmd:"" name:"zone" passthrough:"" help:"Ask the council on zones, or order it."`
 
-	Holdings holdingsCommand `cmd:"" passthrough:"" help:"Ask relays what they hold for each other."`
-	Version  versionCommand  `cmd:"" help:"Say which build this is."`
+	Holdings holdingsCommand `cmd:"" name:"holdings" passthrough:"" help:"Ask relays what they hold for each other."`
+	Version  versionCommand  `cmd:"" name:"version" help:"Say which build this is."`
 }
 
 func main() {
--- /dev/null
+++ b/internal/hotrestart/golden_test.go
@@ -0,0 +1,171 @@
+package hotrestart
+
+import (
+	"encoding/json"
+	"net"
+	"os"
+	"path/filepath"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// golden is what two processes of different builds share: the names and the bytes of testdata/golden/exchange.json.
+type golden struct {
+	Slot     string `json:"slot"`    // file of process 2
+	Ready    string `json:"ready"`   // its content, once the process is ready
+	Handoff  string `json:"handoff"` // file that is left for process 2
+	Message  string `json:"message"`
+	Socket   string `json:"socket"`   // of packets to process 2
+	Taken    string `json:"taken"`    // answers to a packet
+	Waits    string `json:"waits"`    //
+	Rejected string `json:"rejected"` //
+	Released string `json:"released"` // the packet that follows "waits"
+}
+
+func readGolden(t *testing.T) golden {
+	t.Helper()
+	text, err := os.ReadFile("testdata/golden/exchange.json")
+	require.NoError(t, err)
+	var g golden
+	require.NoError(t, json.Unmarshal(text, &g))
+	return g
+}
+
+// What this build leaves in the folder has the names and bytes that every build reads.
+func TestGoldenFilesAreWritten(t *testing.T) {
+	g, dir := readGolden(t), t.TempDir()
+	first, second := sit(t, dir), sit(t, dir)
+	require.NoError(t, second.Ready())
+	require.NoError(t, first.Leave(2, []byte(`{"Version":1}`)))
+	require.NoError(t, first.Tell(2, []byte{0, 1, 0xff}))
+	require.NoError(t, second.Takes(func([]byte, [Pair]*os.File) (bool, func()) { return false, nil }))
+	content := map[string]string{}
+	entries, err := os.ReadDir(dir)
+	require.NoError(t, err)
+	for _, e := range entries {
+		if e.Name() == g.Socket {
+			assert.Equal(t, os.ModeSocket, e.Type())
+			content[e.Name()] = ""
+			continue
+		}
+		text, err := os.ReadFile(filepath.Join(dir, e.Name()))
+		require.NoError(t, err)
+		content[e.Name()] = string(text)
+	}
+	assert.Equal(t, map[string]string{"valeshift.1.seat": "", g.Slot: g.Ready, g.Handoff: `{"Version":1}`,
+		g.Message: "\x00\x01\xff", g.Socket: ""}, content)
+}
+
+// What another build has left is read.
+func TestGoldenFilesAreRead(t *testing.T) {
+	g, dir := readGolden(t), t.TempDir()
+	first := sit(t, dir)
+	require.NoError(t, os.WriteFile(filepath.Join(dir, g.Slot), []byte(g.Ready), 0o600))
+	other, err := os.Open(filepath.Join(dir, g.Slot))
+	require.NoError(t, err)
+	defer other.Close()
+	require.NoError(t, syscall.Flock(int(other.Fd()), syscall.LOCK_EX))
+	_, younger := first.Others()
+	assert.Equal(t, Other{2, true}, younger)
+
+	second := &Seat{dir: dir, number: 2}
+	require.NoError(t, os.WriteFile(filepath.Join(dir, g.Handoff), []byte("left"), 0o600))
+	record, err := second.Left(0)
+	require.NoError(t, err)
+	assert.Equal(t, "left", string(record))
+	require.NoError(t, os.WriteFile(filepath.Join(dir, g.Message), []byte("told"), 0o600))
+	record, err = second.Told()
+	require.NoError(t, err)
+	assert.Equal(t, "told", string(record))
+}
+
+// A receiver of another build answers with the golden packets, and gets the golden one.
+func TestGoldenPacketsAreUnderstood(t *testing.T) {
+	g, dir := readGolden(t), t.TempDir()
+	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Net: "unixpacket", Name: filepath.Join(dir, g.Socket)})
+	require.NoError(t, err)
+	defer l.Close()
+	w, err := (&Seat{dir: dir, number: 1}).Way(2)
+	require.NoError(t, err)
+	defer w.Close()
+	c, err := l.AcceptUnix()
+	require.NoError(t, err)
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(10 * time.Second))
+	pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
+	require.NoError(t, err)
+	defer syscall.Close(pair[0])
+	defer syscall.Close(pair[1])
+	for _, c2 := range []struct {
+		name, answer string
+		gone         bool
+		err          error
+		after        string
+	}{
+		{"taken", g.Taken, true, nil, ""},
+		{"rejected", g.Rejected, false, ErrRefused, ""},
+		{"waits", g.Waits, true, nil, g.Released},
+	} {
+		_, err := c.Write([]byte(c2.answer)) // is there when the packet has gone out
+		require.NoError(t, err)
+		gone, err := w.Pass([]byte(c2.name), pair)
+		assert.Equal(t, c2.gone, gone, c2.name)
+		assert.ErrorIs(t, err, c2.err, c2.name)
+		packet, rights := make([]byte, 100), make([]byte, 100)
+		n, m, _, _, err := c.ReadMsgUnix(packet, rights)
+		require.NoError(t, err)
+		assert.Equal(t, c2.name, string(packet[:n]))
+		fds := descriptors(rights[:m])
+		assert.Len(t, fds, 2, c2.name)
+		for _, fd := range fds {
+			syscall.Close(fd)
+		}
+		require.NoError(t, w.Free())
+		if c2.after != "" {
+			n, err := c.Read(packet)
+			require.NoError(t, err)
+			assert.Equal(t, c2.after, string(packet[:n]))
+		}
+	}
+}
+
+// A sender of another build gets the golden answers, and its golden packet is understood.
+func TestGoldenPacketsAreSent(t *testing.T) {
+	g, dir := readGolden(t), t.TempDir()
+	s := &Seat{dir: dir, number: 2}
+	alone := make(chan struct{}, 1)
+	require.NoError(t, s.Takes(func(record []byte, _ [Pair]*os.File) (bool, func()) {
+		switch string(record) {
+		case "taken":
+			return true, nil
+		case "waits":
+			return true, func() { alone <- struct{}{} }
+		}
+		return false, nil
+	}))
+	c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Net: "unixpacket", Name: filepath.Join(dir, g.Socket)})
+	require.NoError(t, err)
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(10 * time.Second))
+	pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
+	require.NoError(t, err)
+	defer syscall.Close(pair[0])
+	defer syscall.Close(pair[1])
+	for record, want := range map[string]string{"taken": g.Taken, "other": g.Rejected, "waits": g.Waits} {
+		_, _, err := c.WriteMsgUnix([]byte(record), syscall.UnixRights(pair[:]...), nil)
+		require.NoError(t, err)
+		answer := make([]byte, 100)
+		n, err := c.Read(answer)
+		require.NoError(t, err)
+		assert.Equal(t, want, string(answer[:n]), record)
+		if record == "waits" {
+			_, err := c.Write([]byte(g.Released))
+			require.NoError(t, err)
+			<-alone
+		}
+	}
+}
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -57,13 +57,18 @@
 		return nil, fmt.Errorf("RELAY_CONFIG: %w", err)
 	}
 	var file struct {
-		Name, Listen, Discovery, Ops, Seed string
-		Limits                             struct {
-			Cores    float64
+		Name      string `json:"name"`
+		Listen    string `json:"listen"`
+		Discovery string `json:"discovery"`
+		Ops       string `json:"ops"`
+		Seed      string `json:"seed"`
+		Limits    struct {
+			Cores    float64 `json:"cores"`
 			MemoryMB float64 `json:"memory_mb"`
-			Sockets  int
-		}
-		Known, Settings json.RawMessage
+			Sockets  int     `json:"sockets"`
+		} `json:"limits"`
+		Known    json.RawMessage `json:"known"`
+		Settings json.RawMessage `json:"settings"`
 	}
 	if err := json.Unmarshal(raw, &file); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
