--- a/cmd/valeshift/zone.go
+++ b/cmd/valeshift/zone.go
@@ -28,14 +28,14 @@
 }
 
 type zoneLine struct {
-	Do      string        `arg:"" enum:"status,history,empty,return,hold" help:"What is to be done."`
-	Zone    string        `arg:"" optional:"" help:"The zone that is ordered."`
-	Council []string      `required:"" placeholder:"ADDRESS" help:"Where operators call a voter, each."`
-	Reason  string        `help:"Why it is ordered."`
-	Who     string        `env:"USER" help:"Who orders it."`
-	For     time.Duration `help:"When the order ends. 0: with the next."`
-	Force   bool          `help:"Also where no zone is left to serve."`
-	ID      string        `help:"Of the order: given again under it, it is one order."`
+	Do      string        `arg:"" name:"do" enum:"status,history,empty,return,hold" help:"What is to be done."`
+	Zone    string        `arg:"" name:"zone" optional:"" help:"The zone that is ordered."`
+	Council []string      `name:"council" required:"" placeholder:"ADDRESS" help:"Where operators call a voter, each."`
+	Reason  string        `name:"reason" help:"Why it is ordered."`
+	Who     string        `name:"who" env:"USER" help:"Who orders it."`
+	For     time.Duration `name:"for" help:"When the order ends. 0: with the next."`
+	Force   bool          `name:"force" help:"Also where no zone is left to serve."`
+	ID      string        `name:"id" help:"Of the order: given again under it, it is one order."`
 }
 
 var errNobody = errors.New("no voter that was asked leads")
@@ -89,14 +89,16 @@
 // show takes the word of whoever leads; without one, of each for itself.
 func (c *zoneLine) show(client *http.Client) error {
 	type status struct {
-		Me     struct{ Name string }
-		Leads  bool
-		Leader string
-		Role   string
-		Aside  string
-		Number uint64
-		Zones  []failover.Zone
-		Orders []failover.Order
+		Me struct {
+			Name string `json:"Name"`
+		} `json:"Me"`
+		Leads  bool             `json:"Leads"`
+		Leader string           `json:"Leader"`
+		Role   string           `json:"Role"`
+		Aside  string           `json:"Aside"`
+		Number uint64           `json:"Number"`
+		Zones  []failover.Zone  `json:"Zones"`
+		Orders []failover.Order `json:"Orders"`
 	}
 	led := false
 	for _, address := range c.Council {
--- /dev/null
+++ b/cmd/valeshift/zone_test.go
@@ -0,0 +1,150 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/alecthomas/kong"
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"valeshift/internal/failover"
+)
+
+// The golden files hold what a voter answers, and what `valeshift zone` sends and prints, as the build wrote
+// them before its fields had tags.
+func zoneGolden(t *testing.T, name string) string {
+	t.Helper()
+	data, err := os.ReadFile(filepath.Join("testdata", "golden", "zone", name))
+	require.NoError(t, err)
+	return string(data)
+}
+
+// voterStandIn answers as a voter that leads, or as one that does not, and remembers the last order it got.
+type voterStandIn struct {
+	status string
+	leads  bool
+	order  []byte
+}
+
+func (v *voterStandIn) start(t *testing.T) (address string) {
+	t.Helper()
+	calls := http.NewServeMux()
+	answer := func(path, text string) {
+		calls.HandleFunc("GET "+path, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, text) })
+	}
+	answer("/status", v.status)
+	answer("/history", zoneGolden(t, "history.json"))
+	calls.HandleFunc("POST /order", func(w http.ResponseWriter, r *http.Request) {
+		if !v.leads {
+			w.WriteHeader(http.StatusMisdirectedRequest)
+			return
+		}
+		v.order, _ = io.ReadAll(r.Body)
+		if strings.Contains(string(v.order), `"refuse-me"`) {
+			http.Error(w, "refused: no such zone", http.StatusConflict)
+			return
+		}
+		io.WriteString(w, zoneGolden(t, "order-answer.json"))
+	})
+	server := httptest.NewServer(calls)
+	t.Cleanup(server.Close)
+	return strings.TrimPrefix(server.URL, "http://")
+}
+
+// printed gives what the command prints on standard output, with voters' addresses replaced by names.
+func printed(t *testing.T, names map[string]string, run func() error) (string, error) {
+	t.Helper()
+	reader, writer, err := os.Pipe()
+	require.NoError(t, err)
+	stdout := os.Stdout
+	os.Stdout = writer
+	defer func() { os.Stdout = stdout }()
+	failed := run()
+	require.NoError(t, writer.Close())
+	text, err := io.ReadAll(reader)
+	require.NoError(t, err)
+	for address, name := range names {
+		text = bytes.ReplaceAll(text, []byte(address), []byte(name))
+	}
+	return string(text), failed
+}
+
+func TestZoneCommandGolden(t *testing.T) {
+	leader := &voterStandIn{status: zoneGolden(t, "status-leader.json"), leads: true}
+	other := &voterStandIn{status: zoneGolden(t, "status-other.json")}
+	leaderAddress, otherAddress := leader.start(t), other.start(t)
+	names := map[string]string{leaderAddress: "LEADER", otherAddress: "OTHER"}
+	council := []string{"--council", otherAddress, "--council", leaderAddress}
+	for name, args := range map[string][]string{
+		"status":  {"status"},
+		"history": {"history"},
+		"empty":   {"empty", "d", "--reason=rack work", "--who=ana", "--force", "--id=order-1"},
+		"return":  {"return", "d", "--reason=rack work", "--who=ana", "--id=order-1"},
+		"hold":    {"hold", "d", "--reason=rack work", "--who=ana", "--id=order-1"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			leader.order = nil
+			text, err := printed(t, names, func() error { return words(&zoneLine{}, "valeshift zone", append(args, council...)) })
+			require.NoError(t, err)
+			assert.Equal(t, zoneGolden(t, name+".txt"), text)
+			if leader.order != nil {
+				assert.Equal(t, zoneGolden(t, name+"-order.json"), string(leader.order))
+			}
+			assert.Equal(t, name != "status" && name != "history", leader.order != nil, "an order was sent")
+		})
+	}
+}
+
+func TestZoneCommandOrderEnds(t *testing.T) {
+	leader := &voterStandIn{leads: true}
+	address := leader.start(t)
+	before := time.Now().Add(time.Hour).UnixMilli()
+	_, err := printed(t, nil, func() error {
+		return words(&zoneLine{}, "valeshift zone", []string{"hold", "d", "--for=1h", "--council", address})
+	})
+	require.NoError(t, err)
+	var order failover.Order
+	require.NoError(t, json.Unmarshal(leader.order, &order))
+	assert.GreaterOrEqual(t, order.Until, float64(before))
+	assert.LessOrEqual(t, order.Until, float64(time.Now().Add(time.Hour).UnixMilli()))
+	assert.NotEmpty(t, order.ID, "drawn, as none was given")
+}
+
+func TestZoneCommandErrors(t *testing.T) {
+	leader := &voterStandIn{status: zoneGolden(t, "status-leader.json"), leads: true}
+	other := &voterStandIn{status: zoneGolden(t, "status-other.json")}
+	leaderAddress, otherAddress := leader.start(t), other.start(t)
+	for name, c := range map[string]struct {
+		args []string
+		want string
+	}{
+		"an order without a zone":       {[]string{"empty", "--council", leaderAddress}, "which zone?"},
+		"nobody that was asked leads":   {[]string{"empty", "d", "--council", otherAddress}, errNobody.Error()},
+		"no leader to show":             {[]string{"status", "--council", otherAddress}, errNobody.Error()},
+		"an order that is not accepted": {[]string{"empty", "refuse-me", "--id=1", "--council", leaderAddress}, "order 1: refused: no such zone"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, err := printed(t, nil, func() error { return words(&zoneLine{}, "valeshift zone", c.args) })
+			assert.EqualError(t, err, c.want)
+		})
+	}
+}
+
+// The names of arguments, flags and environment variables, and what help says of them.
+func TestZoneCommandHelpGolden(t *testing.T) {
+	t.Setenv("USER", "")
+	var help bytes.Buffer
+	parser, err := kong.New(&zoneLine{}, kong.Name("valeshift zone"), kong.Writers(&help, &help), kong.Exit(func(int) {}))
+	require.NoError(t, err)
+	parser.Parse([]string{"--help"})
+	assert.Equal(t, zoneGolden(t, "help.txt"), help.String())
+}
--- a/internal/failover/book.go
+++ b/internal/failover/book.go
@@ -25,48 +25,51 @@
 
 // Zone is one zone as it is decided.
 type Zone struct {
-	Name, Region string
-	State        State
-	Share        float64
-	To           []Part  `json:",omitempty"` // where the rest goes
-	Left         float64 `json:",omitempty"` // what is left, as nobody has room for it: told to come again
-	Why          string
+	Name   string  `json:"Name"`
+	Region string  `json:"Region"`
+	State  State   `json:"State"`
+	Share  float64 `json:"Share"`
+	To     []Part  `json:"To,omitempty"`   // where the rest goes
+	Left   float64 `json:"Left,omitempty"` // what is left, as nobody has room for it: told to come again
+	Why    string  `json:"Why"`
 }
 
 // Part is how much of the work near a zone goes to another.
 type Part struct {
-	Zone string
-	Part float64
+	Zone string  `json:"Zone"`
+	Part float64 `json:"Part"`
 }
 
 // Order is an operator's: it goes before what is decided automatically, until its end.
 type Order struct {
-	ID          string // the caller's, for the answer
-	Zone        string
-	Do          string // empty, return or hold
-	Until       float64
-	Reason, Who string
-	Force       bool // also where nothing is left to serve
+	ID     string  `json:"ID"` // the caller's, for the answer
+	Zone   string  `json:"Zone"`
+	Do     string  `json:"Do"` // empty, return or hold
+	Until  float64 `json:"Until"`
+	Reason string  `json:"Reason"`
+	Who    string  `json:"Who"`
+	Force  bool    `json:"Force"` // also where nothing is left to serve
 }
 
 // Command is one entry of the council's list.
 type Command struct {
-	Zones        []Zone             `json:",omitempty"` // the whole picture, as it was judged, and by what
-	Demand, Room map[string]float64 `json:",omitempty"`
-	Order        *Order             `json:",omitempty"`
-	Ends         string             `json:",omitempty"` // an order's ID: it is over
-	Cause        string
-	At           float64 // clock time at who proposed it, for the history
+	Zones  []Zone             `json:"Zones,omitempty"` // the whole picture, as it was judged, and by what
+	Demand map[string]float64 `json:"Demand,omitempty"`
+	Room   map[string]float64 `json:"Room,omitempty"`
+	Order  *Order             `json:"Order,omitempty"`
+	Ends   string             `json:"Ends,omitempty"` // an order's ID: it is over
+	Cause  string             `json:"Cause"`
+	At     float64            `json:"At"` // clock time at who proposed it, for the history
 }
 
 // Entry is one decision as it is remembered.
 type Entry struct {
-	Number  uint64
-	At      float64
-	Cause   string
-	Who     string
-	Refused string // why it has changed nothing
-	Zones   []Zone
+	Number  uint64  `json:"Number"`
+	At      float64 `json:"At"`
+	Cause   string  `json:"Cause"`
+	Who     string  `json:"Who"`
+	Refused string  `json:"Refused"` // why it has changed nothing
+	Zones   []Zone  `json:"Zones"`
 }
 
 const (
@@ -77,12 +80,12 @@
 
 // Book is what has been decided. It is the council's machine: the same at all voters after the same entries.
 type Book struct {
-	Number  uint64
-	Judged  []Zone // as judged, before orders
-	Orders  []Order
-	Demand  map[string]float64 // near each zone, and what each bears, as the picture was judged
-	Room    map[string]float64
-	History []Entry
+	Number  uint64             `json:"Number"`
+	Judged  []Zone             `json:"Judged"` // as judged, before orders
+	Orders  []Order            `json:"Orders"`
+	Demand  map[string]float64 `json:"Demand"` // near each zone, and what each bears, as the picture was judged
+	Room    map[string]float64 `json:"Room"`
+	History []Entry            `json:"History"`
 }
 
 // Zones is the picture that holds: what was judged, with the orders on top.
--- a/internal/failover/follow.go
+++ b/internal/failover/follow.go
@@ -18,10 +18,10 @@
 
 // Word is what a voter tells a relay: the picture that holds, and how old it is at the most.
 type Word struct {
-	Number uint64
-	Zones  []Zone
-	Age    float64 // since its leader knew that it leads; below 0: this voter does not know that
-	Leads  bool    // this voter leads itself
+	Number uint64  `json:"Number"`
+	Zones  []Zone  `json:"Zones"`
+	Age    float64 `json:"Age"`   // since its leader knew that it leads; below 0: this voter does not know that
+	Leads  bool    `json:"Leads"` // this voter leads itself
 }
 
 // Follower is a relay's side of the decisions: it never goes back in number, also over its own starts, and
@@ -41,7 +41,9 @@
 	return &Follower{chance: chance, until: math.Inf(-1), lets: math.Inf(-1)}
 }
 
-type kept struct{ Number uint64 }
+type kept struct {
+	Number uint64 `json:"Number"`
+}
 
 // Recall takes what the disk has: nothing below it is followed.
 func (f *Follower) Recall(data []byte) {
--- a/internal/testbed/cost/cost.go
+++ b/internal/testbed/cost/cost.go
@@ -30,17 +30,19 @@
 
 // Figures are what one way through came to.
 type Figures struct {
-	Way            string  `json:"way"`
-	Servers        int     `json:"servers"`
-	Setups         int     `json:"setups"`
-	Failed         int     `json:"failed"`
-	PerSecond      float64 `json:"setups-a-second"`
-	PerCPU         float64 `json:"setups-a-cpu-second,omitempty"` // 0: it has no process of its own
-	P50, P99, P999 float64 // of a line there and back, milliseconds
-	Lines          int64   `json:"lines"`
-	LineCPU        float64 `json:"cpu-microseconds-a-line,omitempty"`
-	Memory         float64 `json:"bytes-a-link,omitempty"`
-	Idle           int     `json:"links-for-that,omitempty"`
+	Way       string  `json:"way"`
+	Servers   int     `json:"servers"`
+	Setups    int     `json:"setups"`
+	Failed    int     `json:"failed"`
+	PerSecond float64 `json:"setups-a-second"`
+	PerCPU    float64 `json:"setups-a-cpu-second,omitempty"` // 0: it has no process of its own
+	P50       float64 `json:"P50"`                           // of a line there and back, milliseconds
+	P99       float64 `json:"P99"`
+	P999      float64 `json:"P999"`
+	Lines     int64   `json:"lines"`
+	LineCPU   float64 `json:"cpu-microseconds-a-line,omitempty"`
+	Memory    float64 `json:"bytes-a-link,omitempty"`
+	Idle      int     `json:"links-for-that,omitempty"`
 }
 
 // Plan says how much is measured.
