--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -91,8 +91,8 @@
 
 // orderBody is an operators' order as it is kept.
 type orderBody struct {
-	Number uint64
-	Lame   bool
+	Number uint64 `json:"Number"`
+	Lame   bool   `json:"Lame"`
 }
 
 // Disk takes what the store had at the start, or why there is none. An order on it holds at once.
@@ -380,8 +380,8 @@
 
 // answer is what one relay says to another that asks.
 type answer struct {
-	Kept    *relay.Kept
-	ToldAgo float64
+	Kept    *relay.Kept `json:"Kept"`
+	ToldAgo float64     `json:"ToldAgo"`
 }
 
 // Answer is what this relay has kept, for another; k is what it knows now.
@@ -401,8 +401,8 @@
 // Answered takes what another relay said, or why nothing.
 func (c *Core) Answered(from string, text []byte, err error) {
 	var a struct {
-		Kept    json.RawMessage
-		ToldAgo float64
+		Kept    json.RawMessage `json:"Kept"`
+		ToldAgo float64         `json:"ToldAgo"`
 	}
 	if err == nil {
 		err = json.Unmarshal(text, &a)
@@ -449,31 +449,38 @@
 
 // Status is what operators are told: `valeshift fleet` shows it.
 type Status struct {
-	Recovery recovery.Status
-	Boot     uint64
-	Order    uint64
-	Lame     bool
-	Disk     string // what is wrong with it; empty: nothing
-	Waiting  int
-	Links    int
-	Cold     int // servers, of those that can be used
-	Usable   int
-	Ahead    float64 // of the fleet's clock, ms
-	Twin     bool    // another process serves under this relay's name
-	Members  []MemberStatus
-	Wire     membership.Counts
-	Council  *CouncilStatus `json:",omitempty"`
-
-	Holdings *HoldingsStatus `json:",omitempty"`
+	Recovery recovery.Status   `json:"Recovery"`
+	Boot     uint64            `json:"Boot"`
+	Order    uint64            `json:"Order"`
+	Lame     bool              `json:"Lame"`
+	Disk     string            `json:"Disk"` // what is wrong with it; empty: nothing
+	Waiting  int               `json:"Waiting"`
+	Links    int               `json:"Links"`
+	Cold     int               `json:"Cold"` // servers, of those that can be used
+	Usable   int               `json:"Usable"`
+	Ahead    float64           `json:"Ahead"` // of the fleet's clock, ms
+	Twin     bool              `json:"Twin"`  // another process serves under this relay's name
+	Members  []MemberStatus    `json:"Members"`
+	Wire     membership.Counts `json:"Wire"`
+	Council  *CouncilStatus    `json:"Council,omitempty"`
+
+	Holdings *HoldingsStatus `json:"Holdings,omitempty"`
 }
 
 // MemberStatus is another relay as this one sees it.
 type MemberStatus struct {
-	Name, Zone, Region, State, Phase string
-	Boot, List                       uint64
-	Age, Quiet                       float64 // ms since its start, and since news of it
-	Waiting, Links                   uint32
-	Lame                             bool
+	Name    string  `json:"Name"`
+	Zone    string  `json:"Zone"`
+	Region  string  `json:"Region"`
+	State   string  `json:"State"`
+	Phase   string  `json:"Phase"`
+	Boot    uint64  `json:"Boot"`
+	List    uint64  `json:"List"`
+	Age     float64 `json:"Age"`   // ms since its start
+	Quiet   float64 `json:"Quiet"` // ms since news of it
+	Waiting uint32  `json:"Waiting"`
+	Links   uint32  `json:"Links"`
+	Lame    bool    `json:"Lame"`
 }
 
 const twinFor = 10000.0
--- a/internal/fleet/council.go
+++ b/internal/fleet/council.go
@@ -157,11 +157,11 @@
 
 // CouncilStatus is what operators are told of the decisions.
 type CouncilStatus struct {
-	Number  uint64
-	Held    bool
-	Renewed float64 // until it has to be renewed, ms; below 0: it has not been
-	Leads   string  // voter that said so last
-	Zones   []relay.Toward
+	Number  uint64         `json:"Number"`
+	Held    bool           `json:"Held"`
+	Renewed float64        `json:"Renewed"` // until it has to be renewed, ms; below 0: it has not been
+	Leads   string         `json:"Leads"`   // voter that said so last
+	Zones   []relay.Toward `json:"Zones"`
 }
 
 func (c *Core) councilStatus(now float64) *CouncilStatus {
--- /dev/null
+++ b/internal/recovery/golden_test.go
@@ -0,0 +1,26 @@
+package recovery
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// What operators are told, and programs read, as the build of commit 32b198a wrote it.
+func TestGoldenStatus(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join("testdata", "golden", "status.json"))
+	require.NoError(t, err)
+	want := Status{Phase: "admitting", Why: "no other relay is heard", For: 1500.5, Whole: true, Part: 0.125,
+		Took: []string{"2 servers, from the disk"}, Left: []string{"r2: no answer in time"}, ListTold: true, Waited: 3,
+		All: 2}
+	var read Status
+	require.NoError(t, json.Unmarshal(text, &read))
+	assert.Equal(t, want, read)
+	written, err := json.Marshal(want)
+	require.NoError(t, err)
+	assert.Equal(t, string(text), string(written))
+}
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -346,13 +346,16 @@
 
 // Status is what operators are told.
 type Status struct {
-	Phase, Why  string
-	For         float64 // ms in this phase
-	Whole       bool    // the start is held to be one of the whole fleet
-	Part        float64 // of what cold servers bear, that this relay would take
-	Took, Left  []string
-	ListTold    bool // by discovery, in this life
-	Waited, All int  // answers that are out, and that came
+	Phase    string   `json:"Phase"`
+	Why      string   `json:"Why"`
+	For      float64  `json:"For"`   // ms in this phase
+	Whole    bool     `json:"Whole"` // the start is held to be one of the whole fleet
+	Part     float64  `json:"Part"`  // of what cold servers bear, that this relay would take
+	Took     []string `json:"Took"`
+	Left     []string `json:"Left"`
+	ListTold bool     `json:"ListTold"` // by discovery, in this life
+	Waited   int      `json:"Waited"`   // answers that are out
+	All      int      `json:"All"`      // and that came
 }
 
 // Status is how things stand.
