--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -20,17 +20,21 @@
 
 // Entry is a backend as the list has it. Bad says why it can't be used; only its name counts then.
 type Entry struct {
-	Name, Address, Zone, Status string
-	Group                       int
-	Weight, Since               float64
-	Bad                         string
+	Name    string  `json:"Name"`
+	Address string  `json:"Address"`
+	Zone    string  `json:"Zone"`
+	Status  string  `json:"Status"`
+	Group   int     `json:"Group"`
+	Weight  float64 `json:"Weight"`
+	Since   float64 `json:"Since"`
+	Bad     string  `json:"Bad"`
 }
 
 // News is a list, or the changes of one.
 type News struct {
-	Index   uint64
-	Whole   bool
-	Entries []Entry
+	Index   uint64  `json:"Index"`
+	Whole   bool    `json:"Whole"`
+	Entries []Entry `json:"Entries"`
 	Clock   float64 `json:"-"` // discovery's; 0: not told
 }
 
--- a/internal/relay/recall.go
+++ b/internal/relay/recall.go
@@ -17,13 +17,13 @@
 // links and servers weigh in general, and which clients it told to come again when. No load is among it, as
 // none is worth anything a second later.
 type Kept struct {
-	Version    int
-	List       *News   // nil: discovery has told none in this life
-	Told       float64 // clock time at which it last told that the list holds
-	Capacity   float64 // of a server, microseconds of work a second; 0: not known
-	LoadMean   float64
-	Categories map[string]KeptCategory
-	Back       map[uint64]float64 // clock times, by key
+	Version    int                     `json:"Version"`
+	List       *News                   `json:"List"`     // nil: discovery has told none in this life
+	Told       float64                 `json:"Told"`     // clock time at which it last told that the list holds
+	Capacity   float64                 `json:"Capacity"` // of a server, microseconds of work a second; 0: not known
+	LoadMean   float64                 `json:"LoadMean"`
+	Categories map[string]KeptCategory `json:"Categories"`
+	Back       map[uint64]float64      `json:"Back"` // clock times, by key
 
 	// Own and Figures are of warm servers: the load of this relay's links there, and the sum of their figures.
 	// Of those and of how many links each relay has, what a server bears can be told for the whole fleet.
@@ -56,7 +56,10 @@
 }
 
 // KeptCategory is what links of one category weigh, and how many that stands on.
-type KeptCategory struct{ Load, Weighed float64 }
+type KeptCategory struct {
+	Load    float64 `json:"Load"`
+	Weighed float64 `json:"Weighed"`
+}
 
 // Text is what is kept as it is written.
 func (k *Kept) Text() ([]byte, error) { return json.Marshal(k) }
@@ -96,7 +99,7 @@
 		Figures: l.Figures, Categories: map[string]KeptCategory{}, Back: r.table.Balancer.Told(r.now)}
 	for name, i := range r.categories {
 		if i < len(l.Loads) {
-			k.Categories[name] = KeptCategory{l.Loads[i], l.Weighed[i]}
+			k.Categories[name] = KeptCategory{Load: l.Loads[i], Weighed: l.Weighed[i]}
 		}
 	}
 	if r.confirmed {
--- a/internal/relay/succession.go
+++ b/internal/relay/succession.go
@@ -22,13 +22,13 @@
 // Handover is what the elder process leaves to the younger. Fields that are not known are passed over, so
 // that one of the same version may gain some; a change of their meaning is another version.
 type Handover struct {
-	Version int
-	At      float64
-	List    *News
-	Module  balancer.Record
-	Names   []string // of the module's servers, in its order
-	Files   int      // descriptors that the elder keeps to, what it needs besides connections included
-	Links   int      // and links
+	Version int             `json:"Version"`
+	At      float64         `json:"At"`
+	List    *News           `json:"List"`
+	Module  balancer.Record `json:"Module"`
+	Names   []string        `json:"Names"` // of the module's servers, in its order
+	Files   int             `json:"Files"` // descriptors that the elder keeps to, what it needs besides connections included
+	Links   int             `json:"Links"` // and links
 }
 
 // ReadHandover reads what was left, and says why it can't be used.
@@ -189,17 +189,21 @@
 // Passed is a link that stands, on its way from one process of the relay to another. The two may be of
 // different versions of the program, so that all is by name and the younger refuses what it doesn't know.
 type Passed struct {
-	Version             int
-	ID, Category, Party string
-	Key, Group          uint64
-	Backend             string
-	Load                float64
-	Measured            bool
-	Tail                []byte  // of a line whose end the backend has not sent yet
-	Waits               bool    // a line of the client's waits for its answer
-	Leaves              float64 // in so many milliseconds, as its backend goes; -1: it stays
-	Files, Links        int     // that the elder keeps to from now on
-	Frees               bool    // the elder says when it has let go of its own descriptors
+	Version  int     `json:"Version"`
+	ID       string  `json:"ID"`
+	Category string  `json:"Category"`
+	Party    string  `json:"Party"`
+	Key      uint64  `json:"Key"`
+	Group    uint64  `json:"Group"`
+	Backend  string  `json:"Backend"`
+	Load     float64 `json:"Load"`
+	Measured bool    `json:"Measured"`
+	Tail     []byte  `json:"Tail"`   // of a line whose end the backend has not sent yet
+	Waits    bool    `json:"Waits"`  // a line of the client's waits for its answer
+	Leaves   float64 `json:"Leaves"` // in so many milliseconds, as its backend goes; -1: it stays
+	Files    int     `json:"Files"`  // that the elder keeps to from now on
+	Links    int     `json:"Links"`  // and links
+	Frees    bool    `json:"Frees"`  // the elder says when it has let go of its own descriptors
 }
 
 // pass has the sockets pass the link on when they can.
--- a/internal/relay/zones.go
+++ b/internal/relay/zones.go
@@ -8,9 +8,9 @@
 // Toward is a zone that a part of the links is meant for; an open one takes others' too where those find no
 // room.
 type Toward struct {
-	Zone string
-	Part float64
-	Open bool
+	Zone string  `json:"Zone"`
+	Part float64 `json:"Part"`
+	Open bool    `json:"Open"`
 }
 
 // directed takes where links are meant to go from now on; none: as this relay finds.
