--- a/internal/relay/config_golden_test.go
+++ b/internal/relay/config_golden_test.go
@@ -62,7 +62,7 @@
 
 // A list as one process of the relay passes it to the other is read, and written back as the same bytes.
 func TestGoldenNewsIsReadAndWrittenBack(t *testing.T) {
-	text := readGoldenText(t, "news.json")
+	text := readGoldenText(t, "list-news.json")
 	var got News
 	require.NoError(t, json.Unmarshal(text, &got))
 	assert.Equal(t, News{Index: 41, Whole: true, Entries: goldenEntries(t)}, got)
