--- a/cmd/valeshift/holdings.go
+++ b/cmd/valeshift/holdings.go
@@ -106,7 +106,7 @@
 		if err := c.pages(address, func(p *replication.Page) error {
 			for _, r := range p.Records {
 				if err := out.Encode(struct {
-					Holder string
+					Holder string `json:"Holder"`
 					replication.Shown
 				}{p.Name, r}); err != nil {
 					return err
--- a/internal/fleet/holdings.go
+++ b/internal/fleet/holdings.go
@@ -358,12 +358,12 @@
 
 // HoldingsStatus is what operators are told.
 type HoldingsStatus struct {
-	Kinds  map[string]replication.Standing
-	Able   bool                          // there are relays enough for a promise
-	Counts map[string]replication.Counts // by kind
+	Kinds  map[string]replication.Standing `json:"Kinds"`
+	Able   bool                            `json:"Able"`   // there are relays enough for a promise
+	Counts map[string]replication.Counts   `json:"Counts"` // by kind
 	// ms, that the latest words took until others held them; 0: there were none
-	P50 float64
-	P99 float64
+	P50 float64 `json:"P50"`
+	P99 float64 `json:"P99"`
 }
 
 // Page shows one part of what this relay holds for others; nil where it holds nothing for any.
--- a/internal/replication/replication.go
+++ b/internal/replication/replication.go
@@ -43,8 +43,8 @@
 
 // Holder is a relay in one of its lives. What was sent to it for another life is not taken in.
 type Holder struct {
-	Name string
-	Life uint64
+	Name string `json:"Name"`
+	Life uint64 `json:"Life"`
 }
 
 // Record is one thing held.
@@ -136,9 +136,15 @@
 
 // Counts are what operators are told of a kind.
 type Counts struct {
-	Held, Full                            uint64 // for others: taken in; refused for want of room
-	Promised, Refused                     uint64 // of what this relay wanted held
-	Sought, Took, Again, Missed, Accepted uint64 // Again: found used; Missed: found, and not got in time
+	Held     uint64 `json:"Held"`     // for others: taken in
+	Full     uint64 `json:"Full"`     // for others: refused for want of room
+	Promised uint64 `json:"Promised"` // of what this relay wanted held
+	Refused  uint64 `json:"Refused"`
+	Sought   uint64 `json:"Sought"`
+	Took     uint64 `json:"Took"`
+	Again    uint64 `json:"Again"`  // found used
+	Missed   uint64 `json:"Missed"` // found, and not got in time
+	Accepted uint64 `json:"Accepted"`
 }
 
 // Add adds others' counts.
@@ -1005,10 +1011,10 @@
 // Standing is how things are with what is held of a kind. Under and Short count what this relay is the first
 // living holder of, so that all relays' sums count each record once.
 type Standing struct {
-	Held  int // here
-	Open  int // of those: to be used, or to be read, yet
-	Under int // some holder is not there
-	Short int // no more than half are: it can't be used, or read for certain, until more are
+	Held  int `json:"Held"`  // here
+	Open  int `json:"Open"`  // of those: to be used, or to be read, yet
+	Under int `json:"Under"` // some holder is not there
+	Short int `json:"Short"` // no more than half are: it can't be used, or read for certain, until more are
 }
 
 // there are the members, by name.
--- a/internal/replication/shown.go
+++ b/internal/replication/shown.go
@@ -14,19 +14,23 @@
 
 // Shown is a record as one of its holders has it.
 type Shown struct {
-	Kind, Key, ID, Owner string
-	Version              uint64
-	At, End              float64 // of the fleet's clock
-	Holders              []Holder
-	State                string // open, used, over
-	Body                 []byte `json:",omitempty"`
+	Kind    string   `json:"Kind"`
+	Key     string   `json:"Key"`
+	ID      string   `json:"ID"`
+	Owner   string   `json:"Owner"`
+	Version uint64   `json:"Version"`
+	At      float64  `json:"At"` // of the fleet's clock
+	End     float64  `json:"End"`
+	Holders []Holder `json:"Holders"`
+	State   string   `json:"State"` // open, used, over
+	Body    []byte   `json:"Body,omitempty"`
 }
 
 // Page is a part of what one relay holds.
 type Page struct {
-	Name    string
-	Now     float64
-	Records []Shown
+	Name    string  `json:"Name"`
+	Now     float64 `json:"Now"`
+	Records []Shown `json:"Records"`
 }
 
 // Page shows one part of what is held.
@@ -58,12 +62,12 @@
 
 // Finding is what several relays' records of one kind come to.
 type Finding struct {
-	Records int // that are open and last for a while yet; of what holds by its version, the latest
-	Whole   int // held by all of their holders
-	Under   int // by some fewer, as far as all were asked
-	Short   int // by no more than half: not to be used, or read, for certain
-	Unknown int // some of their holders were not asked
-	Wrong   []string
+	Records int      `json:"Records"` // that are open and last for a while yet; of what holds by its version, the latest
+	Whole   int      `json:"Whole"`   // held by all of their holders
+	Under   int      `json:"Under"`   // by some fewer, as far as all were asked
+	Short   int      `json:"Short"`   // by no more than half: not to be used, or read, for certain
+	Unknown int      `json:"Unknown"` // some of their holders were not asked
+	Wrong   []string `json:"Wrong"`
 }
 
 const (
