--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -43,7 +43,11 @@
 )
 
 // Member is one voter on one disk. With another disk it is another member.
-type Member struct{ Name, Disk, Address string }
+type Member struct {
+	Name    string `json:"Name"`
+	Disk    string `json:"Disk"`
+	Address string `json:"Address"`
+}
 
 // ID is the member's number to Raft.
 func (m Member) ID() uint64 {
@@ -61,7 +65,12 @@
 
 // claim is how far a member has come: its starts on its disk, its term, and its log's end. Life is drawn at
 // each start, against two of one copied disk that count alike.
-type claim struct{ Boot, Life, Term, Index uint64 }
+type claim struct {
+	Boot  uint64 `json:"Boot"`
+	Life  uint64 `json:"Life"`
+	Term  uint64 `json:"Term"`
+	Index uint64 `json:"Index"`
+}
 
 // before tells whether what a member says of itself is older than what it is known to have said: its disk
 // has lost votes or entries that others went by.
@@ -71,26 +80,26 @@
 
 // durable is all that a voter keeps.
 type durable struct {
-	Version  int
-	Me       Member
-	Boot     uint64
-	Founders []Member // empty: it belongs to no council yet
-	Hard     []byte
-	Snapshot []byte
-	Entries  [][]byte
-	Known    map[uint64]claim
+	Version  int              `json:"Version"`
+	Me       Member           `json:"Me"`
+	Boot     uint64           `json:"Boot"`
+	Founders []Member         `json:"Founders"` // empty: it belongs to no council yet
+	Hard     []byte           `json:"Hard"`
+	Snapshot []byte           `json:"Snapshot"`
+	Entries  [][]byte         `json:"Entries"`
+	Known    map[uint64]claim `json:"Known"`
 }
 
 // frame is what goes between voters: a message of Raft's, a question about the sender, or the answer to one.
 type frame struct {
-	From    Member
-	Raft    []byte `json:",omitempty"`
-	Asks    bool   `json:",omitempty"`
-	Claim   claim
-	Formed  bool
-	Members []Member         `json:",omitempty"` // founders, where Formed; else newcomers as it sees them
-	Known   claim            // of who asked
-	All     map[uint64]claim `json:",omitempty"` // from who leads: what it knows of each
+	From    Member           `json:"From"`
+	Raft    []byte           `json:"Raft,omitempty"`
+	Asks    bool             `json:"Asks,omitempty"`
+	Claim   claim            `json:"Claim"`
+	Formed  bool             `json:"Formed"`
+	Members []Member         `json:"Members,omitempty"` // founders, where Formed; else newcomers as it sees them
+	Known   claim            `json:"Known"`             // of who asked
+	All     map[uint64]claim `json:"All,omitempty"`     // from who leads: what it knows of each
 }
 
 // Send is a frame for an address.
@@ -207,8 +216,8 @@
 
 // snapshot is what stands for entries that are not kept any more.
 type snapshot struct {
-	Members []Member
-	Machine []byte
+	Members []Member `json:"Members"`
+	Machine []byte   `json:"Machine"`
 }
 
 func (v *Voter) load(kept *durable) error {
@@ -716,17 +725,17 @@
 
 // Status is what operators are told of a voter.
 type Status struct {
-	Me       Member
-	Boot     uint64
-	Role     string
-	Leader   string
-	Term     uint64
-	Applied  uint64
-	Voters   []Member
-	Learners []Member
-	Vouched  bool   // a majority holds its disk for the latest
-	Unsaid   int    // frames that were too long: a new disk may not come in
-	Aside    string // why it put its former disk aside, in this life
+	Me       Member   `json:"Me"`
+	Boot     uint64   `json:"Boot"`
+	Role     string   `json:"Role"`
+	Leader   string   `json:"Leader"`
+	Term     uint64   `json:"Term"`
+	Applied  uint64   `json:"Applied"`
+	Voters   []Member `json:"Voters"`
+	Learners []Member `json:"Learners"`
+	Vouched  bool     `json:"Vouched"` // a majority holds its disk for the latest
+	Unsaid   int      `json:"Unsaid"`  // frames that were too long: a new disk may not come in
+	Aside    string   `json:"Aside"`   // why it put its former disk aside, in this life
 }
 
 // Status is how things stand.
--- /dev/null
+++ b/internal/consensus/golden_test.go
@@ -0,0 +1,202 @@
+package consensus
+
+import (
+	"encoding/json"
+	"math/rand"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.etcd.io/raft/v3/raftpb"
+)
+
+// golden reads a file that an earlier build has written. The files are never written anew: what they hold
+// lies on disks and comes from voters of that build.
+func golden(t *testing.T, name string) []byte {
+	t.Helper()
+	data, err := os.ReadFile(filepath.Join("testdata", "golden", name))
+	require.NoError(t, err)
+	return data
+}
+
+var (
+	goldenNorth = Member{Name: "north", Disk: "0123456789abcdef", Address: "10.0.0.4:7100"}
+	goldenSouth = Member{Name: "south", Disk: "fedcba9876543210", Address: "10.0.0.5:7100"}
+)
+
+// TestGoldenJSON reads each form that is stored or sent, every field of it filled, and writes the same bytes
+// back.
+func TestGoldenJSON(t *testing.T) {
+	for name, c := range map[string]struct {
+		want any
+		into any
+	}{
+		"member.json": {want: &goldenNorth, into: &Member{}},
+		"durable.json": {into: &durable{}, want: &durable{
+			Version:  formVersion,
+			Me:       goldenNorth,
+			Boot:     3,
+			Founders: []Member{goldenNorth, goldenSouth},
+			Hard:     []byte{1, 2},
+			Snapshot: []byte{3, 4},
+			Entries:  [][]byte{{5, 6}, {7, 8}},
+			Known:    map[uint64]claim{17: {Boot: 4, Life: 5, Term: 6, Index: 7}},
+		}},
+		"frame.json": {into: &frame{}, want: &frame{
+			From:    goldenSouth,
+			Raft:    []byte{9, 10},
+			Asks:    true,
+			Claim:   claim{Boot: 1, Life: 2, Term: 3, Index: 4},
+			Formed:  true,
+			Members: []Member{goldenSouth, goldenNorth},
+			Known:   claim{Boot: 5, Life: 6, Term: 7, Index: 8},
+			All:     map[uint64]claim{18: {Boot: 9, Life: 10, Term: 11, Index: 12}},
+		}},
+		"snapshot.json": {into: &snapshot{}, want: &snapshot{
+			Members: []Member{goldenNorth, goldenSouth},
+			Machine: []byte{11, 12},
+		}},
+		"status.json": {into: &Status{}, want: &Status{
+			Me:       goldenNorth,
+			Boot:     3,
+			Role:     "StateLeader",
+			Leader:   "north",
+			Term:     4,
+			Applied:  5,
+			Voters:   []Member{goldenNorth, goldenSouth},
+			Learners: []Member{goldenSouth},
+			Vouched:  true,
+			Unsaid:   6,
+			Aside:    "south knows of start 4, term 5, entry 6; the disk has 3, 4, 5",
+		}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			data := golden(t, name)
+			require.NoError(t, json.Unmarshal(data, c.into))
+			assert.Equal(t, c.want, c.into)
+			written, err := json.Marshal(c.want)
+			require.NoError(t, err)
+			assert.Equal(t, string(data), string(written))
+		})
+	}
+}
+
+func TestMemberIDIsStable(t *testing.T) {
+	assert.Equal(t, uint64(3304909486640518328), goldenNorth.ID())
+}
+
+// TestGoldenFrames reads frames that voters have exchanged, and writes the same bytes back.
+func TestGoldenFrames(t *testing.T) {
+	for name, raftType := range map[string]raftpb.MessageType{
+		"frame-MsgPreVote.json":       raftpb.MsgPreVote,
+		"frame-MsgPreVoteResp.json":   raftpb.MsgPreVoteResp,
+		"frame-MsgVote.json":          raftpb.MsgVote,
+		"frame-MsgVoteResp.json":      raftpb.MsgVoteResp,
+		"frame-MsgApp.json":           raftpb.MsgApp,
+		"frame-MsgAppResp.json":       raftpb.MsgAppResp,
+		"frame-MsgHeartbeat.json":     raftpb.MsgHeartbeat,
+		"frame-MsgHeartbeatResp.json": raftpb.MsgHeartbeatResp,
+		"frame-MsgSnap.json":          raftpb.MsgSnap,
+		"frame-learner-added.json":    raftpb.MsgApp,
+		"frame-member-replaced.json":  raftpb.MsgApp,
+	} {
+		t.Run(name, func(t *testing.T) {
+			data := golden(t, name)
+			var f frame
+			require.NoError(t, json.Unmarshal(data, &f))
+			assert.NotEmpty(t, f.From.Disk)
+			assert.NotZero(t, f.Claim.Boot)
+			assert.NotZero(t, f.Claim.Life)
+			var m raftpb.Message
+			require.NoError(t, m.Unmarshal(f.Raft))
+			assert.Equal(t, raftType, m.Type)
+			assert.Equal(t, f.From.ID(), m.From)
+			if raftType == raftpb.MsgSnap {
+				var s snapshot
+				require.NoError(t, json.Unmarshal(m.Snapshot.Data, &s))
+				assert.Len(t, s.Members, 4, "three voters and one that is being let in")
+				assert.NotEmpty(t, s.Machine)
+			}
+			written, err := json.Marshal(f)
+			require.NoError(t, err)
+			assert.Equal(t, string(data), string(written))
+		})
+	}
+}
+
+// TestGoldenMembershipChange reads the entries by which a leader has let a voter in on a new disk.
+func TestGoldenMembershipChange(t *testing.T) {
+	for name, changes := range map[string][]raftpb.ConfChangeType{
+		"frame-learner-added.json":   {raftpb.ConfChangeAddLearnerNode},
+		"frame-member-replaced.json": {raftpb.ConfChangeAddNode, raftpb.ConfChangeRemoveNode},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var f frame
+			require.NoError(t, json.Unmarshal(golden(t, name), &f))
+			var m raftpb.Message
+			require.NoError(t, m.Unmarshal(f.Raft))
+			require.Len(t, m.Entries, 1)
+			var change raftpb.ConfChangeV2
+			require.Equal(t, raftpb.EntryConfChangeV2, m.Entries[0].Type)
+			require.NoError(t, change.Unmarshal(m.Entries[0].Data))
+			require.Len(t, change.Changes, len(changes))
+			for i, want := range changes {
+				assert.Equal(t, want, change.Changes[i].Type)
+			}
+			var admitted Member
+			require.NoError(t, json.Unmarshal(change.Context, &admitted))
+			assert.Equal(t, "v2", admitted.Name)
+			assert.Equal(t, "2", admitted.Address)
+			assert.Equal(t, change.Changes[0].NodeID, admitted.ID())
+			written, err := json.Marshal(admitted)
+			require.NoError(t, err)
+			assert.Equal(t, string(change.Context), string(written))
+		})
+	}
+}
+
+// TestFirstFrameIsStable has a voter on a new disk, whose identity a seed draws, ask the others about itself.
+func TestFirstFrameIsStable(t *testing.T) {
+	names := []Member{{Name: "north", Address: "10.0.0.4:7100"}, {Name: "south", Address: "10.0.0.5:7100"}}
+	w := &world{t: t, numbers: map[uint64]string{}, highest: map[int]uint64{}}
+	v, err := New(1000, names[0], names, nil, &ledger{world: w}, rand.New(rand.NewSource(7)))
+	require.NoError(t, err)
+	v.Tick(1000)
+	out := v.Next()
+	require.Len(t, out.Send, 1)
+	assert.Equal(t, "10.0.0.5:7100", out.Send[0].To)
+	assert.Equal(t, string(golden(t, "first-frame.json")), string(out.Send[0].Data))
+	assert.Equal(t, string(golden(t, "first-disk.json")), string(out.Save))
+}
+
+// TestStartOnGoldenDisk starts a voter on a disk that an earlier build has written: a snapshot, entries behind
+// it and, as the last, the change of voters that let a wiped voter in again.
+func TestStartOnGoldenDisk(t *testing.T) {
+	names := []Member{{Name: "v0", Address: "0"}, {Name: "v1", Address: "1"}, {Name: "v2", Address: "2"}}
+	w := &world{t: t, numbers: map[uint64]string{}, highest: map[int]uint64{}}
+	machine := &ledger{world: w}
+	v, err := New(1000, names[0], names, golden(t, "disk-v0.json"), machine, rand.New(rand.NewSource(7)))
+	require.NoError(t, err)
+	for out := v.Next(); out.Save != nil; out = v.Next() {
+		v.Saved()
+	}
+	assert.Equal(t, "195 by 1", machine.last)
+	assert.Equal(t, 195, machine.count, "the snapshot's and the entries that were known to be decided")
+	s := v.Status()
+	assert.Equal(t, uint64(2), s.Boot, "one start more than the disk tells of")
+	assert.Equal(t, Member{Name: "v0", Disk: "194992241c49ae86", Address: "0"}, s.Me)
+	assert.Equal(t, []Member{
+		{Name: "v1", Disk: "e4a28581c49dc226", Address: "1"},
+		{Name: "v0", Disk: "194992241c49ae86", Address: "0"},
+		{Name: "v2", Disk: "8b8c6ec608832026", Address: "2"},
+	}, s.Voters)
+	assert.Equal(t, uint64(214), s.Applied)
+	assert.Equal(t, uint64(2), s.Term)
+	assert.Len(t, v.known, 3)
+	index, err := v.storage.LastIndex()
+	require.NoError(t, err)
+	assert.Equal(t, uint64(215), index)
+	assert.Empty(t, w.wrong)
+}
--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -167,10 +167,10 @@
 // Status is what operators are told.
 type Status struct {
 	consensus.Status
-	Leads  bool
-	Number uint64
-	Zones  []failover.Zone
-	Orders []failover.Order
+	Leads  bool             `json:"Leads"`
+	Number uint64           `json:"Number"`
+	Zones  []failover.Zone  `json:"Zones"`
+	Orders []failover.Order `json:"Orders"`
 }
 
 // Status is how things stand here.
--- /dev/null
+++ b/internal/coordinator/golden_test.go
@@ -0,0 +1,229 @@
+package coordinator
+
+import (
+	"bytes"
+	"encoding/json"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"valeshift/internal/consensus"
+	"valeshift/internal/failover"
+	"valeshift/internal/membership"
+	"valeshift/internal/store"
+	"valeshift/internal/testbed/procstat"
+)
+
+// golden reads a file that an earlier build has written. The files are never written anew: what they hold
+// lies on disks and is read by operators' programs, relays and voters of that build.
+func golden(t *testing.T, name string) []byte {
+	t.Helper()
+	data, err := os.ReadFile(filepath.Join("testdata", "golden", name))
+	require.NoError(t, err)
+	return data
+}
+
+// startOnGoldenFolder starts the one voter of a council, whose folder an earlier build has written, on a copy
+// of that folder, and waits until it leads.
+func startOnGoldenFolder(t *testing.T) (r *Run, address string) {
+	t.Helper()
+	folder := t.TempDir()
+	require.NoError(t, os.CopyFS(folder, os.DirFS(filepath.Join("testdata", "golden", "folder"))))
+	address, err := procstat.FreeOn("127.0.0.1")
+	require.NoError(t, err)
+	me := consensus.Member{Name: "v", Address: address}
+	zones := []failover.Zone{{Name: "a", Region: "r0"}, {Name: "b", Region: "r0"}, {Name: "c", Region: "r1"},
+		{Name: "d", Region: "r1"}}
+	r, err = Start(me, []consensus.Member{me}, zones, []byte(key), store.Folder(folder),
+		slog.New(slog.NewTextHandler(io.Discard, nil)))
+	require.NoError(t, err)
+	t.Cleanup(r.Stop)
+	require.Eventually(t, func() bool { return status(t, r).Leads }, 10*time.Second, 10*time.Millisecond)
+	return r, address
+}
+
+func get(t *testing.T, r *Run, path string) *httptest.ResponseRecorder {
+	t.Helper()
+	answer := httptest.NewRecorder()
+	r.Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, path, nil))
+	require.Equal(t, http.StatusOK, answer.Code)
+	assert.Equal(t, "application/json", answer.Header().Get("Content-Type"))
+	return answer
+}
+
+func status(t *testing.T, r *Run) (s Status) {
+	t.Helper()
+	require.NoError(t, json.Unmarshal(get(t, r, "/status").Body.Bytes(), &s))
+	return s
+}
+
+// TestStartOnGoldenFolder finds an earlier build's log, decisions, orders and identity again.
+func TestStartOnGoldenFolder(t *testing.T) {
+	var before Status
+	require.NoError(t, json.Unmarshal(golden(t, "status-answer.json"), &before))
+	r, _ := startOnGoldenFolder(t)
+	now := status(t, r)
+	assert.Equal(t, before.Me.Disk, now.Me.Disk)
+	assert.Equal(t, before.Boot+1, now.Boot)
+	assert.Greater(t, now.Term, before.Term)
+	assert.Greater(t, now.Applied, before.Applied)
+	assert.Equal(t, before.Number, now.Number)
+	assert.Equal(t, before.Zones, now.Zones)
+	assert.Equal(t, before.Orders, now.Orders)
+	assert.Equal(t, before.Voters, now.Voters)
+	assert.Equal(t, string(golden(t, "history-answer.json")), get(t, r, "/history").Body.String())
+}
+
+// TestGoldenAnswers reads what operators' programs were answered, and writes the same bytes back.
+func TestGoldenAnswers(t *testing.T) {
+	for name, into := range map[string]any{
+		"status-answer.json":  &Status{},
+		"history-answer.json": &[]failover.Entry{},
+	} {
+		t.Run(name, func(t *testing.T) {
+			data := golden(t, name)
+			reader := json.NewDecoder(bytes.NewReader(data))
+			reader.DisallowUnknownFields()
+			require.NoError(t, reader.Decode(into))
+			var written bytes.Buffer
+			require.NoError(t, json.NewEncoder(&written).Encode(into))
+			assert.Equal(t, string(data), written.String())
+		})
+	}
+}
+
+// TestGoldenStatusValues checks that each name of the status stands for what it stood for.
+func TestGoldenStatusValues(t *testing.T) {
+	me := consensus.Member{Name: "v", Disk: "8b7c8cc158c6a34b", Address: "127.0.11.1:17100"}
+	var s Status
+	require.NoError(t, json.Unmarshal(golden(t, "status-answer.json"), &s))
+	assert.Equal(t, me, s.Me)
+	assert.Equal(t, uint64(1), s.Boot)
+	assert.Equal(t, "StateLeader", s.Role)
+	assert.Equal(t, "v", s.Leader)
+	assert.Equal(t, uint64(2), s.Term)
+	assert.Equal(t, uint64(6), s.Applied)
+	assert.Equal(t, []consensus.Member{me}, s.Voters)
+	assert.True(t, s.Vouched)
+	assert.True(t, s.Leads)
+	assert.Equal(t, uint64(5), s.Number)
+	assert.Len(t, s.Zones, 4)
+	assert.Len(t, s.Orders, 2)
+}
+
+// TestOrderOverHTTP checks the answers to orders by their codes, which operators' programs go by.
+func TestOrderOverHTTP(t *testing.T) {
+	r, _ := startOnGoldenFolder(t)
+	for _, c := range []struct {
+		name, body string
+		code       int
+	}{
+		{"decided", `{"ID":"ticket-9","Zone":"d","Do":"empty","Reason":"cooling","Who":"jo"}`, http.StatusOK},
+		{"given before the restart", `{"ID":"ticket-1","Zone":"b","Do":"empty"}`, http.StatusOK},
+		{"refused", `{"ID":"ticket-10","Zone":"nowhere","Do":"empty"}`, http.StatusConflict},
+		{"without an ID", `{"Zone":"b","Do":"empty"}`, http.StatusBadRequest},
+		{"no JSON", `{`, http.StatusBadRequest},
+		{"too long", `{"ID":"ticket-11","Reason":"` + strings.Repeat("x", mostText) + `"}`, http.StatusBadRequest},
+		{"an entry too long", `{"ID":"ticket-12","Reason":"` + strings.Repeat("\x7f", mostText/2) +
+			strings.Repeat("<", mostText/3) + `"}`, http.StatusServiceUnavailable},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			answer := httptest.NewRecorder()
+			request := httptest.NewRequest(http.MethodPost, "/order", strings.NewReader(c.body))
+			r.Handler().ServeHTTP(answer, request)
+			assert.Equal(t, c.code, answer.Code, answer.Body.String())
+		})
+	}
+}
+
+// TestGoldenDatagrams sends a voter what an earlier build's relays and voters sent.
+func TestGoldenDatagrams(t *testing.T) {
+	_, address := startOnGoldenFolder(t)
+	for _, c := range []struct {
+		name     string
+		answered bool
+	}{
+		{"datagram-message.bin", false}, // not a member's: nobody answers it
+		{"datagram-observations.bin", true},
+		{"datagram-question.bin", true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			conn, err := net.Dial("udp", address)
+			require.NoError(t, err)
+			defer conn.Close()
+			_, err = conn.Write(golden(t, c.name))
+			require.NoError(t, err)
+			buffer := make([]byte, datagram)
+			wait := 5 * time.Second
+			if !c.answered {
+				wait = 200 * time.Millisecond
+			}
+			require.NoError(t, conn.SetReadDeadline(time.Now().Add(wait)))
+			n, err := conn.Read(buffer)
+			if !c.answered {
+				assert.ErrorIs(t, err, os.ErrDeadlineExceeded)
+				return
+			}
+			require.NoError(t, err)
+			body, err := membership.Open([]byte(key), buffer[:n])
+			require.NoError(t, err)
+			assert.Equal(t, byte('w'), body[0])
+			var fields map[string]json.RawMessage
+			require.NoError(t, json.Unmarshal(body[1:], &fields))
+			assert.Equal(t, "5", string(fields["Number"]))
+			assert.Equal(t, "true", string(fields["Leads"]))
+			assert.NotEmpty(t, fields["Age"])
+			assert.NotEmpty(t, fields["Zones"])
+			assert.Len(t, fields, 4)
+		})
+	}
+}
+
+// TestGoldenAnnouncements writes the words that relays are answered with, and reads them.
+func TestGoldenAnnouncements(t *testing.T) {
+	for name, word := range map[string]failover.Word{
+		"announcement.json": {Number: 7, Age: 12.5, Leads: true, Zones: []failover.Zone{{
+			Name:   "a",
+			Region: "north",
+			State:  failover.Spilling,
+			Share:  0.75,
+			To:     []failover.Part{{Zone: "b", Part: 0.25}},
+			Left:   0.125,
+			Why:    "full",
+		}}},
+		"announcement-unknown.json": {Age: -1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			data := golden(t, name)
+			var read failover.Word
+			require.NoError(t, json.Unmarshal(data, &read))
+			assert.Equal(t, word, read)
+			c := &Core{}
+			assert.Equal(t, string(data), string(c.say(word)))
+		})
+	}
+}
+
+// TestGoldenFile reads a voter's file with each key that there is.
+func TestGoldenFile(t *testing.T) {
+	f, err := ReadFile(filepath.Join("testdata", "golden", "coordinator.toml"))
+	require.NoError(t, err)
+	assert.Equal(t, &File{
+		Name:    "north",
+		Ops:     "127.0.0.1:7101",
+		KeyFile: "/etc/valeshift/key",
+		Folder:  "/var/lib/valeshift-council",
+		Voters:  []Voter{{Name: "north", Address: "127.0.0.1:7100"}},
+		Zones:   []Zone{{Name: "a", Region: "highlands"}, {Name: "b", Region: "coast"}},
+	}, f)
+}
