--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -80,7 +80,7 @@
 }
 
 // build spreads each server's buckets evenly, by the golden section against servers in clumps.
-func (t *Turns) build(now float64) {
+func (t *RoundRobin) build(now float64) {
 	t.table = t.table[:0]
 	for s, n := range t.counts {
 		_, phase := math.Modf(float64(s+1) * 0.6180339887)
@@ -94,11 +94,11 @@
 }
 
 // good wants two failures before a server is out: one lost probe or one stall is not a death.
-func (h *Health) good(s int) bool { return h.failed[s] < 2 }
+func (h *OutlierDetector) good(s int) bool { return h.failed[s] < 2 }
 
 // witness takes what a link went through at a server: a part of what was left to say against it, or of what
 // was said is taken back (negative).
-func (h *Health) witness(s int, now, part float64) {
+func (h *OutlierDetector) witness(s int, now, part float64) {
 	h.fade(now)
 	a := h.against[s]
 	h.against[s] += max(part, 0)*(1-a) + min(part, 0)*a
@@ -108,14 +108,14 @@
 // doubtful is how far a server's word is to be doubted, beyond what is usual: where set-ups go badly
 // everywhere, as with a slow store, they say nothing of one server. It fades, so that a server that gets no
 // links by it is tried again by ever better chances.
-func (h *Health) doubtful(s int, now float64) float64 {
+func (h *OutlierDetector) doubtful(s int, now float64) float64 {
 	if h.usual == 0 {
 		return 0
 	}
 	return max(h.against[s]-h.usual, 0) * math.Exp((h.fadedAt-now)/witnessFor)
 }
 
-func (w *Warmup) part(s int, now float64) float64 {
+func (w *SlowStart) part(s int, now float64) float64 {
 	if w.length <= 0 {
 		return 1
 	}
@@ -129,7 +129,7 @@
 // and a report's time, what all relays sent it shows in its figure; where that is asked for each link the
 // budget is wider, against relays that seldom have a link leaving servers idle which they turn clients away
 // from.
-func (b *Balancer) allow(now float64, l *Link) int {
+func (b *Balancer) allow(now float64, l *Session) int {
 	w, mark := b.warmup, b.mark(l)
 	sum, cold, all, pick, least := 0.0, 0.0, float64(b.track.usable), -1, math.Inf(1)
 	aim := b.aim(l)
@@ -146,12 +146,12 @@
 			pick, least = s, d
 		}
 	}
-	since := min(now-w.asked, b.admission.Saves(w.span, savedSpans*w.span))
-	offered := since * b.admission.Offers(b.effects.categories[l.Category].Gain, l.Key, now)
+	since := min(now-w.asked, b.admission.SavedTimeLimit(w.span, savedSpans*w.span))
+	offered := since * b.admission.OfferedShare(b.effects.categories[l.Class].PriorityWeight, l.Key, now)
 	links := max(b.capacity/b.shares.loadMean, 1)
-	pace := b.admission.Pace(links, w.multiple, w.from, w.span, w.multiple/2*links/w.length/w.relays, cold, all)
+	pace := b.admission.SlowStartBudget(links, w.multiple, w.from, w.span, w.multiple/2*links/w.length/w.relays, cold, all)
 	due := sum * pace * offered / max(l.load/b.shares.loadMean, 0.1)
-	w.asked = now - b.admission.Leaves(since, offered, due)
+	w.asked = now - b.admission.UnusedTime(since, offered, due)
 	lot := b.turns.chance.Float64()
 	if !b.effects.yield && pick >= 0 && lot < due && (lot < cold/all || b.seen(pick, now)) {
 		l.spare, l.grant = lot >= cold/all, offered/due
@@ -167,7 +167,7 @@
 }
 
 // figure is a report's load: x0, or a stand-in. One that is no number, or negative, is none.
-func (p *Probing) figure(report []float64, weight float64) float64 {
+func (p *LoadPoller) figure(report []float64, weight float64) float64 {
 	if p.field >= len(report) || !(report[p.field] >= 0) || math.IsInf(report[p.field], 1) {
 		return math.NaN()
 	} else if p.absolute || weight <= 0 {
@@ -176,18 +176,18 @@
 	return report[p.field] / weight
 }
 
-func (e *Effects) again(l *Link, now float64) bool {
-	c := &e.categories[l.Category]
-	if l.tries >= e.mostTries || now >= l.Limit || (l.tries > 0 && !e.affords(now)) {
+func (e *AttemptPolicy) again(l *Session, now float64) bool {
+	c := &e.categories[l.Class]
+	if l.tries >= e.mostTries || now >= l.Deadline || (l.tries > 0 && !e.affords(now)) {
 		return false
 	}
-	return l.ran < 0 || c.Effect == Replayable || (c.Effect == Referenced && now < l.ranAt+c.RepeatWindow)
+	return l.ran < 0 || c.Idempotency == Idempotent || (c.Idempotency == IdempotentByKey && now < l.ranAt+c.DeduplicationWindow)
 }
 
 // judge widens or halves how many set-ups may be out at once, by whether one stood in good time; one sent
 // before the last cut says nothing. Against a wave on a shared store, which then works for links given up.
 // All relays together start alike; under one it is a chance, as one set-up from each of hundreds is a wave.
-func (e *Effects) judge(l *Link, now float64, good bool) {
+func (e *AttemptPolicy) judge(l *Session, now float64, good bool) {
 	if good {
 		e.width = min(e.width+min(1/e.width, e.width), max(widest/e.relays, 1))
 	} else if l.sent > e.cutAt {
@@ -195,58 +195,60 @@
 	}
 }
 
-func (e *Effects) narrow(now, part float64) { e.width, e.cutAt = max(e.width*part, 1/e.relays), now }
+func (e *AttemptPolicy) narrow(now, part float64) {
+	e.width, e.cutAt = max(e.width*part, 1/e.relays), now
+}
 
-func (e *Effects) let(chance *rand.Rand) bool {
+func (e *AttemptPolicy) let(chance *rand.Rand) bool {
 	return e.out < int(e.width) || (e.out == 0 && chance.Float64() < e.width)
 }
 
 // affords tells whether the budget, where there is one and this process has it, has a try beyond a link's
 // first.
-func (e *Effects) affords(now float64) bool {
+func (e *AttemptPolicy) affords(now float64) bool {
 	return e.budget.allows(now) && !(e.yield && e.budget != nil)
 }
 
 // end gives the link up. Against telling a client to repeat what may have run: then it is an error.
-func (b *Balancer) end(l *Link, now float64) Answer {
-	c := &b.effects.categories[l.Category]
-	if l.ran < 0 || c.Effect == Replayable ||
-		(c.Effect == Referenced && c.Scope == ScopeAll && now+b.effects.maxBack < l.ranAt+c.RepeatWindow) {
-		return Answer{Verdict: Reject, Wait: b.back(l, now)}
+func (b *Balancer) end(l *Session, now float64) Decision {
+	c := &b.effects.categories[l.Class]
+	if l.ran < 0 || c.Idempotency == Idempotent ||
+		(c.Idempotency == IdempotentByKey && c.Scope == ScopeAll && now+b.effects.maxBack < l.ranAt+c.DeduplicationWindow) {
+		return Decision{Kind: Reject, Wait: b.back(l, now)}
 	}
-	return Answer{Verdict: Fail}
+	return Decision{Kind: Fail}
 }
 
 // back is when a client is told to come again.
-func (b *Balancer) back(l *Link, now float64) float64 {
+func (b *Balancer) back(l *Session, now float64) float64 {
 	if b.admission == nil {
 		return b.effects.maxBack
 	}
-	return b.admission.Back(b.effects.maxBack, l.Key, now, b.turns.chance.Float64())
+	return b.admission.RetryAfter(b.effects.maxBack, l.Key, now, b.turns.chance.Float64())
 }
 
 // expected is the load of a link not yet measured: its category's, drawn to the mean while few are known.
-func (s *Shares) expected(c int) float64 {
+func (s *Quotas) expected(c int) float64 {
 	return (s.loads[c]*s.weighed[c] + s.loadMean*2) / (s.weighed[c] + 2)
 }
 
-func (s *Shares) worth(l *Link) float64 {
+func (s *Quotas) worth(l *Session) float64 {
 	gain, load := 0.0, 0.0
 	for i, n := range s.weighed {
-		gain, load = gain+(n+1)*s.categories[i].Gain, load+(n+1)*s.expected(i)
+		gain, load = gain+(n+1)*s.categories[i].PriorityWeight, load+(n+1)*s.expected(i)
 	}
-	own := s.categories[l.Category].Gain
-	if l.Party < len(s.quotas) && s.quotas[l.Party] > 0 {
-		n := s.held[l.Party] // less its chance: one link would stand for as many as there are relays
-		if (n-math.Sqrt(n))*s.relays > s.quotas[l.Party] {
+	own := s.categories[l.Class].PriorityWeight
+	if l.Tenant < len(s.quotas) && s.quotas[l.Tenant] > 0 {
+		n := s.held[l.Tenant] // less its chance: one link would stand for as many as there are relays
+		if (n-math.Sqrt(n))*s.relays > s.quotas[l.Tenant] {
 			own *= s.beyond
 		}
 	}
 	return own / max(l.load, 1e-9) / (gain / load)
 }
 
-// Listed takes one entry.
-func (b *Balancer) Listed(id uint32, zone int, cond Condition, cell int, started, weight float64) {
+// UpdateEndpoint takes one entry.
+func (b *Balancer) UpdateEndpoint(id uint32, zone int, cond EndpointState, cell int, started, weight float64) {
 	s, known := b.index[id]
 	if !known && cond == Gone {
 		return
@@ -264,8 +266,8 @@
 	b.touch(s)
 }
 
-// ListEnded closes the news.
-func (b *Balancer) ListEnded(now float64) {
+// EndEndpointUpdate closes the news.
+func (b *Balancer) EndEndpointUpdate(now float64) {
 	b.sweep(now)
 	b.turns.expire()
 	b.askAt, b.failures = now+b.silence(), 0
@@ -278,9 +280,9 @@
 // silence is when the list is asked anew. Against hundreds of relays drowning it: then it tells no drain.
 func (b *Balancer) silence() float64 { return max(b.askWithin*askPart, b.shares.relays*askRelay) }
 
-// ListFailed takes a failed call or a broken subscription, and sets the time of the retry: exponential
+// WatchFailed takes a failed call or a broken subscription, and sets the time of the retry: exponential
 // back-off with jitter, bounded, as a change counts as told a fixed time after discovery can be reached again.
-func (b *Balancer) ListFailed(now float64) {
+func (b *Balancer) WatchFailed(now float64) {
 	b.failures = min(b.failures+1, 6)
 	wait := float64(int(100)<<b.failures) * (1 + b.shares.relays/32)
 	b.askAt = now + min(wait, maxBackoff, 2.5*b.askWithin)*(0.5+b.turns.chance.Float64())
@@ -322,7 +324,7 @@
 	// The parties' shares tell for all relays what one with a handful of links can't guess from them.
 	faith := min(quotaFaith, b.shares.quota)
 	told := b.shares.quota / quotaPart / max(b.listed, 1) * b.shares.loadMean
-	b.capacity = b.admission.Bears((links*bears+faith*told)/max(links+faith, 1), links+faith)
+	b.capacity = b.admission.EstimateCapacity((links*bears+faith*told)/max(links+faith, 1), links+faith)
 	if faith == 0 && b.capacity > 0 {
 		// Against a relay just back that is told no shares: of the few links it holds each looks larger than a
 		// server, so that it takes none, and never learns better.
@@ -341,13 +343,13 @@
 // hundreds of relays that each keep the whole fleet in use, at many times what a link may cost. Where all
 // that it asked are full it ends: asking on, links of a fleet without room fill the last gaps, and all stand
 // too high.
-func (b *Balancer) gather(now float64, l *Link) bool {
+func (b *Balancer) gather(now float64, l *Session) bool {
 	p := b.probing
 	if b.part, _ = b.spread(); !p.allowed || b.part >= 1 {
 		return true
 	}
 	if l.patient == 0 {
-		l.patient = min(now+patience*b.effects.categories[l.Category].PromisedTime, l.Limit)
+		l.patient = min(now+patience*b.effects.categories[l.Class].LatencyObjective, l.Deadline)
 		b.draft(now, l)
 	}
 	return now >= l.patient || !slices.ContainsFunc(l.drafted, func(s int) bool {
@@ -355,7 +357,7 @@
 	})
 }
 
-func (b *Balancer) draft(now float64, l *Link) {
+func (b *Balancer) draft(now float64, l *Session) {
 	p, mark, aim := b.probing, b.mark(l), b.aim(l)
 	want := int(max(min(drafted, probeShare/max(p.fee, 1e-9)), 1))
 	l.drafted, b.ranks = l.drafted[:0], b.ranks[:0]
@@ -410,8 +412,8 @@
 	return l + fresh/cmp.Or(b.capacity*b.warmup.part(s, now), math.Inf(1))
 }
 
-// Place says where to send this link, or not yet, or never.
-func (b *Balancer) Place(now float64, l *Link) Answer {
+// Assign says where to send this link, or not yet, or never.
+func (b *Balancer) Assign(now float64, l *Session) Decision {
 	if !l.known {
 		l.known, l.came, l.ran, l.server, l.lot = true, now, l.earlier-1, -1, b.turns.chance.Uint64()
 		b.effects.budget.take(now)
@@ -420,25 +422,25 @@
 			b.refresh(now) // against a relay's first link, often its only one, finding no budget for cold servers
 		}
 		l.cold = b.allow(now, l)
-	} else if l.cold < 0 && l.tries == 0 && b.admission.Again() {
-		if l.Hint <= 0 { // against those that came before anything was known counting for nothing now
+	} else if l.cold < 0 && l.tries == 0 && b.admission.ShouldRedraw() {
+		if l.LoadHint <= 0 { // against those that came before anything was known counting for nothing now
 			b.guess(l)
 		}
 		l.cold = b.allow(now, l) // it waits for a cold server, as there are no others
 	}
 	if !b.effects.again(l, now) {
 		return b.end(l, now)
-	} else if wait := b.hushed - now; wait > 0 && now+2*wait < l.Limit {
-		return Answer{Verdict: Hold, Wait: wait}
+	} else if wait := b.hushed - now; wait > 0 && now+2*wait < l.Deadline {
+		return Decision{Kind: Queue, Wait: wait}
 	}
-	s, until := -1, l.came+holdPart*(l.Limit-l.came)
+	s, until := -1, l.came+holdPart*(l.Deadline-l.came)
 	if l.patient > 0 || b.effects.let(b.turns.chance) {
 		if !b.gather(now, l) {
-			return Answer{Verdict: Hold, Wait: l.patient - now}
+			return Decision{Kind: Queue, Wait: l.patient - now}
 		}
 		b.refresh(now)
 		full := false
-		if s, full = b.choose(l, now); full && l.cold >= 0 && l.tries == 0 && b.admission.Again() {
+		if s, full = b.choose(l, now); full && l.cold >= 0 && l.tries == 0 && b.admission.ShouldRedraw() {
 			b.warmup.asked -= l.grant
 			l.cold, l.lot = -1, b.turns.chance.Uint64()
 		} else if full {
@@ -447,29 +449,29 @@
 		l.patient = 0
 	}
 	if s < 0 && now+holdStep < until {
-		return Answer{Verdict: Hold, Wait: holdStep}
+		return Decision{Kind: Queue, Wait: holdStep}
 	} else if s < 0 {
 		return b.end(l, now)
 	}
 	b.sent(now, l, s)
 	// All the time that is left: a try cut short on a slow store leaves its work there, and asks for more.
-	return Answer{Verdict: Send, Backend: b.ids[s], Timeout: l.Limit - now, Round: l.tries - 1}
+	return Decision{Kind: Assign, Backend: b.ids[s], Timeout: l.Deadline - now, Attempt: l.tries - 1}
 }
 
 // guess is a link's load until a note tells: what its key weighed last, against a heavy link that one server
 // sheds tipping the next; the client's hint; or its category's.
-func (b *Balancer) guess(l *Link) {
+func (b *Balancer) guess(l *Session) {
 	if past, ok := b.shares.ended.find(l.Key); ok {
 		l.load = past
-	} else if l.load = l.Hint; l.load > 0 {
+	} else if l.load = l.LoadHint; l.load > 0 {
 		b.learn(l, l.load)
 	} else {
-		l.load = b.shares.expected(l.Category)
+		l.load = b.shares.expected(l.Class)
 	}
 }
 
-// Weighed takes what a link weighs now, in microseconds of work a second.
-func (b *Balancer) Weighed(l *Link, load float64) {
+// LoadMeasured takes what a link weighs now, in microseconds of work a second.
+func (b *Balancer) LoadMeasured(l *Session, load float64) {
 	if !(load >= 0) || math.IsInf(load, 1) || !l.out {
 		return
 	}
@@ -480,7 +482,7 @@
 	l.load = load
 }
 
-func (b *Balancer) choose(l *Link, now float64) (int, bool) {
+func (b *Balancer) choose(l *Session, now float64) (int, bool) {
 	avoid, aim, near := l.server, b.aim(l), b.zone
 	open := func(s int) bool {
 		return b.condition[s] == Ready && s != avoid && b.sameScope(l, s) && b.may(s, aim) &&
@@ -530,7 +532,7 @@
 
 // turn takes the next bucket that may have the link, or the one that its group draws with the same chances:
 // all relays draw alike, so shared work is paid once, and a link mid-flow finds its server.
-func (b *Balancer) turn(l *Link, may func(int) bool) int {
+func (b *Balancer) turn(l *Session, may func(int) bool) int {
 	if !b.grouped && !b.passing {
 		return b.turns.next(may)
 	}
@@ -545,9 +547,9 @@
 	return best
 }
 
-func (b *Balancer) mark(l *Link) uint64 {
-	if b.grouped && l.Group != 0 {
-		return l.Group
+func (b *Balancer) mark(l *Session) uint64 {
+	if b.grouped && l.AffinityGroup != 0 {
+		return l.AffinityGroup
 	} else if b.passing && !b.grouped && l.Key != 0 {
 		return l.Key
 	}
@@ -555,71 +557,71 @@
 }
 
 // sameScope keeps a referenced link that may have run where its repeat is dropped.
-func (b *Balancer) sameScope(l *Link, s int) bool {
-	c := &b.effects.categories[l.Category]
-	return l.ran < 0 || c.Effect == Replayable || c.Scope == ScopeAll ||
+func (b *Balancer) sameScope(l *Session, s int) bool {
+	c := &b.effects.categories[l.Class]
+	return l.ran < 0 || c.Idempotency == Idempotent || c.Scope == ScopeAll ||
 		(c.Scope == ScopeZone && b.zones[s] == l.ranZone) || (c.Scope == ScopeCell && b.cells[s] == l.ranCell)
 }
 
-// After says what to do after the outcome of a setup try, or of its link; with last, all is over.
-func (b *Balancer) After(now float64, l *Link, outcome Outcome, last bool) Answer {
+// AttemptFinished says what to do after the outcome of a setup try, or of its link; with last, all is over.
+func (b *Balancer) AttemptFinished(now float64, l *Session, outcome AttemptOutcome, last bool) Decision {
 	if !l.out {
-		return Answer{}
+		return Decision{}
 	}
 	s := l.server
 	l.out = false
 	b.unbook(l)
-	if l.open && l.measured && l.Key != 0 && outcome != Satisfied {
+	if l.open && l.measured && l.Key != 0 && outcome != OutcomeSucceeded {
 		b.shares.ended.keep(now, keyMemory, l.Key, l.load)
 	}
-	shed := outcome == Broken && now < l.sent+shedSoon
-	if shed || outcome == TimedOut {
+	shed := outcome == OutcomeConnectionLost && now < l.sent+shedSoon
+	if shed || outcome == OutcomeTimedOut {
 		b.health.asked[s] = true
-	} else if l.open && outcome != Broken && now >= l.sent+shedSoon {
+	} else if l.open && outcome != OutcomeConnectionLost && now >= l.sent+shedSoon {
 		b.health.witness(s, now, -inFavour)
 	}
 	switch {
-	case outcome == Broken && l.open && b.health.failed[s] > 0:
+	case outcome == OutcomeConnectionLost && l.open && b.health.failed[s] > 0:
 		b.health.lost[s] = true
 	case shed && l.open:
 		// Against links that go round: shed by one full server they all come to the next, at every relay.
 		b.effects.narrow(now, shedPart)
-	case outcome == Unreachable:
+	case outcome == OutcomeUnreachable:
 		b.doubt(s)
-	case outcome == Satisfied && !l.open: // an answer that is no stream
+	case outcome == OutcomeSucceeded && !l.open: // an answer that is no stream
 		b.stood(now, l)
-	case outcome == TimedOut:
+	case outcome == OutcomeTimedOut:
 		b.probing.askedAt[s] = math.Inf(-1) // a slow shared store times out everywhere: only its probe tells
 		b.touch(s)
 	}
 	// A server that is silent itself says nothing of the store: against a cut zone being taken for a storm.
-	if !l.open && (outcome == Errored || outcome == TimedOut) && b.health.failed[s] == 0 {
+	if !l.open && (outcome == OutcomeFailed || outcome == OutcomeTimedOut) && b.health.failed[s] == 0 {
 		b.effects.judge(l, now, false)
 	}
 	if !l.open {
 		b.effects.out--
-		b.tried(s, outcome == Unreachable || outcome == TimedOut || outcome == Errored || outcome == Broken)
+		b.tried(s, outcome == OutcomeUnreachable || outcome == OutcomeTimedOut || outcome == OutcomeFailed || outcome == OutcomeConnectionLost)
 	}
 	if last || l.open || l.gone {
-		return Answer{}
+		return Decision{}
 	}
-	if !outcome.NeverRan() && l.ran < 0 {
+	if !outcome.IsUnprocessed() && l.ran < 0 {
 		l.ran, l.ranAt, l.ranZone, l.ranCell = s, l.sent, b.zones[s], b.cells[s]
 	}
-	return b.Place(now, l)
+	return b.Assign(now, l)
 }
 
-func (b *Balancer) stood(now float64, l *Link) {
+func (b *Balancer) stood(now float64, l *Session) {
 	e := b.effects
 	fade := math.Exp((e.asOf - now) / tryMemory)
 	e.stood, e.over, e.asOf = e.stood*fade+1, e.over*fade+now-e.asOf, now
 	b.health.failed[l.server] = 0
 	b.touch(l.server)
-	e.judge(l, now, now-l.sent <= timely*e.categories[l.Category].PromisedTime)
+	e.judge(l, now, now-l.sent <= timely*e.categories[l.Class].LatencyObjective)
 }
 
-// Accepted takes that a link stands.
-func (b *Balancer) Accepted(now float64, l *Link) {
+// SessionEstablished takes that a link stands.
+func (b *Balancer) SessionEstablished(now float64, l *Session) {
 	if !l.out || l.open {
 		return // told twice, or too late
 	}
@@ -629,8 +631,8 @@
 	b.stood(now, l)
 }
 
-// Probed takes the answer to a probe.
-func (b *Balancer) Probed(now float64, id uint32, ok bool, report []float64) {
+// PollFinished takes the answer to a probe.
+func (b *Balancer) PollFinished(now float64, id uint32, ok bool, report []float64) {
 	s, known := b.index[id]
 	if !known {
 		return
@@ -650,11 +652,11 @@
 		b.turns.expire()
 	}
 	b.touch(s)
-	b.Reported(now, id, report)
+	b.LoadReported(now, id, report)
 }
 
-// Reported takes a load report, late as it is.
-func (b *Balancer) Reported(now float64, id uint32, report []float64) {
+// LoadReported takes a load report, late as it is.
+func (b *Balancer) LoadReported(now float64, id uint32, report []float64) {
 	s, known := b.index[id]
 	if !known {
 		return
@@ -677,19 +679,19 @@
 	b.turns.stale = true
 }
 
-// Lost tells whether a server whose links have brought nothing back for that long is gone without a word.
+// IsUnresponsive tells whether a server whose links have brought nothing back for that long is gone without a word.
 // Against links that earn nothing there until it is back or the list has left it out, many seconds on.
-func (b *Balancer) Lost(id uint32, quiet float64) bool {
+func (b *Balancer) IsUnresponsive(id uint32, quiet float64) bool {
 	s, known := b.index[id]
 	return known && quiet >= silentFor && !b.health.good(s)
 }
 
-// Leave says how long the nth of so many links that must go is left where it is: to the end of what a stop
+// DrainDelay says how long the nth of so many links that must go is left where it is: to the end of what a stop
 // leaves, as a relay stopped before may not be back yet, or as a server goes (0). Paced against a fleet that
 // is placed anew by one late report: they come again at once. By chance within its part of the time where
 // there are other relays, against many with a link each: every one is its relay's first, and all go in one
 // moment. As another process of this relay takes them at once, a stop has all its time.
-func (b *Balancer) Leave(nth, of int, within float64) float64 {
+func (b *Balancer) DrainDelay(nth, of int, within float64) float64 {
 	over := leaveOver
 	if within > 0 && b.effects.yield {
 		over = min(within, leaveOver)
@@ -702,10 +704,10 @@
 	return max(within-over, 0) + over*(float64(nth)+lot)/float64(of)
 }
 
-// Fit tells whether what is known is enough to serve beside another process of the same relay, which serves
+// IsReady tells whether what is known is enough to serve beside another process of the same relay, which serves
 // until then: figures of most servers. Where links ask as they come, or nothing can be asked, there is
 // nothing to wait for.
-func (b *Balancer) Fit(now float64) bool {
+func (b *Balancer) IsReady(now float64) bool {
 	all, told := 0.0, 0.0
 	for s, c := range b.condition {
 		if c == Ready && b.health.good(s) {
@@ -726,13 +728,13 @@
 	return b.probing.askedAt[s] + every*(0.9+0.2*b.probing.lots[s]) // so that probes come to stand apart
 }
 
-// Next says how long to wait, and which probe or subscription is due now; ask until none is.
-func (b *Balancer) Next(now float64) Due {
-	d := Due{Wait: b.askAt - now}
+// NextAction says how long to wait, and which probe or subscription is due now; ask until none is.
+func (b *Balancer) NextAction(now float64) Action {
+	d := Action{Wait: b.askAt - now}
 	if d.Wait <= 0 {
 		// Against a subscription that died without a word: its silence is counted.
 		b.askAt = now + b.silence()
-		return Due{Subscribe: true}
+		return Action{Subscribe: true}
 	}
 	p := b.probing
 	if s := p.pop(); s >= 0 {
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -11,8 +11,8 @@
 
 // fleet is a balancer with servers 1..n listed ready in zones 0, 1, 0, 1 ..., and loads as given.
 type fleet struct {
-	Effect  Effect
-	Scope   Scope
+	Effect  Idempotency
+	Scope   DeduplicationScope
 	Window  float64
 	Tries   int
 	MaxBack float64
@@ -22,7 +22,7 @@
 	Crossed float64
 	Grouped bool
 	Relays  int
-	Budget  *Budget
+	Budget  *RetryBudget
 	Seed    int64
 }
 
@@ -32,31 +32,31 @@
 	t.Helper()
 	chance := rand.New(rand.NewSource(f.Seed))
 	relays := max(f.Relays, 1)
-	categories := []Category{
-		{PromisedTime: 300, RepeatWindow: f.Window, Gain: 1, Effect: f.Effect, Scope: f.Scope},
-		{PromisedTime: 300, RepeatWindow: f.Window, Gain: 5, Effect: f.Effect, Scope: f.Scope},
-	}
-	b := New(NewRoster(f.Asked, 10000), NewTurns(chance), NewWarmup(0.2, 20000, 3, 2000, relays),
-		NewProbing(true, 0.002, []string{"queue", "x0"}),
-		NewEffects(categories, max(f.Tries, 3), f.MaxBack, relays, f.Budget),
-		NewShares(categories, []float64{10, 990}, 0.2, relays), 0, f.Crossed, f.Grouped, false)
-	b.ListBegan(true)
+	categories := []Class{
+		{LatencyObjective: 300, DeduplicationWindow: f.Window, PriorityWeight: 1, Idempotency: f.Effect, Scope: f.Scope},
+		{LatencyObjective: 300, DeduplicationWindow: f.Window, PriorityWeight: 5, Idempotency: f.Effect, Scope: f.Scope},
+	}
+	b := New(NewEndpointSet(f.Asked, 10000), NewRoundRobin(chance), NewSlowStart(0.2, 20000, 3, 2000, relays),
+		NewLoadPoller(true, 0.002, []string{"queue", "x0"}),
+		NewAttemptPolicy(categories, max(f.Tries, 3), f.MaxBack, relays, f.Budget),
+		NewQuotas(categories, []float64{10, 990}, 0.2, relays), 0, f.Crossed, f.Grouped, false)
+	b.BeginEndpointUpdate(true)
 	for i := range f.Loads {
 		cold := 0.0
 		if i == len(f.Loads)-1 {
 			cold = f.Cold
 		}
-		b.Listed(uint32(i+1), i%2, Ready, i%2, cold, 1)
+		b.UpdateEndpoint(uint32(i+1), i%2, Ready, i%2, cold, 1)
 	}
-	b.ListEnded(start)
+	b.EndEndpointUpdate(start)
 	for i, load := range f.Loads {
-		b.Reported(start, uint32(i+1), []float64{0, load})
+		b.LoadReported(start, uint32(i+1), []float64{0, load})
 	}
 	return b
 }
 
 // arrive is a new link that asks at the given time.
-func arrive(now float64) *Link { return &Link{Limit: now + 2000} }
+func arrive(now float64) *Session { return &Session{Deadline: now + 2000} }
 
 func TestBuckets(t *testing.T) {
 	for _, c := range []struct {
@@ -110,8 +110,8 @@
 		{"absent", nil, 0.5},
 	} {
 		b := fleet{Loads: []float64{0.5}}.build(t)
-		b.Reported(start+10, 1, c.report)
-		b.Reported(start+10, 77, c.report)
+		b.LoadReported(start+10, 1, c.report)
+		b.LoadReported(start+10, 77, c.report)
 		if c.name == "good" || c.report == nil {
 			assert.Equal(t, c.want, b.probing.load[0], c.name)
 		} else {
@@ -133,7 +133,7 @@
 		{[]string{"rps", "active"}, []float64{9, 4}, 2, 2},
 		{[]string{"unheard_of"}, []float64{9}, 2, math.NaN()},
 	} {
-		got := NewProbing(true, 0, c.fields).figure(c.report, c.weight)
+		got := NewLoadPoller(true, 0, c.fields).figure(c.report, c.weight)
 		assert.Equal(t, math.IsNaN(c.want), math.IsNaN(got), c.fields)
 		if !math.IsNaN(c.want) {
 			assert.Equal(t, c.want, got, c.fields)
@@ -145,43 +145,43 @@
 func TestEffects(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		effect  Effect
-		scope   Scope
-		outcome Outcome
+		effect  Idempotency
+		scope   DeduplicationScope
+		outcome AttemptOutcome
 		after   float64
 		tries   int
-		want    Verdict
+		want    DecisionKind
 	}{
-		{"replayable runs again", Replayable, ScopeAll, TimedOut, 100, 1, Send},
-		{"replayable out of tries", Replayable, ScopeAll, Errored, 100, 3, Reject},
-		{"single-use may have run", SingleUse, ScopeAll, TimedOut, 100, 1, Fail},
-		{"single-use broke", SingleUse, ScopeAll, Broken, 100, 1, Fail},
-		{"single-use never ran", SingleUse, ScopeAll, TurnedAway, 100, 1, Send},
-		{"single-use never ran, out of tries", SingleUse, ScopeAll, Unreachable, 100, 3, Reject},
-		{"referenced inside its window", Referenced, ScopeAll, TimedOut, 100, 1, Send},
-		{"referenced past its window", Referenced, ScopeAll, TimedOut, 900, 1, Fail},
-		{"referenced out of tries inside its window", Referenced, ScopeAll, Errored, 100, 3, Reject},
-		{"referenced out of tries, group not all", Referenced, ScopeZone, Errored, 100, 3, Fail},
-		{"past the hard limit", Replayable, ScopeAll, TimedOut, 2000, 1, Reject},
+		{"replayable runs again", Idempotent, ScopeAll, OutcomeTimedOut, 100, 1, Assign},
+		{"replayable out of tries", Idempotent, ScopeAll, OutcomeFailed, 100, 3, Reject},
+		{"single-use may have run", NonIdempotent, ScopeAll, OutcomeTimedOut, 100, 1, Fail},
+		{"single-use broke", NonIdempotent, ScopeAll, OutcomeConnectionLost, 100, 1, Fail},
+		{"single-use never ran", NonIdempotent, ScopeAll, OutcomeRejected, 100, 1, Assign},
+		{"single-use never ran, out of tries", NonIdempotent, ScopeAll, OutcomeUnreachable, 100, 3, Reject},
+		{"referenced inside its window", IdempotentByKey, ScopeAll, OutcomeTimedOut, 100, 1, Assign},
+		{"referenced past its window", IdempotentByKey, ScopeAll, OutcomeTimedOut, 900, 1, Fail},
+		{"referenced out of tries inside its window", IdempotentByKey, ScopeAll, OutcomeFailed, 100, 3, Reject},
+		{"referenced out of tries, group not all", IdempotentByKey, ScopeZone, OutcomeFailed, 100, 3, Fail},
+		{"past the hard limit", Idempotent, ScopeAll, OutcomeTimedOut, 2000, 1, Reject},
 	} {
 		b := fleet{Effect: c.effect, Scope: c.scope, Window: 800, MaxBack: 200,
 			Loads: []float64{0.3, 0.3, 0.3, 0.3}}.build(t)
 		l := arrive(start)
-		require.Equal(t, Send, b.Place(start, l).Verdict, c.name)
+		require.Equal(t, Assign, b.Assign(start, l).Kind, c.name)
 		l.tries = c.tries
-		assert.Equal(t, c.want, b.After(start+c.after, l, c.outcome, false).Verdict, c.name)
+		assert.Equal(t, c.want, b.AttemptFinished(start+c.after, l, c.outcome, false).Kind, c.name)
 	}
 }
 
 func TestReferencedStaysInItsGroup(t *testing.T) {
-	for _, scope := range []Scope{ScopeZone, ScopeCell} {
+	for _, scope := range []DeduplicationScope{ScopeZone, ScopeCell} {
 		for seed := range int64(10) {
-			b := fleet{Effect: Referenced, Scope: scope, Window: 800, Seed: seed,
+			b := fleet{Effect: IdempotentByKey, Scope: scope, Window: 800, Seed: seed,
 				Loads: []float64{0.3, 0.3, 0.3, 0.3}}.build(t)
 			l := arrive(start)
-			first := b.Place(start, l)
-			second := b.After(start+100, l, TimedOut, false)
-			require.Equal(t, Send, second.Verdict)
+			first := b.Assign(start, l)
+			second := b.AttemptFinished(start+100, l, OutcomeTimedOut, false)
+			require.Equal(t, Assign, second.Kind)
 			assert.Equal(t, first.Backend%2, second.Backend%2)
 		}
 	}
@@ -195,14 +195,14 @@
 	}{{"last", false, true}, {"stood", true, false}, {"stood and last", true, true}} {
 		b := fleet{Loads: []float64{0.3, 0.3}}.build(t)
 		l := arrive(start)
-		b.Place(start, l)
+		b.Assign(start, l)
 		if c.open {
-			b.Accepted(start+20, l)
-			b.Accepted(start+20, l)
+			b.SessionEstablished(start+20, l)
+			b.SessionEstablished(start+20, l)
 		}
-		assert.Equal(t, Over, b.After(start+50, l, Broken, c.last).Verdict, c.name)
-		assert.Equal(t, Over, b.After(start+60, l, Broken, false).Verdict, c.name)
-		b.Accepted(start+70, l)
+		assert.Equal(t, NoDecision, b.AttemptFinished(start+50, l, OutcomeConnectionLost, c.last).Kind, c.name)
+		assert.Equal(t, NoDecision, b.AttemptFinished(start+60, l, OutcomeConnectionLost, false).Kind, c.name)
+		b.SessionEstablished(start+70, l)
 		assert.Zero(t, b.effects.out, c.name)
 		assert.Zero(t, b.links[0]+b.links[1], c.name)
 		assert.Zero(t, b.probing.fresh[0]+b.probing.fresh[1], "a link that is over weighs on nothing")
@@ -212,8 +212,8 @@
 func TestNoUsableServer(t *testing.T) {
 	b := fleet{MaxBack: 700}.build(t)
 	l := arrive(start)
-	assert.Equal(t, Hold, b.Place(start, l).Verdict)
-	assert.Equal(t, Answer{Verdict: Reject, Wait: 700}, b.Place(start+1000, l))
+	assert.Equal(t, Queue, b.Assign(start, l).Kind)
+	assert.Equal(t, Decision{Kind: Reject, Wait: 700}, b.Assign(start+1000, l))
 }
 
 // Against a server that drains, is gone, or was left out of the whole list.
@@ -222,21 +222,21 @@
 		name string
 		tell func(b *Balancer)
 	}{
-		{"draining", func(b *Balancer) { b.ListBegan(false); b.Listed(1, 0, Draining, 0, 0, 1) }},
-		{"gone", func(b *Balancer) { b.ListBegan(false); b.Listed(1, 0, Gone, 0, 0, 1) }},
-		{"left out", func(b *Balancer) { b.ListBegan(true); b.Listed(2, 1, Ready, 1, 0, 1) }},
+		{"draining", func(b *Balancer) { b.BeginEndpointUpdate(false); b.UpdateEndpoint(1, 0, Draining, 0, 0, 1) }},
+		{"gone", func(b *Balancer) { b.BeginEndpointUpdate(false); b.UpdateEndpoint(1, 0, Gone, 0, 0, 1) }},
+		{"left out", func(b *Balancer) { b.BeginEndpointUpdate(true); b.UpdateEndpoint(2, 1, Ready, 1, 0, 1) }},
 		{"never listed", func(b *Balancer) {
-			b.ListBegan(false)
-			b.Listed(9, 0, Gone, 0, 0, 1)
-			b.Listed(1, 0, Gone, 0, 0, 1)
+			b.BeginEndpointUpdate(false)
+			b.UpdateEndpoint(9, 0, Gone, 0, 0, 1)
+			b.UpdateEndpoint(1, 0, Gone, 0, 0, 1)
 		}},
 	} {
 		b := fleet{Loads: []float64{0.1, 0.4}}.build(t)
 		b.refresh(start)
 		c.tell(b)
-		b.ListEnded(start)
+		b.EndEndpointUpdate(start)
 		for range 30 {
-			a := b.Place(start, arrive(start))
+			a := b.Assign(start, arrive(start))
 			assert.NotEqual(t, uint32(1), a.Backend, c.name)
 		}
 	}
@@ -276,13 +276,13 @@
 }
 
 // sendAsked places a link, with every server that is asked answering at once.
-func sendAsked(b *Balancer, now float64, l *Link, loads []float64) Answer {
-	a := b.Place(now, l)
-	for d := b.Next(now); d.Probing; d = b.Next(now) {
-		b.Probed(now, d.Probe, true, []float64{0, loads[d.Probe-1]})
+func sendAsked(b *Balancer, now float64, l *Session, loads []float64) Decision {
+	a := b.Assign(now, l)
+	for d := b.NextAction(now); d.Poll; d = b.NextAction(now) {
+		b.PollFinished(now, d.Backend, true, []float64{0, loads[d.Backend-1]})
 	}
-	if a.Verdict == Hold {
-		a = b.Place(now, l)
+	if a.Kind == Queue {
+		a = b.Assign(now, l)
 	}
 	return a
 }
@@ -328,24 +328,24 @@
 	for seed := range int64(10) {
 		b := fleet{Loads: make([]float64, 60), Relays: 220, Seed: seed}.build(t)
 		now, l, asked := start+20000, arrive(start+20000), []uint32(nil)
-		require.Equal(t, Hold, b.Place(now, l).Verdict)
-		for d := b.Next(now); d.Probing; d = b.Next(now) {
-			asked = append(asked, d.Probe)
+		require.Equal(t, Queue, b.Assign(now, l).Kind)
+		for d := b.NextAction(now); d.Poll; d = b.NextAction(now) {
+			asked = append(asked, d.Backend)
 		}
 		require.Len(t, asked, drafted)
-		assert.Equal(t, Hold, b.Place(now+1, l).Verdict, "answers are waited for")
-		b.Probed(now+2, asked[2], true, []float64{0, 0.3})
-		a := b.Place(now+40, l)
-		assert.Equal(t, Send, a.Verdict, "but not for long")
+		assert.Equal(t, Queue, b.Assign(now+1, l).Kind, "answers are waited for")
+		b.PollFinished(now+2, asked[2], true, []float64{0, 0.3})
+		a := b.Assign(now+40, l)
+		assert.Equal(t, Assign, a.Kind, "but not for long")
 		assert.Equal(t, asked[2], a.Backend, "silent servers are not used")
-		b.Accepted(now+40, l)
+		b.SessionEstablished(now+40, l)
 		full := arrive(now)
-		require.Equal(t, Hold, b.Place(now, full).Verdict)
-		for d := b.Next(now); d.Probing; d = b.Next(now) {
-			b.Probed(now, d.Probe, true, []float64{0, 0.9})
+		require.Equal(t, Queue, b.Assign(now, full).Kind)
+		for d := b.NextAction(now); d.Poll; d = b.NextAction(now) {
+			b.PollFinished(now, d.Backend, true, []float64{0, 0.9})
 		}
-		b.Probed(now+2, asked[2], true, []float64{0, 0.9})
-		assert.Equal(t, Reject, b.Place(now+40, full).Verdict, "no asking on until the last gap is filled")
+		b.PollFinished(now+2, asked[2], true, []float64{0, 0.9})
+		assert.Equal(t, Reject, b.Assign(now+40, full).Kind, "no asking on until the last gap is filled")
 	}
 }
 
@@ -358,9 +358,9 @@
 		}
 		asked := 0
 		for now := start; now < start+10000; now += 10 {
-			for d := b.Next(now); d.Probing; d = b.Next(now) {
+			for d := b.NextAction(now); d.Poll; d = b.NextAction(now) {
 				asked++
-				b.Probed(now, d.Probe, false, nil)
+				b.PollFinished(now, d.Backend, false, nil)
 			}
 		}
 		assert.LessOrEqual(t, asked, 20*35, relays)
@@ -369,9 +369,9 @@
 
 func TestRestartIsCold(t *testing.T) {
 	b := fleet{Loads: []float64{0.4, 0.4}}.build(t)
-	b.ListBegan(false)
-	b.Listed(1, 0, Ready, 0, start+5, 1)
-	b.ListEnded(start + 10)
+	b.BeginEndpointUpdate(false)
+	b.UpdateEndpoint(1, 0, Ready, 0, start+5, 1)
+	b.EndEndpointUpdate(start + 10)
 	assert.True(t, math.IsNaN(b.probing.load[0]))
 	assert.Less(t, b.warmup.part(0, start+10), 0.21)
 }
@@ -381,13 +381,13 @@
 	for _, broke := range []bool{true, false} {
 		b := fleet{Loads: []float64{0.4}}.build(t)
 		l := arrive(start)
-		b.Place(start, l)
-		b.Accepted(start, l)
-		b.Probed(start+100, 1, false, nil)
+		b.Assign(start, l)
+		b.SessionEstablished(start, l)
+		b.PollFinished(start+100, 1, false, nil)
 		if broke {
-			b.After(start+200, l, Broken, true)
+			b.AttemptFinished(start+200, l, OutcomeConnectionLost, true)
 		}
-		b.Probed(start+9000, 1, true, []float64{0, 0})
+		b.PollFinished(start+9000, 1, true, []float64{0, 0})
 		assert.Equal(t, broke, b.warmup.part(0, start+9000) < 1)
 	}
 }
@@ -395,13 +395,13 @@
 // Two failures put a server out, one does not, and an answer brings it back.
 func TestHealth(t *testing.T) {
 	b := fleet{Loads: []float64{0.4, 0.4}}.build(t)
-	b.Probed(start, 1, false, nil)
+	b.PollFinished(start, 1, false, nil)
 	assert.True(t, b.health.good(0), "one lost probe is not a death")
-	b.Probed(start+300, 1, false, nil)
+	b.PollFinished(start+300, 1, false, nil)
 	for range 20 {
-		assert.Equal(t, uint32(2), b.Place(start+400, arrive(start+400)).Backend)
+		assert.Equal(t, uint32(2), b.Assign(start+400, arrive(start+400)).Backend)
 	}
-	b.Probed(start+600, 1, true, []float64{0, 0.4})
+	b.PollFinished(start+600, 1, true, []float64{0, 0.4})
 	assert.True(t, b.health.good(0))
 }
 
@@ -411,8 +411,8 @@
 	for i := range 20 {
 		now := start + float64(i)*100
 		l := arrive(now)
-		b.Place(now, l)
-		b.After(now+50, l, TimedOut, true)
+		b.Assign(now, l)
+		b.AttemptFinished(now+50, l, OutcomeTimedOut, true)
 	}
 	for s := range b.ids {
 		assert.True(t, b.health.good(s))
@@ -424,29 +424,29 @@
 func TestSetupsOutAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		outcome Outcome
+		outcome AttemptOutcome
 		silent  bool
 		want    int
 	}{
-		{"time-outs", TimedOut, false, 1},
-		{"errors", Errored, false, 1},
-		{"called off", CalledOff, false, 64},
-		{"time-outs on silent servers say nothing of the store", TimedOut, true, 64},
+		{"time-outs", OutcomeTimedOut, false, 1},
+		{"errors", OutcomeFailed, false, 1},
+		{"called off", OutcomeCanceled, false, 64},
+		{"time-outs on silent servers say nothing of the store", OutcomeTimedOut, true, 64},
 	} {
 		b := fleet{Loads: []float64{0.3, 0.3, 0.3}}.build(t)
 		for i := range 10 {
 			now := start + float64(i)*1000
 			l := arrive(now)
-			require.Equal(t, Send, b.Place(now, l).Verdict, c.name)
+			require.Equal(t, Assign, b.Assign(now, l).Kind, c.name)
 			if c.silent {
 				b.health.failed[l.server] = 1
 			}
-			b.After(now+500, l, c.outcome, true)
+			b.AttemptFinished(now+500, l, c.outcome, true)
 			b.health.failed[l.server] = 0
 		}
 		sent, now := 0, start+20000
 		for range 100 {
-			if b.Place(now, arrive(now)).Verdict == Send {
+			if b.Assign(now, arrive(now)).Kind == Assign {
 				sent++
 			}
 		}
@@ -455,7 +455,7 @@
 	}
 	crowd := fleet{Loads: []float64{0.3}, Relays: 220}.build(t)
 	for i := range 8 {
-		crowd.effects.judge(&Link{sent: start + float64(i)}, start+float64(i)+0.5, false)
+		crowd.effects.judge(&Session{sent: start + float64(i)}, start+float64(i)+0.5, false)
 	}
 	out := 0
 	for range 300 {
@@ -469,8 +469,8 @@
 	for i := range 20 {
 		now := start + float64(i)*100
 		l := arrive(now)
-		require.Equal(t, Send, b.Place(now, l).Verdict)
-		b.Accepted(now+20, l)
+		require.Equal(t, Assign, b.Assign(now, l).Kind)
+		b.SessionEstablished(now+20, l)
 	}
 	assert.Greater(t, b.effects.width, 5.0, "it widens when set-ups stand in good time")
 }
@@ -485,10 +485,10 @@
 	}{{600, 0, 4}, {20000, 0, 64}, {600, 1, 64}} {
 		b := fleet{Loads: []float64{0.3, 0.3}}.build(t)
 		l := arrive(start)
-		b.Place(start, l)
-		b.Accepted(start+20, l)
+		b.Assign(start, l)
+		b.SessionEstablished(start+20, l)
 		b.health.failed[l.server] = c.silent
-		b.After(start+c.after, l, Broken, true)
+		b.AttemptFinished(start+c.after, l, OutcomeConnectionLost, true)
 		assert.InDelta(t, c.want, b.effects.width, 0.1)
 	}
 }
@@ -496,14 +496,14 @@
 // Against one server's shed link tipping the next.
 func TestShedLinksAreRemembered(t *testing.T) {
 	b := fleet{Loads: []float64{0.3, 0.3}, Relays: 1}.build(t)
-	l := &Link{Key: 7, Limit: start + 2000}
-	b.Place(start, l)
-	b.Accepted(start, l)
-	b.Weighed(l, 90000)
-	b.Weighed(l, math.NaN())
-	b.After(start+100, l, Broken, true)
-	again := &Link{Key: 7, Limit: start + 3000}
-	b.Place(start+1000, again)
+	l := &Session{Key: 7, Deadline: start + 2000}
+	b.Assign(start, l)
+	b.SessionEstablished(start, l)
+	b.LoadMeasured(l, 90000)
+	b.LoadMeasured(l, math.NaN())
+	b.AttemptFinished(start+100, l, OutcomeConnectionLost, true)
+	again := &Session{Key: 7, Deadline: start + 3000}
+	b.Assign(start+1000, again)
 	assert.Equal(t, 90000.0, again.load)
 }
 
@@ -512,17 +512,17 @@
 	b := fleet{Loads: []float64{0.73, 0.73, 0.73}, MaxBack: 900}.build(t)
 	for i := range 30 {
 		l := arrive(start - 5000)
-		l.Category = i % 2
-		b.Resumed(start, l, uint32(i%3+1))
-		b.Weighed(l, 100)
+		l.Class = i % 2
+		b.SessionResumed(start, l, uint32(i%3+1))
+		b.LoadMeasured(l, 100)
 	}
 	poor, rich := arrive(start), arrive(start)
-	rich.Category, rich.Party = 1, 1
-	assert.Equal(t, Answer{Verdict: Reject, Wait: 900}, b.Place(start, poor))
-	assert.Equal(t, Send, b.Place(start, rich).Verdict)
+	rich.Class, rich.Tenant = 1, 1
+	assert.Equal(t, Decision{Kind: Reject, Wait: 900}, b.Assign(start, poor))
+	assert.Equal(t, Assign, b.Assign(start, rich).Kind)
 	beyond := arrive(start)
-	beyond.Category = 1
-	assert.Equal(t, Reject, b.Place(start, beyond).Verdict, "its party holds more than its share")
+	beyond.Class = 1
+	assert.Equal(t, Reject, b.Assign(start, beyond).Kind, "its party holds more than its share")
 }
 
 // All relays draw a group alike, whatever their chance; where crossing costs, the own zone comes first.
@@ -531,8 +531,8 @@
 	for seed := range int64(10) {
 		b := fleet{Loads: []float64{0.2, 0.2, 0.2, 0.2}, Grouped: true, Crossed: 0.05, Seed: seed}.build(t)
 		l := arrive(start)
-		l.Group = 42
-		a := b.Place(start, l)
+		l.AffinityGroup = 42
+		a := b.Assign(start, l)
 		at[a.Backend] = true
 		assert.Equal(t, uint32(1), a.Backend%2, "servers of zone 0 have odd ids")
 	}
@@ -549,7 +549,7 @@
 		drawn := false
 		for range 60 {
 			l := arrive(start)
-			drawn = drawn || b.Place(start, l).Backend == 1
+			drawn = drawn || b.Assign(start, l).Backend == 1
 		}
 		assert.Equal(t, c.sits, !drawn, c.loads)
 	}
@@ -557,14 +557,14 @@
 
 func TestSubscription(t *testing.T) {
 	b := fleet{Asked: true, Loads: []float64{0.3}}.build(t)
-	assert.True(t, b.Next(start).Subscribe, "the cached list is no subscription")
-	assert.False(t, b.Next(start).Subscribe)
-	b.ListFailed(start + 50)
-	assert.True(t, b.Next(start+350).Subscribe, "a failed call is made again soon")
-	b.ListBegan(false)
-	b.ListEnded(start + 400)
-	assert.False(t, b.Next(start+5000).Subscribe)
-	assert.True(t, b.Next(start+10000).Subscribe, "silence is counted")
+	assert.True(t, b.NextAction(start).Subscribe, "the cached list is no subscription")
+	assert.False(t, b.NextAction(start).Subscribe)
+	b.WatchFailed(start + 50)
+	assert.True(t, b.NextAction(start+350).Subscribe, "a failed call is made again soon")
+	b.BeginEndpointUpdate(false)
+	b.EndEndpointUpdate(start + 400)
+	assert.False(t, b.NextAction(start+5000).Subscribe)
+	assert.True(t, b.NextAction(start+10000).Subscribe, "silence is counted")
 }
 
 // Against hundreds of relays drowning a list of fixed capacity.
@@ -572,20 +572,20 @@
 	soon, again := 0, 0
 	for seed := range int64(220) {
 		b := fleet{Asked: true, Loads: []float64{0.3}, Relays: 220, Seed: seed}.build(t)
-		if b.Next(start + 500).Subscribe {
+		if b.NextAction(start + 500).Subscribe {
 			soon++
 		}
-		b.ListFailed(start + 5000)
-		if b.Next(start + 5500).Subscribe {
+		b.WatchFailed(start + 5000)
+		if b.NextAction(start + 5500).Subscribe {
 			again++
 		}
 		for range 9 {
-			b.ListFailed(start + 6000)
+			b.WatchFailed(start + 6000)
 			assert.Less(t, b.askAt-start-6000, 4*10000.0, "from then on it counts as told")
 		}
-		b.ListBegan(false)
-		b.ListEnded(start + 6000)
-		assert.False(t, b.Next(start+60000).Subscribe, "its silence is counted by the number of relays")
+		b.BeginEndpointUpdate(false)
+		b.EndEndpointUpdate(start + 6000)
+		assert.False(t, b.NextAction(start+60000).Subscribe, "its silence is counted by the number of relays")
 	}
 	assert.Less(t, soon, 60)
 	assert.Less(t, again, 60)
@@ -599,11 +599,11 @@
 			b := fleet{Asked: true, Loads: []float64{0.3}, Relays: relays, Seed: seed}.build(t)
 			now := start + 1000
 			for failure := range 12 {
-				b.ListFailed(now)
+				b.WatchFailed(now)
 				assert.LessOrEqual(t, b.askAt-now, 2000.0, "%d relays, failure %d", relays, failure)
 				assert.Greater(t, b.askAt-now, 50.0, "%d relays, failure %d", relays, failure)
 				now = b.askAt
-				assert.True(t, b.Next(now).Subscribe)
+				assert.True(t, b.NextAction(now).Subscribe)
 			}
 		}
 	}
@@ -613,12 +613,12 @@
 	b := fleet{Loads: []float64{0.3, 0.3}}.build(t)
 	last := map[uint32]float64{}
 	for now := start; now < start+20000; now += 50 {
-		for d := b.Next(now); d.Probing; d = b.Next(now) {
-			if before, ok := last[d.Probe]; ok {
+		for d := b.NextAction(now); d.Poll; d = b.NextAction(now) {
+			if before, ok := last[d.Backend]; ok {
 				assert.LessOrEqual(t, now-before, 5000.0)
 			}
-			last[d.Probe] = now
-			b.Probed(now, d.Probe, true, []float64{0, 0.3})
+			last[d.Backend] = now
+			b.PollFinished(now, d.Backend, true, []float64{0, 0.3})
 		}
 	}
 	assert.Len(t, last, 2)
@@ -629,8 +629,8 @@
 		b := fleet{Loads: []float64{0.2, 0.3, 0.4, 0.5}, Seed: seed}.build(t)
 		for i := range 40 {
 			now := start + float64(i)*300
-			ids = append(ids, b.Place(now, arrive(now)).Backend)
-			b.Reported(now, uint32(i%4+1), []float64{0, 0.3})
+			ids = append(ids, b.Assign(now, arrive(now)).Backend)
+			b.LoadReported(now, uint32(i%4+1), []float64{0, 0.3})
 		}
 		return ids
 	}
@@ -640,7 +640,7 @@
 
 // Against a fleet whose clients all come again within one report.
 func TestLeaveIsPaced(t *testing.T) {
-	assert.Equal(t, 4000.0, fleet{}.build(t).Leave(5, 10, 4000), "the only relay stops")
+	assert.Equal(t, 4000.0, fleet{}.build(t).DrainDelay(5, 10, 4000), "the only relay stops")
 	b := fleet{Loads: []float64{0.1, 0.1}, Relays: 2}.build(t)
 	for _, c := range []struct {
 		nth, of          int
@@ -651,7 +651,7 @@
 		{29, 30, 0, leaveOver * 29 / 30, leaveOver},
 		{5, 10, 400, 200, 240}, {5, 10, 4000, 4000 - stopOver/2, 4000 - stopOver*4/10},
 	} {
-		got := b.Leave(c.nth, c.of, c.within)
+		got := b.DrainDelay(c.nth, c.of, c.within)
 		assert.GreaterOrEqual(t, got, c.soonest, "%v", c)
 		assert.LessOrEqual(t, got, c.slowest, "%v", c)
 	}
@@ -662,7 +662,7 @@
 	var at [4]int
 	for seed := range int64(80) {
 		b := fleet{Loads: []float64{0.1, 0.1}, Relays: 80, Seed: seed}.build(t)
-		at[int(b.Leave(0, 1, 0)*float64(len(at))/leaveOver)]++
+		at[int(b.DrainDelay(0, 1, 0)*float64(len(at))/leaveOver)]++
 	}
 	for quarter, n := range at {
 		assert.InDelta(t, 20, n, 12, "quarter %d of the time", quarter)
@@ -676,9 +676,9 @@
 	now := start
 	for i := range 40 {
 		l := arrive(now)
-		require.Equal(t, Send, b.Place(now, l).Verdict, "link %d", i)
-		b.Accepted(now+5, l)
-		b.Weighed(l, 30000)
+		require.Equal(t, Assign, b.Assign(now, l).Kind, "link %d", i)
+		b.SessionEstablished(now+5, l)
+		b.LoadMeasured(l, 30000)
 		now += 20
 	}
 }
@@ -687,15 +687,15 @@
 // not answer gets ever fewer, and all again once links stand there or time has passed; where all do so, no
 // one is doubted.
 func TestServersWordAgainstItsLinks(t *testing.T) {
-	share := func(b *Balancer, now float64, end func(l *Link, at float64)) (part float64) {
+	share := func(b *Balancer, now float64, end func(l *Session, at float64)) (part float64) {
 		const n = 100
 		for i := range n {
 			at := now + float64(i)*20
 			for s := range b.ids {
-				b.Reported(at, b.ids[s], []float64{0, []float64{0.1, 0.5, 0.5, 0.5}[s]})
+				b.LoadReported(at, b.ids[s], []float64{0, []float64{0.1, 0.5, 0.5, 0.5}[s]})
 			}
 			l := arrive(at)
-			if a := b.Place(at, l); a.Verdict != Send {
+			if a := b.Assign(at, l); a.Kind != Assign {
 				continue
 			} else if a.Backend == 1 {
 				part += 1.0 / n
@@ -704,30 +704,30 @@
 		}
 		return part
 	}
-	well := func(b *Balancer) func(l *Link, at float64) {
-		return func(l *Link, at float64) {
-			b.Accepted(at+10, l)
-			b.After(at+10, l, Satisfied, true)
+	well := func(b *Balancer) func(l *Session, at float64) {
+		return func(l *Session, at float64) {
+			b.SessionEstablished(at+10, l)
+			b.AttemptFinished(at+10, l, OutcomeSucceeded, true)
 		}
 	}
 	for _, c := range []struct {
 		name  string
-		end   Outcome
+		end   AttemptOutcome
 		stood bool
-	}{{"sheds", Broken, true}, {"does not answer", TimedOut, false}, {"breaks", Broken, false}} {
+	}{{"sheds", OutcomeConnectionLost, true}, {"does not answer", OutcomeTimedOut, false}, {"breaks", OutcomeConnectionLost, false}} {
 		b := fleet{Loads: []float64{0.1, 0.5, 0.5, 0.5}, Tries: 1, Seed: 2}.build(t)
 		before := share(b, start, well(b))
 		assert.Greater(t, before, 0.3, "%s: while it is believed", c.name)
-		during := share(b, start+3000, func(l *Link, at float64) {
+		during := share(b, start+3000, func(l *Session, at float64) {
 			if l.server != 0 {
 				well(b)(l, at)
 				return
 			}
 			b.effects.width = widest // the store is not what is looked at
 			if c.stood {
-				b.Accepted(at+10, l)
+				b.SessionEstablished(at+10, l)
 			}
-			b.After(at+20, l, c.end, true)
+			b.AttemptFinished(at+20, l, c.end, true)
 		})
 		assert.Less(t, during, before/3, c.name)
 		assert.Greater(t, share(b, start+60000, well(b)), before*0.7,
@@ -735,28 +735,28 @@
 	}
 	b := fleet{Loads: []float64{0.1, 0.5, 0.5, 0.5}, Tries: 1, Seed: 2}.build(t)
 	b.health.witness(0, start, against)
-	l := &Link{Limit: start + 2000}
-	b.Resumed(start, l, 1)
+	l := &Session{Deadline: start + 2000}
+	b.SessionResumed(start, l, 1)
 	l.sent = start
 	// One that sheds links and then says that it is full tells the truth, late; errors may be the client's.
 	for _, c := range []struct {
 		name   string
-		end    Outcome
+		end    AttemptOutcome
 		report float64
 		want   bool
-	}{{"says that it has room", Broken, 0.2, true}, {"says that it is full", Broken, 0.9, false},
-		{"errs", Errored, 0.2, false}} {
+	}{{"says that it has room", OutcomeConnectionLost, 0.2, true}, {"says that it is full", OutcomeConnectionLost, 0.9, false},
+		{"errs", OutcomeFailed, 0.2, false}} {
 		b := fleet{Loads: []float64{0.1, 0.5, 0.5}}.build(t)
 		l := arrive(start)
-		b.Resumed(start, l, 1)
+		b.SessionResumed(start, l, 1)
 		l.sent = start
-		b.After(start+100, l, c.end, true)
+		b.AttemptFinished(start+100, l, c.end, true)
 		assert.Zero(t, b.health.doubtful(0, start+150), "%s: not before its next report", c.name)
-		b.Reported(start+200, 1, []float64{0, c.report})
+		b.LoadReported(start+200, 1, []float64{0, c.report})
 		assert.Equal(t, c.want, b.health.doubtful(0, start+200) > 0, c.name)
 	}
 	doubt := b.health.doubtful(0, start+shedSoon)
-	b.After(start+shedSoon, l, Satisfied, true)
+	b.AttemptFinished(start+shedSoon, l, OutcomeSucceeded, true)
 	assert.Less(t, b.health.doubtful(0, start+shedSoon), 0.6*doubt, "a link that stood speaks for it")
 	for s := range b.ids {
 		b.health.witness(s, start+shedSoon, against)
--- a/balancer/budget.go
+++ b/balancer/budget.go
@@ -7,23 +7,23 @@
 
 const slots = 64 // of a window
 
-// Budget counts links taken and tries beyond their first over a window. Its answers are on the safe side by
+// RetryBudget counts links taken and tries beyond their first over a window. Its answers are on the safe side by
 // one slot at either edge: tries are counted a slot longer than the window, links a slot shorter.
-type Budget struct {
+type RetryBudget struct {
 	free, share, width float64
 	at                 float64 // number of the slot that is counted in; -Inf before the first
 	taken, more        [slots + 1]float64
 }
 
-// NewBudget takes how many such tries are free in a window, how many more each link taken in it allows, and
+// NewRetryBudget takes how many such tries are free in a window, how many more each link taken in it allows, and
 // its length.
-func NewBudget(free, share, window float64) *Budget {
-	return &Budget{free: free, share: share, width: window / slots, at: math.Inf(-1)}
+func NewRetryBudget(free, share, window float64) *RetryBudget {
+	return &RetryBudget{free: free, share: share, width: window / slots, at: math.Inf(-1)}
 }
 
 // turn empties the slots whose time is over. The clock may stand still, or go back a little: then what comes
 // counts with the latest slot, which is the longer for it.
-func (b *Budget) turn(now float64) {
+func (b *RetryBudget) turn(now float64) {
 	n := math.Floor(now / b.width)
 	for steps := 0; b.at < n && steps <= slots; steps++ {
 		b.at = max(b.at+1, n-slots)
@@ -31,10 +31,12 @@
 	}
 }
 
-func (b *Budget) slot(n float64) int { return (int(math.Mod(n, slots+1)) + slots + 1) % (slots + 1) }
+func (b *RetryBudget) slot(n float64) int {
+	return (int(math.Mod(n, slots+1)) + slots + 1) % (slots + 1)
+}
 
 // take takes that a link has come.
-func (b *Budget) take(now float64) {
+func (b *RetryBudget) take(now float64) {
 	if b != nil {
 		b.turn(now)
 		b.taken[b.slot(b.at)]++
@@ -42,7 +44,7 @@
 }
 
 // spend takes that a try beyond a link's first goes out.
-func (b *Budget) spend(now float64) {
+func (b *RetryBudget) spend(now float64) {
 	if b != nil {
 		b.turn(now)
 		b.more[b.slot(b.at)]++
@@ -50,7 +52,7 @@
 }
 
 // restart takes that a relay may have spent all that is free just before its start, and kept no word of it.
-func (b *Budget) restart(now float64) {
+func (b *RetryBudget) restart(now float64) {
 	if b != nil {
 		b.turn(now)
 		b.more[b.slot(b.at)] += b.free
@@ -58,7 +60,7 @@
 }
 
 // allows tells whether one more keeps to the rule.
-func (b *Budget) allows(now float64) bool {
+func (b *RetryBudget) allows(now float64) bool {
 	if b == nil {
 		return true
 	}
--- a/balancer/budget_test.go
+++ b/balancer/budget_test.go
@@ -15,7 +15,7 @@
 		chance := rand.New(rand.NewSource(seed))
 		window := []float64{1, 50, 5000, 60000}[chance.Intn(4)]
 		free, share := float64(chance.Intn(4)), []float64{0, 0.1, 0.5, 2}[chance.Intn(4)]
-		b := NewBudget(free, share, window)
+		b := NewRetryBudget(free, share, window)
 		now := float64(chance.Intn(3)) * window * chance.Float64() // also right at the start
 		var taken, tries []float64
 		in := func(all []float64) (n float64) {
@@ -57,7 +57,7 @@
 			assert.Greater(t, given, could/4, "seed %d: the margin is a slot at either edge", seed)
 		}
 	}
-	var none *Budget
+	var none *RetryBudget
 	none.take(1)
 	none.spend(1)
 	assert.True(t, none.allows(1), "no rule")
@@ -67,24 +67,24 @@
 func TestBudgetEndsAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		budget *Budget
-		effect Effect
-		end    Outcome
-		want   Verdict
+		budget *RetryBudget
+		effect Idempotency
+		end    AttemptOutcome
+		want   DecisionKind
 	}{
-		{"no rule", nil, Replayable, TurnedAway, Send},
-		{"one free", NewBudget(1, 0, 5000), Replayable, TurnedAway, Send},
-		{"none free", NewBudget(0, 0.5, 5000), Replayable, TurnedAway, Reject},
-		{"may have run", NewBudget(0, 0.5, 5000), Replayable, Broken, Reject},
-		{"may have run, and must not twice", NewBudget(9, 9, 5000), SingleUse, Broken, Fail},
-		{"never ran", NewBudget(0, 0, 5000), SingleUse, Unreachable, Reject},
+		{"no rule", nil, Idempotent, OutcomeRejected, Assign},
+		{"one free", NewRetryBudget(1, 0, 5000), Idempotent, OutcomeRejected, Assign},
+		{"none free", NewRetryBudget(0, 0.5, 5000), Idempotent, OutcomeRejected, Reject},
+		{"may have run", NewRetryBudget(0, 0.5, 5000), Idempotent, OutcomeConnectionLost, Reject},
+		{"may have run, and must not twice", NewRetryBudget(9, 9, 5000), NonIdempotent, OutcomeConnectionLost, Fail},
+		{"never ran", NewRetryBudget(0, 0, 5000), NonIdempotent, OutcomeUnreachable, Reject},
 	} {
 		b := fleet{Loads: []float64{0.1, 0.1, 0.1}, Effect: c.effect, MaxBack: 900, Budget: c.budget}.build(t)
 		l := arrive(start)
-		require.Equal(t, Send, b.Place(start, l).Verdict)
-		a := b.After(start+10, l, c.end, false)
-		assert.Equal(t, c.want, a.Verdict, c.name)
-		if a.Verdict == Reject {
+		require.Equal(t, Assign, b.Assign(start, l).Kind)
+		a := b.AttemptFinished(start+10, l, c.end, false)
+		assert.Equal(t, c.want, a.Kind, c.name)
+		if a.Kind == Reject {
 			assert.Equal(t, 900.0, a.Wait, c.name)
 		}
 	}
@@ -93,22 +93,22 @@
 // The budget goes to the next process with what was spent of it, and the one that left it spends no more.
 func TestBudgetGoesOn(t *testing.T) {
 	two := func() *Balancer {
-		return fleet{Loads: []float64{0.1, 0.1, 0.1}, MaxBack: 900, Budget: NewBudget(2, 0, 5000)}.build(t)
+		return fleet{Loads: []float64{0.1, 0.1, 0.1}, MaxBack: 900, Budget: NewRetryBudget(2, 0, 5000)}.build(t)
 	}
-	fail := func(b *Balancer, now float64) Verdict {
+	fail := func(b *Balancer, now float64) DecisionKind {
 		l := arrive(now)
-		require.Equal(t, Send, b.Place(now, l).Verdict)
-		return b.After(now+10, l, TurnedAway, false).Verdict
+		require.Equal(t, Assign, b.Assign(now, l).Kind)
+		return b.AttemptFinished(now+10, l, OutcomeRejected, false).Kind
 	}
 	old, next := two(), two()
-	assert.Equal(t, Send, fail(old, start))
-	r := old.Record(start + 100)
-	old.Yield(true)
-	require.NoError(t, next.Inherit(start+150, &r))
+	assert.Equal(t, Assign, fail(old, start))
+	r := old.Snapshot(start + 100)
+	old.SetDraining(true)
+	require.NoError(t, next.Restore(start+150, &r))
 	assert.Equal(t, Reject, fail(old, start+200))
-	assert.Equal(t, Send, fail(next, start+200))
+	assert.Equal(t, Assign, fail(next, start+200))
 	assert.Equal(t, Reject, fail(next, start+300), "one was spent before")
-	assert.Equal(t, Send, fail(next, start+5400), "a window later")
-	r.More = r.More[:3]
-	assert.ErrorContains(t, next.Inherit(start+6000, &r), "slots")
+	assert.Equal(t, Assign, fail(next, start+5400), "a window later")
+	r.BudgetRetries = r.BudgetRetries[:3]
+	assert.ErrorContains(t, next.Restore(start+6000, &r), "slots")
 }
--- a/balancer/cold_fleet_test.go
+++ b/balancer/cold_fleet_test.go
@@ -68,7 +68,7 @@
 }
 
 type simulatedLink struct {
-	link     *Link
+	link     *Session
 	balancer *Balancer
 	server   *simulatedServer // nil: it waits
 	weight   float64
@@ -116,21 +116,21 @@
 }
 
 func (f *coldFleet) balancer(seed int64) *Balancer {
-	categories := []Category{{PromisedTime: 500, Gain: 1}}
+	categories := []Class{{LatencyObjective: 500, PriorityWeight: 1}}
 	quota := f.bears * float64(len(f.servers)) * quotaPart
-	b := New(NewRoster(false, 10000), NewTurns(rand.New(rand.NewSource(seed))),
-		NewWarmup(coldFrom, coldLength, coldMultiple, coldSpan, f.balancers),
-		NewProbing(true, 0.002, []string{"x0"}), NewEffects(categories, 3, 0, f.balancers, nil),
-		NewShares(categories, []float64{quota}, 0.2, f.balancers), 0, 0, false, false)
-	b.ListBegan(true)
+	b := New(NewEndpointSet(false, 10000), NewRoundRobin(rand.New(rand.NewSource(seed))),
+		NewSlowStart(coldFrom, coldLength, coldMultiple, coldSpan, f.balancers),
+		NewLoadPoller(true, 0.002, []string{"x0"}), NewAttemptPolicy(categories, 3, 0, f.balancers, nil),
+		NewQuotas(categories, []float64{quota}, 0.2, f.balancers), 0, 0, false, false)
+	b.BeginEndpointUpdate(true)
 	for i, s := range f.servers {
 		started := 0.0
 		if s.startedCold {
 			started = start
 		}
-		b.Listed(uint32(i+1), 0, Ready, 0, started, 1)
+		b.UpdateEndpoint(uint32(i+1), 0, Ready, 0, started, 1)
 	}
-	b.ListEnded(start)
+	b.EndEndpointUpdate(start)
 	return b
 }
 
@@ -147,7 +147,7 @@
 			}
 			if l.server != nil && now >= l.until {
 				l.server.load -= l.weight
-				l.balancer.After(now, l.link, Satisfied, true)
+				l.balancer.AttemptFinished(now, l.link, OutcomeSucceeded, true)
 				continue
 			}
 			kept = append(kept, l)
@@ -162,8 +162,8 @@
 		s.report(now, f.bears)
 	}
 	for _, b := range f.all {
-		for due := b.Next(now); due.Probing; due = b.Next(now) {
-			b.Probed(now, due.Probe, true, []float64{f.servers[due.Probe-1].visibleFigure(now)})
+		for due := b.NextAction(now); due.Poll; due = b.NextAction(now) {
+			b.PollFinished(now, due.Backend, true, []float64{f.servers[due.Backend-1].visibleFigure(now)})
 		}
 	}
 }
@@ -188,9 +188,9 @@
 
 // place asks where the link goes, and tells whether it is still to be looked after.
 func (f *coldFleet) place(now float64, l *simulatedLink) bool {
-	answer := l.balancer.Place(now, l.link)
-	if answer.Verdict != Send {
-		return answer.Verdict == Hold
+	answer := l.balancer.Assign(now, l.link)
+	if answer.Kind != Assign {
+		return answer.Kind == Queue
 	}
 	l.server = f.servers[answer.Backend-1]
 	l.weight = math.Exp(f.chance.NormFloat64()*0.8 - 0.32)
@@ -199,8 +199,8 @@
 		f.worst = max(f.worst, l.server.usage(now, f.bears))
 	}
 	l.server.load += l.weight
-	l.balancer.Accepted(now, l.link)
-	l.balancer.Weighed(l.link, l.weight)
+	l.balancer.SessionEstablished(now, l.link)
+	l.balancer.LoadMeasured(l.link, l.weight)
 	return true
 }
 
--- a/balancer/due_test.go
+++ b/balancer/due_test.go
@@ -9,11 +9,11 @@
 )
 
 // nextPlain is Next as it is without bookkeeping: a look at every server.
-func nextPlain(b *Balancer, now float64) Due {
-	d := Due{Wait: b.askAt - now}
+func nextPlain(b *Balancer, now float64) Action {
+	d := Action{Wait: b.askAt - now}
 	if d.Wait <= 0 {
 		b.askAt = now + b.silence()
-		return Due{Subscribe: true}
+		return Action{Subscribe: true}
 	}
 	p := b.probing
 	if s := p.pop(); s >= 0 {
@@ -44,15 +44,15 @@
 
 func large(servers, relays int, fee float64, seed int64) *Balancer {
 	chance := rand.New(rand.NewSource(seed))
-	categories := []Category{{PromisedTime: 300, Gain: 1}}
-	b := New(NewRoster(false, 0), NewTurns(chance), NewWarmup(0.2, 9000, 3, 2000, relays),
-		NewProbing(true, fee, []string{"x0"}), NewEffects(categories, 3, 900, relays, nil),
-		NewShares(categories, nil, 1, relays), 0, 0, false, false)
-	b.ListBegan(true)
+	categories := []Class{{LatencyObjective: 300, PriorityWeight: 1}}
+	b := New(NewEndpointSet(false, 0), NewRoundRobin(chance), NewSlowStart(0.2, 9000, 3, 2000, relays),
+		NewLoadPoller(true, fee, []string{"x0"}), NewAttemptPolicy(categories, 3, 900, relays, nil),
+		NewQuotas(categories, nil, 1, relays), 0, 0, false, false)
+	b.BeginEndpointUpdate(true)
 	for s := range servers {
-		b.Listed(uint32(s), 0, Ready, 0, 0, 1)
+		b.UpdateEndpoint(uint32(s), 0, Ready, 0, 0, 1)
 	}
-	b.ListEnded(0)
+	b.EndEndpointUpdate(0)
 	return b
 }
 
@@ -64,51 +64,51 @@
 		a, b := large(servers, relays, fee, seed), large(servers, relays, fee, seed)
 		now := 1.0
 		var asked []uint32
-		var as, bs []*Link
+		var as, bs []*Session
 		for range 1500 {
 			now += chance.ExpFloat64() * 20
 			switch k := chance.Intn(10); {
 			case k < 3 && len(asked) > 0:
 				i := chance.Intn(len(asked))
 				ok, load := chance.Intn(4) > 0, chance.Float64()
-				a.Probed(now, asked[i], ok, []float64{load})
-				b.Probed(now, asked[i], ok, []float64{load})
+				a.PollFinished(now, asked[i], ok, []float64{load})
+				b.PollFinished(now, asked[i], ok, []float64{load})
 				asked = append(asked[:i], asked[i+1:]...)
 			case k < 6:
-				x, y := &Link{Limit: now + 2000}, &Link{Limit: now + 2000}
-				require.Equal(t, b.Place(now, y), a.Place(now, x), "seed %d", seed)
+				x, y := &Session{Deadline: now + 2000}, &Session{Deadline: now + 2000}
+				require.Equal(t, b.Assign(now, y), a.Assign(now, x), "seed %d", seed)
 				if x.out {
 					as, bs = append(as, x), append(bs, y)
 				}
 			case k < 8 && len(as) > 0:
 				i := chance.Intn(len(as))
 				if chance.Intn(2) == 0 {
-					a.Accepted(now, as[i])
-					b.Accepted(now, bs[i])
+					a.SessionEstablished(now, as[i])
+					b.SessionEstablished(now, bs[i])
 					break
 				}
-				outcome := []Outcome{Errored, TurnedAway, TimedOut, Unreachable, Broken}[chance.Intn(5)]
-				require.Equal(t, b.After(now, bs[i], outcome, true), a.After(now, as[i], outcome, true))
+				outcome := []AttemptOutcome{OutcomeFailed, OutcomeRejected, OutcomeTimedOut, OutcomeUnreachable, OutcomeConnectionLost}[chance.Intn(5)]
+				require.Equal(t, b.AttemptFinished(now, bs[i], outcome, true), a.AttemptFinished(now, as[i], outcome, true))
 				as, bs = append(as[:i], as[i+1:]...), append(bs[:i], bs[i+1:]...)
 			case k == 8:
-				id, cond, since := uint32(chance.Intn(servers+3)), Condition(chance.Intn(3)), 0.0
+				id, cond, since := uint32(chance.Intn(servers+3)), EndpointState(chance.Intn(3)), 0.0
 				if chance.Intn(3) == 0 {
 					since = now
 				}
 				for _, of := range []*Balancer{a, b} {
-					of.ListBegan(false)
-					of.Listed(id, 0, cond, 0, since, 1)
-					of.ListEnded(now)
+					of.BeginEndpointUpdate(false)
+					of.UpdateEndpoint(id, 0, cond, 0, since, 1)
+					of.EndEndpointUpdate(now)
 				}
 			}
 			for {
-				x, y := a.Next(now), nextPlain(b, now)
+				x, y := a.NextAction(now), nextPlain(b, now)
 				require.Equal(t, y, x, "seed %d at %v", seed, now)
-				if !x.Probing && !x.Subscribe {
+				if !x.Poll && !x.Subscribe {
 					break
 				}
-				if x.Probing {
-					asked = append(asked, x.Probe)
+				if x.Poll {
+					asked = append(asked, x.Backend)
 				}
 			}
 			usable := 0
@@ -136,8 +136,8 @@
 	l := large(servers, 2, 0, 1)
 	now := 1.0
 	for ; now < 3000; now += 10 {
-		for d := l.Next(now); d.Probing; d = l.Next(now) {
-			l.Probed(now, d.Probe, true, []float64{0.2 + 0.2*float64(d.Probe%7)/7})
+		for d := l.NextAction(now); d.Poll; d = l.NextAction(now) {
+			l.PollFinished(now, d.Backend, true, []float64{0.2 + 0.2*float64(d.Backend%7)/7})
 		}
 	}
 	return l, now
@@ -150,10 +150,10 @@
 		b.ReportAllocs()
 		b.ResetTimer()
 		for range b.N {
-			link := &Link{Limit: now + 2000}
-			if l.Place(now, link).Verdict == Send {
-				l.Accepted(now, link)
-				l.After(now, link, Satisfied, true)
+			link := &Session{Deadline: now + 2000}
+			if l.Assign(now, link).Kind == Assign {
+				l.SessionEstablished(now, link)
+				l.AttemptFinished(now, link, OutcomeSucceeded, true)
 			}
 		}
 	})
@@ -166,7 +166,7 @@
 		b.ReportAllocs()
 		b.ResetTimer()
 		for range b.N {
-			l.Next(now)
+			l.NextAction(now)
 		}
 	})
 }
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -14,43 +14,43 @@
 // The files under testdata/golden were written by the program before its fields were renamed. Other processes
 // and older versions write and read the same bytes, so that a renamed field must not change them.
 
-func goldenRecord() *Record {
-	return &Record{
-		At:      1700000001500.5,
-		Servers: []ServerRecord{goldenServer(1), goldenServer(2)},
-		Loads:   []float64{1200.5, 3400.25}, Weighed: []float64{12, 34},
-		LoadMean: 2100.75,
-		Known:    46,
-		Guessed:  4000000.5,
-		Listed:   24,
-		Stood:    17.5, Over: 9000.25,
-		AsOf:  1700000001400.25,
-		Width: 6.5, CutAt: 1700000001200.125,
-		Asked: 1700000001300.5,
-		Slot:  21762557,
-		Taken: []float64{3, 1, 4}, More: []float64{1, 5, 9},
-		Ended: map[uint64]float64{7: 900.5, 18446744073709551615: 1100.25},
+func goldenRecord() *Snapshot {
+	return &Snapshot{
+		TakenAt:    1700000001500.5,
+		Backends:   []BackendSnapshot{goldenServer(1), goldenServer(2)},
+		ClassLoads: []float64{1200.5, 3400.25}, ClassSamples: []float64{12, 34},
+		MeanSessionLoad:     2100.75,
+		LoadSamples:         46,
+		EstimatedCapacity:   4000000.5,
+		ListedBackends:      24,
+		EstablishedSessions: 17.5, EstablishedSpan: 9000.25,
+		EstablishedAsOf:  1700000001400.25,
+		ConcurrencyLimit: 6.5, ConcurrencyReducedAt: 1700000001200.125,
+		SlowStartRequestedAt: 1700000001300.5,
+		BudgetSlot:           21762557,
+		BudgetSessions:       []float64{3, 1, 4}, BudgetRetries: []float64{1, 5, 9},
+		EndedSessionLoads: map[uint64]float64{7: 900.5, 18446744073709551615: 1100.25},
 	}
 }
 
-func goldenServer(id uint32) ServerRecord {
-	return ServerRecord{
-		ID:      id,
-		Started: 1700000000000.5,
-		Load:    0.25 + float64(id), HeardAt: 1700000001450.5, AskedAt: 1700000001440.25, WarmFrom: 1700000000100.125,
-		Failed:  3,
-		Lost:    true,
-		Against: 0.375,
-		Placed:  []PlacedRecord{{At: 1700000001460.5, Load: 910.5}, {At: 1700000001470.5, Load: 920.25}},
+func goldenServer(id uint32) BackendSnapshot {
+	return BackendSnapshot{
+		ID:        id,
+		StartedAt: 1700000000000.5,
+		Load:      0.25 + float64(id), ReportedAt: 1700000001450.5, PolledAt: 1700000001440.25, SlowStartAt: 1700000000100.125,
+		ConsecutiveFailures: 3,
+		SessionsLost:        true,
+		OutlierEvidence:     0.375,
+		RecentAssignments:   []AssignmentSnapshot{{At: 1700000001460.5, Load: 910.5}, {At: 1700000001470.5, Load: 920.25}},
 	}
 }
 
-func goldenLearnt() *Learnt {
-	return &Learnt{
-		Capacity: 4000000.5,
-		LoadMean: 2100.75,
-		Loads:    []float64{1200.5, 3400.25}, Weighed: []float64{12, 34},
-		Own: 56000.125, Figures: 0.875,
+func goldenLearnt() *Estimates {
+	return &Estimates{
+		Capacity:        4000000.5,
+		MeanSessionLoad: 2100.75,
+		ClassLoads:      []float64{1200.5, 3400.25}, ClassSamples: []float64{12, 34},
+		OwnLoad: 56000.125, ReportedLoad: 0.875,
 	}
 }
 
@@ -59,10 +59,10 @@
 		file        string
 		want, empty any
 	}{
-		{"record.json", goldenRecord(), &Record{}},
-		{"learnt.json", goldenLearnt(), &Learnt{}},
-		{"zonelook.json", &ZoneLook{Tries: 11, Failed: 2, Probes: 33, Silent: 4, Load: 5.5, Room: 6.25}, &ZoneLook{}},
-		{"direction.json", &Direction{Zone: 3, Part: 0.625, Open: true}, &Direction{}},
+		{"record.json", goldenRecord(), &Snapshot{}},
+		{"learnt.json", goldenLearnt(), &Estimates{}},
+		{"zonelook.json", &ZoneObservation{Attempts: 11, FailedAttempts: 2, Polls: 33, UnansweredPolls: 4, Load: 5.5, Capacity: 6.25}, &ZoneObservation{}},
+		{"direction.json", &ZoneWeight{Zone: 3, Weight: 0.625, AcceptsOverflow: true}, &ZoneWeight{}},
 	} {
 		t.Run(c.file, func(t *testing.T) {
 			path := filepath.Join("testdata", "golden", c.file)
--- a/balancer/record.go
+++ b/balancer/record.go
@@ -8,44 +8,44 @@
 // This file is what one process of a relay leaves to the next: what it has learnt, none of what it has in
 // hand. Neither decides anything; a test holds that the next decides as this one would.
 
-// Record is what a balancer has learnt. Times are clock times; -1 stands for none.
-type Record struct {
-	At       float64            `json:"At"`
-	Servers  []ServerRecord     `json:"Servers"`
-	Loads    []float64          `json:"Loads"`   // by category
-	Weighed  []float64          `json:"Weighed"` // by category
-	LoadMean float64            `json:"LoadMean"`
-	Known    float64            `json:"Known"`
-	Guessed  float64            `json:"Guessed"`
-	Listed   float64            `json:"Listed"`
-	Stood    float64            `json:"Stood"`
-	Over     float64            `json:"Over"`
-	AsOf     float64            `json:"AsOf"`
-	Width    float64            `json:"Width"`
-	CutAt    float64            `json:"CutAt"`
-	Asked    float64            `json:"Asked"`
-	Slot     float64            `json:"Slot"` // of the budget; -1: none
-	Taken    []float64          `json:"Taken"`
-	More     []float64          `json:"More"`
-	Ended    map[uint64]float64 `json:"Ended"`
+// Snapshot is what a balancer has learnt. Times are clock times; -1 stands for none.
+type Snapshot struct {
+	TakenAt              float64            `json:"At"`
+	Backends             []BackendSnapshot  `json:"Servers"`
+	ClassLoads           []float64          `json:"Loads"`   // by category
+	ClassSamples         []float64          `json:"Weighed"` // by category
+	MeanSessionLoad      float64            `json:"LoadMean"`
+	LoadSamples          float64            `json:"Known"`
+	EstimatedCapacity    float64            `json:"Guessed"`
+	ListedBackends       float64            `json:"Listed"`
+	EstablishedSessions  float64            `json:"Stood"`
+	EstablishedSpan      float64            `json:"Over"`
+	EstablishedAsOf      float64            `json:"AsOf"`
+	ConcurrencyLimit     float64            `json:"Width"`
+	ConcurrencyReducedAt float64            `json:"CutAt"`
+	SlowStartRequestedAt float64            `json:"Asked"`
+	BudgetSlot           float64            `json:"Slot"` // of the budget; -1: none
+	BudgetSessions       []float64          `json:"Taken"`
+	BudgetRetries        []float64          `json:"More"`
+	EndedSessionLoads    map[uint64]float64 `json:"Ended"`
 }
 
-// ServerRecord is what it has learnt of one server.
-type ServerRecord struct {
-	ID       uint32         `json:"ID"`
-	Started  float64        `json:"Started"`
-	Load     float64        `json:"Load"`
-	HeardAt  float64        `json:"HeardAt"`
-	AskedAt  float64        `json:"AskedAt"`
-	WarmFrom float64        `json:"WarmFrom"`
-	Failed   int            `json:"Failed"`
-	Lost     bool           `json:"Lost"`
-	Against  float64        `json:"Against"`
-	Placed   []PlacedRecord `json:"Placed"` // of late
+// BackendSnapshot is what it has learnt of one server.
+type BackendSnapshot struct {
+	ID                  uint32               `json:"ID"`
+	StartedAt           float64              `json:"Started"`
+	Load                float64              `json:"Load"`
+	ReportedAt          float64              `json:"HeardAt"`
+	PolledAt            float64              `json:"AskedAt"`
+	SlowStartAt         float64              `json:"WarmFrom"`
+	ConsecutiveFailures int                  `json:"Failed"`
+	SessionsLost        bool                 `json:"Lost"`
+	OutlierEvidence     float64              `json:"Against"`
+	RecentAssignments   []AssignmentSnapshot `json:"Placed"` // of late
 }
 
-// PlacedRecord is a link sent to a server that its figure may not hold yet.
-type PlacedRecord struct {
+// AssignmentSnapshot is a link sent to a server that its figure may not hold yet.
+type AssignmentSnapshot struct {
 	At   float64 `json:"At"`
 	Load float64 `json:"Load"`
 }
@@ -67,33 +67,33 @@
 	return x
 }
 
-// Record gives what was learnt until now.
-func (b *Balancer) Record(now float64) Record {
+// Snapshot gives what was learnt until now.
+func (b *Balancer) Snapshot(now float64) Snapshot {
 	b.health.fade(now)
 	e, s, p := b.effects, b.shares, b.probing
-	r := Record{At: now, Loads: append([]float64{}, s.loads...), Weighed: append([]float64{}, s.weighed...),
-		LoadMean: s.loadMean, Known: s.known, Guessed: b.guessed, Listed: b.listed, Stood: e.stood, Over: e.over,
-		AsOf: e.asOf, Width: e.width, CutAt: e.cutAt, Asked: b.warmup.asked, Ended: map[uint64]float64{}}
+	r := Snapshot{TakenAt: now, ClassLoads: append([]float64{}, s.loads...), ClassSamples: append([]float64{}, s.weighed...),
+		MeanSessionLoad: s.loadMean, LoadSamples: s.known, EstimatedCapacity: b.guessed, ListedBackends: b.listed, EstablishedSessions: e.stood, EstablishedSpan: e.over,
+		EstablishedAsOf: e.asOf, ConcurrencyLimit: e.width, ConcurrencyReducedAt: e.cutAt, SlowStartRequestedAt: b.warmup.asked, EndedSessionLoads: map[uint64]float64{}}
 	if budget := e.budget; budget != nil {
-		r.Slot = none(budget.at)
-		r.Taken, r.More = append(r.Taken, budget.taken[:]...), append(r.More, budget.more[:]...)
+		r.BudgetSlot = none(budget.at)
+		r.BudgetSessions, r.BudgetRetries = append(r.BudgetSessions, budget.taken[:]...), append(r.BudgetRetries, budget.more[:]...)
 	}
 	for i, id := range b.ids {
 		if b.condition[i] == Gone {
 			continue
 		}
-		one := ServerRecord{ID: id, Started: b.started[i], Load: none(p.load[i]), HeardAt: none(p.heardAt[i]),
-			AskedAt: none(p.askedAt[i]), WarmFrom: none(b.warmup.since[i]), Failed: b.health.failed[i],
-			Lost: b.health.lost[i], Against: b.health.against[i]}
+		one := BackendSnapshot{ID: id, StartedAt: b.started[i], Load: none(p.load[i]), ReportedAt: none(p.heardAt[i]),
+			PolledAt: none(p.askedAt[i]), SlowStartAt: none(b.warmup.since[i]), ConsecutiveFailures: b.health.failed[i],
+			SessionsLost: b.health.lost[i], OutlierEvidence: b.health.against[i]}
 		for _, x := range p.since[i] {
-			one.Placed = append(one.Placed, PlacedRecord{x.at, x.load})
+			one.RecentAssignments = append(one.RecentAssignments, AssignmentSnapshot{x.at, x.load})
 		}
-		r.Servers = append(r.Servers, one)
+		r.Backends = append(r.Backends, one)
 	}
 	for _, half := range []map[uint64]float64{s.ended.recent, s.ended.older} {
 		for key, load := range half {
-			if _, there := r.Ended[key]; !there && len(r.Ended) < mostEnded {
-				r.Ended[key] = load
+			if _, there := r.EndedSessionLoads[key]; !there && len(r.EndedSessionLoads) < mostEnded {
+				r.EndedSessionLoads[key] = load
 			}
 		}
 	}
@@ -101,7 +101,7 @@
 }
 
 // check says what of a record can't be.
-func (r *Record) check(categories int) error {
+func (r *Snapshot) check(categories int) error {
 	bad := func(all ...float64) bool {
 		for _, x := range all {
 			if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
@@ -111,27 +111,27 @@
 		return false
 	}
 	switch {
-	case len(r.Taken) != len(r.More) || (len(r.Taken) != 0 && len(r.Taken) != slots+1) || bad(r.Taken...) ||
-		bad(r.More...) || bad(some(r.Slot, 0)):
+	case len(r.BudgetSessions) != len(r.BudgetRetries) || (len(r.BudgetSessions) != 0 && len(r.BudgetSessions) != slots+1) || bad(r.BudgetSessions...) ||
+		bad(r.BudgetRetries...) || bad(some(r.BudgetSlot, 0)):
 		return errors.New("record: the budget's slots can't be")
-	case len(r.Loads) != categories || len(r.Weighed) != categories:
+	case len(r.ClassLoads) != categories || len(r.ClassSamples) != categories:
 		return errors.New("record: its categories are others")
-	case bad(r.Loads...) || bad(r.Weighed...) || bad(r.LoadMean, r.Known, r.Guessed, r.Listed, r.Stood, r.Over,
-		r.AsOf, r.Width, r.CutAt, r.Asked, r.At):
+	case bad(r.ClassLoads...) || bad(r.ClassSamples...) || bad(r.MeanSessionLoad, r.LoadSamples, r.EstimatedCapacity, r.ListedBackends, r.EstablishedSessions, r.EstablishedSpan,
+		r.EstablishedAsOf, r.ConcurrencyLimit, r.ConcurrencyReducedAt, r.SlowStartRequestedAt, r.TakenAt):
 		return errors.New("record: a figure is no number or negative")
 	}
-	for _, s := range r.Servers {
-		times := bad(s.Started, some(s.HeardAt, 0), some(s.AskedAt, 0), some(s.WarmFrom, 0))
-		if times || bad(some(s.Load, 0), s.Against) || s.Against > 1 || s.Failed < 0 {
+	for _, s := range r.Backends {
+		times := bad(s.StartedAt, some(s.ReportedAt, 0), some(s.PolledAt, 0), some(s.SlowStartAt, 0))
+		if times || bad(some(s.Load, 0), s.OutlierEvidence) || s.OutlierEvidence > 1 || s.ConsecutiveFailures < 0 {
 			return errors.New("record: a server's figure is no number or negative")
 		}
-		for _, x := range s.Placed {
+		for _, x := range s.RecentAssignments {
 			if bad(x.At, x.Load) {
 				return errors.New("record: a placed link's figure is no number or negative")
 			}
 		}
 	}
-	for _, load := range r.Ended {
+	for _, load := range r.EndedSessionLoads {
 		if bad(load) {
 			return errors.New("record: an ended link's load is no number or negative")
 		}
@@ -139,43 +139,43 @@
 	return nil
 }
 
-// Inherit takes what another process of this relay has learnt, of those servers that are the same still; a
+// Restore takes what another process of this relay has learnt, of those servers that are the same still; a
 // record that can't be is refused whole.
-func (b *Balancer) Inherit(now float64, r *Record) error {
+func (b *Balancer) Restore(now float64, r *Snapshot) error {
 	if err := r.check(len(b.effects.categories)); err != nil {
 		return err
 	}
 	b.health.fade(now)
 	e, s, p := b.effects, b.shares, b.probing
-	copy(s.loads, r.Loads)
-	copy(s.weighed, r.Weighed)
-	s.loadMean, s.known, b.guessed, b.listed = r.LoadMean, r.Known, r.Guessed, r.Listed
-	e.stood, e.over, e.asOf, e.width, e.cutAt = r.Stood, r.Over, min(r.AsOf, now), r.Width, r.CutAt
-	if e.budget != nil && len(r.Taken) > 0 {
-		e.budget.at = some(r.Slot, math.Inf(-1))
-		copy(e.budget.taken[:], r.Taken)
-		copy(e.budget.more[:], r.More)
+	copy(s.loads, r.ClassLoads)
+	copy(s.weighed, r.ClassSamples)
+	s.loadMean, s.known, b.guessed, b.listed = r.MeanSessionLoad, r.LoadSamples, r.EstimatedCapacity, r.ListedBackends
+	e.stood, e.over, e.asOf, e.width, e.cutAt = r.EstablishedSessions, r.EstablishedSpan, min(r.EstablishedAsOf, now), r.ConcurrencyLimit, r.ConcurrencyReducedAt
+	if e.budget != nil && len(r.BudgetSessions) > 0 {
+		e.budget.at = some(r.BudgetSlot, math.Inf(-1))
+		copy(e.budget.taken[:], r.BudgetSessions)
+		copy(e.budget.more[:], r.BudgetRetries)
 	}
 	// What the other has saved up for cold servers it has not handed out since, and neither is it given twice.
-	b.warmup.asked = max(min(r.Asked, now), r.At)
-	for key, load := range r.Ended {
+	b.warmup.asked = max(min(r.SlowStartRequestedAt, now), r.TakenAt)
+	for key, load := range r.EndedSessionLoads {
 		s.ended.keep(now, keyMemory, key, load)
 	}
-	for _, one := range r.Servers {
+	for _, one := range r.Backends {
 		i, known := b.index[one.ID]
-		if !known || b.started[i] != one.Started {
+		if !known || b.started[i] != one.StartedAt {
 			continue
 		}
-		p.load[i], p.heardAt[i] = some(one.Load, math.NaN()), some(one.HeardAt, math.Inf(-1))
-		p.askedAt[i] = some(one.AskedAt, math.Inf(-1))
-		b.health.failed[i], b.health.lost[i] = one.Failed, one.Lost
-		b.health.usual += (one.Against - b.health.against[i]) / float64(len(b.ids))
-		b.health.against[i] = one.Against
-		if one.WarmFrom >= 0 {
-			b.chill(i, one.WarmFrom)
+		p.load[i], p.heardAt[i] = some(one.Load, math.NaN()), some(one.ReportedAt, math.Inf(-1))
+		p.askedAt[i] = some(one.PolledAt, math.Inf(-1))
+		b.health.failed[i], b.health.lost[i] = one.ConsecutiveFailures, one.SessionsLost
+		b.health.usual += (one.OutlierEvidence - b.health.against[i]) / float64(len(b.ids))
+		b.health.against[i] = one.OutlierEvidence
+		if one.SlowStartAt >= 0 {
+			b.chill(i, one.SlowStartAt)
 		}
 		p.since[i] = p.since[i][:0]
-		for _, x := range one.Placed {
+		for _, x := range one.RecentAssignments {
 			p.since[i] = append(p.since[i], placed{x.At, x.Load})
 		}
 		p.outdate(i, p.heardAt[i]-p.lag)
--- a/balancer/record_test.go
+++ b/balancer/record_test.go
@@ -16,17 +16,17 @@
 	for i := range 12 {
 		l := arrive(now)
 		l.Key = uint64(i + 1)
-		if a := b.Place(now, l); a.Verdict == Send {
-			b.Accepted(now+20, l)
-			b.Weighed(l, 900)
+		if a := b.Assign(now, l); a.Kind == Assign {
+			b.SessionEstablished(now+20, l)
+			b.LoadMeasured(l, 900)
 			if i%3 == 0 {
-				b.After(now+40, l, Broken, true)
+				b.AttemptFinished(now+40, l, OutcomeConnectionLost, true)
 			}
 		}
 		now += 50
 	}
-	b.Probed(now, 2, false, nil)
-	b.Probed(now, 2, false, nil)
+	b.PollFinished(now, 2, false, nil)
+	b.PollFinished(now, 2, false, nil)
 	return b
 }
 
@@ -34,12 +34,12 @@
 func TestRecordGoesOn(t *testing.T) {
 	old := seasoned(t)
 	now := start + 1000
-	text, err := json.Marshal(old.Record(now))
+	text, err := json.Marshal(old.Snapshot(now))
 	require.NoError(t, err)
-	var r Record
+	var r Snapshot
 	require.NoError(t, json.Unmarshal(text, &r))
 	b := fleet{Loads: []float64{math.NaN(), math.NaN(), math.NaN(), math.NaN()}, Cold: start - 4000}.build(t)
-	require.NoError(t, b.Inherit(now, &r))
+	require.NoError(t, b.Restore(now, &r))
 	assert.Equal(t, old.probing.load, b.probing.load)
 	assert.Equal(t, old.probing.heardAt, b.probing.heardAt)
 	assert.Equal(t, old.probing.fresh, b.probing.fresh)
@@ -50,7 +50,7 @@
 	load, known := b.shares.ended.find(1)
 	assert.True(t, known)
 	assert.Equal(t, 900.0, load)
-	_, avoided := b.Census()
+	_, avoided := b.Counts()
 	assert.Equal(t, 1, avoided)
 	old.refresh(now)
 	b.refresh(now)
@@ -61,28 +61,28 @@
 	assert.GreaterOrEqual(t, b.warmup.asked, now, "what was saved up for cold servers is not given twice")
 
 	other := fleet{Loads: []float64{0.5, 0.5}, Cold: start + 500}.build(t)
-	require.NoError(t, other.Inherit(now, &r))
+	require.NoError(t, other.Restore(now, &r))
 	assert.Equal(t, []int{0, 0}, other.health.failed, "server 2 has started again since")
 	assert.Equal(t, 0.5, other.probing.load[1])
 }
 
 func TestRecordThatCantBe(t *testing.T) {
-	for name, spoil := range map[string]func(*Record){
-		"other categories":  func(r *Record) { r.Loads = r.Loads[:1] },
-		"negative width":    func(r *Record) { r.Width = -1 },
-		"endless mean":      func(r *Record) { r.LoadMean = math.Inf(1) },
-		"a server's load":   func(r *Record) { r.Servers[0].Load = -2 },
-		"doubt beyond all":  func(r *Record) { r.Servers[0].Against = 2 },
-		"a server's health": func(r *Record) { r.Servers[0].Failed = -1 },
-		"a placed link":     func(r *Record) { r.Servers[0].Placed = []PlacedRecord{{1, math.NaN()}} },
-		"an ended link":     func(r *Record) { r.Ended[1] = -5 },
+	for name, spoil := range map[string]func(*Snapshot){
+		"other categories":  func(r *Snapshot) { r.ClassLoads = r.ClassLoads[:1] },
+		"negative width":    func(r *Snapshot) { r.ConcurrencyLimit = -1 },
+		"endless mean":      func(r *Snapshot) { r.MeanSessionLoad = math.Inf(1) },
+		"a server's load":   func(r *Snapshot) { r.Backends[0].Load = -2 },
+		"doubt beyond all":  func(r *Snapshot) { r.Backends[0].OutlierEvidence = 2 },
+		"a server's health": func(r *Snapshot) { r.Backends[0].ConsecutiveFailures = -1 },
+		"a placed link":     func(r *Snapshot) { r.Backends[0].RecentAssignments = []AssignmentSnapshot{{1, math.NaN()}} },
+		"an ended link":     func(r *Snapshot) { r.EndedSessionLoads[1] = -5 },
 	} {
-		r := seasoned(t).Record(start + 1000)
+		r := seasoned(t).Snapshot(start + 1000)
 		spoil(&r)
 		b := fleet{Loads: []float64{0.2, 0.6, 0.3, 0.1}}.build(t)
-		before := b.Record(start)
-		assert.Error(t, b.Inherit(start+1000, &r), name)
-		assert.Equal(t, before, b.Record(start), "%s: nothing changed", name)
+		before := b.Snapshot(start)
+		assert.Error(t, b.Restore(start+1000, &r), name)
+		assert.Equal(t, before, b.Snapshot(start), "%s: nothing changed", name)
 	}
 }
 
@@ -91,16 +91,16 @@
 	for _, yield := range []bool{false, true} {
 		cold := 0
 		b := fleet{Loads: []float64{0.7, 0.1}, Cold: start - 8000, Seed: 1}.build(t)
-		b.Yield(yield)
+		b.SetDraining(yield)
 		for i := range 200 {
 			now := start + 50*float64(i)
-			b.Reported(now, 1, []float64{0, 0.7})
-			b.Reported(now, 2, []float64{0, 0.1})
+			b.LoadReported(now, 1, []float64{0, 0.7})
+			b.LoadReported(now, 2, []float64{0, 0.1})
 			l := arrive(now)
-			if a := b.Place(now, l); a.Verdict == Send && a.Backend == 2 && b.warmup.part(1, now) < 1 {
+			if a := b.Assign(now, l); a.Kind == Assign && a.Backend == 2 && b.warmup.part(1, now) < 1 {
 				cold++
 			}
-			b.After(now, l, Satisfied, true)
+			b.AttemptFinished(now, l, OutcomeSucceeded, true)
 		}
 		assert.Equal(t, yield, cold == 0, "yield %t: %d links", yield, cold)
 	}
@@ -123,24 +123,24 @@
 	} {
 		b := fleet{Loads: c.loads}.build(t)
 		if c.down > 0 {
-			b.Probed(start, uint32(c.down), false, nil)
-			b.Probed(start, uint32(c.down), false, nil)
-			b.Probed(start, uint32(c.down+1), false, nil)
-			b.Probed(start, uint32(c.down+1), false, nil)
+			b.PollFinished(start, uint32(c.down), false, nil)
+			b.PollFinished(start, uint32(c.down), false, nil)
+			b.PollFinished(start, uint32(c.down+1), false, nil)
+			b.PollFinished(start, uint32(c.down+1), false, nil)
 		}
-		assert.Equal(t, c.want, b.Fit(start+10), c.name)
-		assert.False(t, b.Fit(start+10000), "%s: figures grow old", c.name)
+		assert.Equal(t, c.want, b.IsReady(start+10), c.name)
+		assert.False(t, b.IsReady(start+10000), "%s: figures grow old", c.name)
 	}
 	b := fleet{Loads: []float64{nan, nan, nan, nan}, Relays: 5000}.build(t)
-	assert.True(t, b.Fit(start+10), "asked for links only")
+	assert.True(t, b.IsReady(start+10), "asked for links only")
 }
 
 // A stop with another process to take the clients goes over all its time, not to its end.
 func TestLeaveForAnother(t *testing.T) {
 	b := fleet{Loads: []float64{0.1}}.build(t)
-	assert.Equal(t, 2400.0, b.Leave(0, 4, 2400))
-	b.Yield(true)
+	assert.Equal(t, 2400.0, b.DrainDelay(0, 4, 2400))
+	b.SetDraining(true)
 	for i := range 4 {
-		assert.InDelta(t, 600*float64(i), b.Leave(i, 4, 2400), 0.01)
+		assert.InDelta(t, 600*float64(i), b.DrainDelay(i, 4, 2400), 0.01)
 	}
 }
--- a/balancer/recovery.go
+++ b/balancer/recovery.go
@@ -12,36 +12,36 @@
 
 const mostGrowth = 1.25 // of what was kept, that one life passes on
 
-// Learnt is what a relay knows of servers and links in general, not of any one: a hint to one just back.
-type Learnt struct {
-	Capacity float64   `json:"Capacity"` // of a server, microseconds of work a second; 0: not known
-	LoadMean float64   `json:"LoadMean"` // of a link
-	Loads    []float64 `json:"Loads"`
-	Weighed  []float64 `json:"Weighed"`
-
-	// Own and Figures are of warm servers: the load of this relay's links that figures hold, and their sum.
-	Own     float64 `json:"Own"`
-	Figures float64 `json:"Figures"`
+// Estimates is what a relay knows of servers and links in general, not of any one: a hint to one just back.
+type Estimates struct {
+	Capacity        float64   `json:"Capacity"` // of a server, microseconds of work a second; 0: not known
+	MeanSessionLoad float64   `json:"LoadMean"` // of a link
+	ClassLoads      []float64 `json:"Loads"`
+	ClassSamples    []float64 `json:"Weighed"`
+
+	// OwnLoad and Figures are of warm servers: the load of this relay's links that figures hold, and their sum.
+	OwnLoad      float64 `json:"Own"`
+	ReportedLoad float64 `json:"Figures"`
 }
 
-// Learnt gives what this relay has learnt, for its next life and for others. With too few links for a word of
+// Estimates gives what this relay has learnt, for its next life and for others. With too few links for a word of
 // its own, or while the fleet recovers, it passes on what it was told, and later no more than a part above
 // it: against guesses of the first seconds, when servers' figures hold few of the links sent there, growing
 // from one life to the next where power is lost over and over.
-func (b *Balancer) Learnt() Learnt {
+func (b *Balancer) Estimates() Estimates {
 	s := b.shares
-	l := Learnt{Capacity: b.capacity, LoadMean: s.loadMean, Loads: append([]float64{}, s.loads...),
-		Weighed: append([]float64{}, s.weighed...)}
+	l := Estimates{Capacity: b.capacity, MeanSessionLoad: s.loadMean, ClassLoads: append([]float64{}, s.loads...),
+		ClassSamples: append([]float64{}, s.weighed...)}
 	for i, c := range b.condition {
 		warm := b.warmup.since[i]+b.warmup.length <= b.turns.built
 		if c == Ready && warm && b.health.good(i) && !math.IsNaN(b.probing.load[i]) {
-			l.Own += max(b.linkLoads[i]-b.probing.fresh[i], 0)
-			l.Figures += b.probing.load[i]
+			l.OwnLoad += max(b.linkLoads[i]-b.probing.fresh[i], 0)
+			l.ReportedLoad += b.probing.load[i]
 		}
 	}
-	kept := b.admission.Kept()
+	kept := b.admission.Capacity()
 	switch {
-	case s.known < quotaFaith, kept > 0 && (s.known < 2*quotaFaith || b.admission.Again()):
+	case s.known < quotaFaith, kept > 0 && (s.known < 2*quotaFaith || b.admission.ShouldRedraw()):
 		l.Capacity = kept
 	case kept > 0:
 		l.Capacity = min(l.Capacity, mostGrowth*kept)
@@ -49,46 +49,46 @@
 	return l
 }
 
-// Recall takes what was learnt before this start, here or at another relay; what this life has learnt itself
+// RestoreEstimates takes what was learnt before this start, here or at another relay; what this life has learnt itself
 // goes before it.
-func (b *Balancer) Recall(l Learnt) bool {
+func (b *Balancer) RestoreEstimates(l Estimates) bool {
 	s := b.shares
 	good := func(x float64) bool { return x > 0 && !math.IsInf(x, 1) }
-	if !good(l.Capacity) || !good(l.LoadMean) || s.known >= quotaFaith || len(l.Loads) != len(s.loads) ||
-		len(l.Weighed) != len(s.weighed) {
+	if !good(l.Capacity) || !good(l.MeanSessionLoad) || s.known >= quotaFaith || len(l.ClassLoads) != len(s.loads) ||
+		len(l.ClassSamples) != len(s.weighed) {
 		return false
 	}
-	for i := range l.Loads {
-		if !(l.Loads[i] >= 0 && l.Weighed[i] >= 0) || math.IsInf(l.Loads[i], 1) {
+	for i := range l.ClassLoads {
+		if !(l.ClassLoads[i] >= 0 && l.ClassSamples[i] >= 0) || math.IsInf(l.ClassLoads[i], 1) {
 			return false
 		}
 	}
-	b.admits().Knows(l.Capacity)
-	copy(s.loads, l.Loads)
-	for i, w := range l.Weighed {
+	b.admits().SetCapacity(l.Capacity)
+	copy(s.loads, l.ClassLoads)
+	for i, w := range l.ClassSamples {
 		s.weighed[i] = min(w, 50)
 	}
-	s.loadMean, s.known = l.LoadMean, quotaFaith
+	s.loadMean, s.known = l.MeanSessionLoad, quotaFaith
 	b.turns.expire()
 	return true
 }
 
-func (b *Balancer) admits() *admission.Admission {
+func (b *Balancer) admits() *admission.Controller {
 	if b.admission == nil {
 		b.admission = admission.New()
 	}
 	return b.admission
 }
 
-// Recover takes that the whole fleet lost power, or has recovered, and which part of what cold servers bear
+// SetRecovering takes that the whole fleet lost power, or has recovered, and which part of what cold servers bear
 // this relay is to take; 0: an even one. Where servers can't be asked for their load nothing follows of it:
 // their figures are what shows a cold server that it has had enough, whatever was kept.
-func (b *Balancer) Recover(on bool, part float64) {
-	b.admits().On(on && b.probing.allowed, part, b.warmup.relays)
+func (b *Balancer) SetRecovering(on bool, part float64) {
+	b.admits().SetRecovering(on && b.probing.allowed, part, b.warmup.relays)
 }
 
-// Warmth counts the servers that links are sent to, and those of them that are cold.
-func (b *Balancer) Warmth(now float64) (cold, usable int) {
+// WarmingUp counts the servers that links are sent to, and those of them that are cold.
+func (b *Balancer) WarmingUp(now float64) (cold, usable int) {
 	for _, s := range b.coldOnes(now) {
 		if b.condition[s] == Ready && b.health.good(s) {
 			cold++
@@ -97,13 +97,13 @@
 	return cold, b.track.usable
 }
 
-// Restart takes that this relay may have served until just before its start: the tries that its last life may
+// AssumeRetriesSpent takes that this relay may have served until just before its start: the tries that its last life may
 // have spent count here, so that the budget holds in a window that covers both.
-func (b *Balancer) Restart(now float64) { b.effects.budget.restart(now) }
+func (b *Balancer) AssumeRetriesSpent(now float64) { b.effects.budget.restart(now) }
 
-// Suppose takes that the servers listed now are from a list that was kept: whether one has restarted since,
+// AssumeEndpoints takes that the servers listed now are from a list that was kept: whether one has restarted since,
 // nobody has told yet, so that each is held to have started now. Against cold servers taken for warm.
-func (b *Balancer) Suppose(now float64) {
+func (b *Balancer) AssumeEndpoints(now float64) {
 	if b.supposed == nil {
 		b.supposed = map[int]bool{}
 	}
@@ -128,14 +128,14 @@
 	b.touch(s)
 }
 
-// Hush has links wait until then, those that have the time: what this relay knows may be long out of date,
+// Pause has links wait until then, those that have the time: what this relay knows may be long out of date,
 // and what is new waits to be read. Against a process that was stopped sending on to servers that have left
 // since.
-func (b *Balancer) Hush(until float64) { b.hushed = until }
+func (b *Balancer) Pause(until float64) { b.hushed = until }
 
-// Shift takes that all starts that were told are to be read later by that much, as this relay's clock is off.
+// ShiftStartTimes takes that all starts that were told are to be read later by that much, as this relay's clock is off.
 // What it saw of restarts itself is by its own clock and stays.
-func (b *Balancer) Shift(by float64) {
+func (b *Balancer) ShiftStartTimes(by float64) {
 	for s, started := range b.started {
 		if started == 0 || b.supposed[s] {
 			continue
@@ -150,42 +150,44 @@
 	}
 }
 
-// Late takes how old a report may be, where somebody knows.
-func (b *Balancer) Late(most float64) { b.probing.lag = most }
+// SetMaxReportAge takes how old a report may be, where somebody knows.
+func (b *Balancer) SetMaxReportAge(most float64) { b.probing.lag = most }
 
-// Placed is the load that this relay has placed and figures may not hold yet.
-func (b *Balancer) Placed() float64 { return b.probing.placed }
+// UnreportedLoad is the load that this relay has placed and figures may not hold yet.
+func (b *Balancer) UnreportedLoad() float64 { return b.probing.placed }
 
-// Others takes what the other relays have placed so, by their own words; below 0: they don't say.
-func (b *Balancer) Others(load float64) { b.probing.others = load }
+// SetRemoteLoad takes what the other relays have placed so, by their own words; below 0: they don't say.
+func (b *Balancer) SetRemoteLoad(load float64) { b.probing.others = load }
 
-// Told gives who was told to come again when, by key; Promised takes whom the last life told so.
-func (b *Balancer) Told(now float64) map[uint64]float64 { return b.admission.Told(now, mostEnded) }
+// Reservations gives who was told to come again when, by key; Promised takes whom the last life told so.
+func (b *Balancer) Reservations(now float64) map[uint64]float64 {
+	return b.admission.Reservations(now, mostEnded)
+}
 
-// Forgo has it forget whom it told so, by that key.
-func (b *Balancer) Forgo(key uint64) { b.admission.Forgo(key) }
+// DropReservation has it forget whom it told so, by that key.
+func (b *Balancer) DropReservation(key uint64) { b.admission.DropReservation(key) }
 
-// Promised takes that.
-func (b *Balancer) Promised(now float64, told map[uint64]float64) {
+// RestoreReservations takes that.
+func (b *Balancer) RestoreReservations(now float64, told map[uint64]float64) {
 	if len(told) > 0 {
-		b.admits().Promised(now, b.effects.maxBack, told)
+		b.admits().RestoreReservations(now, b.effects.maxBack, told)
 	}
 }
 
-// Ran takes, before the link is placed for the first time, that an earlier one of its client's may have run,
+// RecordEarlierAttempt takes, before the link is placed for the first time, that an earlier one of its client's may have run,
 // at that server, at that time: it is treated as if that had been its own try. Where the server is not known,
 // no scope is.
-func (b *Balancer) Ran(l *Link, id uint32, at float64) {
+func (b *Balancer) RecordEarlierAttempt(l *Session, id uint32, at float64) {
 	l.earlier, l.ranAt, l.ranZone, l.ranCell = 1, at, -1, -1
 	if s, known := b.index[id]; known {
 		l.ranZone, l.ranCell = b.zones[s], b.cells[s]
 	}
 }
 
-// Prefer takes, before the link is placed for the first time, where it or its group stood, by another relay's
+// PreferBackend takes, before the link is placed for the first time, where it or its group stood, by another relay's
 // word. It is a hint: it goes before the link's turn at its first try, and only where that server may have
 // it.
-func (b *Balancer) Prefer(l *Link, id uint32) {
+func (b *Balancer) PreferBackend(l *Session, id uint32) {
 	if s, known := b.index[id]; known {
 		l.prefers = s + 1
 	}
--- a/balancer/recovery_test.go
+++ b/balancer/recovery_test.go
@@ -11,27 +11,27 @@
 
 // young is a relay just back, of so many, with a fleet of cold servers.
 func young(relays, servers int, now float64, gains ...float64) *Balancer {
-	var categories []Category
+	var categories []Class
 	for _, g := range gains {
-		categories = append(categories, Category{PromisedTime: 500, Gain: g})
+		categories = append(categories, Class{LatencyObjective: 500, PriorityWeight: g})
 	}
-	b := New(NewRoster(true, 10000), NewTurns(rand.New(rand.NewSource(1))), NewWarmup(0.2, 9000, 3, 2000,
+	b := New(NewEndpointSet(true, 10000), NewRoundRobin(rand.New(rand.NewSource(1))), NewSlowStart(0.2, 9000, 3, 2000,
 		relays),
-		NewProbing(true, 0, []string{"x0"}), NewEffects(categories, 3, 1000, relays, NewBudget(5, 0.1, 1000)),
-		NewShares(categories, nil, 1, relays), 0, 0, false, false)
-	b.ListBegan(true)
+		NewLoadPoller(true, 0, []string{"x0"}), NewAttemptPolicy(categories, 3, 1000, relays, NewRetryBudget(5, 0.1, 1000)),
+		NewQuotas(categories, nil, 1, relays), 0, 0, false, false)
+	b.BeginEndpointUpdate(true)
 	for i := range servers {
-		b.Listed(uint32(i+1), 0, Ready, 0, now, 1)
+		b.UpdateEndpoint(uint32(i+1), 0, Ready, 0, now, 1)
 	}
-	b.ListEnded(now)
+	b.EndEndpointUpdate(now)
 	return b
 }
 
-func learnt(categories int) Learnt {
-	l := Learnt{Capacity: 4e6, LoadMean: 4e4, Loads: make([]float64, categories), Weighed: make([]float64,
+func learnt(categories int) Estimates {
+	l := Estimates{Capacity: 4e6, MeanSessionLoad: 4e4, ClassLoads: make([]float64, categories), ClassSamples: make([]float64,
 		categories)}
-	for i := range l.Loads {
-		l.Loads[i], l.Weighed[i] = 4e4, 50
+	for i := range l.ClassLoads {
+		l.ClassLoads[i], l.ClassSamples[i] = 4e4, 50
 	}
 	return l
 }
@@ -40,10 +40,10 @@
 func place(b *Balancer, from float64, links int, step float64) (sent int) {
 	for i := range links {
 		now := from + float64(i)*step
-		l := &Link{Limit: now + 1000}
-		if b.Place(now, l).Verdict == Send {
+		l := &Session{Deadline: now + 1000}
+		if b.Assign(now, l).Kind == Assign {
 			sent++
-			b.Accepted(now, l)
+			b.SessionEstablished(now, l)
 		}
 	}
 	return sent
@@ -53,45 +53,45 @@
 // whole fleet; one that knows what they bear grants its part of it.
 func TestKnowsWhatServersBear(t *testing.T) {
 	blind, told := young(12, 24, 1000, 1), young(12, 24, 1000, 1)
-	require.True(t, told.Recall(learnt(1)))
-	told.Recover(true, 0)
+	require.True(t, told.RestoreEstimates(learnt(1)))
+	told.SetRecovering(true, 0)
 	assert.Less(t, place(blind, 1100, 60, 30), 6)
 	assert.Greater(t, place(told, 1100, 60, 30), 15)
 }
 
 func TestRecallRefuses(t *testing.T) {
-	for name, spoil := range map[string]func(*Learnt){
-		"no capacity":   func(l *Learnt) { l.Capacity = 0 },
-		"no number":     func(l *Learnt) { l.LoadMean = math.NaN() },
-		"endless":       func(l *Learnt) { l.Capacity = math.Inf(1) },
-		"other number":  func(l *Learnt) { l.Loads = nil },
-		"negative load": func(l *Learnt) { l.Loads[0] = -1 },
+	for name, spoil := range map[string]func(*Estimates){
+		"no capacity":   func(l *Estimates) { l.Capacity = 0 },
+		"no number":     func(l *Estimates) { l.MeanSessionLoad = math.NaN() },
+		"endless":       func(l *Estimates) { l.Capacity = math.Inf(1) },
+		"other number":  func(l *Estimates) { l.ClassLoads = nil },
+		"negative load": func(l *Estimates) { l.ClassLoads[0] = -1 },
 	} {
 		b, l := young(2, 2, 1000, 1), learnt(1)
 		spoil(&l)
-		assert.False(t, b.Recall(l), name)
+		assert.False(t, b.RestoreEstimates(l), name)
 		assert.Nil(t, b.admission, name)
 	}
 	b := young(2, 2, 1000, 1)
-	require.True(t, b.Recall(learnt(1)))
-	assert.False(t, b.Recall(learnt(1)), "what is known goes before what is said again")
+	require.True(t, b.RestoreEstimates(learnt(1)))
+	assert.False(t, b.RestoreEstimates(learnt(1)), "what is known goes before what is said again")
 }
 
 // A server of a list that was kept is cold until discovery tells when it started.
 func TestSupposed(t *testing.T) {
 	b := young(2, 0, 1000, 1)
-	b.ListBegan(true)
-	b.Listed(1, 0, Ready, 0, 0, 1)
-	b.Listed(2, 0, Ready, 0, 0, 1)
-	b.ListEnded(1000)
-	b.Suppose(1000)
-	cold, usable := b.Warmth(1100)
+	b.BeginEndpointUpdate(true)
+	b.UpdateEndpoint(1, 0, Ready, 0, 0, 1)
+	b.UpdateEndpoint(2, 0, Ready, 0, 0, 1)
+	b.EndEndpointUpdate(1000)
+	b.AssumeEndpoints(1000)
+	cold, usable := b.WarmingUp(1100)
 	assert.Equal(t, [2]int{2, 2}, [2]int{cold, usable})
-	b.ListBegan(true)
-	b.Listed(1, 0, Ready, 0, 0, 1)   // it never went
-	b.Listed(2, 0, Ready, 0, 900, 1) // it did, earlier than was held
-	b.ListEnded(1200)
-	cold, _ = b.Warmth(1200)
+	b.BeginEndpointUpdate(true)
+	b.UpdateEndpoint(1, 0, Ready, 0, 0, 1)   // it never went
+	b.UpdateEndpoint(2, 0, Ready, 0, 900, 1) // it did, earlier than was held
+	b.EndEndpointUpdate(1200)
+	cold, _ = b.WarmingUp(1200)
 	assert.Equal(t, 1, cold)
 	assert.Equal(t, 900.0, b.warmup.since[1])
 }
@@ -99,7 +99,7 @@
 // With no word of the window before the start, all that is free in it counts as spent.
 func TestRestartedBudget(t *testing.T) {
 	b := young(2, 2, 1000, 1)
-	b.Restart(1000)
+	b.AssumeRetriesSpent(1000)
 	assert.False(t, b.effects.budget.allows(1001))
 	assert.True(t, b.effects.budget.allows(3000))
 }
@@ -109,17 +109,17 @@
 	l := learnt(1)
 	for range 20 {
 		b := young(2, 4, 1000, 1)
-		require.True(t, b.Recall(l))
-		b.Recover(true, 0)
+		require.True(t, b.RestoreEstimates(l))
+		b.SetRecovering(true, 0)
 		place(b, 1100, 60, 10)
 		b.capacity = 10 * l.Capacity // as figures that hold nothing yet have it
-		l = b.Learnt()
+		l = b.Estimates()
 	}
 	assert.Equal(t, 4e6, l.Capacity)
 	b := young(2, 4, 1000, 1)
-	require.True(t, b.Recall(l))
+	require.True(t, b.RestoreEstimates(l))
 	b.shares.known, b.capacity = 2*quotaFaith, 10*l.Capacity
-	assert.Equal(t, mostGrowth*4e6, b.Learnt().Capacity)
+	assert.Equal(t, mostGrowth*4e6, b.Estimates().Capacity)
 }
 
 // What others placed, by their own words, in place of a guess from the few links of this relay's own, which
@@ -140,23 +140,23 @@
 		{"reports are young", -1, 250, 0, 0.2},
 	} {
 		b := young(4, 4, 0, 1)
-		b.Listed(1, 0, Ready, 0, c.cold, 1)
+		b.UpdateEndpoint(1, 0, Ready, 0, c.cold, 1)
 		b.capacity = 4e6
-		b.Others(c.others)
+		b.SetRemoteLoad(c.others)
 		if c.late > 0 {
-			b.Late(c.late)
+			b.SetMaxReportAge(c.late)
 		}
 		now := 2e5
 		for range 2 {
-			b.sent(now, &Link{load: 4e4}, 0)
+			b.sent(now, &Session{load: 4e4}, 0)
 		}
-		b.Reported(now+300, 1, []float64{0.2})
+		b.LoadReported(now+300, 1, []float64{0.2})
 		assert.InDelta(t, c.want, b.figured(0, now), 1e-6, c.name)
 		fresh := 0.0
 		for _, f := range b.probing.fresh {
 			fresh += f
 		}
-		assert.InDelta(t, fresh, b.Placed(), 1e-6, c.name)
+		assert.InDelta(t, fresh, b.UnreportedLoad(), 1e-6, c.name)
 	}
 }
 
@@ -164,17 +164,17 @@
 func TestShift(t *testing.T) {
 	const hour, now = 3.6e6, 1e12
 	b := young(4, 3, now-hour, 1) // told an hour ago, by this relay's clock
-	cold, _ := b.Warmth(now)
+	cold, _ := b.WarmingUp(now)
 	assert.Zero(t, cold)
-	b.Shift(hour) // which is an hour ahead: all have just started
-	cold, _ = b.Warmth(now)
+	b.ShiftStartTimes(hour) // which is an hour ahead: all have just started
+	cold, _ = b.WarmingUp(now)
 	assert.Equal(t, 3, cold)
-	b.Shift(-hour)
-	cold, _ = b.Warmth(now)
+	b.ShiftStartTimes(-hour)
+	cold, _ = b.WarmingUp(now)
 	assert.Zero(t, cold)
 	b.chill(1, now) // its links broke, and it answers again
-	b.Shift(-hour)
-	cold, _ = b.Warmth(now)
+	b.ShiftStartTimes(-hour)
+	cold, _ = b.WarmingUp(now)
 	assert.Equal(t, 1, cold)
 }
 
@@ -187,26 +187,26 @@
 		there  bool
 	}{
 		{"as it is", func(*Balancer) {}, true},
-		{"it drains", func(b *Balancer) { b.Listed(3, 0, Draining, 0, 0, 1) }, false},
-		{"it is gone", func(b *Balancer) { b.Listed(3, 0, Gone, 0, 0, 1) }, false},
-		{"it has just started", func(b *Balancer) { b.Listed(3, 0, Ready, 0, start-1, 1) }, false},
-		{"it is full", func(b *Balancer) { b.Probed(start, 3, true, []float64{0, 1.2}) }, false},
-		{"it does not answer", func(b *Balancer) { b.Probed(start, 3, false, nil); b.Probed(start, 3, false, nil) },
+		{"it drains", func(b *Balancer) { b.UpdateEndpoint(3, 0, Draining, 0, 0, 1) }, false},
+		{"it is gone", func(b *Balancer) { b.UpdateEndpoint(3, 0, Gone, 0, 0, 1) }, false},
+		{"it has just started", func(b *Balancer) { b.UpdateEndpoint(3, 0, Ready, 0, start-1, 1) }, false},
+		{"it is full", func(b *Balancer) { b.PollFinished(start, 3, true, []float64{0, 1.2}) }, false},
+		{"it does not answer", func(b *Balancer) { b.PollFinished(start, 3, false, nil); b.PollFinished(start, 3, false, nil) },
 			false},
-		{"its zone is emptied", func(b *Balancer) { b.Direct([]Direction{{0, 0, false}, {1, 1, true}}) }, false},
+		{"its zone is emptied", func(b *Balancer) { b.SetZoneWeights([]ZoneWeight{{0, 0, false}, {1, 1, true}}) }, false},
 	} {
 		there := 0
 		for seed := range int64(20) {
 			b := fleet{Loads: []float64{0.2, 0.1, 0.3, 0.1}, Seed: seed}.build(t)
 			c.change(b)
 			l := arrive(start)
-			b.Prefer(l, 3)
-			a := b.Place(start, l)
+			b.PreferBackend(l, 3)
+			a := b.Assign(start, l)
 			if a.Backend == 3 {
 				there++
 			}
 			if c.there {
-				a = b.After(start, l, TurnedAway, false)
+				a = b.AttemptFinished(start, l, OutcomeRejected, false)
 				assert.NotEqual(t, uint32(3), a.Backend, "not again where it was turned away")
 			}
 		}
@@ -223,32 +223,32 @@
 // repeat is dropped.
 func TestRan(t *testing.T) {
 	for _, c := range []struct {
-		effect  Effect
-		scope   Scope
+		effect  Idempotency
+		scope   DeduplicationScope
 		id      uint32
 		ago     float64
-		verdict Verdict
+		verdict DecisionKind
 	}{
-		{Replayable, ScopeAll, 1, 100, Send},
-		{SingleUse, ScopeAll, 1, 100, Fail},
-		{SingleUse, ScopeAll, 99, 100, Fail},
-		{Referenced, ScopeAll, 1, 100, Send},
-		{Referenced, ScopeAll, 99, 100, Send},
-		{Referenced, ScopeZone, 1, 100, Send},
-		{Referenced, ScopeZone, 99, 100, Fail}, // whose zone is not known
-		{Referenced, ScopeAll, 1, 1e6, Fail},   // longer than repeats are remembered
+		{Idempotent, ScopeAll, 1, 100, Assign},
+		{NonIdempotent, ScopeAll, 1, 100, Fail},
+		{NonIdempotent, ScopeAll, 99, 100, Fail},
+		{IdempotentByKey, ScopeAll, 1, 100, Assign},
+		{IdempotentByKey, ScopeAll, 99, 100, Assign},
+		{IdempotentByKey, ScopeZone, 1, 100, Assign},
+		{IdempotentByKey, ScopeZone, 99, 100, Fail}, // whose zone is not known
+		{IdempotentByKey, ScopeAll, 1, 1e6, Fail},   // longer than repeats are remembered
 	} {
 		b := fleet{Loads: []float64{0.1, 0.1, 0.1, 0.1}, Seed: 3}.build(t)
 		cat := &b.effects.categories[0]
-		cat.Effect, cat.Scope, cat.RepeatWindow = c.effect, c.scope, 5000
+		cat.Idempotency, cat.Scope, cat.DeduplicationWindow = c.effect, c.scope, 5000
 		l := arrive(start)
-		b.Ran(l, c.id, start-c.ago)
-		a := b.Place(start, l)
-		for now := start; a.Verdict == Hold && now < l.Limit+100; now += 50 {
-			a = b.Place(now, l)
+		b.RecordEarlierAttempt(l, c.id, start-c.ago)
+		a := b.Assign(start, l)
+		for now := start; a.Kind == Queue && now < l.Deadline+100; now += 50 {
+			a = b.Assign(now, l)
 		}
-		assert.Equal(t, c.verdict, a.Verdict, "%+v", c)
-		if c.scope == ScopeZone && a.Verdict == Send {
+		assert.Equal(t, c.verdict, a.Kind, "%+v", c)
+		if c.scope == ScopeZone && a.Kind == Assign {
 			assert.Equal(t, uint32(1), a.Backend%2, "%+v", c)
 		}
 	}
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -8,67 +8,69 @@
 	"valeshift/internal/admission"
 )
 
-// Effect says what a second run of a link would do.
-type Effect uint8
+// Idempotency says what a second run of a link would do.
+type Idempotency uint8
 
-// Replayable may run again; referenced has a mark by which a repeat is known; single-use never runs twice.
+// Idempotent may run again; referenced has a mark by which a repeat is known; single-use never runs twice.
 const (
-	Replayable Effect = iota
-	Referenced
-	SingleUse
+	Idempotent Idempotency = iota
+	IdempotentByKey
+	NonIdempotent
 )
 
-// Scope names the servers that drop repeats of a referenced link.
-type Scope uint8
+// DeduplicationScope names the servers that drop repeats of a referenced link.
+type DeduplicationScope uint8
 
 // The scopes, widest first.
 const (
-	ScopeAll Scope = iota
+	ScopeAll DeduplicationScope = iota
 	ScopeZone
 	ScopeCell
 )
 
-// Condition is what the list says of a server.
-type Condition uint8
+// EndpointState is what the list says of a server.
+type EndpointState uint8
 
 // The conditions of the list.
 const (
-	Gone Condition = iota
+	Gone EndpointState = iota
 	Ready
 	Draining
 )
 
-// Outcome is how a setup try, or the link that it set up, ended.
-type Outcome uint8
+// AttemptOutcome is how a setup try, or the link that it set up, ended.
+type AttemptOutcome uint8
 
 // The outcomes.
 const (
-	Satisfied Outcome = iota
-	Errored
-	TurnedAway
-	TimedOut
-	Unreachable
-	Broken
-	CalledOff
-	Unsent
+	OutcomeSucceeded AttemptOutcome = iota
+	OutcomeFailed
+	OutcomeRejected
+	OutcomeTimedOut
+	OutcomeUnreachable
+	OutcomeConnectionLost
+	OutcomeCanceled
+	OutcomeNotSent
 )
 
-// NeverRan tells whether the outcome proves that nothing ran.
-func (o Outcome) NeverRan() bool { return o == TurnedAway || o == Unreachable || o == Unsent }
+// IsUnprocessed tells whether the outcome proves that nothing ran.
+func (o AttemptOutcome) IsUnprocessed() bool {
+	return o == OutcomeRejected || o == OutcomeUnreachable || o == OutcomeNotSent
+}
 
-// Category is what the settings say of one kind of link.
-type Category struct {
-	PromisedTime, RepeatWindow, Gain float64
-	Effect                           Effect
-	Scope                            Scope
+// Class is what the settings say of one kind of link.
+type Class struct {
+	LatencyObjective, DeduplicationWindow, PriorityWeight float64
+	Idempotency                                           Idempotency
+	Scope                                                 DeduplicationScope
 }
 
-// Link is one client's connection, from its arrival until its end. The caller fills the first block.
-type Link struct {
-	Category, Party int
-	Key, Group      uint64
-	Limit           float64 // clock time by which its final answer is due
-	Hint            float64 // load expected, microseconds of work a second; 0 where unknown
+// Session is one client's connection, from its arrival until its end. The caller fills the first block.
+type Session struct {
+	Class, Tenant      int
+	Key, AffinityGroup uint64
+	Deadline           float64 // clock time by which its final answer is due
+	LoadHint           float64 // load expected, microseconds of work a second; 0 where unknown
 
 	load      float64 // what it is held to weigh on its server now
 	server    int     // of its latest setup try
@@ -94,32 +96,32 @@
 	patient float64 // clock time until which their answers are waited for, or 0
 }
 
-// Verdict is the kind of an answer.
-type Verdict uint8
+// DecisionKind is the kind of an answer.
+type DecisionKind uint8
 
-// Over needs nothing more; Send, Reject and Fail are said at once; Hold means ask again after Wait.
+// NoDecision needs nothing more; Send, Reject and Fail are said at once; Hold means ask again after Wait.
 const (
-	Over Verdict = iota
-	Send
-	Hold
+	NoDecision DecisionKind = iota
+	Assign
+	Queue
 	Reject
 	Fail
 )
 
-// Answer says what to do with a link.
-type Answer struct {
-	Verdict Verdict
+// Decision says what to do with a link.
+type Decision struct {
+	Kind    DecisionKind
 	Backend uint32  // for Send
 	Timeout float64 // for Send: when this setup try is given up
-	Round   int     // for Send: which of the link's setup tries this is, from 0
+	Attempt int     // for Send: which of the link's setup tries this is, from 0
 	Wait    float64 // for Hold: when to ask again; for Reject: when the client should come back (0: unsaid)
 }
 
-// Due says how long to wait, and what is to be sent now.
-type Due struct {
+// Action says how long to wait, and what is to be sent now.
+type Action struct {
 	Wait      float64
-	Probe     uint32
-	Probing   bool
+	Backend   uint32
+	Poll      bool
 	Subscribe bool
 }
 
@@ -128,8 +130,8 @@
 	server int
 }
 
-// Turns is the table of buckets and the walk over it.
-type Turns struct {
+// RoundRobin is the table of buckets and the walk over it.
+type RoundRobin struct {
 	chance *rand.Rand
 	counts []int
 	table  []bucket
@@ -143,7 +145,7 @@
 
 // sort orders the table by place and server. Places are spread evenly over 0 to 1, so they are dealt into as
 // many bins as there are buckets, and only neighbours are left to be compared.
-func (t *Turns) sort() {
+func (t *RoundRobin) sort() {
 	n := len(t.table)
 	t.bins = slices.Grow(t.bins[:0], n+1)[:n+1]
 	clear(t.bins)
@@ -171,19 +173,19 @@
 	}
 }
 
-// NewTurns starts without a table.
-func NewTurns(chance *rand.Rand) *Turns {
-	return &Turns{chance: chance, built: math.Inf(-1), stale: true}
+// NewRoundRobin starts without a table.
+func NewRoundRobin(chance *rand.Rand) *RoundRobin {
+	return &RoundRobin{chance: chance, built: math.Inf(-1), stale: true}
 }
 
-// Roster is what the list has said. Figures stand in parallel arrays under a small dense index.
-type Roster struct {
+// EndpointSet is what the list has said. Figures stand in parallel arrays under a small dense index.
+type EndpointSet struct {
 	asked     bool
 	askWithin float64
 
 	index     map[uint32]int
 	ids       []uint32
-	condition []Condition
+	condition []EndpointState
 	zones     []int
 	cells     []int
 	started   []float64
@@ -194,16 +196,16 @@
 	failures  int
 }
 
-// NewRoster takes whether the list must be asked for, and within what time it counts as asked.
-func NewRoster(asked bool, askWithin float64) *Roster {
+// NewEndpointSet takes whether the list must be asked for, and within what time it counts as asked.
+func NewEndpointSet(asked bool, askWithin float64) *EndpointSet {
 	if !asked {
 		askWithin = math.Inf(1)
 	}
-	return &Roster{asked: asked, askWithin: askWithin, askAt: math.Inf(1), index: map[uint32]int{}}
+	return &EndpointSet{asked: asked, askWithin: askWithin, askAt: math.Inf(1), index: map[uint32]int{}}
 }
 
-// Health tells which servers answer.
-type Health struct {
+// OutlierDetector tells which servers answer.
+type OutlierDetector struct {
 	failed []int  // failures in a row
 	lost   []bool // one of our links on it broke while it was silent
 
@@ -214,8 +216,8 @@
 	usual, fadedAt float64
 }
 
-// Warmup is the budget of what a server just started is sent.
-type Warmup struct {
+// SlowStart is the budget of what a server just started is sent.
+type SlowStart struct {
 	from, length, multiple float64
 	span, relays           float64
 
@@ -223,14 +225,14 @@
 	asked float64   // when a link last asked for a cold server
 }
 
-// NewWarmup takes the part of its capacity a server starts at, when it is warm, the multiple of its present
+// NewSlowStart takes the part of its capacity a server starts at, when it is warm, the multiple of its present
 // capacity at which it falls and in what span, and how many relays send.
-func NewWarmup(from, length, multiple, span float64, relays int) *Warmup {
-	return &Warmup{from: from, length: length, multiple: multiple, span: span, relays: float64(relays)}
+func NewSlowStart(from, length, multiple, span float64, relays int) *SlowStart {
+	return &SlowStart{from: from, length: length, multiple: multiple, span: span, relays: float64(relays)}
 }
 
-// Probing asks servers for their load and keeps what they said.
-type Probing struct {
+// LoadPoller asks servers for their load and keeps what they said.
+type LoadPoller struct {
 	allowed bool
 	fee     float64
 	field   int // of a report, that the load is read from
@@ -251,9 +253,9 @@
 	since   [][]placed // links of this relay that the figure may not hold yet
 }
 
-// NewProbing takes whether probes may be sent, the fee for one a link, and the names of the report's fields.
-func NewProbing(allowed bool, fee float64, fields []string) *Probing {
-	p := &Probing{allowed: allowed, fee: fee, lag: reportLag, others: -1, field: math.MaxInt}
+// NewLoadPoller takes whether probes may be sent, the fee for one a link, and the names of the report's fields.
+func NewLoadPoller(allowed bool, fee float64, fields []string) *LoadPoller {
+	p := &LoadPoller{allowed: allowed, fee: fee, lag: reportLag, others: -1, field: math.MaxInt}
 	for rank, name := range [...]string{"x0", "cpu", "active", "rps", "waiting", "x1", "avg_ms"} {
 		if i := slices.Index(fields, name); i >= 0 {
 			p.field, p.absolute = i, rank < 2
@@ -264,14 +266,14 @@
 }
 
 // want has the server asked, unless that is done or its figure is new.
-func (p *Probing) want(s int, now float64) {
+func (p *LoadPoller) want(s int, now float64) {
 	if !p.wanted[s] && math.IsNaN(p.sentAt[s]) && now >= p.heardAt[s]+probeEvery {
 		p.wanted[s], p.queue = true, append(p.queue, s)
 	}
 }
 
 // pop takes the next that is wanted, or -1.
-func (p *Probing) pop() int {
+func (p *LoadPoller) pop() int {
 	if len(p.queue) == 0 {
 		return -1
 	}
@@ -281,10 +283,10 @@
 }
 
 // ask notes that the server is asked now.
-func (b *Balancer) ask(now float64, s int) Due {
+func (b *Balancer) ask(now float64, s int) Action {
 	b.probing.askedAt[s], b.probing.sentAt[s] = now, now
 	b.touch(s)
-	return Due{Probing: true, Probe: b.ids[s]}
+	return Action{Poll: true, Backend: b.ids[s]}
 }
 
 // draw is an exponential chance that depends on nothing but the mark and the server.
@@ -297,9 +299,9 @@
 
 type placed struct{ at, load float64 }
 
-// Effects keeps a link from running twice.
-type Effects struct {
-	categories []Category
+// AttemptPolicy keeps a link from running twice.
+type AttemptPolicy struct {
+	categories []Class
 	mostTries  int
 	maxBack    float64 // the longest wait a client follows; 0 where none may be told
 
@@ -307,20 +309,20 @@
 	width, cutAt      float64 // how many set-ups may be out at once
 	relays            float64
 	out               int
-	budget            *Budget // nil: none
-	yield             bool    // another process of this relay has that, and the budget of cold servers
+	budget            *RetryBudget // nil: none
+	yield             bool         // another process of this relay has that, and the budget of cold servers
 }
 
-// NewEffects takes the categories, the most setup tries of a link, the longest retry-after (0: none), the
+// NewAttemptPolicy takes the categories, the most setup tries of a link, the longest retry-after (0: none), the
 // number of relays and the budget of tries beyond a link's first (nil: none).
-func NewEffects(categories []Category, mostTries int, maxBack float64, relays int, budget *Budget) *Effects {
-	return &Effects{categories: categories, mostTries: mostTries, maxBack: maxBack, relays: float64(relays),
+func NewAttemptPolicy(categories []Class, mostTries int, maxBack float64, relays int, budget *RetryBudget) *AttemptPolicy {
+	return &AttemptPolicy{categories: categories, mostTries: mostTries, maxBack: maxBack, relays: float64(relays),
 		width: max(widest/float64(relays), 1), budget: budget}
 }
 
-// Shares values links: gain per load, less beyond a party's share.
-type Shares struct {
-	categories []Category
+// Quotas values links: gain per load, less beyond a party's share.
+type Quotas struct {
+	categories []Class
 	quotas     []float64 // links open in each party's share, for all relays together; 0: no share
 	beyond     float64
 	relays     float64
@@ -335,34 +337,34 @@
 }
 
 // weigh takes the load of a link of that category into the means.
-func (s *Shares) weigh(c int, load float64) {
+func (s *Quotas) weigh(c int, load float64) {
 	s.weighed[c] = min(s.weighed[c]+1, 50)
 	s.loads[c] += (load - s.loads[c]) / s.weighed[c]
 	s.known = min(s.known+1, 200)
 	s.loadMean += (load - s.loadMean) / s.known
 }
 
-// NewShares takes categories, the parties' quotas of open links, what gain beyond a share is worth, and the
+// NewQuotas takes categories, the parties' quotas of open links, what gain beyond a share is worth, and the
 // number of relays.
-func NewShares(categories []Category, quotas []float64, beyond float64, relays int) *Shares {
+func NewQuotas(categories []Class, quotas []float64, beyond float64, relays int) *Quotas {
 	n, quota := len(categories), 0.0
 	for _, q := range quotas {
 		quota += q
 	}
-	return &Shares{categories: categories, quotas: quotas, quota: quota, beyond: beyond, relays: float64(relays),
+	return &Quotas{categories: categories, quotas: quotas, quota: quota, beyond: beyond, relays: float64(relays),
 		held: make([]float64, len(quotas)), loads: make([]float64, n), weighed: make([]float64, n),
 		loadMean: 1}
 }
 
 // Balancer decides for one relay.
 type Balancer struct {
-	*Roster
-	turns   *Turns
-	health  Health
-	warmup  *Warmup
-	probing *Probing
-	effects *Effects
-	shares  *Shares
+	*EndpointSet
+	turns   *RoundRobin
+	health  OutlierDetector
+	warmup  *SlowStart
+	probing *LoadPoller
+	effects *AttemptPolicy
+	shares  *Quotas
 
 	zone      int
 	crossing  float64
@@ -378,19 +380,19 @@
 	part      float64 // of the fleet that is in use
 	ranks     []float64
 	track     track
-	admission *admission.Admission // nil: nothing is known from before the start
-	hushed    float64              // until which links wait, as news does
-	supposed  map[int]bool         // servers of a list that was kept, whose start nobody has told
+	admission *admission.Controller // nil: nothing is known from before the start
+	hushed    float64               // until which links wait, as news does
+	supposed  map[int]bool          // servers of a list that was kept, whose start nobody has told
 
-	directions []Direction // of a decision in common; none: there is none
-	seenZones  []ZoneLook
+	directions []ZoneWeight // of a decision in common; none: there is none
+	seenZones  []ZoneObservation
 }
 
 // New joins the parts. Zone is the relay's own; crossing is the fee for crossing zones; grouped,
 // that links of a group share work; passing, that links outlive their relay.
-func New(roster *Roster, turns *Turns, warmup *Warmup, probing *Probing, effects *Effects, shares *Shares,
+func New(roster *EndpointSet, turns *RoundRobin, warmup *SlowStart, probing *LoadPoller, effects *AttemptPolicy, shares *Quotas,
 	zone int, crossing float64, grouped, passing bool) *Balancer {
-	return &Balancer{Roster: roster, turns: turns, warmup: warmup, probing: probing, effects: effects,
+	return &Balancer{EndpointSet: roster, turns: turns, warmup: warmup, probing: probing, effects: effects,
 		shares: shares, zone: zone, crossing: crossing, grouped: grouped, passing: passing}
 }
 
@@ -451,9 +453,9 @@
 // doubt counts a failure of the server.
 func (b *Balancer) doubt(s int) { b.health.failed[s]++; b.turns.expire(); b.touch(s) }
 
-// Unasked takes that a probe that was due was not sent: it says nothing of the server, and is due again
+// PollNotSent takes that a probe that was due was not sent: it says nothing of the server, and is due again
 // later.
-func (b *Balancer) Unasked(id uint32) {
+func (b *Balancer) PollNotSent(id uint32) {
 	if s, known := b.index[id]; known {
 		b.probing.sentAt[s] = math.NaN()
 		b.touch(s)
@@ -462,7 +464,7 @@
 
 // fade takes off what time has taken off all that was said against servers; not at each call, as all fade
 // alike.
-func (h *Health) fade(now float64) {
+func (h *OutlierDetector) fade(now float64) {
 	if now < h.fadedAt+fadeEvery {
 		return
 	}
@@ -482,24 +484,24 @@
 
 // learn takes a link's first measured load. Against a young relay that measures links by one figure and the
 // servers by another, from before the first was known, and finds all servers full: both are told anew.
-func (b *Balancer) learn(l *Link, load float64) {
+func (b *Balancer) learn(l *Session, load float64) {
 	l.measured = true
-	b.shares.weigh(l.Category, load)
+	b.shares.weigh(l.Class, load)
 	if b.shares.known <= quotaFaith {
 		b.turns.expire()
 	}
 }
 
-func (b *Balancer) book(l *Link) {
+func (b *Balancer) book(l *Session) {
 	b.links[l.server]++
 	b.linkLoads[l.server] += l.load
-	if l.Party < len(b.shares.held) {
-		b.shares.held[l.Party]++
+	if l.Tenant < len(b.shares.held) {
+		b.shares.held[l.Tenant]++
 	}
 }
 
 // sent takes that a setup try of the link goes out.
-func (b *Balancer) sent(now float64, l *Link, s int) {
+func (b *Balancer) sent(now float64, l *Session, s int) {
 	b.effects.out++
 	if l.tries > 0 {
 		b.effects.budget.spend(now)
@@ -512,7 +514,7 @@
 }
 
 // outdate drops the links placed before then, which the latest figure holds.
-func (p *Probing) outdate(s int, then float64) {
+func (p *LoadPoller) outdate(s int, then float64) {
 	p.placed -= p.fresh[s]
 	p.fresh[s] = 0
 	p.since[s] = slices.DeleteFunc(p.since[s], func(x placed) bool { return x.at < then })
@@ -523,7 +525,7 @@
 }
 
 // unbook also takes a link that is over out of what the next report may not hold yet.
-func (b *Balancer) unbook(l *Link) {
+func (b *Balancer) unbook(l *Session) {
 	p, s := b.probing, l.server
 	if i := slices.IndexFunc(p.since[s], func(x placed) bool { return x.at == l.sent }); i >= 0 {
 		p.fresh[s] -= p.since[s][i].load
@@ -532,8 +534,8 @@
 	}
 	b.links[s]--
 	b.linkLoads[s] -= l.load
-	if l.Party < len(b.shares.held) {
-		b.shares.held[l.Party]--
+	if l.Tenant < len(b.shares.held) {
+		b.shares.held[l.Tenant]--
 	}
 }
 
@@ -559,9 +561,9 @@
 	return l, ok
 }
 
-// View tells what the balancer believes of a server: links booked on it, when it last reported (-Inf: never),
+// BackendStatus tells what the balancer believes of a server: links booked on it, when it last reported (-Inf: never),
 // and whether it is left out.
-func (b *Balancer) View(id uint32) (links int, heard float64, out bool) {
+func (b *Balancer) BackendStatus(id uint32) (links int, heard float64, out bool) {
 	s, known := b.index[id]
 	if !known {
 		return 0, math.Inf(-1), true
@@ -569,35 +571,35 @@
 	return b.links[s], b.probing.heardAt[s], b.condition[s] != Ready || !b.health.good(s)
 }
 
-// Census counts the servers that the list has, draining ones among them, and those of them that no new link
+// Counts counts the servers that the list has, draining ones among them, and those of them that no new link
 // is sent to now: they drain, or don't answer.
-func (b *Balancer) Census() (listed, avoided int) {
+func (b *Balancer) Counts() (listed, avoided int) {
 	return b.track.listed, b.track.listed - b.track.usable
 }
 
-// Yield has this process send nothing to cold servers, and nothing beyond a link's first try where there is a
+// SetDraining has this process send nothing to cold servers, and nothing beyond a link's first try where there is a
 // budget of those, while another of the same relay does: against two budgets.
-func (b *Balancer) Yield(on bool) { b.effects.yield = on }
+func (b *Balancer) SetDraining(on bool) { b.effects.yield = on }
 
-// Knows tells whether the settings name the category.
-func (b *Balancer) Knows(category int) bool { return category < len(b.effects.categories) }
+// HasClass tells whether the settings name the category.
+func (b *Balancer) HasClass(category int) bool { return category < len(b.effects.categories) }
 
-// Vanished takes that the client has left, and tells whether an outcome is still to come.
-func (b *Balancer) Vanished(l *Link) bool {
+// ClientDisconnected takes that the client has left, and tells whether an outcome is still to come.
+func (b *Balancer) ClientDisconnected(l *Session) bool {
 	l.gone = true
 	return l.out
 }
 
-// ListBegan starts news of the list; whole news lists every server there is.
-func (b *Balancer) ListBegan(whole bool) {
+// BeginEndpointUpdate starts news of the list; whole news lists every server there is.
+func (b *Balancer) BeginEndpointUpdate(whole bool) {
 	b.whole = whole
 	for s := range b.mentioned {
 		b.mentioned[s] = false
 	}
 }
 
-// Resumed takes a link that stood before this relay knew of it.
-func (b *Balancer) Resumed(now float64, l *Link, id uint32) {
+// SessionResumed takes a link that stood before this relay knew of it.
+func (b *Balancer) SessionResumed(now float64, l *Session, id uint32) {
 	s, ok := b.index[id]
 	if !ok {
 		s = b.add(id)
@@ -607,21 +609,21 @@
 	b.book(l)
 }
 
-// Adopted takes a link that stood at another process of this relay, with what it weighed there.
-func (b *Balancer) Adopted(now float64, l *Link, id uint32, load float64, measured bool) {
-	b.Resumed(now, l, id)
+// SessionReceived takes a link that stood at another process of this relay, with what it weighed there.
+func (b *Balancer) SessionReceived(now float64, l *Session, id uint32, load float64, measured bool) {
+	b.SessionResumed(now, l, id)
 	b.linkLoads[l.server] += load - l.load
 	l.load, l.measured = load, measured
 }
 
 // Load is what a link is held to weigh, and whether that was measured.
-func (l *Link) Load() (load float64, measured bool) { return l.load, l.measured }
+func (l *Session) Load() (load float64, measured bool) { return l.load, l.measured }
 
 // expire has the table built anew at the next link.
-func (t *Turns) expire() { t.stale, t.built = true, math.Inf(-1) }
+func (t *RoundRobin) expire() { t.stale, t.built = true, math.Inf(-1) }
 
 // next walks on to the first bucket whose server may take the link.
-func (t *Turns) next(may func(server int) bool) int {
+func (t *RoundRobin) next(may func(server int) bool) int {
 	for range t.table {
 		s := t.table[t.at].server
 		t.at = (t.at + 1) % len(t.table)
--- a/balancer/zones.go
+++ b/balancer/zones.go
@@ -8,32 +8,32 @@
 // zone's servers as ever. It acts only while Direct holds parts. What is decided comes from outside; nothing
 // is decided here.
 
-// ZoneLook is what this relay has seen of a zone: tries and probes since its start, those without an answer
+// ZoneObservation is what this relay has seen of a zone: tries and probes since its start, those without an answer
 // in time, and what its servers hold and bear now, in what one of them bears.
-type ZoneLook struct {
-	Tries  float64 `json:"Tries"`
-	Failed float64 `json:"Failed"`
-	Probes float64 `json:"Probes"`
-	Silent float64 `json:"Silent"`
-	Load   float64 `json:"Load"`
-	Room   float64 `json:"Room"`
+type ZoneObservation struct {
+	Attempts        float64 `json:"Tries"`
+	FailedAttempts  float64 `json:"Failed"`
+	Polls           float64 `json:"Probes"`
+	UnansweredPolls float64 `json:"Silent"`
+	Load            float64 `json:"Load"`
+	Capacity        float64 `json:"Room"`
 }
 
-// Direction is a zone that a part of the links is meant for. An open one also takes links meant for others
+// ZoneWeight is a zone that a part of the links is meant for. An open one also takes links meant for others
 // that find no room there.
-type Direction struct {
-	Zone int     `json:"Zone"`
-	Part float64 `json:"Part"`
-	Open bool    `json:"Open"`
+type ZoneWeight struct {
+	Zone            int     `json:"Zone"`
+	Weight          float64 `json:"Part"`
+	AcceptsOverflow bool    `json:"Open"`
 }
 
-// Direct has links meant for zones by those parts from now on; none: wherever there is room, as ever.
-func (b *Balancer) Direct(parts []Direction) { b.directions = parts }
+// SetZoneWeights has links meant for zones by those parts from now on; none: wherever there is room, as ever.
+func (b *Balancer) SetZoneWeights(parts []ZoneWeight) { b.directions = parts }
 
 // shut tells whether no zone is to have anything: an operators' order, as no decision by itself goes so far.
 func (b *Balancer) shut() bool {
 	for _, d := range b.directions {
-		if d.Open || d.Part > 0 {
+		if d.AcceptsOverflow || d.Weight > 0 {
 			return false
 		}
 	}
@@ -41,17 +41,17 @@
 }
 
 // aim is the zone that a link is meant for, or -1. Groups and keys that are kept together draw together.
-func (b *Balancer) aim(l *Link) int {
+func (b *Balancer) aim(l *Session) int {
 	if len(b.directions) == 0 {
 		return -1
 	}
 	all := 0.0 // the whole, but for what nobody has room for: that takes its chance with the rest
 	for _, d := range b.directions {
-		all += d.Part
+		all += d.Weight
 	}
 	lot := all * (1 - math.Exp(-draw(b.mark(l), 0)))
 	for _, d := range b.directions {
-		if lot -= d.Part; lot < 0 {
+		if lot -= d.Weight; lot < 0 {
 			return d.Zone
 		}
 	}
@@ -63,7 +63,7 @@
 func (b *Balancer) may(s, aim int) bool {
 	for _, d := range b.directions {
 		if d.Zone == b.zones[s] {
-			return d.Open || d.Zone == aim
+			return d.AcceptsOverflow || d.Zone == aim
 		}
 	}
 	return true
@@ -72,44 +72,44 @@
 // tried and asked count how tries and probes end, by zone.
 func (b *Balancer) tried(s int, failed bool) {
 	if look := b.looks(b.zones[s]); look != nil {
-		if look.Tries++; failed {
-			look.Failed++
+		if look.Attempts++; failed {
+			look.FailedAttempts++
 		}
 	}
 }
 
 func (b *Balancer) answered(s int, ok bool) {
 	if look := b.looks(b.zones[s]); look != nil {
-		if look.Probes++; !ok {
-			look.Silent++
+		if look.Polls++; !ok {
+			look.UnansweredPolls++
 		}
 	}
 }
 
 const mostZones = 256 // that are counted
 
-func (b *Balancer) looks(zone int) *ZoneLook {
+func (b *Balancer) looks(zone int) *ZoneObservation {
 	if zone < 0 || zone >= mostZones {
 		return nil
 	}
 	for len(b.seenZones) <= zone {
-		b.seenZones = append(b.seenZones, ZoneLook{})
+		b.seenZones = append(b.seenZones, ZoneObservation{})
 	}
 	return &b.seenZones[zone]
 }
 
-// Zones gives what was seen of each zone, by its number, and what this relay's own links weigh together in
+// ZoneObservations gives what was seen of each zone, by its number, and what this relay's own links weigh together in
 // what one server bears.
-func (b *Balancer) Zones(now float64) (all []ZoneLook, demand float64) {
+func (b *Balancer) ZoneObservations(now float64) (all []ZoneObservation, demand float64) {
 	all = append(all, b.seenZones...)
 	for s, c := range b.condition {
 		if z := b.zones[s]; c == Ready && z >= 0 && z < mostZones {
 			for len(all) <= z {
-				all = append(all, ZoneLook{})
+				all = append(all, ZoneObservation{})
 			}
 			if b.health.good(s) {
 				all[z].Load += b.load(s, now)
-				all[z].Room += b.warmup.part(s, now)
+				all[z].Capacity += b.warmup.part(s, now)
 			}
 		}
 		demand += b.linkLoads[s]
--- a/balancer/zones_test.go
+++ b/balancer/zones_test.go
@@ -12,37 +12,37 @@
 func TestDirected(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		parts []Direction
+		parts []ZoneWeight
 		loads []float64 // of servers in zones 0, 1, 0, 1 ...
 		want  [2]float64
 	}{
-		{"all near", []Direction{{0, 1, true}, {1, 0, true}}, []float64{0.1, 0.1, 0.1, 0.1}, [2]float64{1, 0}},
-		{"near as long as there is room", []Direction{{0, 1, true}, {1, 0, true}}, []float64{0.7, 0.1, 0.7, 0.1},
+		{"all near", []ZoneWeight{{0, 1, true}, {1, 0, true}}, []float64{0.1, 0.1, 0.1, 0.1}, [2]float64{1, 0}},
+		{"near as long as there is room", []ZoneWeight{{0, 1, true}, {1, 0, true}}, []float64{0.7, 0.1, 0.7, 0.1},
 			[2]float64{1, 0}},
-		{"full, and the other is open", []Direction{{0, 1, true}, {1, 0, true}}, []float64{1.5, 0.1, 1.5, 0.1},
+		{"full, and the other is open", []ZoneWeight{{0, 1, true}, {1, 0, true}}, []float64{1.5, 0.1, 1.5, 0.1},
 			[2]float64{0, 1}},
-		{"full, and the other is closed", []Direction{{0, 1, true}, {1, 0, false}}, []float64{1.5, 0.1, 1.5, 0.1},
+		{"full, and the other is closed", []ZoneWeight{{0, 1, true}, {1, 0, false}}, []float64{1.5, 0.1, 1.5, 0.1},
 			[2]float64{0, 0}},
-		{"emptied", []Direction{{0, 0, false}, {1, 1, true}}, []float64{0.1, 0.1, 0.1, 0.1}, [2]float64{0, 1}},
-		{"a share", []Direction{{0, 0.3, false}, {1, 0.7, true}}, []float64{0.1, 0.1, 0.1, 0.1},
+		{"emptied", []ZoneWeight{{0, 0, false}, {1, 1, true}}, []float64{0.1, 0.1, 0.1, 0.1}, [2]float64{0, 1}},
+		{"a share", []ZoneWeight{{0, 0.3, false}, {1, 0.7, true}}, []float64{0.1, 0.1, 0.1, 0.1},
 			[2]float64{0.3, 0.7}},
-		{"a share, and some left", []Direction{{0, 0.3, false}, {1, 0.3, true}}, []float64{0.1, 0.1, 0.1, 0.1},
+		{"a share, and some left", []ZoneWeight{{0, 0.3, false}, {1, 0.3, true}}, []float64{0.1, 0.1, 0.1, 0.1},
 			[2]float64{0.5, 0.5}},
-		{"a zone that nobody decided on", []Direction{{1, 0, false}}, []float64{0.1, 0.1, 0.1, 0.1},
+		{"a zone that nobody decided on", []ZoneWeight{{1, 0, false}}, []float64{0.1, 0.1, 0.1, 0.1},
 			[2]float64{1, 0}},
 		{"none", nil, []float64{0.1, 0.1, 0.1, 0.1}, [2]float64{0.5, 0.5}},
 	} {
 		b := fleet{Loads: c.loads, Seed: 3}.build(t)
-		b.Direct(c.parts)
+		b.SetZoneWeights(c.parts)
 		var got [2]float64
 		const links = 2000
 		for range links {
 			l := arrive(start)
-			l.Hint = 1
-			if a := b.Place(start, l); a.Verdict == Send {
+			l.LoadHint = 1
+			if a := b.Assign(start, l); a.Kind == Assign {
 				got[(a.Backend-1)%2] += 1.0 / links
-				b.Accepted(start, l)
-				b.After(start, l, Satisfied, true)
+				b.SessionEstablished(start, l)
+				b.AttemptFinished(start, l, OutcomeSucceeded, true)
 			}
 		}
 		assert.InDeltaSlice(t, c.want[:], got[:], 0.05, c.name)
@@ -52,21 +52,21 @@
 // What was seen of zones: tries and probes by how they ended, what servers hold and bear.
 func TestZonesSeen(t *testing.T) {
 	b := fleet{Loads: []float64{0.1, 0.3, 0.1, 0.3}, Seed: 3}.build(t)
-	b.Direct([]Direction{{1, 1, true}})
-	for i, outcome := range []Outcome{Satisfied, TimedOut, TurnedAway, Broken} {
+	b.SetZoneWeights([]ZoneWeight{{1, 1, true}})
+	for i, outcome := range []AttemptOutcome{OutcomeSucceeded, OutcomeTimedOut, OutcomeRejected, OutcomeConnectionLost} {
 		l := arrive(start)
-		if a := b.Place(start, l); assert.Equal(t, Send, a.Verdict) && outcome == Satisfied {
-			b.Accepted(start, l)
+		if a := b.Assign(start, l); assert.Equal(t, Assign, a.Kind) && outcome == OutcomeSucceeded {
+			b.SessionEstablished(start, l)
 		} else {
-			b.After(start, l, outcome, true)
+			b.AttemptFinished(start, l, outcome, true)
 		}
-		b.Probed(start, uint32(i+1), i != 2, []float64{0, 0.2})
+		b.PollFinished(start, uint32(i+1), i != 2, []float64{0, 0.2})
 	}
-	all, demand := b.Zones(start)
-	assert.Equal(t, []float64{0, 0, 2, 1}, []float64{all[0].Tries, all[0].Failed, all[0].Probes, all[0].Silent})
-	assert.Equal(t, []float64{4, 2, 2, 0}, []float64{all[1].Tries, all[1].Failed, all[1].Probes, all[1].Silent})
+	all, demand := b.ZoneObservations(start)
+	assert.Equal(t, []float64{0, 0, 2, 1}, []float64{all[0].Attempts, all[0].FailedAttempts, all[0].Polls, all[0].UnansweredPolls})
+	assert.Equal(t, []float64{4, 2, 2, 0}, []float64{all[1].Attempts, all[1].FailedAttempts, all[1].Polls, all[1].UnansweredPolls})
 	assert.Positive(t, all[1].Load)
-	assert.Equal(t, 2.0, all[1].Room)
+	assert.Equal(t, 2.0, all[1].Capacity)
 	assert.False(t, math.IsNaN(demand) || demand < 0)
 }
 
@@ -74,8 +74,8 @@
 // a zone may have it.
 func TestShut(t *testing.T) {
 	b := fleet{Loads: []float64{0.1, 0.1}, Seed: 3}.build(t)
-	b.Direct([]Direction{{0, 0, false}, {1, 0, false}})
-	assert.Equal(t, Reject, b.Place(start, arrive(start)).Verdict)
-	b.Direct([]Direction{{0, 0, false}, {1, 1, true}})
-	assert.Equal(t, Send, b.Place(start, arrive(start)).Verdict)
+	b.SetZoneWeights([]ZoneWeight{{0, 0, false}, {1, 0, false}})
+	assert.Equal(t, Reject, b.Assign(start, arrive(start)).Kind)
+	b.SetZoneWeights([]ZoneWeight{{0, 0, false}, {1, 1, true}})
+	assert.Equal(t, Assign, b.Assign(start, arrive(start)).Kind)
 }
--- a/cmd/valeshift-coordinator/main.go
+++ b/cmd/valeshift-coordinator/main.go
@@ -34,7 +34,7 @@
 	err := errors.New("which file?")
 	switch {
 	case l.Check != "":
-		_, err = coordinator.ReadFile(l.Check)
+		_, err = coordinator.LoadConfig(l.Check)
 	case l.File != "":
 		err = serve(l.File, log, signals)
 	}
@@ -45,7 +45,7 @@
 }
 
 func serve(path string, log *slog.Logger, signals <-chan os.Signal) error {
-	f, err := coordinator.ReadFile(path)
+	f, err := coordinator.LoadConfig(path)
 	if err != nil {
 		return err
 	}
@@ -53,11 +53,11 @@
 	if err != nil {
 		return err
 	}
-	called, err := net.Listen("tcp", f.Ops)
+	called, err := net.Listen("tcp", f.AdminAddress)
 	if err != nil {
 		return fmt.Errorf("ops: %w", err)
 	}
-	me, voters, zones := f.Council()
+	me, voters, zones := f.Topology()
 	r, err := coordinator.Start(me, voters, zones, key, folder(f.Folder), log)
 	if err != nil {
 		return err
@@ -76,8 +76,8 @@
 			continue
 		}
 		f = next
-		_, _, zones = f.Council()
-		r.Over(zones)
+		_, _, zones = f.Topology()
+		r.SetZones(zones)
 		log.Info("zones", "count", len(zones))
 	}
 	server.Close()
--- a/cmd/valeshift-testbed/main.go
+++ b/cmd/valeshift-testbed/main.go
@@ -41,7 +41,7 @@
 
 // Run serves until it is stopped.
 func (c *forwardCommand) Run(ctx context.Context) error {
-	return cost.Forward(ctx, os.Stdin, c.Address)
+	return cost.RunForwarder(ctx, os.Stdin, c.Address)
 }
 
 type costCommand struct {
@@ -71,18 +71,18 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	var all []*cost.Figures
+	var all []*cost.Result
 	for _, n := range c.Servers {
-		figures, err := cost.Measure(ctx, cost.Plan{Relay: []string{relay}, Forwarder: []string{own, "forward"},
-			Servers: n, Clients: c.Clients, Lasts: c.Lasts, Standing: c.Standing, Every: c.Every, Idle: c.Idle,
+		figures, err := cost.Measure(ctx, cost.Plan{RelayCommand: []string{relay}, ForwarderCommand: []string{own, "forward"},
+			Servers: n, Clients: c.Clients, Duration: c.Lasts, ActiveSessions: c.Standing, LineInterval: c.Every, IdleSessions: c.Idle,
 			Rounds: c.Rounds, Dir: dir})
 		if err != nil {
 			return err
 		}
 		for _, f := range figures {
 			fmt.Printf("%5d servers  %-9s %7.0f set-ups/s (%d failed) %7.0f a CPU second  line p50 %.3f p99 %.3f "+
-				"p99.9 %.3f ms  %.1f us CPU a line  %.0f bytes a link (%d)\n", f.Servers, f.Way, f.PerSecond, f.Failed,
-				f.PerCPU, f.P50, f.P99, f.P999, f.LineCPU, f.Memory, f.Idle)
+				"p99.9 %.3f ms  %.1f us CPU a line  %.0f bytes a link (%d)\n", f.Servers, f.Path, f.SetupsPerSecond, f.Failed,
+				f.SetupsPerCPUSecond, f.LineP50Millis, f.LineP99Millis, f.LineP999Millis, f.CPUMicrosPerLine, f.BytesPerSession, f.IdleSessions)
 		}
 		all = append(all, figures...)
 	}
--- a/cmd/valeshift/fleet.go
+++ b/cmd/valeshift/fleet.go
@@ -121,13 +121,13 @@
 		if _, err := ask(client, c.Address, "/_fleet", &s); err != nil {
 			return fmt.Errorf("it was told to leave, and says no more: %w", err)
 		}
-		if !s.Lame {
+		if !s.Draining {
 			return fmt.Errorf("it does not leave: %s", said)
 		}
-		left, held := s.Links, 0
-		if s.Holdings != nil {
-			for _, k := range s.Holdings.Kinds {
-				held += k.Held
+		left, held := s.Sessions, 0
+		if s.Replication != nil {
+			for _, k := range s.Replication.Kinds {
+				held += k.Stored
 			}
 		}
 		if left == 0 && held == 0 {
@@ -147,41 +147,41 @@
 
 func show(to io.Writer, address string, s *fleet.Status) {
 	p := s.Recovery
-	fmt.Fprintf(to, "%s  %s for %.1f s: %s\n", address, p.Phase, p.For/1000, p.Why)
+	fmt.Fprintf(to, "%s  %s for %.1f s: %s\n", address, p.Phase, p.PhaseMillis/1000, p.Reason)
 	fmt.Fprintf(to, "  start %d, order %d, empty %t, %d links, %d turned away in the last second\n", s.Boot,
-		s.Order, s.Lame, s.Links, s.Waiting)
+		s.Order, s.Draining, s.Sessions, s.RejectedLastSecond)
 	fmt.Fprintf(to, "  list told by discovery %t, %d of %d servers cold, this relay's part of what they bear %.3f\n",
-		p.ListTold, s.Cold, s.Usable, p.Part)
-	if s.Disk != "" {
-		fmt.Fprintf(to, "  disk: %s\n", s.Disk)
+		p.EndpointsConfirmed, s.WarmingUp, s.Usable, p.CapacityShare)
+	if s.DiskFault != "" {
+		fmt.Fprintf(to, "  disk: %s\n", s.DiskFault)
 	}
-	if s.Ahead != 0 {
-		fmt.Fprintf(to, "  its time is %.1f s ahead of the fleet's\n", s.Ahead/1000)
+	if s.AheadMillis != 0 {
+		fmt.Fprintf(to, "  its time is %.1f s ahead of the fleet's\n", s.AheadMillis/1000)
 	}
-	if s.Twin {
+	if s.HasDuplicate {
 		fmt.Fprintln(to, "  ANOTHER PROCESS SERVES UNDER THIS RELAY'S NAME")
 	}
-	if h := s.Holdings; h != nil {
+	if h := s.Replication; h != nil {
 		n := h.Counts["places"]
 		fmt.Fprintf(to, "  holds %d places, %d marks and %d orders for others; enough relays for a promise %t\n",
-			h.Kinds["places"].Held, h.Kinds["marks"].Held, h.Kinds["orders"].Held, h.Able)
+			h.Kinds["places"].Stored, h.Kinds["marks"].Stored, h.Kinds["orders"].Stored, h.HasEnoughMembers)
 		fmt.Fprintf(to, "  places held by others %d, not in time %d; taken %d, used before %d, not got in time %d\n",
-			n.Promised, n.Refused, n.Took, n.Again, n.Missed)
+			n.Replicated, n.NotReplicated, n.Found, n.AlreadyUsed, n.Missed)
 		n = h.Counts["marks"]
 		fmt.Fprintf(to, "  tries marked at others %d, not in time %d; clients' further tries that met a mark %d\n",
-			n.Promised, n.Refused, n.Took)
-		fmt.Fprintf(to, "  the latest words took %.1f ms to be held in the middle, %.1f ms at p99\n", h.P50, h.P99)
+			n.Replicated, n.NotReplicated, n.Found)
+		fmt.Fprintf(to, "  the latest words took %.1f ms to be held in the middle, %.1f ms at p99\n", h.P50Millis, h.P99Millis)
 	}
-	for _, line := range p.Took {
+	for _, line := range p.Accepted {
 		fmt.Fprintf(to, "  believed: %s\n", line)
 	}
-	for _, line := range p.Left {
+	for _, line := range p.Discarded {
 		fmt.Fprintf(to, "  left out: %s\n", line)
 	}
 	w := tabwriter.NewWriter(to, 2, 8, 2, ' ', 0)
 	for _, m := range s.Members {
 		fmt.Fprintf(w, "  %s\t%s\t%s\tstart %d\tup %.0f s\theard %.1f s ago\tzone %s\tlist %d\t%d links\n",
-			m.Name, m.State, m.Phase, m.Boot, m.Age/1000, m.Quiet/1000, m.Zone, m.List, m.Links)
+			m.Name, m.State, m.Phase, m.Boot, m.AgeMillis/1000, m.SilentMillis/1000, m.Zone, m.EndpointsVersion, m.Sessions)
 	}
 	w.Flush()
 }
--- a/cmd/valeshift/golden_test.go
+++ b/cmd/valeshift/golden_test.go
@@ -131,6 +131,6 @@
 	got, err := json.Marshal(fields)
 	require.NoError(t, err)
 	assert.Equal(t, golden(t, "order.json"), string(got)+"\n")
-	var order failover.Order
+	var order failover.OperatorOrder
 	require.NoError(t, json.Unmarshal([]byte((*bodies)[0]), &order))
 }
--- a/cmd/valeshift/holdings.go
+++ b/cmd/valeshift/holdings.go
@@ -39,25 +39,25 @@
 
 // Run sums what the relays say.
 func (c *holdingsShow) Run() error {
-	standing, counts := map[string]replication.Standing{}, map[string]replication.Counts{}
+	standing, counts := map[string]replication.KindStatus{}, map[string]replication.Counts{}
 	for _, address := range c.Addresses {
 		var s fleet.Status
 		if _, err := ask(calls(c.Within), address, "/_fleet", &s); err != nil {
 			return fmt.Errorf("%s: %w", address, err)
 		}
-		if s.Holdings == nil {
+		if s.Replication == nil {
 			return fmt.Errorf("%s: it holds nothing for others, as its operators' file names no copies", address)
 		}
-		if !s.Holdings.Able {
+		if !s.Replication.HasEnoughMembers {
 			fmt.Printf("%s: not enough relays for a promise\n", address)
 		}
-		for kind, k := range s.Holdings.Kinds {
+		for kind, k := range s.Replication.Kinds {
 			sum := standing[kind]
-			sum.Held, sum.Open, sum.Under, sum.Short = sum.Held+k.Held, sum.Open+k.Open, sum.Under+k.Under,
-				sum.Short+k.Short
+			sum.Stored, sum.Open, sum.UnderReplicated, sum.BelowQuorum = sum.Stored+k.Stored, sum.Open+k.Open, sum.UnderReplicated+k.UnderReplicated,
+				sum.BelowQuorum+k.BelowQuorum
 			standing[kind] = sum
 		}
-		for kind, k := range s.Holdings.Counts {
+		for kind, k := range s.Replication.Counts {
 			sum := counts[kind]
 			sum.Add(k)
 			counts[kind] = sum
@@ -67,8 +67,8 @@
 	fmt.Fprintln(w, "kind\tcopies\topen\tunder-copied\tshort\tpromised\trefused\tfull\tsought\tfound\tused before\tmissed\t")
 	for _, kind := range sorted(counts) {
 		s, n := standing[kind], counts[kind]
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", kind, s.Held, s.Open, s.Under, s.Short,
-			n.Promised, n.Refused, n.Full, n.Sought, n.Took, n.Again, n.Missed)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", kind, s.Stored, s.Open, s.UnderReplicated, s.BelowQuorum,
+			n.Replicated, n.NotReplicated, n.RejectedFull, n.Lookups, n.Found, n.AlreadyUsed, n.Missed)
 	}
 	return w.Flush()
 }
@@ -83,7 +83,7 @@
 
 // pages reads all that a relay holds.
 func (c *asked) pages(address string, take func(p *replication.Page) error) error {
-	for part := range replication.Parts {
+	for part := range replication.Partitions {
 		var p replication.Page
 		if _, err := ask(calls(c.Within), address, fmt.Sprintf("/_holdings?part=%d", part), &p); err != nil {
 			return fmt.Errorf("%s: %w", address, err)
@@ -107,8 +107,8 @@
 			for _, r := range p.Records {
 				if err := out.Encode(struct {
 					Holder string `json:"Holder"`
-					replication.Shown
-				}{p.Name, r}); err != nil {
+					replication.RecordSnapshot
+				}{p.Relay, r}); err != nil {
 					return err
 				}
 			}
@@ -137,11 +137,11 @@
 		f := found[kind]
 		fmt.Printf("%s: %d open, %d whole, %d under-copied, %d short, %d with holders that were not asked\n", kind,
 			f.Records,
-			f.Whole, f.Under, f.Short, f.Unknown)
-		for _, what := range f.Wrong {
+			f.FullyReplicated, f.UnderReplicated, f.BelowQuorum, f.Unknown)
+		for _, what := range f.Inconsistencies {
 			fmt.Println("  WRONG:", what)
 		}
-		bad += len(f.Wrong) + f.Short
+		bad += len(f.Inconsistencies) + f.BelowQuorum
 	}
 	if bad > 0 {
 		return errors.New("not all is as it was promised")
--- a/cmd/valeshift/main.go
+++ b/cmd/valeshift/main.go
@@ -56,12 +56,12 @@
 // Run serves. All errors are logged here, in the form that the operators chose.
 func (runCommand) Run(l *line, signals signals) error {
 	log := config.NewLogger(os.Stderr, config.Log{})
-	told, file, err := read(l, relay.ReadTold)
+	told, file, err := read(l, relay.LoadConfig)
 	if err != nil {
 		log.Slog().Error("bad configuration", "err", err)
 		return err
 	}
-	log.Change(file.Log)
+	log.Configure(file.Log)
 	// One more than the cores: while the poller sits in its system call, another thread serves the rest at once.
 	runtime.GOMAXPROCS(max(int(told.Cores), 1) + 1)
 	if told.MemoryMB > 0 {
@@ -72,18 +72,18 @@
 		debug.SetMemoryLimit(int64(told.MemoryMB * part * (1 << 20)))
 	}
 	told.Clock = clock
-	told.ReportAge = float64(file.Servers.ReportAge)
+	told.MaxReportAgeMillis = float64(file.Backends.MaxReportAge)
 	mates, err := mates(told, file, log.Slog())
 	if err != nil {
 		log.Slog().Error("bad configuration", "err", err)
 		return err
 	}
-	again := func() (*relay.Told, func(), error) {
-		told, file, err := read(l, relay.ReadAgain)
+	again := func() (*relay.Config, func(), error) {
+		told, file, err := read(l, relay.ReloadConfig)
 		if err != nil {
 			return nil, nil, err
 		}
-		return told, func() { log.Change(file.Log) }, nil
+		return told, func() { log.Configure(file.Log) }, nil
 	}
 	err = relay.Serve(told, mates, again, log.Slog(), signals.stop, signals.print, signals.reload)
 	if err != nil {
@@ -93,42 +93,42 @@
 }
 
 // mates is what the operators' file says of other relays and a disk; nil where it names neither.
-func mates(told *relay.Told, file *config.File, log *slog.Logger) (relay.Mates, error) {
+func mates(told *relay.Config, file *config.File, log *slog.Logger) (relay.Fleet, error) {
 	p := file.Peers
 	if p.Listen == "" && file.Disk.Folder == "" {
 		return nil, nil
 	}
-	var others *fleet.Peers
+	var others *fleet.Config
 	if p.Listen != "" {
-		others = &fleet.Peers{Listen: p.Listen, Zone: p.Zone, Region: p.Region, KeyFile: p.KeyFile, Seeds: p.Seeds,
-			Only: p.Only, Voters: file.Council.Voters, Copies: file.Holdings.Copies,
-			Remember: float64(file.Holdings.Remember), Stood: file.Holdings.Stood}
+		others = &fleet.Config{Listen: p.Listen, Zone: p.Zone, Region: p.Region, KeyFile: p.KeyFile, Seeds: p.Seeds,
+			SeedsOnly: p.SeedsOnly, Voters: file.Coordinators.Voters, Copies: file.Replication.Copies,
+			MarkerRetentionMillis: float64(file.Replication.MarkerRetention), ReplicateAffinity: file.Replication.Affinity}
 	}
 	var disk store.FS
 	if file.Disk.Folder != "" {
 		disk = folder(file.Disk.Folder)
 	}
-	told.Besides = fleet.Files
-	return fleet.NewRun(told.Name, others, disk, file.Disk.MostMB<<20, clock, log)
+	told.ReservedDescriptors = fleet.MaxDescriptors
+	return fleet.NewNode(told.Name, others, disk, file.Disk.MaxMegabytes<<20, clock, log)
 }
 
 type checkCommand struct{}
 
 // Run checks what a start would, by the same steps.
 func (checkCommand) Run(l *line) error {
-	told, file, err := read(l, relay.ReadTold)
+	told, file, err := read(l, relay.LoadConfig)
 	if err == nil {
 		_, err = mates(told, file, slog.New(slog.DiscardHandler))
 	}
 	if err == nil {
-		err = relay.Check(told)
+		err = relay.CheckConfig(told)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "valeshift: check:", err)
 		return err
 	}
 	_, err = fmt.Printf("ok: %s listens on %s, discovery %s, %d servers known\n",
-		told.Name, told.Listen, told.Discovery, len(told.Known.Entries))
+		told.Name, told.Listen, told.Discovery, len(told.InitialEndpoints.Endpoints))
 	return err
 }
 
@@ -152,13 +152,13 @@
 }
 
 // read reads the platform's file by the function given, and the operators'.
-func read(l *line, platform func(func(string) string) (*relay.Told, error)) (*relay.Told, *config.File,
+func read(l *line, platform func(func(string) string) (*relay.Config, error)) (*relay.Config, *config.File,
 	error) {
 	told, err := platform(os.Getenv)
 	if err != nil {
 		return nil, nil, err
 	}
-	file, err := config.Read(l.Operator)
+	file, err := config.Load(l.Operator)
 	return told, file, err
 }
 
--- a/cmd/valeshift/zone.go
+++ b/cmd/valeshift/zone.go
@@ -49,12 +49,12 @@
 	if c.Zone == "" {
 		return errors.New("which zone?")
 	}
-	o := failover.Order{ID: c.ID, Zone: c.Zone, Do: c.Do, Reason: c.Reason, Who: c.Who, Force: c.Force}
+	o := failover.OperatorOrder{ID: c.ID, Zone: c.Zone, Action: c.Do, Reason: c.Reason, IssuedBy: c.Who, Force: c.Force}
 	if o.ID == "" {
 		o.ID = rand.Text()
 	}
 	if c.For > 0 {
-		o.Until = float64(time.Now().Add(c.For).UnixMilli())
+		o.ExpiresAt = float64(time.Now().Add(c.For).UnixMilli())
 	}
 	body, err := json.Marshal(o)
 	if err != nil {
@@ -71,7 +71,7 @@
 		answer.Body.Close()
 		switch answer.StatusCode {
 		case http.StatusOK:
-			var e failover.Entry
+			var e failover.Decision
 			if err := json.Unmarshal(text, &e); err != nil {
 				return err
 			}
@@ -92,13 +92,13 @@
 		Me struct {
 			Name string `json:"Name"`
 		} `json:"Me"`
-		Leads  bool             `json:"Leads"`
-		Leader string           `json:"Leader"`
-		Role   string           `json:"Role"`
-		Aside  string           `json:"Aside"`
-		Number uint64           `json:"Number"`
-		Zones  []failover.Zone  `json:"Zones"`
-		Orders []failover.Order `json:"Orders"`
+		Leads  bool                     `json:"Leads"`
+		Leader string                   `json:"Leader"`
+		Role   string                   `json:"Role"`
+		Aside  string                   `json:"Aside"`
+		Number uint64                   `json:"Number"`
+		Zones  []failover.Zone          `json:"Zones"`
+		Orders []failover.OperatorOrder `json:"Orders"`
 	}
 	led := false
 	for _, address := range c.Council {
@@ -112,14 +112,14 @@
 			continue
 		}
 		if c.Do == "history" {
-			var all []failover.Entry
+			var all []failover.Decision
 			if err := get(client, address, "/history", &all); err != nil {
 				return err
 			}
 			for _, e := range all {
-				at := time.UnixMilli(int64(e.At)).UTC().Format(time.RFC3339)
-				if e.Refused != "" {
-					e.Cause += "; refused: " + e.Refused
+				at := time.UnixMilli(int64(e.ProposedAt)).UTC().Format(time.RFC3339)
+				if e.Rejection != "" {
+					e.Cause += "; refused: " + e.Rejection
 				}
 				fmt.Printf("  %d  %s  %s\n", e.Number, at, e.Cause)
 			}
@@ -127,7 +127,7 @@
 		}
 		zones(s.Zones)
 		for _, o := range s.Orders {
-			fmt.Printf("  order %s: %s %s by %s: %s\n", o.ID, o.Do, o.Zone, o.Who, o.Reason)
+			fmt.Printf("  order %s: %s %s by %s: %s\n", o.ID, o.Action, o.Zone, o.IssuedBy, o.Reason)
 		}
 	}
 	if !led {
@@ -149,10 +149,10 @@
 	w := tabwriter.NewWriter(os.Stdout, 2, 8, 2, ' ', 0)
 	for _, z := range all {
 		to := ""
-		for _, p := range z.To {
-			to += fmt.Sprintf(" %s %.2f", p.Zone, p.Part)
+		for _, p := range z.Diversions {
+			to += fmt.Sprintf(" %s %.2f", p.Zone, p.Fraction)
 		}
-		fmt.Fprintf(w, "  %s\t%s\t%s\t%.2f\tto%s\t%s\n", z.Name, z.Region, z.State, z.Share, to, z.Why)
+		fmt.Fprintf(w, "  %s\t%s\t%s\t%.2f\tto%s\t%s\n", z.Name, z.Region, z.State, z.Share, to, z.Reason)
 	}
 	w.Flush()
 }
--- a/cmd/valeshift/zone_test.go
+++ b/cmd/valeshift/zone_test.go
@@ -112,10 +112,10 @@
 		return words(&zoneLine{}, "valeshift zone", []string{"hold", "d", "--for=1h", "--council", address})
 	})
 	require.NoError(t, err)
-	var order failover.Order
+	var order failover.OperatorOrder
 	require.NoError(t, json.Unmarshal(leader.order, &order))
-	assert.GreaterOrEqual(t, order.Until, float64(before))
-	assert.LessOrEqual(t, order.Until, float64(time.Now().Add(time.Hour).UnixMilli()))
+	assert.GreaterOrEqual(t, order.ExpiresAt, float64(before))
+	assert.LessOrEqual(t, order.ExpiresAt, float64(time.Now().Add(time.Hour).UnixMilli()))
 	assert.NotEmpty(t, order.ID, "drawn, as none was given")
 }
 
--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -16,7 +16,7 @@
 
 // link is a link in hand.
 type link struct {
-	dispatch.Link
+	dispatch.Entry
 	id uint32
 }
 
@@ -24,7 +24,7 @@
 type instance struct {
 	number  uint16
 	host    *host
-	table   *dispatch.Table[*link] // nil: not begun
+	table   *dispatch.Dispatcher[*link] // nil: not begun
 	links   map[uint32]*link
 	wake    float64 // when the timer that counts fires
 	ticket  uint32
@@ -123,11 +123,11 @@
 			return in.Err
 		}
 		*i = instance{number: i.number, host: h, touched: true, links: map[uint32]*link{}, wake: math.Inf(1)}
-		balancer, err := settings.Over(wire.Pairs(string(text))).Assemble(seed)
+		balancer, err := settings.NewReader(wire.Pairs(string(text))).BuildBalancer(seed)
 		if err != nil {
 			h.say(i, wire.InternalError).Text(err.Error())
 		} else {
-			i.table = dispatch.NewTable(balancer, i)
+			i.table = dispatch.NewDispatcher(balancer, i)
 		}
 	case wire.CrashNow:
 		*i = instance{number: i.number, host: h, touched: true}
@@ -145,12 +145,12 @@
 		}
 	case wire.Incoming, wire.Resumed:
 		l := &link{id: in.U32()}
-		l.Category, l.Party, l.Key, l.Limit = int(in.U8()), int(in.U32()), in.U64(), in.F64()
+		l.Class, l.Tenant, l.Key, l.Deadline = int(in.U8()), int(in.U32()), in.U64(), in.F64()
 		hint, group, options := in.F64(), in.U64(), in.U16()
 		if options&1 != 0 && hint > 0 {
-			l.Hint = hint * 1000
+			l.LoadHint = hint * 1000
 		}
-		l.Group = group
+		l.AffinityGroup = group
 		server := uint32(0)
 		if code == wire.Resumed {
 			server = in.U32()
@@ -158,28 +158,28 @@
 		if in.Err != nil || i.table == nil {
 			return in.Err
 		}
-		if !i.table.Balancer.Knows(l.Category) {
-			return fmt.Errorf("offset %d: a category of the settings expected, got %d", at+6, l.Category)
+		if !i.table.Balancer.HasClass(l.Class) {
+			return fmt.Errorf("offset %d: a category of the settings expected, got %d", at+6, l.Class)
 		}
 		i.links[l.id] = l
 		if code == wire.Resumed {
-			i.table.Balancer.Resumed(h.now, &l.Link.Link, server)
+			i.table.Balancer.SessionResumed(h.now, &l.Entry.Session, server)
 		} else {
-			i.table.Place(h.now, l)
+			i.table.Assign(h.now, l)
 		}
 	case wire.Accepted:
 		l, round := i.links[in.U32()], int(in.U16())
 		in.U32()
 		in.F64()
-		if in.Err == nil && l != nil && l.Round == round {
-			i.table.Balancer.Accepted(h.now, &l.Link.Link)
+		if in.Err == nil && l != nil && l.Attempt == round {
+			i.table.Balancer.SessionEstablished(h.now, &l.Entry.Session)
 		}
 	case wire.HintUpdate:
 		l, round := i.links[in.U32()], int(in.U16())
 		in.U32()
 		what, amount := in.U8(), in.F32()
-		if in.Err == nil && l != nil && l.Round == round && what == 1 {
-			i.table.Balancer.Weighed(&l.Link.Link, amount)
+		if in.Err == nil && l != nil && l.Attempt == round && what == 1 {
+			i.table.Balancer.LoadMeasured(&l.Entry.Session, amount)
 		}
 	case wire.Completed:
 		l, last, round := i.links[in.U32()], in.U8() != 0, int(in.U16())
@@ -188,14 +188,14 @@
 		reason := in.U8()
 		h.report = in.Report(h.report)
 		if in.Err == nil && i.table != nil && len(h.report) > 0 {
-			i.table.Balancer.Reported(h.now, server, h.report)
+			i.table.Balancer.LoadReported(h.now, server, h.report)
 		}
-		if in.Err == nil && l != nil && l.Round == round {
-			i.table.After(h.now, l, outcome(reason), last)
+		if in.Err == nil && l != nil && l.Attempt == round {
+			i.table.AttemptFinished(h.now, l, outcome(reason), last)
 		}
 	case wire.Vanished:
 		if l := i.links[in.U32()]; in.Err == nil && l != nil {
-			if !i.table.Balancer.Vanished(&l.Link.Link) {
+			if !i.table.Balancer.ClientDisconnected(&l.Entry.Session) {
 				i.drop(l)
 			}
 		}
@@ -205,7 +205,7 @@
 		reason := in.U8()
 		h.report = in.Report(h.report)
 		if in.Err == nil && i.table != nil {
-			i.table.Probed(h.now, server, reason == 0, h.report)
+			i.table.PollFinished(h.now, server, reason == 0, h.report)
 		}
 	case wire.Fired:
 		if ticket := in.U32(); ticket == i.ticket {
@@ -221,41 +221,41 @@
 }
 
 // outcome puts our word to the wire's reason; one not known may have run.
-func outcome(reason uint8) balancer.Outcome {
+func outcome(reason uint8) balancer.AttemptOutcome {
 	switch reason {
 	case 0:
-		return balancer.Satisfied
+		return balancer.OutcomeSucceeded
 	case 8:
-		return balancer.TurnedAway
+		return balancer.OutcomeRejected
 	case 4:
-		return balancer.TimedOut
+		return balancer.OutcomeTimedOut
 	case 14:
-		return balancer.Unreachable
+		return balancer.OutcomeUnreachable
 	case 10:
-		return balancer.Broken
+		return balancer.OutcomeConnectionLost
 	case 1:
-		return balancer.CalledOff
+		return balancer.OutcomeCanceled
 	case 9:
-		return balancer.Unsent
+		return balancer.OutcomeNotSent
 	}
-	return balancer.Errored
+	return balancer.OutcomeFailed
 }
 
-func (h *host) list(b dispatch.Module, how uint8, page uint32) {
+func (h *host) list(b dispatch.Balancer, how uint8, page uint32) {
 	if how == 3 {
-		b.ListFailed(h.now)
+		b.WatchFailed(h.now)
 		return
 	}
-	b.ListBegan(how != 0)
+	b.BeginEndpointUpdate(how != 0)
 	rows := wire.Over(h.pages[page])
 	for n := len(h.pages[page]) / wire.EntrySize; n > 0; n-- {
-		zone, condition, cell := int(rows.U8()), balancer.Condition(rows.U8()), int(rows.U16())
+		zone, condition, cell := int(rows.U8()), balancer.EndpointState(rows.U8()), int(rows.U16())
 		started := rows.F64()
 		rows.U8()
 		weight, id := rows.F32(), rows.U32()
-		b.Listed(id, zone, condition, cell, started, weight)
+		b.UpdateEndpoint(id, zone, condition, cell, started, weight)
 	}
-	b.ListEnded(h.now)
+	b.EndEndpointUpdate(h.now)
 }
 
 // say begins an action of the instance.
@@ -268,14 +268,14 @@
 }
 
 func (i *instance) drop(l *link) {
-	i.table.Drop(l)
+	i.table.Forget(l)
 	delete(i.links, l.id)
 }
 
-// Carry says what the module answered.
-func (i *instance) Carry(l *link, a balancer.Answer) {
-	switch a.Verdict {
-	case balancer.Send:
+// Execute says what the module answered.
+func (i *instance) Execute(l *link, a balancer.Decision) {
+	switch a.Kind {
+	case balancer.Assign:
 		i.host.say(i, wire.Assign).U32(l.id).U32(a.Backend).F64(a.Timeout)
 	case balancer.Reject:
 		i.host.say(i, wire.NotNow).U32(l.id).F64(a.Wait)
@@ -288,8 +288,8 @@
 	}
 }
 
-// Probe has the server asked.
-func (i *instance) Probe(id uint32) { i.host.say(i, wire.Test).U32(id) }
+// Poll has the server asked.
+func (i *instance) Poll(id uint32) { i.host.say(i, wire.Test).U32(id) }
 
 // Subscribe has the list asked for.
 func (i *instance) Subscribe() { i.host.say(i, wire.Subscribe).U8(1) }
@@ -299,7 +299,7 @@
 	if i.table == nil {
 		return
 	}
-	if wake := i.table.Drive(h.now); wake < i.wake {
+	if wake := i.table.Advance(h.now); wake < i.wake {
 		i.wake = wake
 		i.ticket++
 		h.say(i, wire.Schedule).F64(min(max(wake-h.now, 0), 3.6e6)).U32(i.ticket)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -16,30 +16,30 @@
 )
 
 const (
-	// Files is how many descriptors the operators' calls may hold, their listener included.
-	Files    = mostOpen + 2 // one while the next is accepted and the longest open is let go
-	mostOpen = 16
-	callTime = 2 * time.Second // for a call to come, and again for its answer to be taken; callers wait one
-	headSize = 4 << 10
+	// MaxDescriptors is how many descriptors the operators' calls may hold, their listener included.
+	MaxDescriptors = mostOpen + 2 // one while the next is accepted and the longest open is let go
+	mostOpen       = 16
+	callTime       = 2 * time.Second // for a call to come, and again for its answer to be taken; callers wait one
+	headSize       = 4 << 10
 )
 
-// Figure is one published figure. A counter only grows; any other goes up and down.
-type Figure struct {
-	Name    string
-	Value   uint64
-	Counter bool
+// Metric is one published figure. A counter only grows; any other goes up and down.
+type Metric struct {
+	Name      string
+	Value     uint64
+	IsCounter bool
 }
 
 // Relay is what is asked. None of it may wait for more than one event of the relay.
 type Relay interface {
-	Ready() bool
-	Figures() []Figure
-	// LameDuck empties the relay, or takes it back to work; an error says why that can't be.
-	LameDuck(on bool) error
-	// Fleet is what the relay keeps and hears of others, to be told as JSON; nil where it does neither.
-	Fleet() any
-	// Held is one part of what it holds for others, from 0 on, as JSON; nil where it holds nothing for any.
-	Held(part int) any
+	IsReady() bool
+	Metrics() []Metric
+	// SetDraining empties the relay, or takes it back to work; an error says why that can't be.
+	SetDraining(on bool) error
+	// FleetStatus is what the relay keeps and hears of others, to be told as JSON; nil where it does neither.
+	FleetStatus() any
+	// ReplicatedRecords is one part of what it holds for others, from 0 on, as JSON; nil where it holds nothing for any.
+	ReplicatedRecords(part int) any
 }
 
 // Serve answers calls at the listener until that is closed.
@@ -56,16 +56,16 @@
 func handler(relay Relay) http.Handler {
 	calls := http.NewServeMux() // another path is 404, another method 405
 	calls.HandleFunc("GET /_ready", func(w http.ResponseWriter, _ *http.Request) {
-		if relay.Ready() {
+		if relay.IsReady() {
 			fmt.Fprintln(w, "ready")
 		} else {
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 		}
 	})
 	calls.HandleFunc("GET /_vars", func(w http.ResponseWriter, _ *http.Request) {
-		for _, f := range relay.Figures() {
+		for _, f := range relay.Metrics() {
 			kind := "g"
-			if f.Counter {
+			if f.IsCounter {
 				kind = "c"
 			}
 			fmt.Fprintf(w, "relay.%s:%d|%s\n", f.Name, f.Value, kind)
@@ -79,18 +79,18 @@
 		w.Header().Set("Content-Type", "application/json")
 		json.NewEncoder(w).Encode(what)
 	}
-	calls.HandleFunc("GET /_fleet", func(w http.ResponseWriter, r *http.Request) { tell(w, r, relay.Fleet()) })
+	calls.HandleFunc("GET /_fleet", func(w http.ResponseWriter, r *http.Request) { tell(w, r, relay.FleetStatus()) })
 	calls.HandleFunc("GET /_holdings", func(w http.ResponseWriter, r *http.Request) {
 		part, err := strconv.Atoi(r.URL.Query().Get("part"))
 		if err != nil || part < 0 {
 			http.Error(w, "part: a number from 0 on expected", http.StatusBadRequest)
 			return
 		}
-		tell(w, r, relay.Held(part))
+		tell(w, r, relay.ReplicatedRecords(part))
 	})
 	for word, on := range map[string]bool{"on": true, "off": false} {
 		calls.HandleFunc("POST /_lameduck/"+word, func(w http.ResponseWriter, _ *http.Request) {
-			if err := relay.LameDuck(on); err != nil {
+			if err := relay.SetDraining(on); err != nil {
 				http.Error(w, err.Error(), http.StatusConflict)
 				return
 			}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -20,11 +20,11 @@
 	ready, lame, stopping atomic.Bool
 }
 
-func (s *stub) Ready() bool { return s.ready.Load() }
-func (s *stub) Figures() []Figure {
-	return []Figure{{"served.chat", 812, true}, {"refused.chat", 0, true}, {"in_flight", 14, false}}
+func (s *stub) IsReady() bool { return s.ready.Load() }
+func (s *stub) Metrics() []Metric {
+	return []Metric{{"served.chat", 812, true}, {"refused.chat", 0, true}, {"in_flight", 14, false}}
 }
-func (s *stub) LameDuck(on bool) error {
+func (s *stub) SetDraining(on bool) error {
 	if s.stopping.Load() {
 		return errors.New("stopping")
 	}
@@ -32,14 +32,14 @@
 	return nil
 }
 
-func (s *stub) Fleet() any {
+func (s *stub) FleetStatus() any {
 	if s.lame.Load() {
 		return nil
 	}
 	return map[string]int{"Boot": 3}
 }
 
-func (s *stub) Held(part int) any {
+func (s *stub) ReplicatedRecords(part int) any {
 	if part == 0 {
 		return nil
 	}
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -22,8 +22,8 @@
 	faith      = 20.0    // links of its own, from which a relay trusts them as much as what was kept
 )
 
-// Admission is one relay's. The zero one, and none, change nothing.
-type Admission struct {
+// Controller is one relay's. The zero one, and none, change nothing.
+type Controller struct {
 	capacity float64 // of a server, by what was kept; 0: nothing
 	on       bool
 	part     float64 // this relay's, of the budget of cold servers
@@ -36,45 +36,45 @@
 }
 
 // New starts with nothing known.
-func New() *Admission { return &Admission{gainAt: math.Inf(-1), prompt: math.Inf(-1)} }
+func New() *Controller { return &Controller{gainAt: math.Inf(-1), prompt: math.Inf(-1)} }
 
-// Knows takes what a server bears by what was kept.
-func (a *Admission) Knows(capacity float64) { a.capacity = capacity }
+// SetCapacity takes what a server bears by what was kept.
+func (a *Controller) SetCapacity(capacity float64) { a.capacity = capacity }
 
-// Kept is that, for the next life; 0 where there is none.
-func (a *Admission) Kept() float64 {
+// Capacity is that, for the next life; 0 where there is none.
+func (a *Controller) Capacity() float64 {
 	if a == nil {
 		return 0
 	}
 	return a.capacity
 }
 
-// On takes that the fleet recovers, or has, and which part of what cold servers bear this relay is to take,
+// SetRecovering takes that the fleet recovers, or has, and which part of what cold servers bear this relay is to take,
 // by how many relays there are and how many clients wait at each; 0: an even one. Whatever others say, it is
 // never more than 1.6 even parts: so all relays together, with what each has saved up, stay under nine tenths
 // of what servers bear within any span.
-func (a *Admission) On(on bool, part, relays float64) {
+func (a *Controller) SetRecovering(on bool, part, relays float64) {
 	a.on, a.part = on, 1/relays
 	if part > 0 {
 		a.part = min(part, mostPart/relays)
 	}
 }
 
-// Bears is what a server bears by what this relay has seen of so many links, and by what was kept as far as
+// EstimateCapacity is what a server bears by what this relay has seen of so many links, and by what was kept as far as
 // that is little.
-func (a *Admission) Bears(seen, links float64) float64 {
+func (a *Controller) EstimateCapacity(seen, links float64) float64 {
 	if a == nil || a.capacity == 0 {
 		return seen
 	}
 	return (seen*links + a.capacity*faith) / (links + faith)
 }
 
-// Pace is this relay's budget of cold servers for a millisecond and all of one's capacity, in links of the
+// SlowStartBudget is this relay's budget of cold servers for a millisecond and all of one's capacity, in links of the
 // mean load, of which a server bears so many; a server falls at that multiple of its present capacity within
 // the span, and starts with the part from of it; cold and usable count servers. While the fleet recovers and
 // what a server bears is known, it is a part of what they bear within that span, in place of what fills them
 // over their warm-up: there is no warm server beside them that could serve meanwhile.
-func (a *Admission) Pace(links, multiple, from, span, usual, cold, usable float64) float64 {
+func (a *Controller) SlowStartBudget(links, multiple, from, span, usual, cold, usable float64) float64 {
 	if a != nil && a.on && a.capacity > 0 && 2*cold > usable {
 		return recoverPart(multiple*links*from) * multiple * links / span * a.part
 	}
@@ -89,13 +89,13 @@
 	return min(root*root/max(bears, 1), mostMean)
 }
 
-// Again tells whether links that wait ask for a cold server anew each time.
-func (a *Admission) Again() bool { return a != nil && a.on && a.capacity > 0 }
+// ShouldRedraw tells whether links that wait ask for a cold server anew each time.
+func (a *Controller) ShouldRedraw() bool { return a != nil && a.on && a.capacity > 0 }
 
-// Offers is the part of the time since the last link asked for a cold server that one of that gain and key is
+// OfferedShare is the part of the time since the last link asked for a cold server that one of that gain and key is
 // offered; the rest is left to the next. The dearest, and those that come at the time they were told, go
 // first.
-func (a *Admission) Offers(gain float64, key uint64, now float64) float64 {
+func (a *Controller) OfferedShare(gain float64, key uint64, now float64) float64 {
 	if a == nil || !a.on {
 		return 1
 	}
@@ -112,26 +112,26 @@
 	return part
 }
 
-// Saves is how much of the time since the last link asked counts, of the span in which a cold server falls.
-func (a *Admission) Saves(span, usual float64) float64 {
+// SavedTimeLimit is how much of the time since the last link asked counts, of the span in which a cold server falls.
+func (a *Controller) SavedTimeLimit(span, usual float64) float64 {
 	if a != nil && a.on && a.capacity > 0 {
 		return savedPart * span
 	}
 	return usual
 }
 
-// Leaves is what a link leaves of that time to the next: what it was not offered, and what it did not need,
+// UnusedTime is what a link leaves of that time to the next: what it was not offered, and what it did not need,
 // as one link is never more than one.
-func (a *Admission) Leaves(since, offered, due float64) float64 {
+func (a *Controller) UnusedTime(since, offered, due float64) float64 {
 	if a == nil || !a.on {
 		return 0
 	}
 	return since - offered/max(due, 1)
 }
 
-// Back is when a client of that key that is turned away is told to come again, within the longest wait: while
+// RetryAfter is when a client of that key that is turned away is told to come again, within the longest wait: while
 // the fleet recovers at times spread over its second half by the lot, against all coming in one moment.
-func (a *Admission) Back(most float64, key uint64, now, lot float64) float64 {
+func (a *Controller) RetryAfter(most float64, key uint64, now, lot float64) float64 {
 	if a == nil || !a.on || most <= 0 {
 		return most
 	}
@@ -140,7 +140,7 @@
 	return wait
 }
 
-func (a *Admission) keep(now float64, key uint64, due float64) {
+func (a *Controller) keep(now float64, key uint64, due float64) {
 	if a.recent == nil || now > a.turned+toldFor {
 		a.recent, a.older, a.turned = map[uint64]float64{}, a.recent, now
 	}
@@ -149,23 +149,23 @@
 	}
 }
 
-// Forgo has this relay forget what a client of that key was told: others hold it, and it is claimed of them.
-func (a *Admission) Forgo(key uint64) {
+// DropReservation has this relay forget what a client of that key was told: others hold it, and it is claimed of them.
+func (a *Controller) DropReservation(key uint64) {
 	if a != nil {
 		delete(a.recent, key)
 		delete(a.older, key)
 	}
 }
 
-func (a *Admission) find(key uint64) (due float64, told bool) {
+func (a *Controller) find(key uint64) (due float64, told bool) {
 	if due, told = a.recent[key]; !told {
 		due, told = a.older[key]
 	}
 	return due, told && key != 0
 }
 
-// Told gives who was told to come again when, by key, as far as that lies ahead or just behind.
-func (a *Admission) Told(now float64, most int) map[uint64]float64 {
+// Reservations gives who was told to come again when, by key, as far as that lies ahead or just behind.
+func (a *Controller) Reservations(now float64, most int) map[uint64]float64 {
 	all := map[uint64]float64{}
 	if a == nil {
 		return all
@@ -180,8 +180,8 @@
 	return all
 }
 
-// Promised takes whom this relay told so before its start, but for times that no client could have been told.
-func (a *Admission) Promised(now, longest float64, told map[uint64]float64) {
+// RestoreReservations takes whom this relay told so before its start, but for times that no client could have been told.
+func (a *Controller) RestoreReservations(now, longest float64, told map[uint64]float64) {
 	for key, due := range told {
 		if now < due+toldLate && due < now+longest {
 			a.keep(now, key, due)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,71 +19,71 @@
 
 // File is all that the file can say. Later parts add sections.
 type File struct {
-	Log     Log     `toml:"log"`
-	Servers Servers `toml:"servers"`
-	Peers   Peers   `toml:"peers"`
-	Disk    Disk    `toml:"disk"`
-	Council Council `toml:"council"`
+	Log          Log          `toml:"log"`
+	Backends     Backends     `toml:"servers"`
+	Peers        Peers        `toml:"peers"`
+	Disk         Disk         `toml:"disk"`
+	Coordinators Coordinators `toml:"council"`
 
-	Holdings Holdings `toml:"holdings"`
+	Replication Replication `toml:"holdings"`
 }
 
-// Holdings says on how many machines lies what one has given its word for; 0: on its own alone. Marks of
+// Replication says on how many machines lies what one has given its word for; 0: on its own alone. Marks of
 // setup tries that may run are held for so long beyond their links' hard limits; 0: none are. Where clients
 // and their groups stand is held as a hint where that is wanted.
-type Holdings struct {
-	Copies   int  `toml:"copies"`
-	Remember Age  `toml:"remember"`
-	Stood    bool `toml:"stood"`
+type Replication struct {
+	Copies          int          `toml:"copies"`
+	MarkerRetention Milliseconds `toml:"remember"`
+	Affinity        bool         `toml:"stood"`
 }
 
 const mostCopies = 7
 
-// Council says which voters decide in common on zones; without any each relay decides alone.
-type Council struct {
+// Coordinators says which voters decide in common on zones; without any each relay decides alone.
+type Coordinators struct {
 	Voters []string `toml:"voters"` // address:port of each
 }
 
 // Peers says where this relay hears the others of its fleet; without an address it knows of none.
 type Peers struct {
-	Listen  string   `toml:"listen"` // address:port, UDP and TCP, as the others reach it
-	Seeds   []string `toml:"seeds"`  // of some that are there as a rule
-	Zone    string   `toml:"zone"`
-	Region  string   `toml:"region"`
-	Only    bool     `toml:"seeds-only"` // others are reached by the seeds' addresses alone, never by those they tell
-	KeyFile string   `toml:"key-file"`   // whose text all relays of the fleet share
+	Listen    string   `toml:"listen"` // address:port, UDP and TCP, as the others reach it
+	Seeds     []string `toml:"seeds"`  // of some that are there as a rule
+	Zone      string   `toml:"zone"`
+	Region    string   `toml:"region"`
+	SeedsOnly bool     `toml:"seeds-only"` // others are reached by the seeds' addresses alone, never by those they tell
+	KeyFile   string   `toml:"key-file"`   // whose text all relays of the fleet share
 }
 
-// Servers says what is known of them in general.
-type Servers struct {
-	ReportAge Age `toml:"report-age"` // that a report may have as it arrives, at the most; 0: not known
+// Backends says what is known of them in general.
+type Backends struct {
+	MaxReportAge Milliseconds `toml:"report-age"` // that a report may have as it arrives, at the most; 0: not known
 }
 
-// Age is milliseconds, written like "250ms".
-type Age float64
+// Milliseconds is milliseconds, written like "250ms".
+type Milliseconds float64
 
 const mostAge = time.Minute
 
 // UnmarshalText reads an age.
-func (a *Age) UnmarshalText(text []byte) error {
-	ms, ok := Length(text, mostAge)
+func (a *Milliseconds) UnmarshalText(text []byte) error {
+	ms, ok := ParseMilliseconds(text, mostAge)
 	if !ok {
 		return fmt.Errorf("a length from 0 to %s expected, such as \"250ms\", got %q", mostAge, text)
 	}
-	*a = Age(ms)
+	*a = Milliseconds(ms)
 	return nil
 }
 
-// Length reads a length of time such as "250ms" as milliseconds; false where it is none from 0 to the most.
-func Length(text []byte, most time.Duration) (ms float64, ok bool) {
+// ParseMilliseconds reads a length of time such as "250ms" as milliseconds; false where it is none from 0 to the most.
+func ParseMilliseconds(text []byte, most time.Duration) (ms float64, ok bool) {
 	d, err := time.ParseDuration(string(text))
 	return float64(d) / float64(time.Millisecond), err == nil && d >= 0 && d <= most
 }
 
 // Disk says where this relay keeps what outlives it; without a folder it keeps nothing.
 type Disk struct {
-	Folder string `toml:"folder"`
-	MostMB int    `toml:"most-mb"`
+	Folder       string `toml:"folder"`
+	MaxMegabytes int    `toml:"most-mb"`
 }
 
 const mostMB = 64
@@ -112,24 +112,24 @@
 			return fmt.Errorf("%s: %d bytes at the most expected, got %d", name.field, mostName, len(name.value))
 		}
 	}
-	for i, address := range f.Council.Voters {
+	for i, address := range f.Coordinators.Voters {
 		if at, err := netip.ParseAddrPort(address); err != nil || at.Port() == 0 {
 			return fmt.Errorf("council.voters.%d: address:port expected, got %q", i, address)
 		}
 	}
-	if len(f.Council.Voters) > 0 && (p.Listen == "" || p.Zone == "") {
+	if len(f.Coordinators.Voters) > 0 && (p.Listen == "" || p.Zone == "") {
 		return errors.New("council.voters: peers.listen and peers.zone expected beside it, got nothing")
 	}
-	if n := f.Holdings.Copies; n < 0 || n > mostCopies || (n > 0 && n%2 == 0) {
+	if n := f.Replication.Copies; n < 0 || n > mostCopies || (n > 0 && n%2 == 0) {
 		return fmt.Errorf("holdings.copies: 0, 1, 3, 5 or %d expected, got %d", mostCopies, n)
 	} else if n > 0 && (p.Listen == "" || f.Disk.Folder == "") {
 		return errors.New("holdings.copies: peers.listen and disk.folder expected beside it, got nothing")
 	}
-	if f.Disk.MostMB < 0 {
-		return fmt.Errorf("disk.most-mb: no less than 0 expected, got %d", f.Disk.MostMB)
+	if f.Disk.MaxMegabytes < 0 {
+		return fmt.Errorf("disk.most-mb: no less than 0 expected, got %d", f.Disk.MaxMegabytes)
 	}
-	if f.Disk.Folder != "" && f.Disk.MostMB == 0 {
-		f.Disk.MostMB = mostMB
+	if f.Disk.Folder != "" && f.Disk.MaxMegabytes == 0 {
+		f.Disk.MaxMegabytes = mostMB
 	}
 	return nil
 }
@@ -148,17 +148,17 @@
 
 // The formats, under the names "text" and "json".
 const (
-	Text Format = iota
-	JSON
+	FormatText Format = iota
+	FormatJSON
 )
 
 // UnmarshalText reads a format's name.
 func (f *Format) UnmarshalText(text []byte) error {
 	switch string(text) {
 	case "text":
-		*f = Text
+		*f = FormatText
 	case "json":
-		*f = JSON
+		*f = FormatJSON
 	default:
 		return fmt.Errorf("text or json expected, got %q", text)
 	}
@@ -166,10 +166,10 @@
 }
 
 // Default is what holds where no file is named.
-func Default() *File { return &File{Holdings: Holdings{Remember: 10000}} }
+func Default() *File { return &File{Replication: Replication{MarkerRetention: 10000}} }
 
-// Read reads the file at the path; an empty path gives the defaults.
-func Read(path string) (*File, error) {
+// Load reads the file at the path; an empty path gives the defaults.
+func Load(path string) (*File, error) {
 	if path == "" {
 		return Default(), nil
 	}
@@ -187,7 +187,7 @@
 // Parse reads the file's text. Its errors begin with line:column and the field.
 func Parse(text []byte) (*File, error) {
 	f := Default()
-	if err := Strict(text, f); err != nil {
+	if err := DecodeStrict(text, f); err != nil {
 		return nil, err
 	}
 	if err := f.complete(); err != nil {
@@ -196,9 +196,9 @@
 	return f, nil
 }
 
-// Strict reads TOML into a struct and lets no unknown field pass: against a slip of the pen that is silently
+// DecodeStrict reads TOML into a struct and lets no unknown field pass: against a slip of the pen that is silently
 // without effect. Its errors begin with line:column and the field, where the text has one.
-func Strict(text []byte, into any) error {
+func DecodeStrict(text []byte, into any) error {
 	in := toml.NewDecoder(bytes.NewReader(text))
 	in.DisallowUnknownFields()
 	err := in.Decode(into)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -18,7 +18,7 @@
 		err  string
 	}{
 		{"", Log{}, ""},
-		{"[log]\nformat = \"json\"\nlevel = \"warn+1\"\nsource = true\n", Log{JSON, slog.LevelWarn + 1, true}, ""},
+		{"[log]\nformat = \"json\"\nlevel = \"warn+1\"\nsource = true\n", Log{FormatJSON, slog.LevelWarn + 1, true}, ""},
 		{"[log]\nlevel = \"debug\"\n", Log{Level: slog.LevelDebug}, ""},
 		{"[log]\n  levle = \"debug\"\n", Log{}, "2:3: log.levle: no such field"},
 		{"[lgo]\nlevel = \"debug\"\n", Log{}, "1:2: lgo: no such field"},
@@ -54,18 +54,18 @@
 
 // The file in the repository can be used, and names the defaults.
 func TestRead(t *testing.T) {
-	f, err := Read("../../deploy/operator.toml")
+	f, err := Load("../../deploy/operator.toml")
 	require.NoError(t, err)
-	f.Peers.Seeds, f.Council.Voters = nil, nil // empty ones in the file
+	f.Peers.Seeds, f.Coordinators.Voters = nil, nil // empty ones in the file
 	assert.Equal(t, Default(), f)
-	f, err = Read("")
+	f, err = Load("")
 	require.NoError(t, err)
 	assert.Equal(t, Default(), f)
-	_, err = Read(filepath.Join(t.TempDir(), "none"))
+	_, err = Load(filepath.Join(t.TempDir(), "none"))
 	assert.ErrorContains(t, err, "operator file:")
 	path := filepath.Join(t.TempDir(), "some.toml")
 	require.NoError(t, os.WriteFile(path, []byte("x = 1"), 0o600))
-	_, err = Read(path)
+	_, err = Load(path)
 	assert.ErrorContains(t, err, path+":1:1: x: no such field")
 }
 
@@ -76,7 +76,7 @@
 	log := g.Slog().With("relay", 7).WithGroup("sub")
 	log.Info("one", "k", 1)
 	log.Debug("unsaid")
-	g.Change(Log{Format: JSON, Level: slog.LevelDebug})
+	g.Configure(Log{Format: FormatJSON, Level: slog.LevelDebug})
 	log.Debug("two", "k", 2)
 	assert.Regexp(t, `^time=\S+ level=INFO msg=one relay=7 sub.k=1\n`+
 		`\{"time":"[^"]+","level":"DEBUG","msg":"two","relay":7,"sub":\{"k":2\}\}\n$`, out.String())
--- a/internal/config/log.go
+++ b/internal/config/log.go
@@ -16,15 +16,15 @@
 // NewLogger logs to the writer as the section says.
 func NewLogger(to io.Writer, l Log) *Logger {
 	g := &Logger{to: to}
-	g.Change(l)
+	g.Configure(l)
 	return g
 }
 
-// Change has what is logged from now on follow the section.
-func (g *Logger) Change(l Log) {
+// Configure has what is logged from now on follow the section.
+func (g *Logger) Configure(l Log) {
 	options := &slog.HandlerOptions{Level: l.Level, AddSource: l.Source}
 	var h slog.Handler = slog.NewTextHandler(g.to, options)
-	if l.Format == JSON {
+	if l.Format == FormatJSON {
 		h = slog.NewJSONHandler(g.to, options)
 	}
 	g.now.Store(&h)
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -56,8 +56,8 @@
 	return max(sum.Sum64(), 1)
 }
 
-// Machine is what the entries are applied to, in their order, at all voters alike.
-type Machine interface {
+// StateMachine is what the entries are applied to, in their order, at all voters alike.
+type StateMachine interface {
 	Apply(number uint64, data []byte)
 	Snapshot() []byte
 	Restore(data []byte) error
@@ -102,16 +102,16 @@
 	All     map[uint64]claim `json:"All,omitempty"`     // from who leads: what it knows of each
 }
 
-// Send is a frame for an address.
-type Send struct {
+// OutgoingMessage is a frame for an address.
+type OutgoingMessage struct {
 	To   string
 	Data []byte
 }
 
-// Out is what is to be done: to save, and once that is durable, to send and to say Saved.
-type Out struct {
-	Save []byte // nil: nothing
-	Send []Send
+// Ready is what is to be done: to save, and once that is durable, to send and to say Saved.
+type Ready struct {
+	DurableState []byte // nil: nothing
+	Messages     []OutgoingMessage
 }
 
 // Faults are wrong on purpose, for tests of the checks.
@@ -128,7 +128,7 @@
 	me      Member
 	boot    uint64
 	life    uint64
-	machine Machine
+	machine StateMachine
 	chance  *rand.Rand
 	faults  Faults
 
@@ -153,7 +153,7 @@
 	ready    *raft.Ready      // taken, and not saved yet
 	saving   bool
 	pending  bool // something is to be saved
-	words    []Send
+	words    []OutgoingMessage
 	unsaid   int               // frames that were too long for a datagram
 	aside    string            // why it has put its former disk aside
 	fresh    map[string]answer // questions of voters with a new disk, by name
@@ -165,7 +165,7 @@
 }
 
 // New starts a voter: its name and address, those of all voters, and what its disk has (nil: nothing).
-func New(now float64, me Member, names []Member, disk []byte, machine Machine,
+func New(now float64, me Member, names []Member, disk []byte, machine StateMachine,
 	chance *rand.Rand) (*Voter, error) {
 	v := &Voter{names: names, me: me, machine: machine, chance: chance, began: now, ticked: now,
 		renewed: math.Inf(-1), known: map[uint64]claim{}, life: chance.Uint64()}
@@ -364,11 +364,11 @@
 		v.unsaid++
 		return
 	}
-	v.words = append(v.words, Send{to, data})
+	v.words = append(v.words, OutgoingMessage{to, data})
 }
 
-// Take takes a frame. One that can't be changes nothing.
-func (v *Voter) Take(now float64, data []byte) {
+// Receive takes a frame. One that can't be changes nothing.
+func (v *Voter) Receive(now float64, data []byte) {
 	var f frame
 	if len(data) > mostFrame || json.Unmarshal(data, &f) != nil || f.From.Disk == "" ||
 		f.From.Name == v.me.Name ||
@@ -493,18 +493,18 @@
 
 // The errors of Propose.
 var (
-	ErrNotLeading = errors.New("council: this voter does not lead")
-	ErrBusy       = errors.New("council: too much waits to be decided")
-	ErrSize       = fmt.Errorf("council: an entry has 1 to %d bytes", mostData)
+	ErrNotLeader = errors.New("council: this voter does not lead")
+	ErrBusy      = errors.New("council: too much waits to be decided")
+	ErrEntrySize = fmt.Errorf("council: an entry has 1 to %d bytes", mostData)
 )
 
 // Propose has an entry decided, where this voter leads. That it was is told by its being applied.
 func (v *Voter) Propose(now float64, data []byte) error {
 	switch {
 	case len(data) == 0 || len(data) > mostData:
-		return ErrSize
-	case !v.Leads(now):
-		return ErrNotLeading
+		return ErrEntrySize
+	case !v.HasLease(now):
+		return ErrNotLeader
 	case v.node.Propose(data) != nil:
 		return ErrBusy
 	}
@@ -513,13 +513,13 @@
 
 func (v *Voter) leads() bool { return v.node.BasicStatus().RaftState == raft.StateLeader }
 
-// Leads tells whether this voter leads, and nobody else can: a majority has answered it a short while ago.
-func (v *Voter) Leads(now float64) bool {
+// HasLease tells whether this voter leads, and nobody else can: a majority has answered it a short while ago.
+func (v *Voter) HasLease(now float64) bool {
 	return v.node != nil && v.leads() && now < v.renewed+lease*max(v.faults.LongLease, 1)
 }
 
-// Renewed is when those words went out that a majority answered: what another may have decided came later.
-func (v *Voter) Renewed() float64 { return v.renewed }
+// LeaseRenewedAt is when those words went out that a majority answered: what another may have decided came later.
+func (v *Voter) LeaseRenewedAt() float64 { return v.renewed }
 
 // Leader is the member that leads as far as this voter knows; the zero one: none.
 func (v *Voter) Leader() Member {
@@ -529,8 +529,8 @@
 	return v.members[v.node.BasicStatus().Lead]
 }
 
-// LeaderAt is where it is reached, by the operators' file.
-func (v *Voter) LeaderAt() string {
+// LeaderAddress is where it is reached, by the operators' file.
+func (v *Voter) LeaderAddress() string {
 	if m := v.Leader(); m.Name != "" {
 		return v.addressOf(m)
 	}
@@ -540,7 +540,7 @@
 // replaces has the leader let a voter in whose disk is new, one at a time: first to learn, then in place of
 // its former disk, by one entry.
 func (v *Voter) replaces(now float64) {
-	if len(v.fresh) == 0 || !v.Leads(now) || len(v.conf.VotersOutgoing) > 0 {
+	if len(v.fresh) == 0 || !v.HasLease(now) || len(v.conf.VotersOutgoing) > 0 {
 		return
 	}
 	propose := func(m Member, changes ...raftpb.ConfChangeSingle) {
@@ -579,8 +579,8 @@
 	}
 }
 
-// Next gives what is to be done now. While something is being saved, nothing more comes.
-func (v *Voter) Next() (out Out) {
+// Ready gives what is to be done now. While something is being saved, nothing more comes.
+func (v *Voter) Ready() (out Ready) {
 	if v.saving {
 		return out
 	}
@@ -612,12 +612,12 @@
 			}
 		}
 	}
-	out.Send, v.words = v.words, nil
+	out.Messages, v.words = v.words, nil
 	if v.pending && !v.faults.Unsaved {
-		out.Save, v.saving = v.kept(), true
+		out.DurableState, v.saving = v.kept(), true
 	}
 	if v.pending = false; !v.saving {
-		v.Saved()
+		v.Advance()
 	}
 	return out
 }
@@ -641,8 +641,8 @@
 	return text
 }
 
-// Saved says that what Next gave last is durable: what was decided by it is applied.
-func (v *Voter) Saved() {
+// Advance says that what Next gave last is durable: what was decided by it is applied.
+func (v *Voter) Advance() {
 	rd := v.ready
 	if v.ready, v.saving = nil, false; rd == nil {
 		return
@@ -725,24 +725,24 @@
 
 // Status is what operators are told of a voter.
 type Status struct {
-	Me       Member   `json:"Me"`
-	Boot     uint64   `json:"Boot"`
-	Role     string   `json:"Role"`
-	Leader   string   `json:"Leader"`
-	Term     uint64   `json:"Term"`
-	Applied  uint64   `json:"Applied"`
-	Voters   []Member `json:"Voters"`
-	Learners []Member `json:"Learners"`
-	Vouched  bool     `json:"Vouched"` // a majority holds its disk for the latest
-	Unsaid   int      `json:"Unsaid"`  // frames that were too long: a new disk may not come in
-	Aside    string   `json:"Aside"`   // why it put its former disk aside, in this life
+	Self                Member   `json:"Me"`
+	Boot                uint64   `json:"Boot"`
+	Role                string   `json:"Role"`
+	Leader              string   `json:"Leader"`
+	Term                uint64   `json:"Term"`
+	AppliedIndex        uint64   `json:"Applied"`
+	Voters              []Member `json:"Voters"`
+	Learners            []Member `json:"Learners"`
+	DiskConfirmed       bool     `json:"Vouched"` // a majority holds its disk for the latest
+	OversizedMessages   int      `json:"Unsaid"`  // frames that were too long: a new disk may not come in
+	DiskDiscardedReason string   `json:"Aside"`   // why it put its former disk aside, in this life
 }
 
 // Status is how things stand.
 func (v *Voter) Status() Status {
-	s := Status{Me: v.me, Boot: v.boot, Role: "waiting to be let in", Vouched: v.vouched, Aside: v.aside,
-		Unsaid:  v.unsaid,
-		Applied: v.applied, Leader: v.Leader().Name}
+	s := Status{Self: v.me, Boot: v.boot, Role: "waiting to be let in", DiskConfirmed: v.vouched, DiskDiscardedReason: v.aside,
+		OversizedMessages: v.unsaid,
+		AppliedIndex:      v.applied, Leader: v.Leader().Name}
 	if v.node != nil {
 		basic := v.node.BasicStatus()
 		s.Role, s.Term = basic.RaftState.String(), basic.Term
