--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -51,7 +51,7 @@
 	older   []byte // a copy of it
 	saving  []byte
 	savedAt float64
-	waits   []Send
+	waits   []OutgoingMessage
 	down    bool
 	stopped bool
 	inbox   [][]byte
@@ -113,7 +113,7 @@
 		w.wrong = append(w.wrong, fmt.Sprintf("voter %d went back to %d", who, number))
 	}
 	w.highest[who] = number
-	if from, out := w.writes[data]; out && w.hosts[who].Voter != nil && w.hosts[who].Leads(w.clock(who)) {
+	if from, out := w.writes[data]; out && w.hosts[who].Voter != nil && w.hosts[who].HasLease(w.clock(who)) {
 		delete(w.writes, data)
 		w.ops = append(w.ops, porcupine.Operation{ClientId: len(w.ops), Input: data, Output: "",
 			Call:   int64(from * 1000),
@@ -154,14 +154,14 @@
 			if h.down {
 				continue
 			}
-			if h.Voter.Leads(w.clock(i)) {
+			if h.Voter.HasLease(w.clock(i)) {
 				leading++
 			}
 			if h.stopped {
 				continue
 			}
 			for _, data := range h.inbox {
-				h.Take(w.clock(i), data)
+				h.Receive(w.clock(i), data)
 			}
 			h.inbox = nil
 			h.Tick(w.clock(i))
@@ -181,7 +181,7 @@
 	for range 20 {
 		if h.saving != nil {
 			if w.now < h.savedAt {
-				if out := h.Next(); out.Save != nil || len(out.Send) > 0 {
+				if out := h.Ready(); out.DurableState != nil || len(out.Messages) > 0 {
 					w.wrong = append(w.wrong, "something is to be done before what came before is saved")
 				}
 				return
@@ -189,21 +189,21 @@
 			h.disk, h.saving = h.saving, nil
 			w.send(i, h.waits)
 			h.waits = nil
-			h.Saved()
+			h.Advance()
 		}
-		out := h.Next()
-		if out.Save != nil {
-			h.saving, h.savedAt, h.waits = out.Save, w.now+float64(w.chance.Intn(3))*5, out.Send
+		out := h.Ready()
+		if out.DurableState != nil {
+			h.saving, h.savedAt, h.waits = out.DurableState, w.now+float64(w.chance.Intn(3))*5, out.Messages
 			continue
 		}
-		if len(out.Send) == 0 {
+		if len(out.Messages) == 0 {
 			return
 		}
-		w.send(i, out.Send)
+		w.send(i, out.Messages)
 	}
 }
 
-func (w *world) send(from int, all []Send) {
+func (w *world) send(from int, all []OutgoingMessage) {
 	for _, s := range all {
 		var to int
 		fmt.Sscan(s.To, &to)
@@ -217,7 +217,7 @@
 
 func (w *world) leader() int {
 	return slices.IndexFunc(w.hosts, func(h *host) bool {
-		return !h.down && !h.stopped && h.Leads(w.clock(slices.Index(w.hosts, h)))
+		return !h.down && !h.stopped && h.HasLease(w.clock(slices.Index(w.hosts, h)))
 	})
 }
 
@@ -227,7 +227,7 @@
 		return
 	}
 	for i, h := range w.hosts { // whoever holds that it leads
-		if h.down || h.stopped || !h.Leads(w.clock(i)) {
+		if h.down || h.stopped || !h.HasLease(w.clock(i)) {
 			continue
 		}
 		if w.chance.Intn(2) == 0 {
@@ -352,7 +352,7 @@
 			w.hosts[3].disk = w.hosts[3].older
 			w.start(3)
 			w.run(w.now+3000, w.writeRead)
-			assert.Contains(w.t, w.hosts[3].Status().Aside, "knows of start")
+			assert.Contains(w.t, w.hosts[3].Status().DiskDiscardedReason, "knows of start")
 			assert.Contains(w.t, w.hosts[3].Status().Voters, w.hosts[3].me, "let in as new")
 		},
 	} {
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -59,17 +59,17 @@
 			Machine: []byte{11, 12},
 		}},
 		"status.json": {into: &Status{}, want: &Status{
-			Me:       goldenNorth,
-			Boot:     3,
-			Role:     "StateLeader",
-			Leader:   "north",
-			Term:     4,
-			Applied:  5,
-			Voters:   []Member{goldenNorth, goldenSouth},
-			Learners: []Member{goldenSouth},
-			Vouched:  true,
-			Unsaid:   6,
-			Aside:    "south knows of start 4, term 5, entry 6; the disk has 3, 4, 5",
+			Self:                goldenNorth,
+			Boot:                3,
+			Role:                "StateLeader",
+			Leader:              "north",
+			Term:                4,
+			AppliedIndex:        5,
+			Voters:              []Member{goldenNorth, goldenSouth},
+			Learners:            []Member{goldenSouth},
+			DiskConfirmed:       true,
+			OversizedMessages:   6,
+			DiskDiscardedReason: "south knows of start 4, term 5, entry 6; the disk has 3, 4, 5",
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -164,11 +164,11 @@
 	v, err := New(1000, names[0], names, nil, &ledger{world: w}, rand.New(rand.NewSource(7)))
 	require.NoError(t, err)
 	v.Tick(1000)
-	out := v.Next()
-	require.Len(t, out.Send, 1)
-	assert.Equal(t, "10.0.0.5:7100", out.Send[0].To)
-	assert.Equal(t, string(golden(t, "first-frame.json")), string(out.Send[0].Data))
-	assert.Equal(t, string(golden(t, "first-disk.json")), string(out.Save))
+	out := v.Ready()
+	require.Len(t, out.Messages, 1)
+	assert.Equal(t, "10.0.0.5:7100", out.Messages[0].To)
+	assert.Equal(t, string(golden(t, "first-frame.json")), string(out.Messages[0].Data))
+	assert.Equal(t, string(golden(t, "first-disk.json")), string(out.DurableState))
 }
 
 // TestStartOnGoldenDisk starts a voter on a disk that an earlier build has written: a snapshot, entries behind
@@ -179,20 +179,20 @@
 	machine := &ledger{world: w}
 	v, err := New(1000, names[0], names, golden(t, "disk-v0.json"), machine, rand.New(rand.NewSource(7)))
 	require.NoError(t, err)
-	for out := v.Next(); out.Save != nil; out = v.Next() {
-		v.Saved()
+	for out := v.Ready(); out.DurableState != nil; out = v.Ready() {
+		v.Advance()
 	}
 	assert.Equal(t, "195 by 1", machine.last)
 	assert.Equal(t, 195, machine.count, "the snapshot's and the entries that were known to be decided")
 	s := v.Status()
 	assert.Equal(t, uint64(2), s.Boot, "one start more than the disk tells of")
-	assert.Equal(t, Member{Name: "v0", Disk: "194992241c49ae86", Address: "0"}, s.Me)
+	assert.Equal(t, Member{Name: "v0", Disk: "194992241c49ae86", Address: "0"}, s.Self)
 	assert.Equal(t, []Member{
 		{Name: "v1", Disk: "e4a28581c49dc226", Address: "1"},
 		{Name: "v0", Disk: "194992241c49ae86", Address: "0"},
 		{Name: "v2", Disk: "8b8c6ec608832026", Address: "2"},
 	}, s.Voters)
-	assert.Equal(t, uint64(214), s.Applied)
+	assert.Equal(t, uint64(214), s.AppliedIndex)
 	assert.Equal(t, uint64(2), s.Term)
 	assert.Len(t, v.known, 3)
 	index, err := v.storage.LastIndex()
--- a/internal/consensus/walk_test.go
+++ b/internal/consensus/walk_test.go
@@ -85,17 +85,17 @@
 	h.ticked = s.clock(i)
 	h.Tick(s.clock(i))
 	for range 50 {
-		out := h.Next()
-		if out.Save != nil {
+		out := h.Ready()
+		if out.DurableState != nil {
 			if ends {
 				return
 			}
-			h.disk = out.Save
-			h.Saved()
-		} else if len(out.Send) == 0 {
+			h.disk = out.DurableState
+			h.Advance()
+		} else if len(out.Messages) == 0 {
 			return
 		}
-		for _, m := range out.Send {
+		for _, m := range out.Messages {
 			to := int(m.To[0] - '0')
 			s.inbox[to][i] = append(s.inbox[to][i], m.Data)
 		}
@@ -108,7 +108,7 @@
 	all := s.inbox[i][from]
 	s.inbox[i][from] = nil
 	for _, data := range all {
-		s.hosts[i].Take(s.clock(i), data)
+		s.hosts[i].Receive(s.clock(i), data)
 	}
 	return len(all) > 0
 }
@@ -136,9 +136,9 @@
 		o := s.hosts[ask.To[0]-'0']
 		had := o.words
 		o.words = nil
-		o.Take(s.clock(i), ask.Data)
+		o.Receive(s.clock(i), ask.Data)
 		for _, answer := range o.words {
-			h.Take(s.clock(i), answer.Data)
+			h.Receive(s.clock(i), answer.Data)
 		}
 		o.words = had
 	}
@@ -198,7 +198,7 @@
 	}
 	leading := 0
 	for i, o := range s.hosts {
-		if o.Leads(s.clock(i)) {
+		if o.HasLease(s.clock(i)) {
 			leading++
 		}
 	}
@@ -212,7 +212,7 @@
 func (s *small) sum() uint64 {
 	h := fnv.New64a()
 	for i, o := range s.hosts {
-		fmt.Fprintln(h, i, string(o.disk), o.Leads(s.clock(i)), o.applied, o.vouched)
+		fmt.Fprintln(h, i, string(o.disk), o.HasLease(s.clock(i)), o.applied, o.vouched)
 		if o.node != nil {
 			text, _ := json.Marshal(o.node.Status())
 			h.Write(text)
--- a/internal/coordinator/core_test.go
+++ b/internal/coordinator/core_test.go
@@ -23,21 +23,21 @@
 	now := 0.0
 	for ; now < 5000; now += 10 {
 		c.Tick(now, 1e12+now)
-		for out := c.Next(); out.Save != nil; out = c.Next() {
-			c.Saved()
+		for out := c.Ready(); out.DurableState != nil; out = c.Ready() {
+			c.Advance()
 		}
 	}
-	require.True(t, c.voter.Leads(now))
+	require.True(t, c.voter.HasLease(now))
 	return c, now
 }
 
 func evidence(relay, zones int) []byte {
-	e := failover.Evidence{Relay: fmt.Sprint("relay-", relay), Zone: fmt.Sprint("zone-", relay%zones), Demand: 1,
-		Looks: map[string]failover.Look{}}
+	e := failover.Observations{Relay: fmt.Sprint("relay-", relay), Zone: fmt.Sprint("zone-", relay%zones), Demand: 1,
+		ByZone: map[string]failover.Observation{}}
 	for z := range zones {
-		e.Looks[fmt.Sprint("zone-", z)] = failover.Look{Tries: 5, Probes: 8, Load: 3.5, Room: 8}
+		e.ByZone[fmt.Sprint("zone-", z)] = failover.Observation{Attempts: 5, HealthChecks: 8, Load: 3.5, Capacity: 8}
 	}
-	return e.Text()
+	return e.Encode()
 }
 
 // BenchmarkThreeHundredRelays is a second of who leads, with 300 relays that each tell what they see twice.
@@ -51,11 +51,11 @@
 		for k := range 100 {
 			now += 10
 			c.Tick(now, 1e12+now)
-			for out := c.Next(); out.Save != nil; out = c.Next() {
-				c.Saved()
+			for out := c.Ready(); out.DurableState != nil; out = c.Ready() {
+				c.Advance()
 			}
 			for i := range 6 {
-				if _, err := c.Hear(now, all[(k*6+i)%300]); err != nil {
+				if _, err := c.ReceiveObservations(now, all[(k*6+i)%300]); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -66,26 +66,26 @@
 // Whatever comes in a datagram, nothing of it is believed that can't be.
 func FuzzHear(f *testing.F) {
 	f.Add(evidence(1, 6))
-	lie := failover.Evidence{Relay: "x", Zone: "zone-0", Demand: -1, Looks: map[string]failover.Look{
-		"zone-0": {Tries: 1, Failed: 2}}}
-	f.Add(lie.Text())
+	lie := failover.Observations{Relay: "x", Zone: "zone-0", Demand: -1, ByZone: map[string]failover.Observation{
+		"zone-0": {Attempts: 1, FailedAttempts: 2}}}
+	f.Add(lie.Encode())
 	f.Add([]byte("{"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		c, now := alone(t, 3)
-		if _, err := c.Hear(now, data); err == nil && len(data) > 0 {
-			e, _ := failover.ReadEvidence(data)
-			again, err := failover.ReadEvidence(e.Text())
+		if _, err := c.ReceiveObservations(now, data); err == nil && len(data) > 0 {
+			e, _ := failover.DecodeObservations(data)
+			again, err := failover.DecodeObservations(e.Encode())
 			require.NoError(t, err)
-			require.Equal(t, len(e.Looks), len(again.Looks))
+			require.Equal(t, len(e.ByZone), len(again.ByZone))
 		}
-		c.Take(now, data)
-		c.Told(now, data)
+		c.ReceiveMessage(now, data)
+		c.ReceiveAnnouncement(now, data)
 		c.Tick(now+200, 1e12)
-		for out := c.Next(); out.Save != nil; out = c.Next() {
-			c.Saved()
+		for out := c.Ready(); out.DurableState != nil; out = c.Ready() {
+			c.Advance()
 		}
-		require.True(t, c.voter.Leads(now+200))
-		for _, z := range c.Word(now + 200).Zones {
+		require.True(t, c.voter.HasLease(now+200))
+		for _, z := range c.Announcement(now + 200).Zones {
 			require.Equal(t, failover.Home, z.State)
 		}
 	})
--- a/internal/coordinator/file.go
+++ b/internal/coordinator/file.go
@@ -12,24 +12,24 @@
 	"valeshift/internal/failover"
 )
 
-// File is a voter's file, in TOML.
-type File struct {
-	Name    string  `toml:"name"`     // of this voter, one of those below
-	Ops     string  `toml:"ops"`      // address:port where operators call
-	KeyFile string  `toml:"key-file"` // the relays' and the voters'
-	Folder  string  `toml:"folder"`
-	Voters  []Voter `toml:"voter"`
-	Zones   []Zone  `toml:"zone"`
+// Config is a voter's file, in TOML.
+type Config struct {
+	Name         string        `toml:"name"`     // of this voter, one of those below
+	AdminAddress string        `toml:"ops"`      // address:port where operators call
+	KeyFile      string        `toml:"key-file"` // the relays' and the voters'
+	Folder       string        `toml:"folder"`
+	Voters       []VoterConfig `toml:"voter"`
+	Zones        []ZoneConfig  `toml:"zone"`
 }
 
-// Voter is one of them.
-type Voter struct {
+// VoterConfig is one of them.
+type VoterConfig struct {
 	Name    string `toml:"name"`
 	Address string `toml:"address"` // address:port, UDP, as the others and the relays reach it
 }
 
-// Zone is one that is decided on.
-type Zone struct {
+// ZoneConfig is one that is decided on.
+type ZoneConfig struct {
 	Name   string `toml:"name"`
 	Region string `toml:"region"`
 }
@@ -40,14 +40,14 @@
 	mostName   = 64
 )
 
-// ReadFile reads a voter's file. Its errors name the field.
-func ReadFile(path string) (*File, error) {
+// LoadConfig reads a voter's file. Its errors name the field.
+func LoadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	f := &File{}
-	if err := config.Strict(text, f); err != nil {
+	f := &Config{}
+	if err := config.DecodeStrict(text, f); err != nil {
 		return nil, fmt.Errorf("%s:%w", path, err)
 	}
 	if err := f.check(); err != nil {
@@ -57,15 +57,15 @@
 }
 
 // Reload reads the file again, for its zones: all else needs a restart, and is named.
-func (f *File) Reload(path string) (*File, error) {
-	next, err := ReadFile(path)
+func (f *Config) Reload(path string) (*Config, error) {
+	next, err := LoadConfig(path)
 	if err != nil {
 		return nil, err
 	}
 	for _, field := range []struct {
 		name string
 		same bool
-	}{{"name", f.Name == next.Name}, {"ops", f.Ops == next.Ops}, {"key-file", f.KeyFile == next.KeyFile},
+	}{{"name", f.Name == next.Name}, {"ops", f.AdminAddress == next.AdminAddress}, {"key-file", f.KeyFile == next.KeyFile},
 		{"folder", f.Folder == next.Folder}, {"voter", slices.Equal(f.Voters, next.Voters)}} {
 		if !field.same {
 			return nil, fmt.Errorf("%s: %s: another takes a restart", path, field.name)
@@ -74,7 +74,7 @@
 	return next, nil
 }
 
-func (f *File) check() error {
+func (f *Config) check() error {
 	if n := len(f.Voters); n%2 == 0 || n > mostVoters {
 		return fmt.Errorf("voter: 1, 3, 5 or %d expected, got %d", mostVoters, n)
 	}
@@ -97,8 +97,8 @@
 		}
 		zones[z.Name] = true
 	}
-	if at, err := netip.ParseAddrPort(f.Ops); err != nil {
-		return fmt.Errorf("ops: address:port expected, got %q", f.Ops)
+	if at, err := netip.ParseAddrPort(f.AdminAddress); err != nil {
+		return fmt.Errorf("ops: address:port expected, got %q", f.AdminAddress)
 	} else if !at.IsValid() || !own {
 		return fmt.Errorf("name: one of the voters expected, got %q", f.Name)
 	}
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// Council is who this voter is, who all are, and which zones are decided on.
-func (f *File) Council() (me consensus.Member, voters []consensus.Member, zones []failover.Zone) {
+// Topology is who this voter is, who all are, and which zones are decided on.
+func (f *Config) Topology() (me consensus.Member, voters []consensus.Member, zones []failover.Zone) {
 	for _, v := range f.Voters {
 		m := consensus.Member{Name: v.Name, Address: v.Address}
 		if voters = append(voters, m); v.Name == f.Name {
--- a/internal/coordinator/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -35,7 +35,7 @@
 
 // startOnGoldenFolder starts the one voter of a council, whose folder an earlier build has written, on a copy
 // of that folder, and waits until it leads.
-func startOnGoldenFolder(t *testing.T) (r *Run, address string) {
+func startOnGoldenFolder(t *testing.T) (r *Node, address string) {
 	t.Helper()
 	folder := t.TempDir()
 	require.NoError(t, os.CopyFS(folder, os.DirFS(filepath.Join("testdata", "golden", "folder"))))
@@ -48,11 +48,11 @@
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
 	require.NoError(t, err)
 	t.Cleanup(r.Stop)
-	require.Eventually(t, func() bool { return status(t, r).Leads }, 10*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return status(t, r).HasLease }, 10*time.Second, 10*time.Millisecond)
 	return r, address
 }
 
-func get(t *testing.T, r *Run, path string) *httptest.ResponseRecorder {
+func get(t *testing.T, r *Node, path string) *httptest.ResponseRecorder {
 	t.Helper()
 	answer := httptest.NewRecorder()
 	r.Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, path, nil))
@@ -61,7 +61,7 @@
 	return answer
 }
 
-func status(t *testing.T, r *Run) (s Status) {
+func status(t *testing.T, r *Node) (s Status) {
 	t.Helper()
 	require.NoError(t, json.Unmarshal(get(t, r, "/status").Body.Bytes(), &s))
 	return s
@@ -73,11 +73,11 @@
 	require.NoError(t, json.Unmarshal(golden(t, "status-answer.json"), &before))
 	r, _ := startOnGoldenFolder(t)
 	now := status(t, r)
-	assert.Equal(t, before.Me.Disk, now.Me.Disk)
+	assert.Equal(t, before.Self.Disk, now.Self.Disk)
 	assert.Equal(t, before.Boot+1, now.Boot)
 	assert.Greater(t, now.Term, before.Term)
-	assert.Greater(t, now.Applied, before.Applied)
-	assert.Equal(t, before.Number, now.Number)
+	assert.Greater(t, now.AppliedIndex, before.AppliedIndex)
+	assert.Equal(t, before.DecisionNumber, now.DecisionNumber)
 	assert.Equal(t, before.Zones, now.Zones)
 	assert.Equal(t, before.Orders, now.Orders)
 	assert.Equal(t, before.Voters, now.Voters)
@@ -88,7 +88,7 @@
 func TestGoldenAnswers(t *testing.T) {
 	for name, into := range map[string]any{
 		"status-answer.json":  &Status{},
-		"history-answer.json": &[]failover.Entry{},
+		"history-answer.json": &[]failover.Decision{},
 	} {
 		t.Run(name, func(t *testing.T) {
 			data := golden(t, name)
@@ -107,16 +107,16 @@
 	me := consensus.Member{Name: "v", Disk: "8b7c8cc158c6a34b", Address: "127.0.11.1:17100"}
 	var s Status
 	require.NoError(t, json.Unmarshal(golden(t, "status-answer.json"), &s))
-	assert.Equal(t, me, s.Me)
+	assert.Equal(t, me, s.Self)
 	assert.Equal(t, uint64(1), s.Boot)
 	assert.Equal(t, "StateLeader", s.Role)
 	assert.Equal(t, "v", s.Leader)
 	assert.Equal(t, uint64(2), s.Term)
-	assert.Equal(t, uint64(6), s.Applied)
+	assert.Equal(t, uint64(6), s.AppliedIndex)
 	assert.Equal(t, []consensus.Member{me}, s.Voters)
-	assert.True(t, s.Vouched)
-	assert.True(t, s.Leads)
-	assert.Equal(t, uint64(5), s.Number)
+	assert.True(t, s.DiskConfirmed)
+	assert.True(t, s.HasLease)
+	assert.Equal(t, uint64(5), s.DecisionNumber)
 	assert.Len(t, s.Zones, 4)
 	assert.Len(t, s.Orders, 2)
 }
@@ -191,21 +191,21 @@
 
 // TestGoldenAnnouncements writes the words that relays are answered with, and reads them.
 func TestGoldenAnnouncements(t *testing.T) {
-	for name, word := range map[string]failover.Word{
-		"announcement.json": {Number: 7, Age: 12.5, Leads: true, Zones: []failover.Zone{{
-			Name:   "a",
-			Region: "north",
-			State:  failover.Spilling,
-			Share:  0.75,
-			To:     []failover.Part{{Zone: "b", Part: 0.25}},
-			Left:   0.125,
-			Why:    "full",
+	for name, word := range map[string]failover.Announcement{
+		"announcement.json": {Number: 7, AgeMillis: 12.5, FromLeader: true, Zones: []failover.Zone{{
+			Name:       "a",
+			Region:     "north",
+			State:      failover.Spilling,
+			Share:      0.75,
+			Diversions: []failover.TrafficShare{{Zone: "b", Fraction: 0.25}},
+			Unserved:   0.125,
+			Reason:     "full",
 		}}},
-		"announcement-unknown.json": {Age: -1},
+		"announcement-unknown.json": {AgeMillis: -1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			data := golden(t, name)
-			var read failover.Word
+			var read failover.Announcement
 			require.NoError(t, json.Unmarshal(data, &read))
 			assert.Equal(t, word, read)
 			c := &Core{}
@@ -216,14 +216,14 @@
 
 // TestGoldenFile reads a voter's file with each key that there is.
 func TestGoldenFile(t *testing.T) {
-	f, err := ReadFile(filepath.Join("testdata", "golden", "coordinator.toml"))
+	f, err := LoadConfig(filepath.Join("testdata", "golden", "coordinator.toml"))
 	require.NoError(t, err)
-	assert.Equal(t, &File{
-		Name:    "north",
-		Ops:     "127.0.0.1:7101",
-		KeyFile: "/etc/valeshift/key",
-		Folder:  "/var/lib/valeshift-council",
-		Voters:  []Voter{{Name: "north", Address: "127.0.0.1:7100"}},
-		Zones:   []Zone{{Name: "a", Region: "highlands"}, {Name: "b", Region: "coast"}},
+	assert.Equal(t, &Config{
+		Name:         "north",
+		AdminAddress: "127.0.0.1:7101",
+		KeyFile:      "/etc/valeshift/key",
+		Folder:       "/var/lib/valeshift-council",
+		Voters:       []VoterConfig{{Name: "north", Address: "127.0.0.1:7100"}},
+		Zones:        []ZoneConfig{{Name: "a", Region: "highlands"}, {Name: "b", Region: "coast"}},
 	}, f)
 }
--- a/internal/coordinator/processes_test.go
+++ b/internal/coordinator/processes_test.go
@@ -127,7 +127,7 @@
 
 // order gives an order to this voter.
 func (m *machine) order(id, zone, do string) (code int, said string) {
-	body, _ := json.Marshal(failover.Order{ID: id, Zone: zone, Do: do, Reason: "test", Who: "t"})
+	body, _ := json.Marshal(failover.OperatorOrder{ID: id, Zone: zone, Action: do, Reason: "test", IssuedBy: "t"})
 	answer, err := client.Post("http://"+m.ops+"/order", "application/json", bytes.NewReader(body))
 	if err != nil {
 		return 0, err.Error()
@@ -144,7 +144,7 @@
 		for i, m := range all {
 			var s Status
 			if (len(among) == 0 || slices.Contains(among, i)) && m.cmd != nil && m.ask("/status", &s) == nil &&
-				s.Leads {
+				s.HasLease {
 				return i
 			}
 		}
@@ -181,19 +181,19 @@
 			return
 		case <-time.After(200 * time.Millisecond):
 		}
-		e := failover.Evidence{Relay: fmt.Sprint("r", i), Zone: string(rune('a' + i%6)), Demand: 1,
-			Looks: map[string]failover.Look{}}
+		e := failover.Observations{Relay: fmt.Sprint("r", i), Zone: string(rune('a' + i%6)), Demand: 1,
+			ByZone: map[string]failover.Observation{}}
 		r.mutex.Lock()
 		for k := range 6 {
 			z := string(rune('a' + k))
-			l := failover.Look{Tries: 10, Load: 4, Room: 10}
+			l := failover.Observation{Attempts: 10, Load: 4, Capacity: 10}
 			if strings.Contains(r.bad, z) {
-				l.Failed = 9
+				l.FailedAttempts = 9
 			}
-			e.Looks[z] = l
+			e.ByZone[z] = l
 		}
 		r.mutex.Unlock()
-		sealed := membership.Seal([]byte(key), append([]byte{failover.Shown}, e.Text()...))
+		sealed := membership.Seal([]byte(key), append([]byte{failover.ObservationsDatagram}, e.Encode()...))
 		for k := range all { // to all voters: who leads is one of them
 			to, _ := net.ResolveUDPAddr("udp", all[k].hears)
 			conn.WriteToUDP(sealed, to)
@@ -205,15 +205,15 @@
 				break
 			}
 			body, err := membership.Open([]byte(key), buffer[:got])
-			var w failover.Word
-			if err == nil && body[0] == failover.Says && json.Unmarshal(body[1:], &w) == nil && w.Age >= 0 {
+			var w failover.Announcement
+			if err == nil && body[0] == failover.AnnouncementDatagram && json.Unmarshal(body[1:], &w) == nil && w.AgeMillis >= 0 {
 				r.take(i, w)
 			}
 		}
 	}
 }
 
-func (r *relays) take(i int, w failover.Word) {
+func (r *relays) take(i int, w failover.Announcement) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var all []string
@@ -306,7 +306,7 @@
 	require.NoError(t, all[l].ask("/status", &s))
 	last := s.Orders[len(s.Orders)-1] // the later number holds, at all
 	followers.follow(18, map[string]string{"empty": "b emptied, c emptied, d emptied",
-		"return": "b emptied, c emptied"}[last.Do])
+		"return": "b emptied, c emptied"}[last.Action])
 	code, said = all[l].order("o2b", "d", "return")
 	require.Equal(t, http.StatusOK, code, said)
 
@@ -367,8 +367,8 @@
 		require.Eventually(t, func() bool {
 			var own, s Status
 			return all[i].ask("/status", &own) == nil && all[leader(t, all)].ask("/status", &s) == nil &&
-				own.Vouched &&
-				slices.Contains(s.Voters, own.Me) && len(s.Voters) == 5 && own.Number == s.Number
+				own.DiskConfirmed &&
+				slices.Contains(s.Voters, own.Self) && len(s.Voters) == 5 && own.DecisionNumber == s.DecisionNumber
 		}, 15*time.Second, 100*time.Millisecond, "let in as new: "+what)
 	}
 
@@ -411,7 +411,7 @@
 	say("")
 	followers.follow(18, "e emptied")
 	assert.Greater(t, number(), was)
-	var histories [5][]failover.Entry
+	var histories [5][]failover.Decision
 	require.Eventually(t, func() bool {
 		for i, m := range all {
 			if m.ask("/history", &histories[i]) != nil || len(histories[i]) != len(histories[0]) {
@@ -438,7 +438,7 @@
 			"[[voter]]\nname = \"w\"\n[[zone]]", "voter: 1, 3"},
 		{"folder", "folders", "no such field"}} {
 		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(good, c[0], c[1], 1)), 0o600))
-		_, err := ReadFile(path)
+		_, err := LoadConfig(path)
 		if c[2] == "" {
 			assert.NoError(t, err)
 		} else {
--- a/internal/coordinator/run.go
+++ b/internal/coordinator/run.go
@@ -31,8 +31,8 @@
 	datagram  = 64 << 10
 )
 
-// Run is one voter on sockets and a disk. Everything is taken under one lock, and none of it waits.
-type Run struct {
+// Node is one voter on sockets and a disk. Everything is taken under one lock, and none of it waits.
+type Node struct {
 	log   *slog.Logger
 	key   []byte
 	base  time.Time
@@ -40,14 +40,14 @@
 	core  *Core
 	udp   *net.UDPConn
 	store *store.Store
-	saves chan consensus.Out
+	saves chan consensus.Ready
 	ended chan struct{}
 	done  sync.WaitGroup
 }
 
 // Start starts a voter that hears others at its address; fs is its folder.
 func Start(me consensus.Member, voters []consensus.Member, zones []failover.Zone, key []byte, fs store.FS,
-	log *slog.Logger) (*Run, error) {
+	log *slog.Logger) (*Node, error) {
 	kept, found, err := store.Open(fs, me.Name, mostDisk)
 	if err != nil {
 		return nil, err
@@ -59,7 +59,7 @@
 	if _, err := rand.Read(lot[:]); err != nil {
 		return nil, err
 	}
-	r := &Run{log: log, key: key, base: time.Now(), store: kept, saves: make(chan consensus.Out, 1),
+	r := &Node{log: log, key: key, base: time.Now(), store: kept, saves: make(chan consensus.Ready, 1),
 		ended: make(chan struct{})}
 	record, _ := kept.Get(store.Council, "")
 	chance := mathrand.New(mathrand.NewSource(int64(binary.LittleEndian.Uint64(lot[:]))))
@@ -81,7 +81,7 @@
 }
 
 // Stop ends it.
-func (r *Run) Stop() {
+func (r *Node) Stop() {
 	close(r.ended)
 	r.udp.Close()
 	r.done.Wait()
@@ -90,47 +90,47 @@
 	}
 }
 
-// Over has those zones decided on from now on.
-func (r *Run) Over(zones []failover.Zone) {
-	r.with(func(_ float64, c *Core) { c.Over(zones) })
+// SetZones has those zones decided on from now on.
+func (r *Node) SetZones(zones []failover.Zone) {
+	r.with(func(_ float64, c *Core) { c.SetZones(zones) })
 }
 
-func (r *Run) now() float64 { return 1 + float64(time.Since(r.base))/float64(time.Millisecond) }
+func (r *Node) now() float64 { return 1 + float64(time.Since(r.base))/float64(time.Millisecond) }
 
 func wall() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
 // with has the core take something, and carries out what follows.
-func (r *Run) with(do func(now float64, c *Core)) {
+func (r *Node) with(do func(now float64, c *Core)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	do(r.now(), r.core)
 	for {
-		out := r.core.Next()
-		if out.Save != nil {
+		out := r.core.Ready()
+		if out.DurableState != nil {
 			r.saves <- out // there is room, as nothing more comes before it is saved
 			return
 		}
-		if len(out.Send) == 0 {
+		if len(out.Messages) == 0 {
 			return
 		}
-		r.sends(out.Send)
+		r.sends(out.Messages)
 	}
 }
 
-func (r *Run) sends(all []consensus.Send) {
+func (r *Node) sends(all []consensus.OutgoingMessage) {
 	for _, s := range all {
-		r.send(s.To, failover.Frame, s.Data)
+		r.send(s.To, failover.ConsensusDatagram, s.Data)
 	}
 }
 
 // send loses what can't be sent: all of it is said again.
-func (r *Run) send(to string, kind byte, data []byte) {
+func (r *Node) send(to string, kind byte, data []byte) {
 	if at, err := net.ResolveUDPAddr("udp", to); err == nil {
 		r.udp.WriteToUDP(membership.Seal(r.key, append([]byte{kind}, data...)), at)
 	}
 }
 
-func (r *Run) ticks() {
+func (r *Node) ticks() {
 	defer r.done.Done()
 	tick := time.NewTicker(tickEvery)
 	defer tick.Stop()
@@ -145,7 +145,7 @@
 		to, now := "", false
 		r.with(func(at float64, c *Core) {
 			c.Tick(at, wall())
-			to, now = c.Asks(at), c.voter.Leads(at)
+			to, now = c.AnnouncementSource(at), c.voter.HasLease(at)
 		})
 		if now != leads {
 			leads = now
@@ -153,12 +153,12 @@
 		}
 		if to != "" && time.Since(asked) >= askEvery {
 			asked = time.Now()
-			r.send(to, failover.Shown, nil)
+			r.send(to, failover.ObservationsDatagram, nil)
 		}
 	}
 }
 
-func (r *Run) hears() {
+func (r *Node) hears() {
 	defer r.done.Done()
 	buffer := make([]byte, datagram)
 	for {
@@ -177,30 +177,30 @@
 	}
 }
 
-func (r *Run) take(from *net.UDPAddr, kind byte, data []byte) {
+func (r *Node) take(from *net.UDPAddr, kind byte, data []byte) {
 	switch kind {
-	case failover.Frame:
-		r.with(func(now float64, c *Core) { c.Take(now, data) })
-	case failover.Shown:
+	case failover.ConsensusDatagram:
+		r.with(func(now float64, c *Core) { c.ReceiveMessage(now, data) })
+	case failover.ObservationsDatagram:
 		var word []byte
-		r.with(func(now float64, c *Core) { word, _ = c.Hear(now, data) })
+		r.with(func(now float64, c *Core) { word, _ = c.ReceiveObservations(now, data) })
 		if word != nil {
-			r.send(from.String(), failover.Says, word)
+			r.send(from.String(), failover.AnnouncementDatagram, word)
 		}
-	case failover.Says:
-		r.with(func(now float64, c *Core) { c.Told(now, data) })
+	case failover.AnnouncementDatagram:
+		r.with(func(now float64, c *Core) { c.ReceiveAnnouncement(now, data) })
 	}
 }
 
 // writes saves what is to be saved, however long that takes: nothing is spoken of before.
-func (r *Run) writes() {
+func (r *Node) writes() {
 	defer r.done.Done()
 	for {
 		select {
 		case <-r.ended:
 			return
 		case out := <-r.saves:
-			for !r.write(out.Save) {
+			for !r.write(out.DurableState) {
 				select {
 				case <-r.ended:
 					return
@@ -208,14 +208,14 @@
 				}
 			}
 			r.with(func(_ float64, c *Core) {
-				r.sends(out.Send)
-				c.Saved()
+				r.sends(out.Messages)
+				c.Advance()
 			})
 		}
 	}
 }
 
-func (r *Run) write(data []byte) bool {
+func (r *Node) write(data []byte) bool {
 	durable := make(chan error, 1)
 	r.store.Put(store.Record{Kind: store.Council, Body: data}, func(err error) { durable <- err })
 	if err := r.store.Flush(); err != nil {
@@ -226,7 +226,7 @@
 }
 
 // Handler answers operators: how things stand, what was decided, and orders.
-func (r *Run) Handler() http.Handler {
+func (r *Node) Handler() http.Handler {
 	calls := http.NewServeMux()
 	say := func(w http.ResponseWriter, what any) {
 		w.Header().Set("Content-Type", "application/json")
@@ -243,19 +243,19 @@
 		say(w, r.core.History())
 	})
 	calls.HandleFunc("POST /order", func(w http.ResponseWriter, q *http.Request) {
-		var o failover.Order
+		var o failover.OperatorOrder
 		if err := json.NewDecoder(http.MaxBytesReader(w, q.Body, mostText)).Decode(&o); err != nil || o.ID == "" {
 			http.Error(w, "an order with an ID expected", http.StatusBadRequest)
 			return
 		}
-		entry, err := r.Order(o)
+		entry, err := r.SubmitOrder(o)
 		switch {
-		case errors.Is(err, consensus.ErrNotLeading):
+		case errors.Is(err, consensus.ErrNotLeader):
 			http.Error(w, err.Error(), http.StatusMisdirectedRequest)
 		case err != nil:
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
-		case entry.Refused != "":
-			http.Error(w, "refused: "+entry.Refused, http.StatusConflict)
+		case entry.Rejection != "":
+			http.Error(w, "refused: "+entry.Rejection, http.StatusConflict)
 		default:
 			say(w, entry)
 		}
@@ -267,12 +267,12 @@
 // given again, under its ID, tells.
 var ErrNotDurable = errors.New("not durable at a majority")
 
-// Order has an order decided, and tells what has become of it once that is durable at a majority.
-func (r *Run) Order(o failover.Order) (entry failover.Entry, err error) {
-	r.with(func(now float64, c *Core) { err = c.Order(now, o) })
+// SubmitOrder has an order decided, and tells what has become of it once that is durable at a majority.
+func (r *Node) SubmitOrder(o failover.OperatorOrder) (entry failover.Decision, err error) {
+	r.with(func(now float64, c *Core) { err = c.SubmitOrder(now, o) })
 	for until := time.Now().Add(orderTime); err == nil; time.Sleep(lookEvery) {
 		r.mutex.Lock()
-		entry, there := r.core.Answer(o.ID)
+		entry, there := r.core.DecisionOnOrder(o.ID)
 		r.mutex.Unlock()
 		if there {
 			return entry, nil
--- a/internal/failover/book.go
+++ b/internal/failover/book.go
@@ -25,51 +25,51 @@
 
 // Zone is one zone as it is decided.
 type Zone struct {
-	Name   string  `json:"Name"`
-	Region string  `json:"Region"`
-	State  State   `json:"State"`
-	Share  float64 `json:"Share"`
-	To     []Part  `json:"To,omitempty"`   // where the rest goes
-	Left   float64 `json:"Left,omitempty"` // what is left, as nobody has room for it: told to come again
-	Why    string  `json:"Why"`
+	Name       string         `json:"Name"`
+	Region     string         `json:"Region"`
+	State      State          `json:"State"`
+	Share      float64        `json:"Share"`
+	Diversions []TrafficShare `json:"To,omitempty"`   // where the rest goes
+	Unserved   float64        `json:"Left,omitempty"` // what is left, as nobody has room for it: told to come again
+	Reason     string         `json:"Why"`
 }
 
-// Part is how much of the work near a zone goes to another.
-type Part struct {
-	Zone string  `json:"Zone"`
-	Part float64 `json:"Part"`
+// TrafficShare is how much of the work near a zone goes to another.
+type TrafficShare struct {
+	Zone     string  `json:"Zone"`
+	Fraction float64 `json:"Part"`
 }
 
-// Order is an operator's: it goes before what is decided automatically, until its end.
-type Order struct {
-	ID     string  `json:"ID"` // the caller's, for the answer
-	Zone   string  `json:"Zone"`
-	Do     string  `json:"Do"` // empty, return or hold
-	Until  float64 `json:"Until"`
-	Reason string  `json:"Reason"`
-	Who    string  `json:"Who"`
-	Force  bool    `json:"Force"` // also where nothing is left to serve
+// OperatorOrder is an operator's: it goes before what is decided automatically, until its end.
+type OperatorOrder struct {
+	ID        string  `json:"ID"` // the caller's, for the answer
+	Zone      string  `json:"Zone"`
+	Action    string  `json:"Do"` // empty, return or hold
+	ExpiresAt float64 `json:"Until"`
+	Reason    string  `json:"Reason"`
+	IssuedBy  string  `json:"Who"`
+	Force     bool    `json:"Force"` // also where nothing is left to serve
 }
 
 // Command is one entry of the council's list.
 type Command struct {
-	Zones  []Zone             `json:"Zones,omitempty"` // the whole picture, as it was judged, and by what
-	Demand map[string]float64 `json:"Demand,omitempty"`
-	Room   map[string]float64 `json:"Room,omitempty"`
-	Order  *Order             `json:"Order,omitempty"`
-	Ends   string             `json:"Ends,omitempty"` // an order's ID: it is over
-	Cause  string             `json:"Cause"`
-	At     float64            `json:"At"` // clock time at who proposed it, for the history
+	Zones          []Zone             `json:"Zones,omitempty"` // the whole picture, as it was judged, and by what
+	Demand         map[string]float64 `json:"Demand,omitempty"`
+	Capacity       map[string]float64 `json:"Room,omitempty"`
+	Order          *OperatorOrder     `json:"Order,omitempty"`
+	ExpiredOrderID string             `json:"Ends,omitempty"` // an order's ID: it is over
+	Cause          string             `json:"Cause"`
+	ProposedAt     float64            `json:"At"` // clock time at who proposed it, for the history
 }
 
-// Entry is one decision as it is remembered.
-type Entry struct {
-	Number  uint64  `json:"Number"`
-	At      float64 `json:"At"`
-	Cause   string  `json:"Cause"`
-	Who     string  `json:"Who"`
-	Refused string  `json:"Refused"` // why it has changed nothing
-	Zones   []Zone  `json:"Zones"`
+// Decision is one decision as it is remembered.
+type Decision struct {
+	Number     uint64  `json:"Number"`
+	ProposedAt float64 `json:"At"`
+	Cause      string  `json:"Cause"`
+	OrderID    string  `json:"Who"`
+	Rejection  string  `json:"Refused"` // why it has changed nothing
+	Zones      []Zone  `json:"Zones"`
 }
 
 const (
@@ -78,24 +78,24 @@
 	mostText    = 200
 )
 
-// Book is what has been decided. It is the council's machine: the same at all voters after the same entries.
-type Book struct {
-	Number  uint64             `json:"Number"`
-	Judged  []Zone             `json:"Judged"` // as judged, before orders
-	Orders  []Order            `json:"Orders"`
-	Demand  map[string]float64 `json:"Demand"` // near each zone, and what each bears, as the picture was judged
-	Room    map[string]float64 `json:"Room"`
-	History []Entry            `json:"History"`
+// DecisionLog is what has been decided. It is the council's machine: the same at all voters after the same entries.
+type DecisionLog struct {
+	Number      uint64             `json:"Number"`
+	PolicyZones []Zone             `json:"Judged"` // as judged, before orders
+	Orders      []OperatorOrder    `json:"Orders"`
+	Demand      map[string]float64 `json:"Demand"` // near each zone, and what each bears, as the picture was judged
+	Capacity    map[string]float64 `json:"Room"`
+	History     []Decision         `json:"History"`
 }
 
-// Zones is the picture that holds: what was judged, with the orders on top.
-func (b *Book) Zones() []Zone {
-	all := slices.Clone(b.Judged)
+// EffectiveZones is the picture that holds: what was judged, with the orders on top.
+func (b *DecisionLog) EffectiveZones() []Zone {
+	all := slices.Clone(b.PolicyZones)
 	for i := range all {
 		z := &all[i]
 		if o := b.order(z.Name); o != nil {
-			z.Why = "order: " + o.Reason
-			switch o.Do {
+			z.Reason = "order: " + o.Reason
+			switch o.Action {
 			case "empty":
 				z.State, z.Share = Emptied, 0
 			case "return":
@@ -107,7 +107,7 @@
 	}
 	if len(b.Orders) > 0 { // what an order moves goes by what was judged of the others' room
 		b.spare(all)
-		direct(all, b.Demand, b.Room)
+		direct(all, b.Demand, b.Capacity)
 	}
 	return all
 }
@@ -115,24 +115,24 @@
 // spare has the zones that were judged to be empty serve where orders that nobody forced leave no other: a
 // zone that does badly is better than none, and no order is to end service by slip together with what is
 // judged later.
-func (b *Book) spare(all []Zone) {
+func (b *DecisionLog) spare(all []Zone) {
 	if slices.ContainsFunc(all, func(z Zone) bool { return z.Share > 0 }) ||
-		slices.ContainsFunc(b.Orders, func(o Order) bool { return o.Force }) {
+		slices.ContainsFunc(b.Orders, func(o OperatorOrder) bool { return o.Force }) {
 		return
 	}
 	for i := range all {
 		if z := &all[i]; b.order(z.Name) == nil {
-			z.State, z.Share, z.Why = Home, 1, "no other serves, by the orders; "+z.Why
+			z.State, z.Share, z.Reason = Home, 1, "no other serves, by the orders; "+z.Reason
 		}
 	}
 }
 
 // held is a zone as it was when the order to hold it came.
-func (b *Book) held(z *Zone) (State, float64) {
+func (b *DecisionLog) held(z *Zone) (State, float64) {
 	o := b.order(z.Name)
 	for i := len(b.History) - 1; i >= 0; i-- {
 		for _, was := range b.History[i].Zones {
-			if b.History[i].Refused == "" && was.Name == z.Name && b.History[i].Who == o.ID {
+			if b.History[i].Rejection == "" && was.Name == z.Name && b.History[i].OrderID == o.ID {
 				return was.State, was.Share
 			}
 		}
@@ -140,7 +140,7 @@
 	return z.State, z.Share
 }
 
-func (b *Book) order(zone string) *Order {
+func (b *DecisionLog) order(zone string) *OperatorOrder {
 	for i := len(b.Orders) - 1; i >= 0; i-- { // the later number
 		if b.Orders[i].Zone == zone {
 			return &b.Orders[i]
@@ -150,33 +150,33 @@
 }
 
 // Apply takes the entry of that number, and remembers it.
-func (b *Book) Apply(number uint64, data []byte) {
+func (b *DecisionLog) Apply(number uint64, data []byte) {
 	var c Command
-	e := Entry{Number: number}
-	before := b.Zones()
+	e := Decision{Number: number}
+	before := b.EffectiveZones()
 	switch err := json.Unmarshal(data, &c); {
 	case err != nil:
-		e.Refused = "unreadable"
+		e.Rejection = "unreadable"
 	case c.Order != nil:
-		e.Who, e.Refused = c.Order.ID, b.give(*c.Order, before)
-	case c.Ends != "":
-		e.Who = c.Ends
+		e.OrderID, e.Rejection = c.Order.ID, b.give(*c.Order, before)
+	case c.ExpiredOrderID != "":
+		e.OrderID = c.ExpiredOrderID
 		n := len(b.Orders)
 		if b.Orders = slices.DeleteFunc(b.Orders,
-			func(o Order) bool { return o.ID == c.Ends }); len(b.Orders) == n {
-			e.Refused = "no such order"
+			func(o OperatorOrder) bool { return o.ID == c.ExpiredOrderID }); len(b.Orders) == n {
+			e.Rejection = "no such order"
 		}
 	default:
-		if e.Refused = wrongZones(c.Zones); e.Refused == "" {
-			b.Judged, b.Demand, b.Room = c.Zones, c.Demand, c.Room
-			b.Orders = slices.DeleteFunc(b.Orders, func(o Order) bool { return !named(c.Zones, o.Zone) })
+		if e.Rejection = wrongZones(c.Zones); e.Rejection == "" {
+			b.PolicyZones, b.Demand, b.Capacity = c.Zones, c.Demand, c.Capacity
+			b.Orders = slices.DeleteFunc(b.Orders, func(o OperatorOrder) bool { return !named(c.Zones, o.Zone) })
 		}
 	}
-	e.At, e.Cause = c.At, short(c.Cause)
-	if e.Zones = b.Zones(); e.Refused == "" {
+	e.ProposedAt, e.Cause = c.ProposedAt, short(c.Cause)
+	if e.Zones = b.EffectiveZones(); e.Rejection == "" {
 		b.Number = number
 	}
-	if c.Order != nil && c.Order.Do == "hold" && e.Refused == "" {
+	if c.Order != nil && c.Order.Action == "hold" && e.Rejection == "" {
 		e.Zones = before // as it is then is what is held
 	}
 	b.History = append(b.History, e)
@@ -214,17 +214,17 @@
 
 // give takes an order, or says why not. Judged here and not where it is given: of two that contradict each
 // other the later sees the earlier.
-func (b *Book) give(o Order, zones []Zone) string {
+func (b *DecisionLog) give(o OperatorOrder, zones []Zone) string {
 	if !named(zones, o.Zone) {
 		return "no such zone"
 	}
-	if o.ID == "" || len(o.ID) > mostText || len(o.Reason) > mostText || len(o.Who) > mostText {
+	if o.ID == "" || len(o.ID) > mostText || len(o.Reason) > mostText || len(o.IssuedBy) > mostText {
 		return "an order has an id, a reason and who gave it, each short"
 	}
-	if slices.ContainsFunc(b.Orders, func(had Order) bool { return had.ID == o.ID }) {
+	if slices.ContainsFunc(b.Orders, func(had OperatorOrder) bool { return had.ID == o.ID }) {
 		return "" // given twice
 	}
-	switch o.Do {
+	switch o.Action {
 	case "return", "hold":
 	case "empty":
 		left := slices.ContainsFunc(zones, func(z Zone) bool { return z.Name != o.Zone && z.Share > 0 })
@@ -232,42 +232,42 @@
 			return "no other zone serves; it is to be forced by name"
 		}
 	default:
-		return fmt.Sprintf("empty, return or hold expected, got %q", o.Do)
+		return fmt.Sprintf("empty, return or hold expected, got %q", o.Action)
 	}
-	b.Orders = slices.DeleteFunc(b.Orders, func(had Order) bool { return had.Zone == o.Zone })
+	b.Orders = slices.DeleteFunc(b.Orders, func(had OperatorOrder) bool { return had.Zone == o.Zone })
 	b.Orders = append(b.Orders, o)
 	return ""
 }
 
-// Ended are the orders whose end has come by that clock.
-func (b *Book) Ended(clock float64) (ids []string) {
+// ExpiredOrderIDs are the orders whose end has come by that clock.
+func (b *DecisionLog) ExpiredOrderIDs(clock float64) (ids []string) {
 	for _, o := range b.Orders {
-		if o.Until > 0 && clock >= o.Until {
+		if o.ExpiresAt > 0 && clock >= o.ExpiresAt {
 			ids = append(ids, o.ID)
 		}
 	}
 	return ids
 }
 
-// Answer is what has become of the order of that ID; false: nothing yet.
-func (b *Book) Answer(id string) (Entry, bool) {
+// DecisionOnOrder is what has become of the order of that ID; false: nothing yet.
+func (b *DecisionLog) DecisionOnOrder(id string) (Decision, bool) {
 	for _, e := range b.History {
-		if e.Who == id {
+		if e.OrderID == id {
 			return e, true
 		}
 	}
-	return Entry{}, false
+	return Decision{}, false
 }
 
 // Snapshot and Restore are the book as a whole.
-func (b *Book) Snapshot() []byte {
+func (b *DecisionLog) Snapshot() []byte {
 	text, _ := json.Marshal(b) // of plain values
 	return text
 }
 
 // Restore takes it.
-func (b *Book) Restore(data []byte) error {
-	var had Book
+func (b *DecisionLog) Restore(data []byte) error {
+	var had DecisionLog
 	if err := json.Unmarshal(data, &had); err != nil {
 		return err
 	}
--- a/internal/failover/evidence.go
+++ b/internal/failover/evidence.go
@@ -18,8 +18,8 @@
 	lookFigures  = 6
 )
 
-// Text writes it. Names that are too long, and looks beyond what is read, are left out.
-func (e *Evidence) Text() []byte {
+// Encode writes it. Names that are too long, and looks beyond what is read, are left out.
+func (e *Observations) Encode() []byte {
 	to := []byte{evidenceForm}
 	text := func(s string) {
 		s = s[:min(len(s), mostName)]
@@ -29,13 +29,13 @@
 	text(e.Relay)
 	text(e.Zone)
 	figure(e.Demand)
-	for i, name := range slices.Sorted(maps.Keys(e.Looks)) {
+	for i, name := range slices.Sorted(maps.Keys(e.ByZone)) {
 		if i == mostZones {
 			break
 		}
-		l := e.Looks[name]
+		l := e.ByZone[name]
 		text(name)
-		for _, x := range [lookFigures]float64{l.Tries, l.Failed, l.Probes, l.Silent, l.Load, l.Room} {
+		for _, x := range [lookFigures]float64{l.Attempts, l.FailedAttempts, l.HealthChecks, l.FailedHealthChecks, l.Load, l.Capacity} {
 			figure(x)
 		}
 	}
@@ -44,8 +44,8 @@
 
 var errEvidence = errors.New("failover: evidence that can't be read")
 
-// ReadEvidence reads it; figures that can't be are refused by whoever hears it.
-func ReadEvidence(data []byte) (e Evidence, err error) {
+// DecodeObservations reads it; figures that can't be are refused by whoever hears it.
+func DecodeObservations(data []byte) (e Observations, err error) {
 	bad := len(data) == 0 || data[0] != evidenceForm
 	text := func() string {
 		if bad = bad || len(data) == 0 || int(data[0]) > mostName || len(data) < 1+int(data[0]); bad {
@@ -67,16 +67,16 @@
 		data = data[1:]
 	}
 	e.Relay, e.Zone, e.Demand = text(), text(), figure()
-	e.Looks = map[string]Look{}
+	e.ByZone = map[string]Observation{}
 	for !bad && len(data) > 0 {
 		name := text()
-		l := Look{figure(), figure(), figure(), figure(), figure(), figure()}
-		if bad = bad || len(e.Looks) == mostZones; !bad {
-			e.Looks[name] = l
+		l := Observation{figure(), figure(), figure(), figure(), figure(), figure()}
+		if bad = bad || len(e.ByZone) == mostZones; !bad {
+			e.ByZone[name] = l
 		}
 	}
 	if bad {
-		return Evidence{}, errEvidence
+		return Observations{}, errEvidence
 	}
 	return e, nil
 }
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -20,8 +20,8 @@
 type fleet struct {
 	now    float64
 	relays int
-	judge  *Judge
-	book   *Book
+	judge  *Policy
+	book   *DecisionLog
 	number uint64
 	chance *rand.Rand
 	// bad is the share of tries of a relay of one zone at another that fail; load that of a zone, of 10 servers.
@@ -32,7 +32,7 @@
 }
 
 func newFleet(relays int) *fleet {
-	return &fleet{relays: relays, judge: NewJudge(six), book: &Book{}, chance: rand.New(rand.NewSource(1)),
+	return &fleet{relays: relays, judge: NewPolicy(six), book: &DecisionLog{}, chance: rand.New(rand.NewSource(1)),
 		bad:  func(float64, string, string) float64 { return 0 },
 		load: func(float64, string) float64 { return 4 }, lies: func(int) bool { return false }}
 }
@@ -40,9 +40,9 @@
 // drawn schedules are played here; a thousand were by hand.
 const drawn = 150
 
-func (f *fleet) apply(c Command) Entry {
+func (f *fleet) apply(c Command) Decision {
 	f.number++
-	c.At = f.now
+	c.ProposedAt = f.now
 	data, _ := json.Marshal(c)
 	f.book.Apply(f.number, data)
 	return f.book.History[len(f.book.History)-1]
@@ -52,27 +52,27 @@
 	for ; f.now < until; f.now += 100 {
 		for i := range f.relays {
 			zone := six[i%6].Name
-			e := Evidence{Relay: fmt.Sprint("r", i), Zone: zone, Demand: f.load(f.now,
+			e := Observations{Relay: fmt.Sprint("r", i), Zone: zone, Demand: f.load(f.now,
 				zone) / float64((f.relays+5-i%6)/6),
-				Looks: map[string]Look{}}
+				ByZone: map[string]Observation{}}
 			for _, z := range six {
-				l := Look{Tries: 20, Load: f.load(f.now, z.Name), Room: 10}
-				l.Failed = float64(int(20*f.bad(f.now, zone, z.Name) + f.chance.Float64()))
+				l := Observation{Attempts: 20, Load: f.load(f.now, z.Name), Capacity: 10}
+				l.FailedAttempts = float64(int(20*f.bad(f.now, zone, z.Name) + f.chance.Float64()))
 				if f.near {
-					if l.Probes = 20; z.Name != zone {
-						l.Tries, l.Failed = 0, 0
+					if l.HealthChecks = 20; z.Name != zone {
+						l.Attempts, l.FailedAttempts = 0, 0
 					}
 				}
 				if f.lies(i) {
-					l.Failed = 20 - l.Failed
+					l.FailedAttempts = 20 - l.FailedAttempts
 				}
-				e.Looks[z.Name] = l
+				e.ByZone[z.Name] = l
 			}
 			if i%10 == int(f.now/100)%10 { // each once a second
-				f.judge.Hear(f.now, e)
+				f.judge.AddObservations(f.now, e)
 			}
 		}
-		if c, changed := f.judge.Judge(f.now, f.book); changed {
+		if c, changed := f.judge.Evaluate(f.now, f.book); changed {
 			f.apply(c)
 		}
 	}
@@ -80,7 +80,7 @@
 
 func (f *fleet) states() string {
 	var all []string
-	for _, z := range f.book.Zones() {
+	for _, z := range f.book.EffectiveZones() {
 		if z.State != Home {
 			all = append(all, fmt.Sprintf("%s %s", z.Name, z.State))
 		}
@@ -177,7 +177,7 @@
 	var seen []string
 	for f.now < 40000 {
 		f.run(f.now + 100)
-		z := f.book.Zones()[1]
+		z := f.book.EffectiveZones()[1]
 		if text := fmt.Sprintf("%s %.2f", z.State, z.Share); len(seen) == 0 || seen[len(seen)-1] != text {
 			seen = append(seen, text)
 		}
@@ -203,11 +203,11 @@
 		return 4
 	}
 	f.run(9000)
-	z := f.book.Zones()[0]
+	z := f.book.EffectiveZones()[0]
 	assert.Equal(t, Spilling, z.State)
 	assert.InDelta(t, 0.5, z.Share, 0.03)
-	assert.Equal(t, []string{"b", "c"}, []string{z.To[0].Zone, z.To[1].Zone}, "near, as that has room")
-	assert.InDelta(t, 0.5, z.To[0].Part+z.To[1].Part+z.Left, 0.03)
+	assert.Equal(t, []string{"b", "c"}, []string{z.Diversions[0].Zone, z.Diversions[1].Zone}, "near, as that has room")
+	assert.InDelta(t, 0.5, z.Diversions[0].Fraction+z.Diversions[1].Fraction+z.Unserved, 0.03)
 	f.load = func(now float64, zone string) float64 {
 		if zone == "a" {
 			return 16
@@ -223,21 +223,21 @@
 		{Name: "d", Region: "s", State: Home, Share: 1}}
 	demand := map[string]float64{"a": 10, "b": 5, "d": 2}
 	direct(zones, demand, map[string]float64{"b": 10, "d": 10})
-	assert.InDelta(t, 0.3, zones[0].To[0].Part, 1e-9)
-	assert.Equal(t, "d", zones[0].To[1].Zone)
-	assert.InDelta(t, 0.6, zones[0].To[1].Part, 1e-9)
-	assert.InDelta(t, 0.1, zones[0].Left, 1e-9)
+	assert.InDelta(t, 0.3, zones[0].Diversions[0].Fraction, 1e-9)
+	assert.Equal(t, "d", zones[0].Diversions[1].Zone)
+	assert.InDelta(t, 0.6, zones[0].Diversions[1].Fraction, 1e-9)
+	assert.InDelta(t, 0.1, zones[0].Unserved, 1e-9)
 	direct(zones, nil, nil)
-	assert.Equal(t, []Part{{"b", 1}}, zones[0].To, "near, as nothing is known")
+	assert.Equal(t, []TrafficShare{{"b", 1}}, zones[0].Diversions, "near, as nothing is known")
 }
 
 func TestOrders(t *testing.T) {
 	f := newFleet(12)
 	f.run(3000)
 	give := func(id, zone, do string, force bool) string {
-		return f.apply(Command{Order: &Order{ID: id, Zone: zone, Do: do, Until: 9000, Reason: "work", Who: "x",
+		return f.apply(Command{Order: &OperatorOrder{ID: id, Zone: zone, Action: do, ExpiresAt: 9000, Reason: "work", IssuedBy: "x",
 			Force: force},
-			Cause: "order"}).Refused
+			Cause: "order"}).Rejection
 	}
 	before := f.book.Number
 	assert.Empty(t, give("1", "b", "empty", false))
@@ -246,7 +246,7 @@
 	assert.Empty(t, give("1", "b", "empty", false), "given twice")
 	f.run(6000)
 	assert.Equal(t, "b emptied", f.states(), "goes before what is judged")
-	assert.Equal(t, "a", f.book.Zones()[1].To[0].Zone)
+	assert.Equal(t, "a", f.book.EffectiveZones()[1].Diversions[0].Zone)
 	assert.Empty(t, give("2", "b", "return", false))
 	assert.Empty(t, f.states(), "the later holds")
 	assert.Contains(t, give("3", "x", "empty", false), "no such zone")
@@ -263,17 +263,17 @@
 	assert.Contains(t, give("ef", "f", "empty", false), "no other zone serves")
 	assert.Empty(t, give("ef!", "f", "empty", true), "by name")
 	assert.Equal(t, f.number, f.book.Number)
-	e, there := f.book.Answer("ef")
+	e, there := f.book.DecisionOnOrder("ef")
 	assert.True(t, there)
-	assert.NotEmpty(t, e.Refused)
-	assert.Len(t, f.book.Ended(9000), 6)
-	for _, id := range f.book.Ended(9000) {
-		assert.Empty(t, f.apply(Command{Ends: id}).Refused)
+	assert.NotEmpty(t, e.Rejection)
+	assert.Len(t, f.book.ExpiredOrderIDs(9000), 6)
+	for _, id := range f.book.ExpiredOrderIDs(9000) {
+		assert.Empty(t, f.apply(Command{ExpiredOrderID: id}).Rejection)
 	}
-	assert.NotEmpty(t, f.apply(Command{Ends: "1"}).Refused)
+	assert.NotEmpty(t, f.apply(Command{ExpiredOrderID: "1"}).Rejection)
 	assert.Equal(t, "b emptied", f.states(), "as it was judged")
 	f.book.Apply(999, []byte("{"))
-	assert.Equal(t, "unreadable", f.book.History[len(f.book.History)-1].Refused)
+	assert.Equal(t, "unreadable", f.book.History[len(f.book.History)-1].Rejection)
 }
 
 // Whatever is seen: never more than one region or a third of the zones is emptied, one always serves, all
@@ -281,28 +281,28 @@
 func TestAnyEvidence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(12)
-		other := &Book{}
+		other := &DecisionLog{}
 		chance := rand.New(rand.NewSource(rapid.Int64().Draw(t, "seed")))
 		var entries [][]byte
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			for i := range 12 {
-				e := Evidence{Relay: fmt.Sprint("r", i), Zone: six[i%6].Name, Looks: map[string]Look{},
+				e := Observations{Relay: fmt.Sprint("r", i), Zone: six[i%6].Name, ByZone: map[string]Observation{},
 					Demand: 30 * chance.Float64()}
 				for _, z := range six {
 					tries := 20 * chance.Float64()
-					e.Looks[z.Name] = Look{Tries: tries, Failed: tries * float64(chance.Intn(2)),
-						Load: 20 * chance.Float64(), Room: 10}
+					e.ByZone[z.Name] = Observation{Attempts: tries, FailedAttempts: tries * float64(chance.Intn(2)),
+						Load: 20 * chance.Float64(), Capacity: 10}
 				}
-				f.judge.Hear(f.now, e)
+				f.judge.AddObservations(f.now, e)
 			}
 			f.now += 500
 			var c Command
 			changed := true
 			if rapid.IntRange(0, 5).Draw(t, "order") == 0 {
-				c.Order = &Order{ID: fmt.Sprint(f.now), Zone: rapid.SampledFrom(six).Draw(t, "zone").Name,
-					Do: rapid.SampledFrom([]string{"empty", "return", "hold"}).Draw(t, "do")}
+				c.Order = &OperatorOrder{ID: fmt.Sprint(f.now), Zone: rapid.SampledFrom(six).Draw(t, "zone").Name,
+					Action: rapid.SampledFrom([]string{"empty", "return", "hold"}).Draw(t, "do")}
 			} else {
-				c, changed = f.judge.Judge(f.now, f.book)
+				c, changed = f.judge.Evaluate(f.now, f.book)
 			}
 			if changed {
 				data, err := json.Marshal(c)
@@ -313,28 +313,28 @@
 				entries = append(entries, data)
 			}
 			judged, open := 0, 0
-			for _, z := range f.book.Judged {
+			for _, z := range f.book.PolicyZones {
 				if z.State == Emptied {
 					judged++
 				}
 			}
-			for _, z := range f.book.Zones() {
+			for _, z := range f.book.EffectiveZones() {
 				if z.Share > 0 {
 					open++
 				}
-				sum := z.Share + z.Left
-				for _, p := range z.To {
-					sum += p.Part
+				sum := z.Share + z.Unserved
+				for _, p := range z.Diversions {
+					sum += p.Fraction
 				}
 				require.InDelta(t, 1, sum, 0.02, "%+v", z)
 			}
 			require.LessOrEqual(t, judged, 3)
-			require.True(t, open > 0 || len(f.book.Judged) == 0)
+			require.True(t, open > 0 || len(f.book.PolicyZones) == 0)
 		}
 		for i, data := range entries {
 			other.Apply(uint64(i+1), data)
 			if i == len(entries)/2 {
-				again := &Book{}
+				again := &DecisionLog{}
 				require.NoError(t, again.Restore(other.Snapshot()))
 				other = again
 			}
@@ -388,9 +388,9 @@
 				}
 				just := false
 				for _, s := range spells {
-					just = just || (s.zone == z.Name && e.At > s.from && e.At < s.to+4000)
+					just = just || (s.zone == z.Name && e.ProposedAt > s.from && e.ProposedAt < s.to+4000)
 				}
-				require.True(t, just, "seed %d: %s emptied at %.0f: %s; %+v", seed, z.Name, e.At, z.Why, spells)
+				require.True(t, just, "seed %d: %s emptied at %.0f: %s; %+v", seed, z.Name, e.ProposedAt, z.Reason, spells)
 			}
 		}
 	}
--- a/internal/failover/follow.go
+++ b/internal/failover/follow.go
@@ -8,20 +8,20 @@
 
 // What a datagram between relays and voters is, by its first byte under the seal.
 const (
-	Frame = 'v' // between voters
-	Shown = 'e' // evidence of a relay; or a voter that asks
-	Says  = 'w' // the word that answers it
+	ConsensusDatagram    = 'v' // between voters
+	ObservationsDatagram = 'e' // evidence of a relay; or a voter that asks
+	AnnouncementDatagram = 'w' // the word that answers it
 )
 
-// Lives is how long a decision holds from the renewal that its word tells of, ms.
-const Lives = 5000.0
+// DecisionTTL is how long a decision holds from the renewal that its word tells of, ms.
+const DecisionTTL = 5000.0
 
-// Word is what a voter tells a relay: the picture that holds, and how old it is at the most.
-type Word struct {
-	Number uint64  `json:"Number"`
-	Zones  []Zone  `json:"Zones"`
-	Age    float64 `json:"Age"`   // since its leader knew that it leads; below 0: this voter does not know that
-	Leads  bool    `json:"Leads"` // this voter leads itself
+// Announcement is what a voter tells a relay: the picture that holds, and how old it is at the most.
+type Announcement struct {
+	Number     uint64  `json:"Number"`
+	Zones      []Zone  `json:"Zones"`
+	AgeMillis  float64 `json:"Age"`   // since its leader knew that it leads; below 0: this voter does not know that
+	FromLeader bool    `json:"Leads"` // this voter leads itself
 }
 
 // Follower is a relay's side of the decisions: it never goes back in number, also over its own starts, and
@@ -32,7 +32,7 @@
 	zones  []Zone
 	until  float64
 	lets   float64
-	next   *Word // waits to be kept
+	next   *Announcement // waits to be kept
 	nextAt float64
 }
 
@@ -45,20 +45,20 @@
 	Number uint64 `json:"Number"`
 }
 
-// Recall takes what the disk has: nothing below it is followed.
-func (f *Follower) Recall(data []byte) {
+// Restore takes what the disk has: nothing below it is followed.
+func (f *Follower) Restore(data []byte) {
 	var k kept
 	if json.Unmarshal(data, &k) == nil && k.Number > f.number {
 		f.number, f.zones, f.until, f.lets = k.Number, nil, math.Inf(-1), math.Inf(-1)
 	}
 }
 
-// Take takes a word, and gives what is to be kept before it is followed: Kept says that it is.
-func (f *Follower) Take(now float64, w Word) []byte {
-	if !(w.Age >= 0 && w.Age < Lives) || w.Number < f.number || w.Number == 0 || unreadable(w.Zones) != "" {
+// Receive takes a word, and gives what is to be kept before it is followed: Kept says that it is.
+func (f *Follower) Receive(now float64, w Announcement) []byte {
+	if !(w.AgeMillis >= 0 && w.AgeMillis < DecisionTTL) || w.Number < f.number || w.Number == 0 || unreadable(w.Zones) != "" {
 		return nil
 	}
-	until := now - w.Age + Lives
+	until := now - w.AgeMillis + DecisionTTL
 	if w.Number == f.number {
 		if f.zones == nil { // known by number from before a start
 			f.zones = w.Zones
@@ -68,7 +68,7 @@
 	}
 	if f.next != nil && f.next.Number >= w.Number {
 		if f.next.Number == w.Number {
-			f.next.Age, f.nextAt = w.Age, now
+			f.next.AgeMillis, f.nextAt = w.AgeMillis, now
 		}
 		return nil
 	}
@@ -80,28 +80,28 @@
 func (f *Follower) renew(until float64) {
 	if until > f.until {
 		f.until = until
-		f.lets = until + Lives*f.chance.Float64()
+		f.lets = until + DecisionTTL*f.chance.Float64()
 	}
 }
 
-// Kept says that the number is on the disk, or can't be. An answer that is late counts for nothing.
-func (f *Follower) Kept(now float64, number uint64) {
+// ConfirmPersisted says that the number is on the disk, or can't be. An answer that is late counts for nothing.
+func (f *Follower) ConfirmPersisted(now float64, number uint64) {
 	if w := f.next; w != nil && w.Number == number {
 		f.number, f.zones, f.next = w.Number, w.Zones, nil
 		f.until = math.Inf(-1)
-		f.renew(f.nextAt - w.Age + Lives)
+		f.renew(f.nextAt - w.AgeMillis + DecisionTTL)
 	}
 }
 
-// Held is the picture to go by now, and its number; nil: none. One that waits for a slow disk is not gone by,
+// Current is the picture to go by now, and its number; nil: none. One that waits for a slow disk is not gone by,
 // against going back in number over a start: the one before it runs out meanwhile, and the relay decides
 // alone.
-func (f *Follower) Held(now float64) ([]Zone, uint64) {
+func (f *Follower) Current(now float64) ([]Zone, uint64) {
 	if now >= f.lets {
 		return nil, f.number
 	}
 	return f.zones, f.number
 }
 
-// Renewed tells whether what is held was renewed of late, and until when that counts.
-func (f *Follower) Renewed(now float64) (bool, float64) { return now < f.until, f.until }
+// Renewal tells whether what is held was renewed of late, and until when that counts.
+func (f *Follower) Renewal(now float64) (bool, float64) { return now < f.until, f.until }
--- a/internal/failover/golden_test.go
+++ b/internal/failover/golden_test.go
@@ -16,27 +16,27 @@
 
 func goldenZones() []Zone {
 	return []Zone{
-		{Name: "a", Region: "north", State: Spilling, Share: 0.5, To: []Part{{"b", 0.25}, {"c", 0.125}},
-			Left: 0.125, Why: "it has room for 50% of what is near"},
-		{Name: "b", Region: "north", State: Home, Share: 1, Why: "returned"},
-		{Name: "c", Region: "south", State: Returning, Share: 0.2, To: []Part{{"b", 0.8}}, Why: "returns by steps"},
-		{Name: "d", Region: "south", State: Emptied, To: []Part{{"b", 1}}, Why: "97% of tries fail"},
+		{Name: "a", Region: "north", State: Spilling, Share: 0.5, Diversions: []TrafficShare{{"b", 0.25}, {"c", 0.125}},
+			Unserved: 0.125, Reason: "it has room for 50% of what is near"},
+		{Name: "b", Region: "north", State: Home, Share: 1, Reason: "returned"},
+		{Name: "c", Region: "south", State: Returning, Share: 0.2, Diversions: []TrafficShare{{"b", 0.8}}, Reason: "returns by steps"},
+		{Name: "d", Region: "south", State: Emptied, Diversions: []TrafficShare{{"b", 1}}, Reason: "97% of tries fail"},
 	}
 }
 
-func goldenOrder() Order {
-	return Order{ID: "order-1", Zone: "d", Do: "empty", Until: 1.7e12, Reason: "rack work", Who: "ana", Force: true}
+func goldenOrder() OperatorOrder {
+	return OperatorOrder{ID: "order-1", Zone: "d", Action: "empty", ExpiresAt: 1.7e12, Reason: "rack work", IssuedBy: "ana", Force: true}
 }
 
-func goldenBook() *Book {
-	return &Book{
-		Number: 42,
-		Judged: goldenZones(),
-		Orders: []Order{goldenOrder()},
-		Demand: map[string]float64{"a": 12.5, "b": 3, "c": 4, "d": 5},
-		Room:   map[string]float64{"a": 10, "b": 11, "c": 12, "d": 13},
-		History: []Entry{{Number: 41, At: 1.6e12, Cause: "empty d by ana: rack work", Who: "order-1",
-			Refused: "no other zone serves; it is to be forced by name", Zones: goldenZones()}},
+func goldenBook() *DecisionLog {
+	return &DecisionLog{
+		Number:      42,
+		PolicyZones: goldenZones(),
+		Orders:      []OperatorOrder{goldenOrder()},
+		Demand:      map[string]float64{"a": 12.5, "b": 3, "c": 4, "d": 5},
+		Capacity:    map[string]float64{"a": 10, "b": 11, "c": 12, "d": 13},
+		History: []Decision{{Number: 41, ProposedAt: 1.6e12, Cause: "empty d by ana: rack work", OrderID: "order-1",
+			Rejection: "no other zone serves; it is to be forced by name", Zones: goldenZones()}},
 	}
 }
 
@@ -54,12 +54,12 @@
 		into any // an empty value of the same type
 	}{
 		"command-zones.json": {&Command{Zones: goldenZones(), Demand: map[string]float64{"a": 12.5},
-			Room: map[string]float64{"a": 10}, Cause: "a spilling: room", At: 1.6e12}, &Command{}},
-		"command-order.json": {&Command{Order: &order, Cause: "empty d by ana: rack work", At: 1.6e12}, &Command{}},
-		"command-end.json":   {&Command{Ends: "order-1", Cause: "the order has ended", At: 1.6e12}, &Command{}},
-		"order.json":         {&order, &Order{}},
-		"entry.json":         {&goldenBook().History[0], &Entry{}},
-		"announcement.json":  {&Word{Number: 42, Zones: goldenZones(), Age: 120.5, Leads: true}, &Word{}},
+			Capacity: map[string]float64{"a": 10}, Cause: "a spilling: room", ProposedAt: 1.6e12}, &Command{}},
+		"command-order.json": {&Command{Order: &order, Cause: "empty d by ana: rack work", ProposedAt: 1.6e12}, &Command{}},
+		"command-end.json":   {&Command{ExpiredOrderID: "order-1", Cause: "the order has ended", ProposedAt: 1.6e12}, &Command{}},
+		"order.json":         {&order, &OperatorOrder{}},
+		"entry.json":         {&goldenBook().History[0], &Decision{}},
+		"announcement.json":  {&Announcement{Number: 42, Zones: goldenZones(), AgeMillis: 120.5, FromLeader: true}, &Announcement{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			data := readGolden(t, name)
@@ -74,31 +74,31 @@
 
 func TestGoldenSnapshot(t *testing.T) {
 	data := readGolden(t, "snapshot.json")
-	restored := &Book{}
+	restored := &DecisionLog{}
 	require.NoError(t, restored.Restore(data))
 	assert.Equal(t, goldenBook(), restored)
 	assert.Equal(t, string(data), string(goldenBook().Snapshot()))
 }
 
 func TestGoldenObservations(t *testing.T) {
-	want := Evidence{Relay: "relay-1", Zone: "a", Demand: 12.5, Looks: map[string]Look{
-		"a": {Tries: 20, Failed: 3, Probes: 10, Silent: 2, Load: 4.5, Room: 8},
-		"b": {Tries: 7, Failed: 6, Probes: 5, Silent: 4, Load: 3.5, Room: 9}}}
+	want := Observations{Relay: "relay-1", Zone: "a", Demand: 12.5, ByZone: map[string]Observation{
+		"a": {Attempts: 20, FailedAttempts: 3, HealthChecks: 10, FailedHealthChecks: 2, Load: 4.5, Capacity: 8},
+		"b": {Attempts: 7, FailedAttempts: 6, HealthChecks: 5, FailedHealthChecks: 4, Load: 3.5, Capacity: 9}}}
 	data := readGolden(t, "observations.bin")
-	read, err := ReadEvidence(data)
+	read, err := DecodeObservations(data)
 	require.NoError(t, err)
 	assert.Equal(t, want, read)
-	assert.Equal(t, data, want.Text())
+	assert.Equal(t, data, want.Encode())
 }
 
 // What a relay's follower keeps on disk is read by the next start: nothing of a lower number is followed.
 func TestGoldenFollower(t *testing.T) {
 	data := readGolden(t, "follower.json")
 	f := NewFollower(rand.New(rand.NewSource(1)))
-	f.Recall(data)
-	_, number := f.Held(0)
+	f.Restore(data)
+	_, number := f.Current(0)
 	assert.Equal(t, uint64(42), number)
 	f = NewFollower(rand.New(rand.NewSource(1)))
-	written := f.Take(1000, Word{Number: 42, Zones: goldenZones(), Age: 120.5, Leads: true})
+	written := f.Receive(1000, Announcement{Number: 42, Zones: goldenZones(), AgeMillis: 120.5, FromLeader: true})
 	assert.Equal(t, string(data), string(written))
 }
--- a/internal/failover/judge.go
+++ b/internal/failover/judge.go
@@ -34,25 +34,25 @@
 // returnSteps are the shares by which a zone returns.
 var returnSteps = []float64{0.05, 0.2, 0.5, 1}
 
-// Look is what one relay saw of one zone over the last second or so.
-type Look struct {
-	Tries  float64 // setup tries that ended
-	Failed float64 // of those, without an answer in time, refused or errored
-	Probes float64 // that ended
-	Silent float64 // of those, without an answer
-	Load   float64 // of the zone's servers together, by their own word, in what one of them bears
-	Room   float64 // servers that could serve, the same unit
+// Observation is what one relay saw of one zone over the last second or so.
+type Observation struct {
+	Attempts           float64 // setup tries that ended
+	FailedAttempts     float64 // of those, without an answer in time, refused or errored
+	HealthChecks       float64 // that ended
+	FailedHealthChecks float64 // of those, without an answer
+	Load               float64 // of the zone's servers together, by their own word, in what one of them bears
+	Capacity           float64 // servers that could serve, the same unit
 }
 
-// Evidence is one relay's word.
-type Evidence struct {
+// Observations is one relay's word.
+type Observations struct {
 	Relay, Zone string // and where it is
 	Demand      float64
-	Looks       map[string]Look
+	ByZone      map[string]Observation
 }
 
 type heard struct {
-	Evidence
+	Observations
 	at float64
 }
 
@@ -69,9 +69,9 @@
 	lost                bool
 }
 
-// Judge folds evidence and proposes what is to be decided, at whoever leads. What it holds is lost with that
+// Policy folds evidence and proposes what is to be decided, at whoever leads. What it holds is lost with that
 // one: the next begins with what the book says and looks anew.
-type Judge struct {
+type Policy struct {
 	zones   []Zone // names and regions, by the operators' file
 	relays  map[string]heard
 	healths map[string]*health
@@ -91,16 +91,16 @@
 	demand       float64
 }
 
-// NewJudge judges those zones; states and shares among them say nothing.
-func NewJudge(zones []Zone) *Judge {
-	j := &Judge{relays: map[string]heard{}}
-	j.Over(zones)
+// NewPolicy judges those zones; states and shares among them say nothing.
+func NewPolicy(zones []Zone) *Policy {
+	j := &Policy{relays: map[string]heard{}}
+	j.SetZones(zones)
 	return j
 }
 
-// Over has those zones judged from now on. What is held of zones that stay, stays; one that comes begins as
+// SetZones has those zones judged from now on. What is held of zones that stay, stays; one that comes begins as
 // home, and one that goes leaves the next picture, with the orders on it.
-func (j *Judge) Over(zones []Zone) {
+func (j *Policy) SetZones(zones []Zone) {
 	had := j.healths
 	j.zones, j.ends, j.healths, j.number = nil, nil, map[string]*health{}, map[string]int{}
 	for _, z := range zones {
@@ -125,16 +125,16 @@
 
 const mostRelays = 4096
 
-// Hear takes a relay's word. What can't be is passed over.
-func (j *Judge) Hear(now float64, e Evidence) {
+// AddObservations takes a relay's word. What can't be is passed over.
+func (j *Policy) AddObservations(now float64, e Observations) {
 	_, there := j.relays[e.Relay]
 	if !there && len(j.relays) >= mostRelays || e.Relay == "" || !named(j.zones, e.Zone) {
 		return
 	}
 	good := func(x float64) bool { return x >= 0 && x < 1e9 }
-	for _, l := range e.Looks {
-		if !good(l.Tries) || !good(l.Failed) || l.Failed > l.Tries || !good(l.Load) || !good(l.Room) ||
-			!good(l.Probes) || !good(l.Silent) || l.Silent > l.Probes {
+	for _, l := range e.ByZone {
+		if !good(l.Attempts) || !good(l.FailedAttempts) || l.FailedAttempts > l.Attempts || !good(l.Load) || !good(l.Capacity) ||
+			!good(l.HealthChecks) || !good(l.FailedHealthChecks) || l.FailedHealthChecks > l.HealthChecks {
 			return
 		}
 	}
@@ -144,7 +144,7 @@
 }
 
 // fold puts what all relays say in order, by zones, and forgets who has said nothing of late.
-func (j *Judge) fold(now float64) {
+func (j *Policy) fold(now float64) {
 	for i := range j.zones {
 		for k := range j.zones {
 			e := &j.ends[i][k]
@@ -160,15 +160,15 @@
 		}
 		from := j.number[h.Zone]
 		j.rooms[from].demand += h.Demand
-		for zone, l := range h.Looks {
+		for zone, l := range h.ByZone {
 			at, known := j.number[zone]
 			if !known {
 				continue
 			}
 			e, c := &j.ends[from][at], &j.rooms[at]
-			e.links, e.probes = append(e.links, ended{l.Tries, l.Failed}), append(e.probes, ended{l.Probes, l.Silent})
-			if e.tries += l.Tries; l.Room > 0 {
-				c.loads, c.rooms = append(c.loads, l.Load), append(c.rooms, l.Room)
+			e.links, e.probes = append(e.links, ended{l.Attempts, l.FailedAttempts}), append(e.probes, ended{l.HealthChecks, l.FailedHealthChecks})
+			if e.tries += l.Attempts; l.Capacity > 0 {
+				c.loads, c.rooms = append(c.loads, l.Load), append(c.rooms, l.Capacity)
 			}
 		}
 	}
@@ -220,7 +220,7 @@
 // seen is a zone by all views, NaN where they are too few: by probes the middle of them, so that one broken
 // way is none of the zone's; by links the same where some zones send there, else weighed by their tries: as
 // traffic stays near, its own zone's may be all there is.
-func (j *Judge) seen(at int) float64 {
+func (j *Policy) seen(at int) float64 {
 	var byLinks, byProbes []float64
 	sum, failed, own := 0.0, 0.0, false
 	for from := range j.zones {
@@ -249,11 +249,11 @@
 	return links
 }
 
-// Judge gives the picture to be decided where it is another than the one that holds, and why.
-func (j *Judge) Judge(now float64, book *Book) (c Command, changed bool) {
+// Evaluate gives the picture to be decided where it is another than the one that holds, and why.
+func (j *Policy) Evaluate(now float64, book *DecisionLog) (c Command, changed bool) {
 	j.fold(now)
 	held := map[string]Zone{}
-	for _, z := range book.Judged {
+	for _, z := range book.PolicyZones {
 		held[z.Name] = z
 	}
 	bad := map[string]float64{}
@@ -271,21 +271,21 @@
 	}
 	alike := 2*worst > len(j.zones) // a cause that they have in common, as a store that is slow for all
 	var emptied []Zone
-	for _, z := range book.Judged {
+	for _, z := range book.PolicyZones {
 		if z.State == Emptied {
 			emptied = append(emptied, z)
 		}
 	}
 	pace := 1.0
-	if j.pressed(book.Judged) {
+	if j.pressed(book.PolicyZones) {
 		pace = pressedPace
 	}
-	changed = len(book.Judged) != len(j.zones)
-	c.Demand, c.Room = map[string]float64{}, map[string]float64{}
+	changed = len(book.PolicyZones) != len(j.zones)
+	c.Demand, c.Capacity = map[string]float64{}, map[string]float64{}
 	for i, z := range j.zones {
 		c.Demand[z.Name] = j.rooms[i].demand
 		if _, room := j.load(z.Name); room > 0 {
-			c.Room[z.Name] = room
+			c.Capacity[z.Name] = room
 		}
 		was, there := held[z.Name]
 		if !there {
@@ -295,7 +295,7 @@
 		next, why := j.next(now, was, bad[z.Name], alike, j.may(was, emptied, bad), pace)
 		if next.State != was.State || next.Share != was.Share {
 			changed, c.Cause = true, fmt.Sprintf("%s %s: %s", z.Name, next.State, why)
-			next.Why = why
+			next.Reason = why
 			if next.State == Emptied {
 				emptied = append(emptied, next)
 			}
@@ -306,13 +306,13 @@
 		changed, c.Cause = true, cmp.Or(c.Cause, "room")
 	}
 	c.Cause = cmp.Or(c.Cause, "the zones of the file")
-	direct(c.Zones, c.Demand, c.Room)
+	direct(c.Zones, c.Demand, c.Capacity)
 	return c, changed && wrongZones(c.Zones) == ""
 }
 
 // may tells whether a zone may be emptied beside those that are: up to a third of all, or one region whole
 // where there is another that is good. Against one trouble emptying zone after zone.
-func (j *Judge) may(z Zone, emptied []Zone, bad map[string]float64) bool {
+func (j *Policy) may(z Zone, emptied []Zone, bad map[string]float64) bool {
 	if len(emptied)+1 <= max(1, len(j.zones)/3) {
 		return len(emptied)+1 < len(j.zones)
 	}
@@ -323,7 +323,7 @@
 }
 
 // pressed tells whether the zones that are home are full together, so that a zone that waits costs service.
-func (j *Judge) pressed(zones []Zone) bool {
+func (j *Policy) pressed(zones []Zone) bool {
 	load, room := 0.0, 0.0
 	for _, z := range zones {
 		if z.State == Home {
@@ -336,7 +336,7 @@
 
 // next is what becomes of one zone. Returns go at that part of the usual waits: faster where the others are
 // full.
-func (j *Judge) next(now float64, z Zone, bad float64, alike, may bool,
+func (j *Policy) next(now float64, z Zone, bad float64, alike, may bool,
 	pace float64) (Zone, string) {
 	h := j.healths[z.Name]
 	since := func(at *float64, on bool) float64 {
@@ -391,7 +391,7 @@
 }
 
 // load is a zone's, and what it bears: the middle of what relays say.
-func (j *Judge) load(zone string) (load, room float64) {
+func (j *Policy) load(zone string) (load, room float64) {
 	if i, known := j.number[zone]; known {
 		return j.rooms[i].load, j.rooms[i].room
 	}
@@ -399,7 +399,7 @@
 }
 
 // spills has zones that are too full send a share elsewhere, and those that have room again take it back.
-func (j *Judge) spills(now float64, zones []Zone, demands map[string]float64) (changed bool) {
+func (j *Policy) spills(now float64, zones []Zone, demands map[string]float64) (changed bool) {
 	for i := range zones {
 		z, h := &zones[i], j.healths[zones[i].Name]
 		if z.State != Home && z.State != Spilling {
@@ -428,7 +428,7 @@
 		if *z = with(*z, Spilling, share); share == 1 {
 			*z = with(*z, Home, 1)
 		}
-		z.Why = fmt.Sprintf("it has room for %.0f%% of what is near", 100*share)
+		z.Reason = fmt.Sprintf("it has room for %.0f%% of what is near", 100*share)
 	}
 	return changed
 }
@@ -448,7 +448,7 @@
 	spare := map[string]float64{}
 	for i := range zones {
 		z := &zones[i]
-		z.To, z.Left = nil, 0
+		z.Diversions, z.Unserved = nil, 0
 		if z.State == Home {
 			spare[z.Name] = max(fillTo*room[z.Name]-demand[z.Name], 0)
 		}
@@ -457,8 +457,8 @@
 		for i := range zones {
 			z := &zones[i]
 			left := 1 - z.Share
-			for _, p := range z.To {
-				left -= p.Part
+			for _, p := range z.Diversions {
+				left -= p.Fraction
 			}
 			if left < leastPart {
 				continue
@@ -483,13 +483,13 @@
 					part = goes * spare[zones[k].Name] / max(sum, 1e-9)
 				}
 				if part >= leastPart {
-					z.To = append(z.To, Part{zones[k].Name, part})
+					z.Diversions = append(z.Diversions, TrafficShare{zones[k].Name, part})
 				}
 			}
 			if known {
-				for _, p := range z.To[len(z.To)-min(len(z.To), len(to)):] {
+				for _, p := range z.Diversions[len(z.Diversions)-min(len(z.Diversions), len(to)):] {
 					if slices.ContainsFunc(to, func(k int) bool { return zones[k].Name == p.Zone }) {
-						spare[p.Zone] -= p.Part * demand[z.Name]
+						spare[p.Zone] -= p.Fraction * demand[z.Name]
 					}
 				}
 			}
@@ -498,11 +498,11 @@
 	for i := range zones {
 		z := &zones[i]
 		left := 1 - z.Share
-		for _, p := range z.To {
-			left -= p.Part
+		for _, p := range z.Diversions {
+			left -= p.Fraction
 		}
 		if left >= leastPart {
-			z.Left = left
+			z.Unserved = left
 		}
 	}
 }
--- a/internal/failover/walk_test.go
+++ b/internal/failover/walk_test.go
@@ -21,11 +21,11 @@
 		return all
 	}
 	order := func(id, zone, do string, force bool) Command {
-		return Command{Order: &Order{ID: id, Zone: zone, Do: do, Force: force}}
+		return Command{Order: &OperatorOrder{ID: id, Zone: zone, Action: do, Force: force}}
 	}
 	commands := []Command{{Zones: zones(Home, 1)}, {Zones: zones(Emptied, 0)}, order("1", "a", "empty", false),
 		order("2", "b", "empty", false), order("3", "a", "return", false), order("4", "a", "hold", false),
-		{Ends: "1"},
+		{ExpiredOrderID: "1"},
 		{Zones: []Zone{{Name: "a", State: Emptied}}}}
 	var entries [][]byte
 	for _, c := range commands {
@@ -37,18 +37,18 @@
 	var walk func(disk []byte, number uint64)
 	walk = func(disk []byte, number uint64) {
 		for k, data := range entries {
-			b := &Book{}
+			b := &DecisionLog{}
 			require.NoError(t, b.Restore(disk))
 			was := b.Number
 			b.Apply(number, data)
 			if books++; b.Number < was || (b.Number != was && b.Number != number) {
 				assert.Fail(t, "its number goes back", "%+v", b)
 			}
-			open := len(b.Judged) == 0
-			for _, z := range b.Zones() {
-				sum := z.Share + z.Left
-				for _, p := range z.To {
-					sum += p.Part
+			open := len(b.PolicyZones) == 0
+			for _, z := range b.EffectiveZones() {
+				sum := z.Share + z.Unserved
+				for _, p := range z.Diversions {
+					sum += p.Fraction
 				}
 				open = open || z.Share > 0
 				if math.Abs(sum-1) > 0.02 {
@@ -82,7 +82,7 @@
 	for name, faulty := range map[string]bool{"as it is": false, "acts before it is kept": true} {
 		wrong, plays := "", 0
 		check := func(r *relay) {
-			zones, number := r.f.Held(r.now)
+			zones, number := r.f.Current(r.now)
 			if zones == nil {
 				return
 			}
@@ -93,7 +93,7 @@
 				wrong = fmt.Sprintf("back from %d to %d", r.number, number)
 			case number > k.Number:
 				wrong = fmt.Sprintf("by %d, which is on no disk", number)
-			case r.now > r.told[number]+2*Lives:
+			case r.now > r.told[number]+2*DecisionTTL:
 				wrong = fmt.Sprintf("by %d for too long", number)
 			}
 			r.number = max(r.number, number)
@@ -116,10 +116,10 @@
 						n.f.next = &next
 					}
 					n.told[number] = max(n.told[number], n.now-age)
-					if data := n.f.Take(n.now, Word{Number: number, Zones: zones, Age: age}); data != nil {
+					if data := n.f.Receive(n.now, Announcement{Number: number, Zones: zones, AgeMillis: age}); data != nil {
 						n.writes = data
 						if faulty {
-							n.f.Kept(n.now, number)
+							n.f.ConfirmPersisted(n.now, number)
 						}
 					}
 				case k == 6: // the disk has it
@@ -129,12 +129,12 @@
 					var d kept
 					json.Unmarshal(n.writes, &d)
 					n.disk, n.writes = n.writes, nil
-					n.f.Kept(n.now, d.Number)
+					n.f.ConfirmPersisted(n.now, d.Number)
 				case k == 7:
 					n.now += 3000
 				case k == 8: // power is lost, what was on its way with it
 					n.f, n.writes = *NewFollower(n.f.chance), nil
-					n.f.Recall(n.disk)
+					n.f.Restore(n.disk)
 				}
 				check(&n)
 				walk(n, left-1)
--- a/internal/fleet/core_test.go
+++ b/internal/fleet/core_test.go
@@ -24,7 +24,7 @@
 			rand.New(rand.NewSource(2)))
 		make(i, p)
 		for _, d := range p.Tick(now) {
-			core.Heard(now, "other", d.Data)
+			core.ReceiveDatagram(now, "other", d.Data)
 		}
 	}
 	return core
@@ -56,14 +56,14 @@
 	} {
 		core := hearing(len(c.others), func(i int, p *membership.Peers) { p.Off = c.others[i] })
 		corrected := false
-		for _, a := range core.Tick(now+50, now+50+c.wall, relay.Seen{Dated: c.dated}) {
-			if a.Tell != nil && a.Tell.Kind == relay.Clocked {
+		for _, a := range core.Tick(now+50, now+50+c.wall, relay.Status{DiscoveryClockOffset: c.dated}) {
+			if a.Event != nil && a.Event.Kind == relay.ClockSkewMeasured {
 				corrected = true
-				assert.InDelta(t, c.ahead, a.Tell.Ahead, 60, c.name)
+				assert.InDelta(t, c.ahead, a.Event.AheadMillis, 60, c.name)
 			}
 		}
 		assert.Equal(t, c.corrected, corrected, c.name)
-		assert.InDelta(t, c.ahead, core.Status(now).Ahead, 60, c.name)
+		assert.InDelta(t, c.ahead, core.Status(now).AheadMillis, 60, c.name)
 	}
 }
 
@@ -73,21 +73,21 @@
 	life := func(ahead float64) (*Core, *store.Store, map[uint64]float64) {
 		own := now + ahead
 		core := New(own, membership.Word{}, nil, nil, true, rand.New(rand.NewSource(1)))
-		acts := core.Tick(own, own, relay.Seen{Dated: -ahead})
+		acts := core.Tick(own, own, relay.Status{DiscoveryClockOffset: -ahead})
 		s, found, err := store.Open(memory, "own", 1<<20)
 		assert.NoError(t, err)
-		acts = append(acts, core.Disk(own, s, found, nil)...)
-		acts = append(acts, core.Tick(own+50, own+50, relay.Seen{Dated: -ahead})...)
+		acts = append(acts, core.Restore(own, s, found, nil)...)
+		acts = append(acts, core.Tick(own+50, own+50, relay.Status{DiscoveryClockOffset: -ahead})...)
 		for _, a := range acts {
-			if a.Tell != nil && a.Tell.Kept != nil {
-				return core, s, a.Tell.Kept.Back
+			if a.Event != nil && a.Event.Snapshot != nil {
+				return core, s, a.Event.Snapshot.RetryAt
 			}
 		}
 		return core, s, nil
 	}
 	core, s, _ := life(3.6e6)
-	k := &relay.Kept{Version: 1, Capacity: 1, LoadMean: 1, Back: map[uint64]float64{7: now + 3.6e6 + 500}}
-	s.Put(core.Keep(now+3.6e6, k), nil)
+	k := &relay.Snapshot{Version: 1, Capacity: 1, MeanLoad: 1, RetryAt: map[uint64]float64{7: now + 3.6e6 + 500}}
+	s.Put(core.RecordSnapshot(now+3.6e6, k), nil)
 	assert.NoError(t, s.Flush())
 	assert.NoError(t, s.Close())
 	_, _, back := life(-7.2e6)
@@ -110,9 +110,9 @@
 			p.Say(w)
 		})
 		told := -1.0
-		for _, a := range core.Tick(now+50, now+50, relay.Seen{Dated: math.NaN(), Placed: c.own}) {
-			if a.Tell != nil && a.Tell.Kind == relay.Beyond {
-				told = a.Tell.Placed
+		for _, a := range core.Tick(now+50, now+50, relay.Status{DiscoveryClockOffset: math.NaN(), UnreportedLoad: c.own}) {
+			if a.Event != nil && a.Event.Kind == relay.RemoteLoadChanged {
+				told = a.Event.Load
 			}
 		}
 		assert.Equal(t, c.want, told, "%v", c)
--- a/internal/fleet/council_golden_test.go
+++ b/internal/fleet/council_golden_test.go
@@ -14,11 +14,11 @@
 // What operators' tools read of a relay's side of the decisions, as the build wrote it before its fields had
 // tags.
 func TestCouncilStatusGolden(t *testing.T) {
-	want := CouncilStatus{Number: 42, Held: true, Renewed: 1250.5, Leads: "10.0.0.1:7946",
-		Zones: []relay.Toward{{Zone: "a", Part: 0.75, Open: true}, {Zone: "b", Part: 0.25, Open: true}}}
+	want := CoordinatorStatus{Number: 42, Followed: true, RenewalDueMillis: 1250.5, Leader: "10.0.0.1:7946",
+		ZoneWeights: []relay.ZoneWeight{{Zone: "a", Share: 0.75, AcceptsOverflow: true}, {Zone: "b", Share: 0.25, AcceptsOverflow: true}}}
 	data, err := os.ReadFile("testdata/golden/council-status.json")
 	require.NoError(t, err)
-	var read CouncilStatus
+	var read CoordinatorStatus
 	require.NoError(t, json.Unmarshal(data, &read))
 	assert.Equal(t, want, read)
 	written, err := json.Marshal(want)
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -41,16 +41,16 @@
 }
 
 // fullKept has no field at its zero value, and nothing that is not stored.
-func fullKept() *relay.Kept {
-	return &relay.Kept{Version: 1, Told: now - 2500, Capacity: 4.25e6, LoadMean: 41000.5,
-		Categories: map[string]relay.KeptCategory{"chat": {Load: 40000.5, Weighed: 12.5},
-			"search": {Load: 90000, Weighed: 3}},
-		Back: map[uint64]float64{7: now + 500, 1 << 63: now + 700},
-		List: &relay.News{Index: 33, Whole: true, Entries: []relay.Entry{
-			{Name: "s1", Address: "10.0.0.1:80", Zone: "a", Status: "active", Group: 2, Weight: 1.5, Since: now - 9e5,
-				Bad: "a cause"},
-			{Name: "s2", Address: "10.0.0.2:80", Zone: "b", Status: "leaving", Group: 3, Weight: 2, Since: now - 8e5,
-				Bad: "another"}}}}
+func fullKept() *relay.Snapshot {
+	return &relay.Snapshot{Version: 1, ConfirmedAt: now - 2500, Capacity: 4.25e6, MeanLoad: 41000.5,
+		Classes: map[string]relay.ClassLoad{"chat": {Load: 40000.5, Weight: 12.5},
+			"search": {Load: 90000, Weight: 3}},
+		RetryAt: map[uint64]float64{7: now + 500, 1 << 63: now + 700},
+		Endpoints: &relay.EndpointUpdate{Index: 33, Complete: true, Endpoints: []relay.Endpoint{
+			{Name: "s1", Address: "10.0.0.1:80", Zone: "a", Status: "active", Group: 2, Weight: 1.5, StartedAt: now - 9e5,
+				Invalid: "a cause"},
+			{Name: "s2", Address: "10.0.0.2:80", Zone: "b", Status: "leaving", Group: 3, Weight: 2, StartedAt: now - 8e5,
+				Invalid: "another"}}}}
 }
 
 // alone is a relay without others or a disk, whose start has come to its end.
@@ -67,37 +67,37 @@
 	}{
 		{"order.json", func(t *testing.T) []byte {
 			core := alone()
-			core.order = 6
-			record, _ := core.Order(now, true)
+			core.orderNumber = 6
+			record, _ := core.SetDraining(now, true)
 			assert.Equal(t, store.Order, record.Kind)
 			return record.Body
 		}, func(t *testing.T, text []byte) {
-			var o orderBody
+			var o storedOrder
 			require.NoError(t, json.Unmarshal(text, &o))
-			assert.Equal(t, orderBody{Number: 7, Lame: true}, o)
+			assert.Equal(t, storedOrder{Number: 7, Lame: true}, o)
 		}},
 		{"knowledge.json", func(t *testing.T) []byte {
-			record := alone().Keep(now, fullKept())
+			record := alone().RecordSnapshot(now, fullKept())
 			assert.Equal(t, store.Knowing, record.Kind)
 			return record.Body
 		}, func(t *testing.T, text []byte) {
-			k, err := relay.ReadKept(text)
+			k, err := relay.ParseSnapshot(text)
 			require.NoError(t, err)
 			assert.Equal(t, fullKept(), k)
 		}},
 		{"answer.json", func(*testing.T) []byte {
-			return alone().Answer(now, fullKept())
+			return alone().AnswerQuery(now, fullKept())
 		}, func(t *testing.T, text []byte) {
 			core := alone()
-			core.Answered("r2", text, nil)
-			core.plan.Read(now, recovery.Disk{})
-			told := core.Tick(now, now, relay.Seen{})
+			core.ReceiveAnswer("r2", text, nil)
+			core.plan.ReceiveDisk(now, recovery.DiskResult{})
+			told := core.Tick(now, now, relay.Status{})
 			want := fullKept()
-			want.Told, want.Back, want.List.Entries[1].Status = 0, nil, "leaving"
-			var got *relay.Kept
+			want.ConfirmedAt, want.RetryAt, want.Endpoints.Endpoints[1].Status = 0, nil, "leaving"
+			var got *relay.Snapshot
 			for _, a := range told {
-				if a.Tell != nil && a.Tell.Kept != nil {
-					got = a.Tell.Kept
+				if a.Event != nil && a.Event.Snapshot != nil {
+					got = a.Event.Snapshot
 				}
 			}
 			require.NotNil(t, got)
@@ -117,26 +117,26 @@
 // fullStatus has no field at its zero value.
 func fullStatus() Status {
 	return Status{
-		Recovery: recovery.Status{Phase: "admitting", Why: "no other relay is heard", For: 1500.5, Whole: true,
-			Part: 0.125, Took: []string{"2 servers, from the disk"}, Left: []string{"r2: no answer in time"},
-			ListTold: true, Waited: 3, All: 2},
-		Boot: 12, Order: 7, Lame: true, Disk: "1 damaged pieces passed over, 9 bytes cut off", Waiting: 11, Links: 250,
-		Cold: 5, Usable: 9, Ahead: -3600.5, Twin: true,
+		Recovery: recovery.Status{Phase: "admitting", Reason: "no other relay is heard", PhaseMillis: 1500.5, FullOutage: true,
+			CapacityShare: 0.125, Accepted: []string{"2 servers, from the disk"}, Discarded: []string{"r2: no answer in time"},
+			EndpointsConfirmed: true, PendingAnswers: 3, Answers: 2},
+		Boot: 12, Order: 7, Draining: true, DiskFault: "1 damaged pieces passed over, 9 bytes cut off", RejectedLastSecond: 11, Sessions: 250,
+		WarmingUp: 5, Usable: 9, AheadMillis: -3600.5, HasDuplicate: true,
 		Members: []MemberStatus{{Name: "r2", Zone: "b", Region: "north", State: "alive", Phase: "normal", Boot: 4,
-			List: 33, Age: 61000.5, Quiet: 120.25, Waiting: 8, Links: 300, Lame: true}},
-		Wire: membership.Counts{Sent: 1, SentBytes: 2, Heard: 3, HeardBytes: 4, Refused: 5, Strange: 6},
-		Council: &CouncilStatus{Number: 21, Held: true, Renewed: 2500.5, Leads: "10.0.0.9:7100",
-			Zones: []relay.Toward{{Zone: "a", Part: 0.75, Open: true}, {Zone: "b", Part: 0.25, Open: true}}},
-		Holdings: &HoldingsStatus{
-			Kinds: map[string]replication.Standing{"places": {Held: 4, Open: 3, Under: 2, Short: 1},
-				"marks": {Held: 40, Open: 30, Under: 20, Short: 10}, "orders": {Held: 8, Open: 7, Under: 6, Short: 5}},
-			Able: true,
+			EndpointsVersion: 33, AgeMillis: 61000.5, SilentMillis: 120.25, RejectedLastSecond: 8, Sessions: 300, Draining: true}},
+		Datagrams: membership.Counts{Sent: 1, SentBytes: 2, Heard: 3, HeardBytes: 4, Refused: 5, Strange: 6},
+		Coordinators: &CoordinatorStatus{Number: 21, Followed: true, RenewalDueMillis: 2500.5, Leader: "10.0.0.9:7100",
+			ZoneWeights: []relay.ZoneWeight{{Zone: "a", Share: 0.75, AcceptsOverflow: true}, {Zone: "b", Share: 0.25, AcceptsOverflow: true}}},
+		Replication: &ReplicationStatus{
+			Kinds: map[string]replication.KindStatus{"places": {Stored: 4, Open: 3, UnderReplicated: 2, BelowQuorum: 1},
+				"marks": {Stored: 40, Open: 30, UnderReplicated: 20, BelowQuorum: 10}, "orders": {Stored: 8, Open: 7, UnderReplicated: 6, BelowQuorum: 5}},
+			HasEnoughMembers: true,
 			Counts: map[string]replication.Counts{
-				"places": {Held: 11, Full: 12, Promised: 13, Refused: 14, Sought: 15, Took: 16, Again: 17, Missed: 18,
+				"places": {Stored: 11, RejectedFull: 12, Replicated: 13, NotReplicated: 14, Lookups: 15, Found: 16, AlreadyUsed: 17, Missed: 18,
 					Accepted: 19},
-				"marks": {Held: 1, Full: 2, Promised: 3, Refused: 4, Sought: 5, Took: 6, Again: 7, Missed: 8,
+				"marks": {Stored: 1, RejectedFull: 2, Replicated: 3, NotReplicated: 4, Lookups: 5, Found: 6, AlreadyUsed: 7, Missed: 8,
 					Accepted: 9}},
-			P50: 1.5, P99: 12.25},
+			P50Millis: 1.5, P99Millis: 12.25},
 	}
 }
 
@@ -160,9 +160,9 @@
 	assert.Equal(t, membership.Seal(key, asked[:]), question)
 
 	k := fullKept()
-	k.List = nil // how long ago it was told would depend on the time of the test
+	k.Endpoints = nil // how long ago it was told would depend on the time of the test
 	core := alone()
-	r := &Run{key: key, core: core, ms: now, base: time.Now(), kept: func() *relay.Kept {
+	r := &Node{key: key, core: core, ms: now, base: time.Now(), kept: func() *relay.Snapshot {
 		copied := *k
 		return &copied
 	}}
@@ -200,23 +200,23 @@
 	order  []string
 }
 
-func (n *network) do(now float64, name string, acts []Act) {
+func (n *network) do(now float64, name string, acts []Action) {
 	c, s := n.cores[name], n.stores[name]
 	for _, a := range acts {
 		switch {
 		case a.Send != nil && n.cores[a.Send.To] != nil:
-			n.do(now, a.Send.To, n.cores[a.Send.To].Heard(now, name, a.Send.Data))
-		case a.Ask != nil:
-			c.Answered(a.Ask.Name, nil, errors.New("it has just started too"))
-		case a.Save != nil:
-			number, then := a.Kept, a.Then
-			s.Put(*a.Save, func(err error) {
+			n.do(now, a.Send.To, n.cores[a.Send.To].ReceiveDatagram(now, name, a.Send.Data))
+		case a.Query != nil:
+			c.ReceiveAnswer(a.Query.Name, nil, errors.New("it has just started too"))
+		case a.Persist != nil:
+			number, then := a.ConfirmDecision, a.ReplicationWrite
+			s.Put(*a.Persist, func(err error) {
 				require.NoError(n.t, err)
 				if number > 0 {
-					c.Kept(now, number)
+					c.ConfirmDecisionPersisted(now, number)
 				}
 				if then != nil {
-					n.do(now, name, c.Durable(now, then))
+					n.do(now, name, c.CompleteReplicationWrite(now, then))
 				}
 			})
 			require.NoError(n.t, s.Flush())
@@ -228,7 +228,7 @@
 func (n *network) run(from, to float64) float64 {
 	for ; from < to; from += 10 {
 		for _, name := range n.order {
-			n.do(from, name, n.cores[name].Tick(from, from, relay.Seen{Now: from}))
+			n.do(from, name, n.cores[name].Tick(from, from, relay.Status{Now: from}))
 		}
 	}
 	return to
@@ -254,9 +254,9 @@
 			chance := rand.New(rand.NewSource(int64(i + 1)))
 			own := membership.Word{Name: name, Address: name, Zone: string(rune('a' + i)), Life: uint64(i + 1)}
 			n.stores[name], n.cores[name] = s, New(now, own, n.order, key, true, chance)
-			n.cores[name].Follows(name, own.Zone, voters, key, chance)
-			n.do(now, name, n.cores[name].Holds(name, own.Life, 3, 5000, true, key, chance))
-			n.do(now, name, n.cores[name].Disk(now, s, found, nil))
+			n.cores[name].FollowCoordinators(name, own.Zone, voters, key, chance)
+			n.do(now, name, n.cores[name].EnableReplication(name, own.Life, 3, 5000, true, key, chance))
+			n.do(now, name, n.cores[name].Restore(now, s, found, nil))
 		}
 		if life < 2 {
 			for _, name := range n.order {
@@ -266,30 +266,30 @@
 	}
 	at := n.run(now, now+2000)
 	for i, f := range []relay.Effect{
-		{Do: relay.Entrust, Word: relay.Place, Conn: 1, Key: 77, At: at + 6e5},
-		{Do: relay.Entrust, Word: relay.Place, Conn: 2, Key: 78, At: at + 6e5},
-		{Do: relay.Entrust, Word: relay.Ran, Conn: 3, Key: 79, At: at + 6e5, Text: "s1"},
+		{Kind: relay.Replicate, Record: relay.ReservationRecord, Conn: 1, Key: 77, At: at + 6e5},
+		{Kind: relay.Replicate, Record: relay.ReservationRecord, Conn: 2, Key: 78, At: at + 6e5},
+		{Kind: relay.Replicate, Record: relay.AttemptRecord, Conn: 3, Key: 79, At: at + 6e5, Text: "s1"},
 	} {
 		name := n.order[i]
-		n.do(at, name, n.cores[name].Trust(at, f))
+		n.do(at, name, n.cores[name].HandleReplicationEffect(at, f))
 	}
 	for _, lame := range []bool{true, false, true} {
-		record, acts := n.cores["r1"].Order(at, lame)
+		record, acts := n.cores["r1"].SetDraining(at, lame)
 		n.do(at, "r1", acts)
 		n.stores["r1"].Put(record, nil)
 	}
-	_, acts := n.cores["r1"].HoldOrder(at)
+	_, acts := n.cores["r1"].ReplicateOrder(at)
 	n.do(at, "r1", acts)
-	record, acts := n.cores["r2"].Order(at, true)
+	record, acts := n.cores["r2"].SetDraining(at, true)
 	n.do(at, "r2", acts)
 	n.stores["r2"].Put(record, nil)
-	_, acts = n.cores["r2"].HoldOrder(at)
+	_, acts = n.cores["r2"].ReplicateOrder(at)
 	n.do(at, "r2", acts)
 	word := []byte(`w{"Number":21,"Zones":[{"Name":"a","State":"home","Share":1,"Why":""}],"Age":10,"Leads":true}`)
-	n.do(at, "r1", n.cores["r1"].Heard(at, "v1", membership.Seal(key, word)))
+	n.do(at, "r1", n.cores["r1"].ReceiveDatagram(at, "v1", membership.Seal(key, word)))
 	at = n.run(at, folderNow)
 	n.cores["r1"].measured = fullKept().Capacity // as after some time with enough links
-	n.stores["r1"].Put(n.cores["r1"].Keep(at, fullKept()), nil)
+	n.stores["r1"].Put(n.cores["r1"].RecordSnapshot(at, fullKept()), nil)
 	for _, name := range n.order {
 		require.NoError(t, n.stores[name].Flush())
 		require.NoError(t, n.stores[name].Close())
@@ -324,27 +324,27 @@
 	require.NoError(t, os.WriteFile(key, []byte("a key that all share"), 0o600))
 	began := time.Now()
 	clock := func() time.Time { return time.UnixMilli(folderNow).Add(time.Since(began)) }
-	peers := &Peers{Listen: "127.0.0.1:0", Zone: "a", Region: "north", KeyFile: key, Voters: []string{"127.0.0.1:1"},
-		Copies: 3, Remember: 5000, Stood: true}
+	peers := &Config{Listen: "127.0.0.1:0", Zone: "a", Region: "north", KeyFile: key, Voters: []string{"127.0.0.1:1"},
+		Copies: 3, MarkerRetentionMillis: 5000, ReplicateAffinity: true}
 	var log bytes.Buffer
-	r, err := NewRun("r1", peers, store.Folder(folder), 1<<20, clock, slog.New(slog.NewTextHandler(&log, nil)))
+	r, err := NewNode("r1", peers, store.Folder(folder), 1<<20, clock, slog.New(slog.NewTextHandler(&log, nil)))
 	require.NoError(t, err)
 	events := make(chan relay.Event, 1000)
 	require.NoError(t, r.Start(folderNow, func(e relay.Event) { events <- e },
-		func() relay.Seen { return relay.Seen{Now: folderNow} }, func() *relay.Kept { return &relay.Kept{Version: 1} },
-		func() (map[string]balancer.ZoneLook, float64) { return nil, 0 }))
+		func() relay.Status { return relay.Status{Now: folderNow} }, func() *relay.Snapshot { return &relay.Snapshot{Version: 1} },
+		func() (map[string]balancer.ZoneObservation, float64) { return nil, 0 }))
 	defer r.Stop()
 
-	var recalled *relay.Kept
+	var recalled *relay.Snapshot
 	lame := false
 	timeout := time.After(10 * time.Second)
 	for recalled == nil || !lame {
 		select {
 		case e := <-events:
-			if e.Kind == relay.Recalled {
-				recalled = e.Kept
+			if e.Kind == relay.StateRestored {
+				recalled = e.Snapshot
 			}
-			if e.Kind == relay.LameDuck {
+			if e.Kind == relay.DrainRequested {
 				lame = !e.Off
 			}
 		case <-timeout:
@@ -352,30 +352,30 @@
 		}
 	}
 	want := fullKept()
-	assert.Equal(t, want.List, recalled.List, "the list")
+	assert.Equal(t, want.Endpoints, recalled.Endpoints, "the list")
 	assert.Equal(t, want.Capacity, recalled.Capacity)
-	assert.Equal(t, want.LoadMean, recalled.LoadMean)
-	assert.Equal(t, want.Categories, recalled.Categories)
-	assert.Equal(t, want.Back, recalled.Back, "who was told to come again")
+	assert.Equal(t, want.MeanLoad, recalled.MeanLoad)
+	assert.Equal(t, want.Classes, recalled.Classes)
+	assert.Equal(t, want.RetryAt, recalled.RetryAt, "who was told to come again")
 
 	s, is := r.Status().(Status)
 	require.True(t, is)
 	assert.Equal(t, uint64(4), s.Boot, "the incarnation after the third")
 	assert.Equal(t, uint64(3), s.Order)
-	assert.True(t, s.Lame)
-	assert.Empty(t, s.Disk)
-	assert.Equal(t, uint64(21), s.Council.Number, "the decision below which none is followed")
-	assert.Equal(t, 2, s.Holdings.Kinds["places"].Held, "reservations")
-	assert.Equal(t, 2, s.Holdings.Kinds["orders"].Held, "its own order and another's")
-	assert.Equal(t, 1, s.Holdings.Kinds["marks"].Held)
+	assert.True(t, s.Draining)
+	assert.Empty(t, s.DiskFault)
+	assert.Equal(t, uint64(21), s.Coordinators.Number, "the decision below which none is followed")
+	assert.Equal(t, 2, s.Replication.Kinds["places"].Stored, "reservations")
+	assert.Equal(t, 2, s.Replication.Kinds["orders"].Stored, "its own order and another's")
+	assert.Equal(t, 1, s.Replication.Kinds["marks"].Stored)
 	type summary struct{ kind, key, owner, body, state string }
 	got := map[summary]int{}
-	for part := range replication.Parts {
-		page, is := r.Held(part).(*replication.Page)
+	for part := range replication.Partitions {
+		page, is := r.ReplicationPage(part).(*replication.Page)
 		require.True(t, is)
 		for _, record := range page.Records {
 			got[summary{record.Kind, record.Key, record.Owner, string(record.Body), record.State}]++
-			assert.Len(t, record.Holders, 3)
+			assert.Len(t, record.Replicas, 3)
 		}
 	}
 	assert.Equal(t, map[summary]int{
--- a/internal/fleet/holdings.go
+++ b/internal/fleet/holdings.go
@@ -47,7 +47,7 @@
 
 // given is what the relay may take back: a word on a connection.
 type given struct {
-	word relay.Word
+	word relay.RecordKind
 	conn uint64
 }
 
@@ -58,7 +58,7 @@
 }
 
 type held struct {
-	core    *replication.Core
+	core    *replication.Replicator
 	key     []byte
 	life    uint64
 	viewAt  float64
@@ -83,111 +83,111 @@
 	tells   int
 }
 
-// Holds has the relay's words held by so many machines, this one among them where the lot falls on it; marks
+// EnableReplication has the relay's words held by so many machines, this one among them where the lot falls on it; marks
 // of setup tries for so long beyond their links' hard limits, 0: none are kept; and where clients stand.
-func (c *Core) Holds(name string, life uint64, copies int, remember float64, stood bool, key []byte,
-	chance *rand.Rand) []Act {
-	c.held = &held{core: replication.New(name, life, copies, mostHoldings, chance), key: key, life: life,
+func (c *Core) EnableReplication(name string, life uint64, copies int, remember float64, stood bool, key []byte,
+	chance *rand.Rand) []Action {
+	c.replication = &held{core: replication.New(name, life, copies, mostHoldings, chance), key: key, life: life,
 		entrust: map[uint64]entrusted{}, claims: map[uint64]relay.Effect{}, given: map[given]uint64{},
 		hints:  map[uint64]relay.Effect{},
 		orders: map[uint64]bool{}}
-	c.held.core.Mute(true)
-	return []Act{{Tell: &relay.Event{Kind: relay.Holds, At: remember, Stood: stood}}}
+	c.replication.core.SetSuspended(true)
+	return []Action{{Event: &relay.Event{Kind: relay.ReplicationEnabled, At: remember, Affinity: stood}}}
 }
 
 // fleetTime is the time that all relays mean, of this relay's.
-func (c *Core) fleetTime(now float64) float64 { return now + c.off }
+func (c *Core) fleetTime(now float64) float64 { return now + c.fleetClockOffset }
 
-// Settled is what has become of an order that others were to hold.
-type Settled struct {
+// OrderReplicated is what has become of an order that others were to hold.
+type OrderReplicated struct {
 	Token uint64
 	OK    bool
 }
 
-// HoldOrder has others hold the order that this relay was given last; a Settled follows, under that token.
-func (c *Core) HoldOrder(now float64) (token uint64, acts []Act) {
-	body, _ := json.Marshal(orderBody{c.order, c.lame}) // of plain values
-	token, all := c.held.core.Put(c.fleetTime(now), replication.Record{Kind: replication.Order,
-		Key:     c.peers.Own().Name,
-		Version: c.order, End: c.fleetTime(now) + orderFor, Body: body}, orderWithin)
-	c.held.orders[token], c.held.nextAt = true, now+orderEvery
+// ReplicateOrder has others hold the order that this relay was given last; a Settled follows, under that token.
+func (c *Core) ReplicateOrder(now float64) (token uint64, acts []Action) {
+	body, _ := json.Marshal(storedOrder{c.orderNumber, c.draining}) // of plain values
+	token, all := c.replication.core.Replicate(c.fleetTime(now), replication.Record{Kind: replication.OperatorOrder,
+		Key:     c.membership.Own().Name,
+		Version: c.orderNumber, ExpiresAt: c.fleetTime(now) + orderFor, Body: body}, orderWithin)
+	c.replication.orders[token], c.replication.nextAt = true, now+orderEvery
 	return token, c.holds(now, all)
 }
 
 // orders reads once what others hold of this relay's orders, and has its last one held anew where a holder
 // has gone or leaves, or its time has half run out.
-func (c *Core) orders(now float64, members []replication.Member) []Act {
-	h := c.held
-	if now < h.nextAt || c.plan.Phase() < recovery.Admitting || !c.read {
+func (c *Core) orders(now float64, members []replication.Member) []Action {
+	h := c.replication
+	if now < h.nextAt || c.plan.Phase() < recovery.Admitting || !c.diskRead {
 		return nil
 	}
 	h.nextAt = now + orderEvery
-	if h.reads < orderReads && c.order == 0 && len(members) > 1 {
+	if h.reads < orderReads && c.orderNumber == 0 && len(members) > 1 {
 		h.reads++
-		token, acts := h.core.Read(c.fleetTime(now), replication.Order, c.peers.Own().Name, orderReadFor)
+		token, acts := h.core.Lookup(c.fleetTime(now), replication.OperatorOrder, c.membership.Own().Name, orderReadFor)
 		h.orders[token] = true
 		return c.holds(now, acts)
 	}
 	if h.former.ID != 0 && h.tells > 0 {
 		h.tells--
-		return c.holds(now, h.core.Release(c.fleetTime(now), h.former))
+		return c.holds(now, h.core.Discard(c.fleetTime(now), h.former))
 	}
-	there := func(o replication.Holder) bool {
-		return slices.ContainsFunc(members, func(m replication.Member) bool { return m.Name == o.Name && !m.Leaves })
+	there := func(o replication.Replica) bool {
+		return slices.ContainsFunc(members, func(m replication.Member) bool { return m.Name == o.Name && !m.Draining })
 	}
-	missing := slices.ContainsFunc(h.ordered.Holders, func(o replication.Holder) bool { return !there(o) })
-	if c.order == 0 || (h.ordered.Version == c.order && !missing &&
-		c.fleetTime(now) < h.ordered.End-orderFor/2) {
+	missing := slices.ContainsFunc(h.ordered.Replicas, func(o replication.Replica) bool { return !there(o) })
+	if c.orderNumber == 0 || (h.ordered.Version == c.orderNumber && !missing &&
+		c.fleetTime(now) < h.ordered.ExpiresAt-orderFor/2) {
 		return nil
 	}
-	_, acts := c.HoldOrder(now)
+	_, acts := c.ReplicateOrder(now)
 	return acts
 }
 
 func placeKey(key uint64) string { return fmt.Sprintf("%016x", key) }
 
-// Trust does what the reducer asks for.
-func (c *Core) Trust(now float64, f relay.Effect) []Act {
-	if c.held == nil {
+// HandleReplicationEffect does what the reducer asks for.
+func (c *Core) HandleReplicationEffect(now float64, f relay.Effect) []Action {
+	if c.replication == nil {
 		return nil
 	}
-	h, at, key := c.held, c.fleetTime(now), placeKey(f.Key)
-	mine := given{f.Word, f.Conn}
+	h, at, key := c.replication, c.fleetTime(now), placeKey(f.Key)
+	mine := given{f.Record, f.Conn}
 	var token uint64
-	var acts []replication.Act
+	var acts []replication.Action
 	switch {
-	case f.Do == relay.Release:
+	case f.Kind == relay.Release:
 		token = h.given[mine]
 		delete(h.given, mine)
-		return c.holds(now, h.core.Over(at, token))
-	case f.Do == relay.Claim && f.Word == relay.Place:
-		token, acts = h.core.Take(at, replication.Place, key)
-	case f.Do == relay.Claim:
-		token, acts = h.core.Read(at, kinds[f.Word], key, max(f.At-now-wordBack, 1))
+		return c.holds(now, h.core.Revoke(at, token))
+	case f.Kind == relay.Lookup && f.Record == relay.ReservationRecord:
+		token, acts = h.core.Acquire(at, replication.Reservation, key)
+	case f.Kind == relay.Lookup:
+		token, acts = h.core.Lookup(at, kinds[f.Record], key, max(f.At-now-wordBack, 1))
 	}
-	if f.Do == relay.Claim {
+	if f.Kind == relay.Lookup {
 		h.claims[token] = f
 		return c.holds(now, acts)
 	}
-	r := replication.Record{Kind: kinds[f.Word], Key: key, Version: uint64(max(at, 0)), At: at,
+	r := replication.Record{Kind: kinds[f.Record], Key: key, Version: uint64(max(at, 0)), ValidFrom: at,
 		Body: []byte(f.Text)}
-	switch f.Word {
-	case relay.Place:
-		r.Version, r.At, r.End = 0, f.At+c.off, f.At+c.off+placeLate
-	case relay.Ran:
-		r.End = f.At + c.off
-	case relay.Stood:
-		r.End = at + stoodFor
+	switch f.Record {
+	case relay.ReservationRecord:
+		r.Version, r.ValidFrom, r.ExpiresAt = 0, f.At+c.fleetClockOffset, f.At+c.fleetClockOffset+placeLate
+	case relay.AttemptRecord:
+		r.ExpiresAt = f.At + c.fleetClockOffset
+	case relay.AffinityRecord:
+		r.ExpiresAt = at + stoodFor
 	}
-	token, acts = h.core.Put(at, r, holdWithin)
-	if f.Word == relay.Stood { // nobody waits for a hint
+	token, acts = h.core.Replicate(at, r, holdWithin)
+	if f.Record == relay.AffinityRecord { // nobody waits for a hint
 		h.hints[token] = f
 	} else {
 		h.entrust[token] = entrusted{f.Conn, now}
 	}
-	if f.Word != relay.Place {
+	if f.Record != relay.ReservationRecord {
 		if _, again := h.given[mine]; !again { // a hint that is told anew ends no sooner for it
-			h.ends = append(h.ends, ending{mine, r.End - c.off})
+			h.ends = append(h.ends, ending{mine, r.ExpiresAt - c.fleetClockOffset})
 		}
 		h.given[mine] = token
 	}
@@ -195,75 +195,75 @@
 }
 
 // kinds are what words are held as.
-var kinds = [...]replication.Kind{relay.Place: replication.Place, relay.Ran: replication.Mark,
-	relay.Stood: replication.Affinity}
+var kinds = [...]replication.Kind{relay.ReservationRecord: replication.Reservation, relay.AttemptRecord: replication.AttemptMarker,
+	relay.AffinityRecord: replication.Affinity}
 
-// heldFrame takes a datagram of another's holdings; false: it is none.
-func (c *Core) heldFrame(now float64, from string, data []byte) ([]Act, bool) {
-	if c.held == nil || len(data) == 0 || data[0] != holdingFrame {
+// receiveReplicationDatagram takes a datagram of another's holdings; false: it is none.
+func (c *Core) receiveReplicationDatagram(now float64, from string, data []byte) ([]Action, bool) {
+	if c.replication == nil || len(data) == 0 || data[0] != holdingFrame {
 		return nil, false
 	}
-	body, err := membership.Open(c.held.key, data)
+	body, err := membership.Open(c.replication.key, data)
 	if err != nil {
 		return nil, true
 	}
-	acts, err := c.held.core.Heard(c.fleetTime(now), from, body[1:])
+	acts, err := c.replication.core.HandleMessage(c.fleetTime(now), from, body[1:])
 	if err != nil {
 		return nil, true
 	}
 	return c.holds(now, acts), true
 }
 
-// Durable says that what holdings had saved is on the disk.
-func (c *Core) Durable(now float64, s *replication.Save) []Act {
-	return c.holds(now, c.held.core.Saved(c.fleetTime(now), s))
+// CompleteReplicationWrite says that what holdings had saved is on the disk.
+func (c *Core) CompleteReplicationWrite(now float64, s *replication.Write) []Action {
+	return c.holds(now, c.replication.core.CompleteWrite(c.fleetTime(now), s))
 }
 
 // holds turns its acts into those of the whole.
-func (c *Core) holds(now float64, all []replication.Act) (acts []Act) {
+func (c *Core) holds(now float64, all []replication.Action) (acts []Action) {
 	for _, a := range all {
 		switch {
-		case a.Save != nil:
-			acts = append(acts, Act{Save: &store.Record{Kind: store.Holding, Key: a.Save.Name, Boot: c.boot, At: now,
-				Body: a.Save.Body}, Then: a.Save})
+		case a.Write != nil:
+			acts = append(acts, Action{Persist: &store.Record{Kind: store.Holding, Key: a.Write.Name, Boot: c.boot, At: now,
+				Body: a.Write.Body}, ReplicationWrite: a.Write})
 		case a.Data != nil:
-			acts = append(acts, Act{Send: &membership.Datagram{To: a.To,
-				Data: membership.Seal(c.held.key, append([]byte{holdingFrame}, a.Data...))}})
-		case a.Done != nil:
-			acts = append(acts, c.outcome(now, a.Done)...)
+			acts = append(acts, Action{Send: &membership.Datagram{To: a.To,
+				Data: membership.Seal(c.replication.key, append([]byte{holdingFrame}, a.Data...))}})
+		case a.Outcome != nil:
+			acts = append(acts, c.outcome(now, a.Outcome)...)
 		}
 	}
 	return acts
 }
 
-func (c *Core) outcome(now float64, o *replication.Outcome) []Act {
-	h := c.held
+func (c *Core) outcome(now float64, o *replication.Outcome) []Action {
+	h := c.replication
 	if w, there := h.entrust[o.Token]; there {
 		delete(h.entrust, o.Token)
 		if o.OK {
 			h.took[h.words%latest] = now - w.at
 			h.words++
 		}
-		return []Act{{Tell: &relay.Event{Kind: relay.Entrusted, Conn: w.conn, Off: !o.OK}}}
+		return []Action{{Event: &relay.Event{Kind: relay.RecordReplicated, Conn: w.conn, Off: !o.OK}}}
 	}
 	if f, there := h.hints[o.Token]; there {
-		if delete(h.hints, o.Token); !o.OK && len(h.again) < mostWants {
+		if delete(h.hints, o.Token); !o.OK && len(h.again) < maxPendingReplications {
 			h.again = append(h.again, f)
 		}
 		return nil
 	}
 	if h.orders[o.Token] {
 		delete(h.orders, o.Token)
-		acts := []Act{{Settled: &Settled{o.Token, o.OK}}}
+		acts := []Action{{OrderReplicated: &OrderReplicated{o.Token, o.OK}}}
 		if !o.OK && o.Record.Owner != "" {
-			acts = append(acts, Act{Note: "an order is not held by others: " + o.Why})
+			acts = append(acts, Action{Log: "an order is not held by others: " + o.Reason})
 		}
-		if o.OK && o.Record.Kind == replication.Order {
-			var kept orderBody
+		if o.OK && o.Record.Kind == replication.OperatorOrder {
+			var kept storedOrder
 			if json.Unmarshal(o.Record.Body, &kept) == nil { // one that its own disk has lost
-				acts = append(acts, c.reminded(now, kept.Number, kept.Lame)...)
+				acts = append(acts, c.adoptOrder(now, kept.Number, kept.Lame)...)
 			}
-			if o.Record.Owner == c.peers.Own().Name && o.Record.Version == c.order {
+			if o.Record.Owner == c.membership.Own().Name && o.Record.Version == c.orderNumber {
 				if h.former, h.tells = h.ordered, orderTells; h.ordered.ID == o.Record.ID {
 					h.tells = 0
 				}
@@ -274,35 +274,35 @@
 	}
 	f, there := h.claims[o.Token]
 	delete(h.claims, o.Token)
-	if !there || (!o.OK && f.Word == relay.Place) {
+	if !there || (!o.OK && f.Record == relay.ReservationRecord) {
 		return nil
 	}
-	return []Act{{Tell: &relay.Event{Kind: relay.Claimed, Word: f.Word, Conn: f.Conn, Key: f.Key, Off: !o.OK,
-		At: o.Record.At - c.off, Text: string(o.Record.Body)}}}
+	return []Action{{Event: &relay.Event{Kind: relay.RecordFound, Record: f.Record, Conn: f.Conn, Key: f.Key, Off: !o.OK,
+		At: o.Record.ValidFrom - c.fleetClockOffset, Address: string(o.Record.Body)}}}
 }
 
-// holdsOn goes on. Nothing is held or said of while it is not known that this disk is the latest that the
+// maintainReplication goes on. Nothing is held or said of while it is not known that this disk is the latest that the
 // relay has spoken by, or while another process has its name.
-func (c *Core) holdsOn(now float64) []Act {
-	h := c.held
+func (c *Core) maintainReplication(now float64) []Action {
+	h := c.replication
 	if h == nil {
 		return nil
 	}
 	if now >= h.viewAt {
 		h.viewAt = now + viewEvery
-		own := c.peers.Own()
-		all := []replication.Member{{Name: own.Name, Zone: own.Zone, Address: own.Address, Life: h.life,
-			Leaves: c.lame}}
-		for _, m := range c.heard(now) {
-			if at := c.peers.Reach(m); at != "" {
-				all = append(all, replication.Member{Name: m.Name, Zone: m.Zone, Address: at, Life: m.Life,
-					Leaves: m.Lame})
+		own := c.membership.Own()
+		all := []replication.Member{{Name: own.Name, Zone: own.Zone, Address: own.Address, Incarnation: h.life,
+			Draining: c.draining}}
+		for _, m := range c.aliveMembers(now) {
+			if at := c.membership.Reach(m); at != "" {
+				all = append(all, replication.Member{Name: m.Name, Zone: m.Zone, Address: at, Incarnation: m.Life,
+					Draining: m.Lame})
 			}
 		}
 		h.members = all
-		h.core.Members(all)
-		twin := c.peers.Twin > 0 && now < c.peers.Twin+twinFor
-		h.core.Mute(!c.read || twin || c.plan.Phase() < recovery.Admitting)
+		h.core.UpdateMembers(all)
+		twin := c.membership.Twin > 0 && now < c.membership.Twin+duplicateMillis
+		h.core.SetSuspended(!c.diskRead || twin || c.plan.Phase() < recovery.Admitting)
 	}
 	if now >= h.sweepAt {
 		h.sweepAt = now + sweepEvery
@@ -319,70 +319,72 @@
 		h.againAt = now + hintsEvery
 		n := min(len(h.again), mostHints)
 		for _, f := range h.again[:n] {
-			if _, there := h.given[given{f.Word, f.Conn}]; there { // it stands yet
-				acts = append(acts, c.Trust(now, f)...)
+			if _, there := h.given[given{f.Record, f.Conn}]; there { // it stands yet
+				acts = append(acts, c.HandleReplicationEffect(now, f)...)
 			}
 		}
 		h.again = append([]relay.Effect(nil), h.again[n:]...)
 	}
 	if h.older {
 		h.older = false
-		acts = append(acts, Act{Note: "the disk is an older one: what it holds for others is put aside"})
-		acts = append(acts, c.holds(now, h.core.Forget())...)
+		acts = append(acts, Action{Log: "the disk is an older one: what it holds for others is put aside"})
+		acts = append(acts, c.holds(now, h.core.DiscardAll())...)
 	}
 	return append(acts, c.holds(now, h.core.Tick(c.fleetTime(now)))...)
 }
 
-// HeldDue is after how long HeldOn is due, ms; +Inf: never.
-func (c *Core) HeldDue(now float64) float64 {
-	if c.held == nil {
+// ReplicationDelay is after how long HeldOn is due, ms; +Inf: never.
+func (c *Core) ReplicationDelay(now float64) float64 {
+	if c.replication == nil {
 		return math.Inf(1)
 	}
-	return max(c.held.core.Due()-c.fleetTime(now), 0)
+	return max(c.replication.core.NextDeadline()-c.fleetTime(now), 0)
 }
 
-// HeldOn goes on with what others were asked for, between two ticks of the whole.
-func (c *Core) HeldOn(now float64) []Act { return c.holds(now, c.held.core.Tick(c.fleetTime(now))) }
+// TickReplication goes on with what others were asked for, between two ticks of the whole.
+func (c *Core) TickReplication(now float64) []Action {
+	return c.holds(now, c.replication.core.Tick(c.fleetTime(now)))
+}
 
-// holdsDisk takes what the disk holds for others, unless others know a later start of this relay than the
+// restoreReplicas takes what the disk holds for others, unless others know a later start of this relay than the
 // disk does.
-func (c *Core) holdsDisk(now float64, s *store.Store, lastBoot uint64) {
-	if c.held == nil {
+func (c *Core) restoreReplicas(now float64, s *store.Store, lastBoot uint64) {
+	if c.replication == nil {
 		return
 	}
 	for _, r := range s.All(store.Holding) {
-		c.held.core.Load(c.fleetTime(now), r.Key, r.Body)
+		c.replication.core.LoadRecord(c.fleetTime(now), r.Key, r.Body)
 	}
-	c.held.older = c.boot > lastBoot+1
+	c.replication.older = c.boot > lastBoot+1
 }
 
-// HoldingsStatus is what operators are told.
-type HoldingsStatus struct {
-	Kinds  map[string]replication.Standing `json:"Kinds"`
-	Able   bool                            `json:"Able"`   // there are relays enough for a promise
-	Counts map[string]replication.Counts   `json:"Counts"` // by kind
+// ReplicationStatus is what operators are told.
+type ReplicationStatus struct {
+	Kinds            map[string]replication.KindStatus `json:"Kinds"`
+	HasEnoughMembers bool                              `json:"Able"`   // there are relays enough for a promise
+	Counts           map[string]replication.Counts     `json:"Counts"` // by kind
 	// ms, that the latest words took until others held them; 0: there were none
-	P50 float64 `json:"P50"`
-	P99 float64 `json:"P99"`
+	P50Millis float64 `json:"P50"`
+	P99Millis float64 `json:"P99"`
 }
 
-// Page shows one part of what this relay holds for others; nil where it holds nothing for any.
-func (c *Core) Page(now float64, part int) *replication.Page {
-	if c.held == nil {
+// ReplicationPage shows one part of what this relay holds for others; nil where it holds nothing for any.
+func (c *Core) ReplicationPage(now float64, part int) *replication.Page {
+	if c.replication == nil {
 		return nil
 	}
-	return c.held.core.Page(c.fleetTime(now), part)
+	return c.replication.core.Page(c.fleetTime(now), part)
 }
 
-func (c *Core) holdingsStatus(now float64) *HoldingsStatus {
-	if c.held == nil {
+func (c *Core) replicationStatus(now float64) *ReplicationStatus {
+	if c.replication == nil {
 		return nil
 	}
-	s := &HoldingsStatus{Able: c.held.core.Able()}
-	s.Kinds, s.Counts = c.held.core.Status(c.fleetTime(now))
-	if n := min(c.held.words, latest); n > 0 {
-		took := slices.Sorted(slices.Values(c.held.took[:n]))
-		s.P50, s.P99 = took[n/2], took[n*99/100]
+	s := &ReplicationStatus{HasEnoughMembers: c.replication.core.HasEnoughMembers()}
+	s.Kinds, s.Counts = c.replication.core.Status(c.fleetTime(now))
+	if n := min(c.replication.words, latest); n > 0 {
+		took := slices.Sorted(slices.Values(c.replication.took[:n]))
+		s.P50Millis, s.P99Millis = took[n/2], took[n*99/100]
 	}
 	return s
 }
--- a/internal/fleet/processes_test.go
+++ b/internal/fleet/processes_test.go
@@ -184,11 +184,11 @@
 	eventually(t, all, "all have heard of the orders", func(_ *machine, s Status) bool {
 		orders := 0
 		for _, m := range s.Members {
-			if m.Lame {
+			if m.Draining {
 				orders++
 			}
 		}
-		if s.Lame {
+		if s.Draining {
 			orders++
 		}
 		return orders == 3
@@ -206,21 +206,21 @@
 	eventually(t, all, "orders hold as they were promised", func(m *machine, s Status) bool {
 		switch m.number {
 		case 1, 3: // by their disks
-			return s.Lame && s.Order == 1
+			return s.Draining && s.Order == 1
 		case 2: // wiped, and all others were off too: nobody is left who could know
-			return !s.Lame
+			return !s.Draining
 		case 4: // on, then off
-			return !s.Lame && s.Order == 2
+			return !s.Draining && s.Order == 2
 		case 5:
-			return strings.Contains(s.Disk, `another relay's: "relay-6"`)
+			return strings.Contains(s.DiskFault, `another relay's: "relay-6"`)
 		}
-		return !s.Lame
+		return !s.Draining
 	})
 	for _, m := range all[6:8] { // a disk that keeps nothing stops nobody, and promises nothing
 		assert.Equal(t, http.StatusConflict, m.lame("on"))
 		s, err := m.status()
 		require.NoError(t, err)
-		assert.True(t, s.Lame)
+		assert.True(t, s.Draining)
 	}
 
 	// One loses its disk while the others run: they know its boots and its orders.
@@ -232,7 +232,7 @@
 	require.NoError(t, os.MkdirAll(m.disk(), 0o700))
 	m.start()
 	eventually(t, all[3:4], "what the others remember", func(_ *machine, s Status) bool {
-		return s.Lame && s.Order == 1 && s.Boot > before.Boot
+		return s.Draining && s.Order == 1 && s.Boot > before.Boot
 	})
 	// And one comes back with the disk as it was before its order was taken back.
 	m = all[4]
@@ -241,7 +241,7 @@
 	require.NoError(t, exec.Command("cp", "-r", filepath.Join(old, "disk"), m.disk()).Run())
 	m.start()
 	eventually(t, all[4:5], "an older disk revives no order", func(_ *machine, s Status) bool {
-		return !s.Lame && s.Order == 2 && s.Recovery.Phase != "asking"
+		return !s.Draining && s.Order == 2 && s.Recovery.Phase != "asking"
 	})
 }
 
@@ -252,7 +252,7 @@
 	all[2].ahead, all[5].ahead = 3.6e6, -3.6e6
 	each(all, (*machine).start)
 	by := func(m *machine, s Status, ahead float64) bool {
-		return math.Abs(s.Ahead-ahead) < 2000 &&
+		return math.Abs(s.AheadMillis-ahead) < 2000 &&
 			alive(s) == 8
 	}
 	eventually(t, all, "how far each is off", func(m *machine, s Status) bool { return by(m, s, m.ahead) })
@@ -277,7 +277,7 @@
 	eventually(t, all[:6], "six know six", func(_ *machine, s Status) bool { return alive(s) == 5 })
 	eventually(t, all[:3], "who has another key is refused", func(_ *machine,
 		s Status) bool {
-		return s.Wire.Refused > 0
+		return s.Datagrams.Refused > 0
 	})
 	s, err := all[6].status()
 	require.NoError(t, err)
@@ -302,9 +302,9 @@
 	twin.start()
 	t.Cleanup(twin.kill)
 	eventually(t, []*machine{&twin}, "the twin", func(_ *machine, s Status) bool {
-		return s.Twin && strings.Contains(s.Disk, "held by another process")
+		return s.HasDuplicate && strings.Contains(s.DiskFault, "held by another process")
 	})
-	eventually(t, all[2:3], "and its double", func(_ *machine, s Status) bool { return s.Twin && s.Disk == "" })
+	eventually(t, all[2:3], "and its double", func(_ *machine, s Status) bool { return s.HasDuplicate && s.DiskFault == "" })
 }
 
 // A port that is taken is named, and the relay does not start without its peers.
@@ -337,7 +337,7 @@
 		eventually(t, all, what, func(_ *machine, s Status) bool { return want(s) })
 	}
 	fit := func(s Status) bool {
-		return s.Holdings != nil && s.Holdings.Able && len(s.Members) == 8 && s.Recovery.Phase != "asking" &&
+		return s.Replication != nil && s.Replication.HasEnoughMembers && len(s.Members) == 8 && s.Recovery.Phase != "asking" &&
 			s.Recovery.Phase != "reading"
 	}
 	start()
@@ -345,7 +345,7 @@
 	require.Equal(t, http.StatusOK, all[4].lame("on"))
 	holders := func() (n []int) {
 		for _, m := range all {
-			if s, err := m.status(); err == nil && s.Holdings.Kinds["orders"].Held > 0 {
+			if s, err := m.status(); err == nil && s.Replication.Kinds["orders"].Stored > 0 {
 				n = append(n, m.number)
 			}
 		}
@@ -367,7 +367,7 @@
 	require.NoError(t, os.RemoveAll(all[4].disk()))
 	require.NoError(t, os.MkdirAll(all[4].disk(), 0o700))
 	start()
-	until("it is back", all[4:5], func(s Status) bool { return s.Lame && s.Order >= 1 })
+	until("it is back", all[4:5], func(s Status) bool { return s.Draining && s.Order >= 1 })
 	until("fit", all, fit)
 
 	leaves := all[holders()[0]] // one that holds it leaves: it is handed over
@@ -386,7 +386,7 @@
 	rest := 0
 	for _, m := range all {
 		if s, err := m.status(); err == nil {
-			rest += s.Holdings.Kinds["orders"].Held
+			rest += s.Replication.Kinds["orders"].Stored
 		}
 	}
 	assert.GreaterOrEqual(t, rest, 6, "two orders, three machines each")
--- a/internal/fleet/replication_golden_test.go
+++ b/internal/fleet/replication_golden_test.go
@@ -18,16 +18,16 @@
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", "holdings-status.json"))
 	require.NoError(t, err)
 	golden := strings.TrimSpace(string(text))
-	want := HoldingsStatus{
-		Kinds: map[string]replication.Standing{"marks": {Held: 1, Open: 2, Under: 3, Short: 4},
-			"places": {Held: 5, Open: 6, Under: 7, Short: 8}},
-		Able: true,
-		Counts: map[string]replication.Counts{"places": {Held: 1, Full: 2, Promised: 3, Refused: 4, Sought: 5,
-			Took: 6, Again: 7, Missed: 8, Accepted: 9}},
-		P50: 0.75,
-		P99: 12.5,
+	want := ReplicationStatus{
+		Kinds: map[string]replication.KindStatus{"marks": {Stored: 1, Open: 2, UnderReplicated: 3, BelowQuorum: 4},
+			"places": {Stored: 5, Open: 6, UnderReplicated: 7, BelowQuorum: 8}},
+		HasEnoughMembers: true,
+		Counts: map[string]replication.Counts{"places": {Stored: 1, RejectedFull: 2, Replicated: 3, NotReplicated: 4, Lookups: 5,
+			Found: 6, AlreadyUsed: 7, Missed: 8, Accepted: 9}},
+		P50Millis: 0.75,
+		P99Millis: 12.5,
 	}
-	var read HoldingsStatus
+	var read ReplicationStatus
 	require.NoError(t, json.Unmarshal([]byte(golden), &read))
 	assert.Equal(t, want, read)
 	again, err := json.Marshal(want)
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -21,37 +21,37 @@
 )
 
 const (
-	tickEvery  = 50 * time.Millisecond
-	askTime    = 500 * time.Millisecond // for another relay's whole answer
-	mostAnswer = 8 << 20
-	mostAskers = 8 // at once
-	orderTime  = time.Second
-	diskRetry  = 2 * time.Second
-	leastKey   = 16
-	nonce      = 16
-	mostWants  = 4096
-	mostHeard  = 32 << 10 // of a datagram: a voter's word on many zones
-	// Files is how many descriptors all of it may hold.
-	Files = 2 + mostAskers + 4 + 4 // both sockets, those who ask, those asked, the disk's
+	tickEvery              = 50 * time.Millisecond
+	askTime                = 500 * time.Millisecond // for another relay's whole answer
+	mostAnswer             = 8 << 20
+	mostAskers             = 8 // at once
+	orderTime              = time.Second
+	diskRetry              = 2 * time.Second
+	leastKey               = 16
+	nonce                  = 16
+	maxPendingReplications = 4096
+	mostHeard              = 32 << 10 // of a datagram: a voter's word on many zones
+	// MaxDescriptors is how many descriptors all of it may hold.
+	MaxDescriptors = 2 + mostAskers + 4 + 4 // both sockets, those who ask, those asked, the disk's
 )
 
-// Peers is where others are, as the operators' file says.
-type Peers struct {
+// Config is where others are, as the operators' file says.
+type Config struct {
 	Listen, Zone, Region, KeyFile string
 	Seeds                         []string
-	Only                          bool // others are reached by the seeds' addresses alone
+	SeedsOnly                     bool // others are reached by the seeds' addresses alone
 	Voters                        []string
 	Copies                        int  // of what this relay gives its word for; 0: none but its own
-	Stood                         bool // others hold where clients and groups stand
+	ReplicateAffinity             bool // others hold where clients and groups stand
 	// ms, beyond a link's hard limit, that marks of its setup tries are held
-	Remember float64
+	MarkerRetentionMillis float64
 }
 
-// Run is one relay's side of the fleet, on sockets and a disk.
-type Run struct {
+// Node is one relay's side of the fleet, on sockets and a disk.
+type Node struct {
 	log   *slog.Logger
 	name  string
-	peers Peers
+	peers Config
 	key   []byte
 	fs    store.FS // nil: no disk
 	most  int
@@ -60,9 +60,9 @@
 	clock func() time.Time // the machine's
 
 	tell func(relay.Event)
-	seen func() relay.Seen
-	kept func() *relay.Kept
-	look func() (map[string]balancer.ZoneLook, float64)
+	seen func() relay.Status
+	kept func() *relay.Snapshot
+	look func() (map[string]balancer.ZoneObservation, float64)
 
 	mutex sync.Mutex // over core; never held while the relay, a peer or the disk is waited for
 	core  *Core
@@ -81,11 +81,11 @@
 	done  sync.WaitGroup
 }
 
-// NewRun takes the relay's name, where others are (nil: none) and the folder that it may keep up to most
+// NewNode takes the relay's name, where others are (nil: none) and the folder that it may keep up to most
 // bytes in (nil: none), and the machine's clock.
-func NewRun(name string, others *Peers, fs store.FS, most int, clock func() time.Time,
-	log *slog.Logger) (*Run, error) {
-	r := &Run{log: log, name: name, clock: clock, fs: fs, most: most, dirty: make(chan struct{}, 1),
+func NewNode(name string, others *Config, fs store.FS, most int, clock func() time.Time,
+	log *slog.Logger) (*Node, error) {
+	r := &Node{log: log, name: name, clock: clock, fs: fs, most: most, dirty: make(chan struct{}, 1),
 		ended: make(chan struct{})}
 	if others != nil {
 		r.peers = *others
@@ -110,14 +110,14 @@
 	return key, nil
 }
 
-func (r *Run) now() float64 {
+func (r *Node) now() float64 {
 	return r.ms + float64(time.Since(r.base))/float64(time.Millisecond)
 }
 
 // Start begins: tell gives the relay an event; seen, kept and looked ask it how it fares, what it knows and
 // what it has seen of zones.
-func (r *Run) Start(now float64, tell func(relay.Event), seen func() relay.Seen, kept func() *relay.Kept,
-	looked func() (map[string]balancer.ZoneLook, float64)) error {
+func (r *Node) Start(now float64, tell func(relay.Event), seen func() relay.Status, kept func() *relay.Snapshot,
+	looked func() (map[string]balancer.ZoneObservation, float64)) error {
 	r.base, r.ms, r.tell, r.seen, r.kept, r.look = time.Now(), now, tell, seen, kept, looked
 	var lot [16]byte
 	if _, err := rand.Read(lot[:]); err != nil {
@@ -140,19 +140,19 @@
 		}
 	}
 	r.core = New(now, own, r.peers.Seeds, r.key, r.fs != nil, chance)
-	if r.core.peers != nil {
-		r.core.peers.Only = r.peers.Only
+	if r.core.membership != nil {
+		r.core.membership.Only = r.peers.SeedsOnly
 	}
 	if len(r.peers.Voters) > 0 {
-		r.core.Follows(r.name, r.peers.Zone, r.peers.Voters, r.key, chance)
+		r.core.FollowCoordinators(r.name, r.peers.Zone, r.peers.Voters, r.key, chance)
 	}
-	tell(relay.Event{Kind: relay.Restarted})
+	tell(relay.Event{Kind: relay.IncarnationChanged})
 	if r.peers.Copies > 0 {
-		r.wants = make(chan relay.Effect, mostWants)
+		r.wants = make(chan relay.Effect, maxPendingReplications)
 		r.poked, r.dueAt = make(chan struct{}, 1), math.Inf(1)
-		for _, a := range r.core.Holds(r.name, own.Life, r.peers.Copies, r.peers.Remember, r.peers.Stood, r.key,
+		for _, a := range r.core.EnableReplication(r.name, own.Life, r.peers.Copies, r.peers.MarkerRetentionMillis, r.peers.ReplicateAffinity, r.key,
 			chance) {
-			tell(*a.Tell)
+			tell(*a.Event)
 		}
 		r.goes(r.holds)
 	}
@@ -167,13 +167,13 @@
 	return nil
 }
 
-func (r *Run) goes(do func()) {
+func (r *Node) goes(do func()) {
 	r.done.Add(1)
 	go func() { defer r.done.Done(); do() }()
 }
 
 // Stop ends it; what is known is written once more.
-func (r *Run) Stop() {
+func (r *Node) Stop() {
 	close(r.ended)
 	if r.udp != nil {
 		r.udp.Close()
@@ -183,11 +183,11 @@
 }
 
 // with has the core take something and does what follows.
-func (r *Run) with(do func(c *Core) []Act) {
+func (r *Node) with(do func(c *Core) []Action) {
 	r.mutex.Lock()
 	acts := do(r.core)
 	if r.wants != nil {
-		if due := r.now() + r.core.HeldDue(r.now()); due < r.dueAt {
+		if due := r.now() + r.core.ReplicationDelay(r.now()); due < r.dueAt {
 			r.dueAt = due
 			select {
 			case r.poked <- struct{}{}:
@@ -202,32 +202,34 @@
 			if to, err := net.ResolveUDPAddr("udp", a.Send.To); err == nil {
 				r.udp.WriteToUDP(a.Send.Data, to) // what is lost is said again
 			}
-		case a.Ask != nil:
-			question := *a.Ask
+		case a.Query != nil:
+			question := *a.Query
 			r.goes(func() { r.asks(question) })
-		case a.Save != nil:
+		case a.Persist != nil:
 			var done func(error)
-			if number := a.Kept; number > 0 {
-				done = func(error) { r.with(func(c *Core) []Act { c.Kept(r.now(), number); return nil }) }
-			} else if then := a.Then; then != nil {
+			if number := a.ConfirmDecision; number > 0 {
+				done = func(error) {
+					r.with(func(c *Core) []Action { c.ConfirmDecisionPersisted(r.now(), number); return nil })
+				}
+			} else if then := a.ReplicationWrite; then != nil {
 				done = func(err error) {
 					if err == nil {
-						r.with(func(c *Core) []Act { return c.Durable(r.now(), then) })
+						r.with(func(c *Core) []Action { return c.CompleteReplicationWrite(r.now(), then) })
 					}
 				}
 			}
-			r.save(*a.Save, done)
-		case a.Settled != nil:
-			r.settled(*a.Settled)
-		case a.Tell != nil:
-			r.tell(*a.Tell)
-		case a.Note != "":
-			r.log.Info("fleet", "what", a.Note)
+			r.save(*a.Persist, done)
+		case a.OrderReplicated != nil:
+			r.settled(*a.OrderReplicated)
+		case a.Event != nil:
+			r.tell(*a.Event)
+		case a.Log != "":
+			r.log.Info("fleet", "what", a.Log)
 		}
 	}
 }
 
-func (r *Run) ticks() {
+func (r *Node) ticks() {
 	tick := time.NewTicker(tickEvery)
 	defer tick.Stop()
 	for {
@@ -236,7 +238,7 @@
 			return
 		case <-tick.C:
 			seen := r.seen()
-			r.with(func(c *Core) []Act {
+			r.with(func(c *Core) []Action {
 				return c.Tick(r.now(), float64(r.clock().UnixMicro())/1000, seen)
 			})
 			r.shows()
@@ -245,17 +247,17 @@
 }
 
 // shows tells voters what is seen of zones, where that is due.
-func (r *Run) shows() {
+func (r *Node) shows() {
 	r.mutex.Lock()
-	due := r.core.Shows(r.now())
+	due := r.core.IsObservationDue(r.now())
 	r.mutex.Unlock()
 	if due {
 		zones, demand := r.look()
-		r.with(func(c *Core) []Act { return c.Show(r.now(), zones, demand) })
+		r.with(func(c *Core) []Action { return c.SendObservations(r.now(), zones, demand) })
 	}
 }
 
-func (r *Run) hears() {
+func (r *Node) hears() {
 	buffer := make([]byte, mostHeard)
 	for {
 		n, from, err := r.udp.ReadFromUDP(buffer)
@@ -263,13 +265,13 @@
 			return
 		}
 		if err == nil {
-			r.with(func(c *Core) []Act { return c.Heard(r.now(), from.String(), buffer[:n]) })
+			r.with(func(c *Core) []Action { return c.ReceiveDatagram(r.now(), from.String(), buffer[:n]) })
 		}
 	}
 }
 
 // isAsked answers others with what is kept. Against some that hang: so many at once, each for a bounded time.
-func (r *Run) isAsked() {
+func (r *Node) isAsked() {
 	room := make(chan struct{}, mostAskers)
 	for {
 		conn, err := r.tcp.Accept()
@@ -294,7 +296,7 @@
 }
 
 // answers reads a sealed nonce and writes what is kept, sealed behind it: an answer is to one question only.
-func (r *Run) answers(conn net.Conn) {
+func (r *Node) answers(conn net.Conn) {
 	question := make([]byte, nonce+32)
 	if _, err := io.ReadFull(conn, question); err != nil {
 		return
@@ -305,18 +307,18 @@
 	}
 	k := r.kept()
 	r.mutex.Lock()
-	text := r.core.Answer(r.now(), k)
+	text := r.core.AnswerQuery(r.now(), k)
 	r.mutex.Unlock()
 	conn.Write(membership.Seal(r.key, append(asked, text...)))
 	conn.(*net.TCPConn).CloseWrite()
 }
 
-func (r *Run) asks(q Question) {
+func (r *Node) asks(q Query) {
 	text, err := r.ask(q.Address)
-	r.with(func(c *Core) []Act { c.Answered(q.Name, text, err); return nil })
+	r.with(func(c *Core) []Action { c.ReceiveAnswer(q.Name, text, err); return nil })
 }
 
-func (r *Run) ask(address string) ([]byte, error) {
+func (r *Node) ask(address string) ([]byte, error) {
 	conn, err := net.DialTimeout("tcp", address, askTime)
 	if err != nil {
 		return nil, err
@@ -345,7 +347,7 @@
 }
 
 // save has a record written; done is told once it is durable, or why it is not.
-func (r *Run) save(record store.Record, done func(error)) {
+func (r *Node) save(record store.Record, done func(error)) {
 	r.disk.Lock()
 	s := r.store
 	r.disk.Unlock()
@@ -363,7 +365,7 @@
 }
 
 // keeps reads the disk, however long that takes, and writes what is put from then on.
-func (r *Run) keeps() {
+func (r *Node) keeps() {
 	s, found, err := store.Open(r.fs, r.name, r.most)
 	if err == nil {
 		r.disk.Lock()
@@ -372,7 +374,7 @@
 	} else {
 		r.log.Error("the disk can't be used, and nothing is kept", "err", err)
 	}
-	r.with(func(c *Core) []Act { return c.Disk(r.now(), s, found, err) })
+	r.with(func(c *Core) []Action { return c.Restore(r.now(), s, found, err) })
 	if err != nil {
 		return
 	}
@@ -392,7 +394,7 @@
 		case <-r.dirty:
 		case <-look.C:
 			r.mutex.Lock()
-			due := r.core.Keeps(r.now())
+			due := r.core.IsSnapshotDue(r.now())
 			r.mutex.Unlock()
 			if due {
 				r.keep(s)
@@ -408,10 +410,10 @@
 	}
 }
 
-func (r *Run) keep(s *store.Store) {
+func (r *Node) keep(s *store.Store) {
 	k := r.kept()
 	r.mutex.Lock()
-	record := r.core.Keep(r.now(), k)
+	record := r.core.RecordSnapshot(r.now(), k)
 	r.mutex.Unlock()
 	s.Put(record, func(err error) {
 		if errors.Is(err, store.ErrFull) {
@@ -420,13 +422,13 @@
 	})
 }
 
-// Order takes an operators' order. It is answered once it is durable, where there is a disk; without one, or
+// SetDraining takes an operators' order. It is answered once it is durable, where there is a disk; without one, or
 // where that fails, it holds all the same and the error says so.
-func (r *Run) Order(lame bool) error {
+func (r *Node) SetDraining(lame bool) error {
 	r.mutex.Lock()
-	record, acts := r.core.Order(r.now(), lame)
+	record, acts := r.core.SetDraining(r.now(), lame)
 	r.mutex.Unlock()
-	r.with(func(*Core) []Act { return acts })
+	r.with(func(*Core) []Action { return acts })
 	if r.fs == nil {
 		return nil
 	}
@@ -447,10 +449,10 @@
 }
 
 // heldByOthers waits until the order is on the disks of as many machines as copies are made.
-func (r *Run) heldByOthers() error {
+func (r *Node) heldByOthers() error {
 	held := make(chan bool, 1)
-	r.with(func(c *Core) []Act {
-		token, acts := c.HoldOrder(r.now())
+	r.with(func(c *Core) []Action {
+		token, acts := c.ReplicateOrder(r.now())
 		r.waits.Store(token, held)
 		return acts
 	})
@@ -464,15 +466,15 @@
 	return errors.New("it holds, and is on this machine's disk alone for now")
 }
 
-func (r *Run) settled(s Settled) {
+func (r *Node) settled(s OrderReplicated) {
 	if held, there := r.waits.LoadAndDelete(s.Token); there {
 		held.(chan bool) <- s.OK
 	}
 }
 
-// Trust has others hold something, or seeks it. It is called under the relay's lock and waits for nothing:
+// Replicate has others hold something, or seeks it. It is called under the relay's lock and waits for nothing:
 // where too much waits already, it is not done, and the relay goes on alone.
-func (r *Run) Trust(f relay.Effect) {
+func (r *Node) Replicate(f relay.Effect) {
 	select {
 	case r.wants <- f:
 	default:
@@ -481,7 +483,7 @@
 
 // holds does what the relay asks for, and has holdings go on when they are due: ticks of the whole are too
 // far apart for what is to be held in some milliseconds.
-func (r *Run) holds() {
+func (r *Node) holds() {
 	due := time.NewTimer(time.Hour)
 	defer due.Stop()
 	for {
@@ -489,12 +491,12 @@
 		case <-r.ended:
 			return
 		case f := <-r.wants:
-			r.with(func(c *Core) []Act { return c.Trust(r.now(), f) })
+			r.with(func(c *Core) []Action { return c.HandleReplicationEffect(r.now(), f) })
 		case <-due.C:
 			r.mutex.Lock()
 			r.dueAt = math.Inf(1)
 			r.mutex.Unlock()
-			r.with(func(c *Core) []Act { return c.HeldOn(r.now()) })
+			r.with(func(c *Core) []Action { return c.TickReplication(r.now()) })
 		case <-r.poked:
 			r.mutex.Lock()
 			wait := r.dueAt - r.now()
@@ -504,18 +506,18 @@
 	}
 }
 
-// Held shows one part of what is held for others; nil where nothing is.
-func (r *Run) Held(part int) any {
+// ReplicationPage shows one part of what is held for others; nil where nothing is.
+func (r *Node) ReplicationPage(part int) any {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if p := r.core.Page(r.now(), part); p != nil {
+	if p := r.core.ReplicationPage(r.now(), part); p != nil {
 		return p
 	}
 	return nil
 }
 
 // Status is what operators are told.
-func (r *Run) Status() any {
+func (r *Node) Status() any {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.core.Status(r.now())
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -39,10 +39,10 @@
 func TestGoldenFilesAreWritten(t *testing.T) {
 	g, dir := readGolden(t), t.TempDir()
 	first, second := sit(t, dir), sit(t, dir)
-	require.NoError(t, second.Ready())
-	require.NoError(t, first.Leave(2, []byte(`{"Version":1}`)))
-	require.NoError(t, first.Tell(2, []byte{0, 1, 0xff}))
-	require.NoError(t, second.Takes(func([]byte, [Pair]*os.File) (bool, func()) { return false, nil }))
+	require.NoError(t, second.MarkReady())
+	require.NoError(t, first.SendHandoff(2, []byte(`{"Version":1}`)))
+	require.NoError(t, first.SendMessage(2, []byte{0, 1, 0xff}))
+	require.NoError(t, second.ServeSessions(func([]byte, [FilesPerSession]*os.File) (bool, func()) { return false, nil }))
 	content := map[string]string{}
 	entries, err := os.ReadDir(dir)
 	require.NoError(t, err)
@@ -69,16 +69,16 @@
 	require.NoError(t, err)
 	defer other.Close()
 	require.NoError(t, syscall.Flock(int(other.Fd()), syscall.LOCK_EX))
-	_, younger := first.Others()
-	assert.Equal(t, Other{2, true}, younger)
+	_, younger := first.Siblings()
+	assert.Equal(t, Process{2, true}, younger)
 
-	second := &Seat{dir: dir, number: 2}
+	second := &Slot{dir: dir, number: 2}
 	require.NoError(t, os.WriteFile(filepath.Join(dir, g.Handoff), []byte("left"), 0o600))
-	record, err := second.Left(0)
+	record, err := second.ReceiveHandoff(0)
 	require.NoError(t, err)
 	assert.Equal(t, "left", string(record))
 	require.NoError(t, os.WriteFile(filepath.Join(dir, g.Message), []byte("told"), 0o600))
-	record, err = second.Told()
+	record, err = second.ReceiveMessage()
 	require.NoError(t, err)
 	assert.Equal(t, "told", string(record))
 }
@@ -89,7 +89,7 @@
 	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Net: "unixpacket", Name: filepath.Join(dir, g.Socket)})
 	require.NoError(t, err)
 	defer l.Close()
-	w, err := (&Seat{dir: dir, number: 1}).Way(2)
+	w, err := (&Slot{dir: dir, number: 1}).OpenChannel(2)
 	require.NoError(t, err)
 	defer w.Close()
 	c, err := l.AcceptUnix()
@@ -107,12 +107,12 @@
 		after        string
 	}{
 		{"taken", g.Taken, true, nil, ""},
-		{"rejected", g.Rejected, false, ErrRefused, ""},
+		{"rejected", g.Rejected, false, ErrRejected, ""},
 		{"waits", g.Waits, true, nil, g.Released},
 	} {
 		_, err := c.Write([]byte(c2.answer)) // is there when the packet has gone out
 		require.NoError(t, err)
-		gone, err := w.Pass([]byte(c2.name), pair)
+		gone, err := w.SendSession([]byte(c2.name), pair)
 		assert.Equal(t, c2.gone, gone, c2.name)
 		assert.ErrorIs(t, err, c2.err, c2.name)
 		packet, rights := make([]byte, 100), make([]byte, 100)
@@ -124,7 +124,7 @@
 		for _, fd := range fds {
 			syscall.Close(fd)
 		}
-		require.NoError(t, w.Free())
+		require.NoError(t, w.ConfirmRelease())
 		if c2.after != "" {
 			n, err := c.Read(packet)
 			require.NoError(t, err)
@@ -136,9 +136,9 @@
 // A sender of another build gets the golden answers, and its golden packet is understood.
 func TestGoldenPacketsAreSent(t *testing.T) {
 	g, dir := readGolden(t), t.TempDir()
-	s := &Seat{dir: dir, number: 2}
+	s := &Slot{dir: dir, number: 2}
 	alone := make(chan struct{}, 1)
-	require.NoError(t, s.Takes(func(record []byte, _ [Pair]*os.File) (bool, func()) {
+	require.NoError(t, s.ServeSessions(func(record []byte, _ [FilesPerSession]*os.File) (bool, func()) {
 		switch string(record) {
 		case "taken":
 			return true, nil
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -27,21 +27,21 @@
 	told = "told" // to it, by another
 )
 
-// Seat is this process's place.
-type Seat struct {
+// Slot is this process's place.
+type Slot struct {
 	dir    string
 	number int
 	file   *os.File
 }
 
-// Other is another process of the relay that is alive.
-type Other struct {
+// Process is another process of the relay that is alive.
+type Process struct {
 	Number int
 	Ready  bool
 }
 
-// Sit takes the next number in the directory.
-func Sit(dir string) (*Seat, error) {
+// Acquire takes the next number in the directory.
+func Acquire(dir string) (*Slot, error) {
 	file, err := os.CreateTemp(dir, "valeshift.new.*")
 	if err != nil {
 		return nil, fmt.Errorf("seat: %w", err)
@@ -53,7 +53,7 @@
 		return nil, fmt.Errorf("seat: %w", err)
 	}
 	for range 1000 {
-		s := &Seat{dir: dir, number: 1, file: file}
+		s := &Slot{dir: dir, number: 1, file: file}
 		all, err := s.files()
 		if err != nil {
 			file.Close()
@@ -76,12 +76,12 @@
 
 func lock(f *os.File) error { return syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) }
 
-func (s *Seat) path(number int, kind string) string {
+func (s *Slot) path(number int, kind string) string {
 	return filepath.Join(s.dir, fmt.Sprintf(name, number, kind))
 }
 
 // files are the seats there are, dead or alive.
-func (s *Seat) files() (map[int]string, error) {
+func (s *Slot) files() (map[int]string, error) {
 	entries, err := os.ReadDir(s.dir)
 	if err != nil {
 		return nil, fmt.Errorf("seat: %w", err)
@@ -99,9 +99,9 @@
 	return all, nil
 }
 
-// Others are the elder and the younger processes that are alive: of each the nearest, with number 0 for none.
+// Siblings are the elder and the younger processes that are alive: of each the nearest, with number 0 for none.
 // Files of dead ones are taken away, but for the highest number, so that none is given twice.
-func (s *Seat) Others() (elder, younger Other) {
+func (s *Slot) Siblings() (elder, younger Process) {
 	all, err := s.files()
 	if err != nil {
 		return elder, younger
@@ -111,7 +111,7 @@
 			continue
 		}
 		alive, ready := look(path)
-		switch o := (Other{n, ready}); {
+		switch o := (Process{n, ready}); {
 		case !alive && n < s.number:
 			os.Remove(path)
 			os.Remove(s.path(n, left))
@@ -141,25 +141,25 @@
 	return true, string(word[:n]) == "ready"
 }
 
-// Ready says that this process takes clients now.
-func (s *Seat) Ready() error {
+// MarkReady says that this process takes clients now.
+func (s *Slot) MarkReady() error {
 	_, err := s.file.WriteAt([]byte("ready"), 0)
 	return err
 }
 
-// Leave leaves a record to the process of that number, whole or not at all.
-func (s *Seat) Leave(number int, record []byte) error { return s.put(number, left, record) }
+// SendHandoff leaves a record to the process of that number, whole or not at all.
+func (s *Slot) SendHandoff(number int, record []byte) error { return s.put(number, left, record) }
 
-// Tell tells something to the process of that number; what it has not heard yet is forgotten.
-func (s *Seat) Tell(number int, record []byte) error { return s.put(number, told, record) }
+// SendMessage tells something to the process of that number; what it has not heard yet is forgotten.
+func (s *Slot) SendMessage(number int, record []byte) error { return s.put(number, told, record) }
 
-// Left waits for what an elder process leaves to this one, and takes it away.
-func (s *Seat) Left(within time.Duration) ([]byte, error) { return s.get(left, within) }
+// ReceiveHandoff waits for what an elder process leaves to this one, and takes it away.
+func (s *Slot) ReceiveHandoff(within time.Duration) ([]byte, error) { return s.get(left, within) }
 
-// Told takes what another process has told, where there is something new.
-func (s *Seat) Told() ([]byte, error) { return s.get(told, 0) }
+// ReceiveMessage takes what another process has told, where there is something new.
+func (s *Slot) ReceiveMessage() ([]byte, error) { return s.get(told, 0) }
 
-func (s *Seat) put(number int, kind string, record []byte) error {
+func (s *Slot) put(number int, kind string, record []byte) error {
 	if len(record) > most {
 		return fmt.Errorf("record: %d bytes, %d at the most", len(record), most)
 	}
@@ -179,7 +179,7 @@
 	return nil
 }
 
-func (s *Seat) get(kind string, within time.Duration) ([]byte, error) {
+func (s *Slot) get(kind string, within time.Duration) ([]byte, error) {
 	path := s.path(s.number, kind)
 	for until := time.Now().Add(within); ; time.Sleep(gap) {
 		f, err := os.Open(path)
@@ -201,8 +201,8 @@
 	}
 }
 
-// Check tells whether the descriptor is a listening socket, and leaves it as it is.
-func Check(fd int) error {
+// CheckListener tells whether the descriptor is a listening socket, and leaves it as it is.
+func CheckListener(fd int) error {
 	if on, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil {
 		return fmt.Errorf("a listening socket expected: %w", err)
 	} else if on == 0 {
@@ -211,10 +211,10 @@
 	return nil
 }
 
-// Listener is the listening socket that this process inherited as that descriptor. It is never shut down,
+// InheritListener is the listening socket that this process inherited as that descriptor. It is never shut down,
 // which would end it for the other process too; this process's second number for it is given back.
-func Listener(fd int) (*net.TCPListener, error) {
-	if err := Check(fd); err != nil {
+func InheritListener(fd int) (*net.TCPListener, error) {
+	if err := CheckListener(fd); err != nil {
 		return nil, err
 	}
 	f := os.NewFile(uintptr(fd), "clients")
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func sit(t *testing.T, dir string) *Seat {
-	s, err := Sit(dir)
+func sit(t *testing.T, dir string) *Slot {
+	s, err := Acquire(dir)
 	require.NoError(t, err)
 	t.Cleanup(func() { s.file.Close() })
 	return s
@@ -22,47 +22,47 @@
 func TestSeats(t *testing.T) {
 	dir := t.TempDir()
 	a := sit(t, dir)
-	elder, younger := a.Others()
-	assert.Equal(t, [2]Other{}, [2]Other{elder, younger}, "alone")
+	elder, younger := a.Siblings()
+	assert.Equal(t, [2]Process{}, [2]Process{elder, younger}, "alone")
 	b := sit(t, dir)
-	_, younger = a.Others()
-	assert.Equal(t, Other{2, false}, younger)
-	elder, _ = b.Others()
-	assert.Equal(t, Other{1, false}, elder)
-	require.NoError(t, b.Ready())
-	_, younger = a.Others()
-	assert.Equal(t, Other{2, true}, younger)
+	_, younger = a.Siblings()
+	assert.Equal(t, Process{2, false}, younger)
+	elder, _ = b.Siblings()
+	assert.Equal(t, Process{1, false}, elder)
+	require.NoError(t, b.MarkReady())
+	_, younger = a.Siblings()
+	assert.Equal(t, Process{2, true}, younger)
 	c := sit(t, dir)
-	elder, _ = c.Others()
+	elder, _ = c.Siblings()
 	assert.Equal(t, 2, elder.Number, "the nearest")
-	_, younger = a.Others()
+	_, younger = a.Siblings()
 	assert.Equal(t, 2, younger.Number, "the nearest")
 
 	b.file.Close() // dead, whatever its file says
-	_, younger = a.Others()
-	assert.Equal(t, Other{3, false}, younger)
+	_, younger = a.Siblings()
+	assert.Equal(t, Process{3, false}, younger)
 	a.file.Close()
-	elder, younger = c.Others()
-	assert.Equal(t, [2]Other{}, [2]Other{elder, younger})
+	elder, younger = c.Siblings()
+	assert.Equal(t, [2]Process{}, [2]Process{elder, younger})
 	assert.NoFileExists(t, filepath.Join(dir, "valeshift.1.seat"), "taken away")
 	assert.Equal(t, 4, sit(t, dir).number, "no number twice")
 
 	for _, name := range []string{"valeshift.x.seat", "valeshift.9.other", "other.9.seat", "valeshift.-3.seat"} {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), nil, 0o600))
 	}
-	_, younger = c.Others()
+	_, younger = c.Siblings()
 	assert.Equal(t, 4, younger.Number, "files of others")
-	_, err := Sit(filepath.Join(dir, "absent"))
+	_, err := Acquire(filepath.Join(dir, "absent"))
 	assert.Error(t, err)
 }
 
 // Many at once get a number each.
 func TestSeatsAtOnce(t *testing.T) {
 	dir := t.TempDir()
-	got := make(chan *Seat)
+	got := make(chan *Slot)
 	for range 20 {
 		go func() {
-			s, _ := Sit(dir)
+			s, _ := Acquire(dir)
 			got <- s
 		}()
 	}
@@ -80,21 +80,21 @@
 	dir := t.TempDir()
 	a, b := sit(t, dir), sit(t, dir)
 	from := time.Now()
-	_, err := b.Left(50 * time.Millisecond)
+	_, err := b.ReceiveHandoff(50 * time.Millisecond)
 	assert.ErrorIs(t, err, os.ErrNotExist)
 	assert.GreaterOrEqual(t, time.Since(from), 50*time.Millisecond)
 	go func() {
 		time.Sleep(20 * time.Millisecond)
-		a.Leave(2, []byte("what I know"))
+		a.SendHandoff(2, []byte("what I know"))
 	}()
-	record, err := b.Left(5 * time.Second)
+	record, err := b.ReceiveHandoff(5 * time.Second)
 	require.NoError(t, err)
 	assert.Equal(t, "what I know", string(record))
-	_, err = b.Left(0)
+	_, err = b.ReceiveHandoff(0)
 	assert.ErrorIs(t, err, os.ErrNotExist, "taken once")
-	assert.ErrorContains(t, a.Leave(2, make([]byte, most+1)), "at the most")
+	assert.ErrorContains(t, a.SendHandoff(2, make([]byte, most+1)), "at the most")
 	require.NoError(t, os.WriteFile(b.path(2, left), make([]byte, most+1), 0o600))
-	_, err = b.Left(0)
+	_, err = b.ReceiveHandoff(0)
 	assert.ErrorContains(t, err, "more than")
 	entries, err := os.ReadDir(dir)
 	require.NoError(t, err)
@@ -109,7 +109,7 @@
 	fd, err := syscall.Dup(int(f.Fd()))
 	require.NoError(t, err)
 	f.Close()
-	mine, err := Listener(fd)
+	mine, err := InheritListener(fd)
 	require.NoError(t, err)
 	require.NoError(t, mine.Close())
 	c, err := net.Dial("tcp", l.Addr().String())
@@ -129,7 +129,7 @@
 		},
 	} {
 		fd := open()
-		_, err := Listener(fd)
+		_, err := InheritListener(fd)
 		assert.ErrorContains(t, err, "a listening socket expected", name)
 		syscall.Close(fd)
 	}
@@ -140,12 +140,12 @@
 func TestPass(t *testing.T) {
 	dir := t.TempDir()
 	a, b := sit(t, dir), sit(t, dir)
-	_, err := a.Way(2)
+	_, err := a.OpenChannel(2)
 	assert.Error(t, err, "nobody listens there")
 	var got []string
-	var kept [Pair]*os.File
+	var kept [FilesPerSession]*os.File
 	alone := make(chan bool, 1)
-	require.NoError(t, b.Takes(func(record []byte, files [Pair]*os.File) (bool, func()) {
+	require.NoError(t, b.ServeSessions(func(record []byte, files [FilesPerSession]*os.File) (bool, func()) {
 		got = append(got, string(record))
 		if string(record) != "good" {
 			return false, nil
@@ -156,20 +156,20 @@
 		}
 		return true, func() { alone <- true }
 	}))
-	way, err := a.Way(2)
+	way, err := a.OpenChannel(2)
 	require.NoError(t, err)
 	defer way.Close()
-	var fds [Pair]int
-	var far [Pair]int
+	var fds [FilesPerSession]int
+	var far [FilesPerSession]int
 	for i := range fds {
 		pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 		require.NoError(t, err)
 		fds[i], far[i] = pair[0], pair[1]
 	}
-	gone, err := way.Pass([]byte("bad"), fds)
-	assert.ErrorIs(t, err, ErrRefused)
+	gone, err := way.SendSession([]byte("bad"), fds)
+	assert.ErrorIs(t, err, ErrRejected)
 	assert.False(t, gone)
-	gone, err = way.Pass(make([]byte, packet+1), fds)
+	gone, err = way.SendSession(make([]byte, packet+1), fds)
 	assert.ErrorContains(t, err, "at the most")
 	assert.False(t, gone)
 	_, _, err = way.conn.WriteMsgUnix([]byte("alone"), syscall.UnixRights(fds[0]), nil)
@@ -178,7 +178,7 @@
 	n, err := way.conn.Read(answer)
 	require.NoError(t, err)
 	assert.Equal(t, refused, string(answer[:n]), "one descriptor")
-	gone, err = way.Pass([]byte("good"), fds)
+	gone, err = way.SendSession([]byte("good"), fds)
 	require.NoError(t, err)
 	assert.True(t, gone)
 	assert.Equal(t, []string{"bad", "good"}, got)
@@ -197,7 +197,7 @@
 		assert.Fail(t, "alone while the other process holds them")
 	default:
 	}
-	require.NoError(t, way.Free())
+	require.NoError(t, way.ConfirmRelease())
 	assert.True(t, <-alone)
-	require.NoError(t, way.Free(), "said once")
+	require.NoError(t, way.ConfirmRelease(), "said once")
 }
--- a/internal/hotrestart/pass.go
+++ b/internal/hotrestart/pass.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Pair is how many descriptors go with a packet: a client's connection and that to its backend.
-const Pair = 2
+// FilesPerSession is how many descriptors go with a packet: a client's connection and that to its backend.
+const FilesPerSession = 2
 
 const (
 	packet   = 16 << 10
@@ -22,16 +22,16 @@
 	free     = "free" // it has
 )
 
-// ErrRefused says that the other process left the connections to this one.
-var ErrRefused = errors.New("pass: refused")
+// ErrRejected says that the other process left the connections to this one.
+var ErrRejected = errors.New("pass: refused")
 
-// Take takes what an elder process passes, and tells whether it has it from then on. Where it also gives
+// SessionHandler takes what an elder process passes, and tells whether it has it from then on. Where it also gives
 // alone, that is called once no other process holds the connections, or after a while.
-type Take func(record []byte, files [Pair]*os.File) (has bool, alone func())
+type SessionHandler func(record []byte, files [FilesPerSession]*os.File) (has bool, alone func())
 
-// Takes has the packets that an elder process passes given to take; where that won't have them, the
+// ServeSessions has the packets that an elder process passes given to take; where that won't have them, the
 // descriptors are closed here and stay the elder's alone. It ends with the process.
-func (s *Seat) Takes(take Take) error {
+func (s *Slot) ServeSessions(take SessionHandler) error {
 	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Net: "unixpacket", Name: s.path(s.number, way)})
 	if err != nil {
 		return fmt.Errorf("way: %w", err)
@@ -52,23 +52,23 @@
 	return nil
 }
 
-func takeOne(c *net.UnixConn, take Take) bool {
-	record, rights := make([]byte, packet), make([]byte, syscall.CmsgSpace(4*Pair))
+func takeOne(c *net.UnixConn, take SessionHandler) bool {
+	record, rights := make([]byte, packet), make([]byte, syscall.CmsgSpace(4*FilesPerSession))
 	n, m, flags, _, err := c.ReadMsgUnix(record, rights)
 	if err != nil || n == 0 {
 		return false
 	}
-	var files [Pair]*os.File
+	var files [FilesPerSession]*os.File
 	got := descriptors(rights[:m])
 	for i, fd := range got {
 		f := os.NewFile(uintptr(fd), "passed")
-		if i < Pair {
+		if i < FilesPerSession {
 			files[i] = f
 		}
 	}
 	answer := refused
 	var alone func()
-	if len(got) == Pair && flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) == 0 {
+	if len(got) == FilesPerSession && flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) == 0 {
 		var has bool
 		if has, alone = take(record[:n], files); has {
 			answer = taken
@@ -105,24 +105,24 @@
 	return all
 }
 
-// Way leads to a younger process.
-type Way struct {
+// Channel leads to a younger process.
+type Channel struct {
 	conn  *net.UnixConn
 	waits bool // the other process does, for this one to let go of what it passed
 }
 
-// Way opens the way to the process of that number.
-func (s *Seat) Way(number int) (*Way, error) {
+// OpenChannel opens the way to the process of that number.
+func (s *Slot) OpenChannel(number int) (*Channel, error) {
 	c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Net: "unixpacket", Name: s.path(number, way)})
 	if err != nil {
 		return nil, fmt.Errorf("way: %w", err)
 	}
-	return &Way{conn: c}, nil
+	return &Channel{conn: c}, nil
 }
 
-// Pass passes two connections on. ErrRefused, or an error from before they went out, leaves them here; after
+// SendSession passes two connections on. ErrRefused, or an error from before they went out, leaves them here; after
 // any other they may be the other process's.
-func (w *Way) Pass(record []byte, fds [Pair]int) (gone bool, err error) {
+func (w *Channel) SendSession(record []byte, fds [FilesPerSession]int) (gone bool, err error) {
 	if len(record) > packet {
 		return false, fmt.Errorf("pass: %d bytes, %d at the most", len(record), packet)
 	}
@@ -140,15 +140,15 @@
 	case waits:
 		w.waits = true
 	default:
-		return false, ErrRefused
+		return false, ErrRejected
 	}
 	return true, nil
 }
 
-// Free tells the other process that no descriptor of what was passed last is held here any more. Against its
+// ConfirmRelease tells the other process that no descriptor of what was passed last is held here any more. Against its
 // poller's set keeping what it has closed for as long as one is, and telling that of whatever connection has
 // the number next (nbio takes no connection out of the set by itself).
-func (w *Way) Free() error {
+func (w *Channel) ConfirmRelease() error {
 	if !w.waits {
 		return nil
 	}
@@ -160,4 +160,4 @@
 }
 
 // Close closes the way.
-func (w *Way) Close() { w.conn.Close() }
+func (w *Channel) Close() { w.conn.Close() }
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -14,26 +14,26 @@
 	"strings"
 )
 
-// Longest is the most bytes of a line, its end included.
-const Longest = 4096
+// MaxLineBytes is the most bytes of a line, its end included.
+const MaxLineBytes = 4096
 
 // mostID is the most bytes of an id or a key.
 const mostID = 64
 
-// ErrTooLong says that a line had no end within the bound.
-var ErrTooLong = errors.New("line too long")
+// ErrLineTooLong says that a line had no end within the bound.
+var ErrLineTooLong = errors.New("line too long")
 
-// Splitter cuts what comes in pieces into lines.
-type Splitter struct {
+// LineSplitter cuts what comes in pieces into lines.
+type LineSplitter struct {
 	tail []byte // of a line whose end has not come
 }
 
 // Next gives the first whole line of data, its end included, and what follows it. Without a whole line it
 // gives nil and keeps the piece. The line is good as long as data is.
-func (s *Splitter) Next(data []byte) (line, rest []byte, err error) {
+func (s *LineSplitter) Next(data []byte) (line, rest []byte, err error) {
 	n := bytes.IndexByte(data, '\n') + 1
-	if len(s.tail)+max(n, 1) > Longest || (n == 0 && len(s.tail)+len(data) >= Longest) {
-		return nil, nil, ErrTooLong
+	if len(s.tail)+max(n, 1) > MaxLineBytes || (n == 0 && len(s.tail)+len(data) >= MaxLineBytes) {
+		return nil, nil, ErrLineTooLong
 	}
 	if n == 0 {
 		s.tail = append(s.tail, data...)
@@ -47,33 +47,33 @@
 	return line, data[n:], nil
 }
 
-// Tail is the start of a line whose end has not come, and Resume goes on from it.
-func (s *Splitter) Tail() []byte { return s.tail }
+// Pending is the start of a line whose end has not come, and Resume goes on from it.
+func (s *LineSplitter) Pending() []byte { return s.tail }
 
-// Resume goes on from the start of a line that another splitter kept.
-func (s *Splitter) Resume(tail []byte) { s.tail = append([]byte(nil), tail...) }
+// Restore goes on from the start of a line that another splitter kept.
+func (s *LineSplitter) Restore(tail []byte) { s.tail = append([]byte(nil), tail...) }
 
-// Partial tells whether the start of a line is kept.
-func (s *Splitter) Partial() bool { return len(s.tail) > 0 }
+// HasPending tells whether the start of a line is kept.
+func (s *LineSplitter) HasPending() bool { return len(s.tail) > 0 }
 
-// Bare is the line without its end.
-func Bare(line []byte) []byte {
+// TrimLineEnd is the line without its end.
+func TrimLineEnd(line []byte) []byte {
 	return bytes.TrimSuffix(bytes.TrimSuffix(line, []byte("\n")), []byte("\r"))
 }
 
-// Head is a client's first line. Its byte fields lie in the line that was read.
-type Head struct {
-	ID, Category, Party, At []byte
-	Key, Group              uint64
-	Wait, Hint              float64 // milliseconds
-	Again                   bool    // the client has tried before, or had a connection that is over
-	before, after           []byte  // of the line, around the figure of the wait
+// Request is a client's first line. Its byte fields lie in the line that was read.
+type Request struct {
+	ID, Class, Tenant, StickyBackend []byte
+	Key, AffinityGroup               uint64
+	Timeout, LoadHint                float64 // milliseconds
+	IsRetry                          bool    // the client has tried before, or had a connection that is over
+	before, after                    []byte  // of the line, around the figure of the wait
 }
 
-// ReadHead reads a whole line in place. It lets nothing through that a backend could stumble over: one that
+// ParseRequest reads a whole line in place. It lets nothing through that a backend could stumble over: one that
 // closes on what it can't read would take that for a fault of this relay's.
-func ReadHead(line []byte) (Head, error) {
-	var h Head
+func ParseRequest(line []byte) (Request, error) {
+	var h Request
 	bare, ended := bytes.CutSuffix(line, []byte("\r\n"))
 	if !ended {
 		return h, errors.New("head: CRLF expected at its end")
@@ -92,7 +92,7 @@
 	case len(id) > mostID || len(key) > mostID:
 		return h, errors.New("head: id or key too long")
 	}
-	h.ID, h.Key = id, Mark(key)
+	h.ID, h.Key = id, Hash(key)
 	seen := make([]string, 0, 8)
 	for at := len(bare) - len(list); at <= len(bare); {
 		pair := bare[at:]
@@ -110,19 +110,19 @@
 		var err error
 		switch string(name) {
 		case "c":
-			h.Category = value
+			h.Class = value
 		case "t":
-			h.Party = value
+			h.Tenant = value
 		case "at":
-			h.At = value
+			h.StickyBackend = value
 		case "g":
-			h.Group = Mark(value)
+			h.AffinityGroup = Hash(value)
 		case "r", "again":
-			h.Again = h.Again || string(value) == "1"
+			h.IsRetry = h.IsRetry || string(value) == "1"
 		case "h":
-			h.Hint, err = number(name, value)
+			h.LoadHint, err = number(name, value)
 		case "d":
-			h.Wait, err = number(name, value)
+			h.Timeout, err = number(name, value)
 			from := at + len(name) + 1
 			h.before, h.after = line[:from], line[from+len(value):]
 		}
@@ -131,12 +131,12 @@
 		}
 		at += len(pair) + 1
 	}
-	if h.before == nil && len(h.At) > 0 {
+	if h.before == nil && len(h.StickyBackend) > 0 {
 		h.after = line
 	} else if h.before == nil {
 		return h, errors.New("head: d expected")
 	}
-	if len(h.Category) == 0 {
+	if len(h.Class) == 0 {
 		return h, errors.New("head: c expected")
 	}
 	return h, nil
@@ -150,9 +150,9 @@
 	return v, nil
 }
 
-// Mark reads a key or a group: a number in hexadecimal, or the hash of whatever else it is, so that all
+// Hash reads a key or a group: a number in hexadecimal, or the hash of whatever else it is, so that all
 // relays know it by the same number.
-func Mark(text []byte) uint64 {
+func Hash(text []byte) uint64 {
 	if v, err := strconv.ParseUint(string(text), 16, 64); err == nil {
 		return v
 	}
@@ -161,29 +161,29 @@
 	return sum.Sum64()
 }
 
-// Out is the head as it goes on, in pieces to be written together: unchanged but for the wait.
-func (h *Head) Out(wait float64) [][]byte {
+// EncodeWithTimeout is the head as it goes on, in pieces to be written together: unchanged but for the wait.
+func (h *Request) EncodeWithTimeout(wait float64) [][]byte {
 	if h.before == nil {
 		return [][]byte{h.after}
 	}
 	return [][]byte{h.before, strconv.AppendInt(nil, int64(max(wait, 0)), 10), h.after}
 }
 
-// Verb cuts a line's first word from what follows.
-func Verb(line []byte) (verb, rest []byte) {
-	verb, rest, _ = bytes.Cut(Bare(line), []byte(" "))
+// CutVerb cuts a line's first word from what follows.
+func CutVerb(line []byte) (verb, rest []byte) {
+	verb, rest, _ = bytes.Cut(TrimLineEnd(line), []byte(" "))
 	return verb, rest
 }
 
-// Load reads the figure of a load notice.
-func Load(rest []byte) (float64, bool) {
+// ParseLoad reads the figure of a load notice.
+func ParseLoad(rest []byte) (float64, bool) {
 	v, err := strconv.ParseFloat(string(rest), 64)
 	return v, err == nil && v >= 0 && !math.IsInf(v, 0)
 }
 
-// Report reads a load report's values in the order of the fields given; one that is not there, or is no
+// ParseReport reads a load report's values in the order of the fields given; one that is not there, or is no
 // number, is NaN. It gives nil where no field is there.
-func Report(rest []byte, fields []string) []float64 {
+func ParseReport(rest []byte, fields []string) []float64 {
 	var report []float64
 	for pair := range bytes.SplitSeq(rest, []byte(",")) {
 		name, value, _ := bytes.Cut(pair, []byte("="))
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -14,7 +14,7 @@
 func TestSplitterInAnyPieces(t *testing.T) {
 	text := "one\r\n\r\ntwo\nthree\r\nrest"
 	for size := 1; size <= len(text); size++ {
-		var s Splitter
+		var s LineSplitter
 		var got []string
 		for at := 0; at < len(text); at += size {
 			piece := []byte(text[at:min(at+size, len(text))])
@@ -31,7 +31,7 @@
 			}
 		}
 		assert.Equal(t, []string{"one\r\n", "\r\n", "two\n", "three\r\n"}, got, "pieces of %d", size)
-		assert.True(t, s.Partial())
+		assert.True(t, s.HasPending())
 	}
 }
 
@@ -41,13 +41,13 @@
 		pieces []string
 		fits   bool
 	}{
-		{"as long as may be", []string{strings.Repeat("x", Longest-1) + "\n"}, true},
-		{"one more", []string{strings.Repeat("x", Longest) + "\n"}, false},
-		{"no end in sight", []string{strings.Repeat("x", Longest)}, false},
+		{"as long as may be", []string{strings.Repeat("x", MaxLineBytes-1) + "\n"}, true},
+		{"one more", []string{strings.Repeat("x", MaxLineBytes) + "\n"}, false},
+		{"no end in sight", []string{strings.Repeat("x", MaxLineBytes)}, false},
 		{"in pieces", []string{strings.Repeat("x", 3000), strings.Repeat("x", 1095) + "\n"}, true},
 		{"too long in pieces", []string{strings.Repeat("x", 3000), strings.Repeat("x", 1096) + "\n"}, false},
 	} {
-		var s Splitter
+		var s LineSplitter
 		var err error
 		for _, p := range c.pieces {
 			_, _, err = s.Next([]byte(p))
@@ -55,25 +55,25 @@
 		if c.fits {
 			assert.NoError(t, err, c.name)
 		} else {
-			assert.ErrorIs(t, err, ErrTooLong, c.name)
+			assert.ErrorIs(t, err, ErrLineTooLong, c.name)
 		}
 	}
 }
 
 func TestHeadGoesOnUnchangedButForTheWait(t *testing.T) {
 	line := []byte("OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c,h=2.5,again=1,at=s-1\r\n")
-	h, err := ReadHead(line)
+	h, err := ParseRequest(line)
 	require.NoError(t, err)
-	assert.Equal(t, "chat acme s-1", string(h.Category)+" "+string(h.Party)+" "+string(h.At))
-	assert.Equal(t, []uint64{0x7f3a, 0x5c}, []uint64{h.Key, h.Group})
-	assert.Equal(t, []float64{2000, 2.5}, []float64{h.Wait, h.Hint})
+	assert.Equal(t, "chat acme s-1", string(h.Class)+" "+string(h.Tenant)+" "+string(h.StickyBackend))
+	assert.Equal(t, []uint64{0x7f3a, 0x5c}, []uint64{h.Key, h.AffinityGroup})
+	assert.Equal(t, []float64{2000, 2.5}, []float64{h.Timeout, h.LoadHint})
 	assert.Equal(t, "OPEN 9b1f 7f3a c=chat,t=acme,d=1499,g=5c,h=2.5,again=1,at=s-1\r\n",
-		string(bytes.Join(h.Out(1499.7), nil)))
-	assert.Same(t, &line[0], &h.Out(1)[0][0], "read in place")
+		string(bytes.Join(h.EncodeWithTimeout(1499.7), nil)))
+	assert.Same(t, &line[0], &h.EncodeWithTimeout(1)[0][0], "read in place")
 
-	h, err = ReadHead([]byte("OPEN a b c=chat,at=s-1\r\n"))
+	h, err = ParseRequest([]byte("OPEN a b c=chat,at=s-1\r\n"))
 	require.NoError(t, err, "one that stood before need not wait")
-	assert.Equal(t, "OPEN a b c=chat,at=s-1\r\n", string(bytes.Join(h.Out(7), nil)))
+	assert.Equal(t, "OPEN a b c=chat,at=s-1\r\n", string(bytes.Join(h.EncodeWithTimeout(7), nil)))
 }
 
 func TestBadHeads(t *testing.T) {
@@ -87,7 +87,7 @@
 		"OPEN a b c=x,d=1,t=\xff\r\n",
 		"OPEN " + strings.Repeat("a", 65) + " b c=x,d=1\r\n", "OPEN a " + strings.Repeat("b", 65) + " c=x,d=1\r\n",
 		"OPEN a b c=x,d=1,h=no\r\n", "OPEN a b c=x,d=1\n"} {
-		_, err := ReadHead([]byte(line))
+		_, err := ParseRequest([]byte(line))
 		assert.Error(t, err, "%q", line)
 	}
 }
@@ -100,32 +100,32 @@
 		f.Add([]byte(line))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var s Splitter
+		var s LineSplitter
 		for {
 			line, rest, err := s.Next(data)
 			if line == nil || err != nil {
 				return
 			}
 			data = rest
-			h, err := ReadHead(line)
+			h, err := ParseRequest(line)
 			if err != nil {
 				continue
 			}
-			require.False(t, !(h.Wait >= 0) || math.IsInf(h.Wait, 0) || len(h.Category) == 0 || len(h.ID) == 0)
-			out := bytes.Join(h.Out(h.Wait), nil)
+			require.False(t, !(h.Timeout >= 0) || math.IsInf(h.Timeout, 0) || len(h.Class) == 0 || len(h.ID) == 0)
+			out := bytes.Join(h.EncodeWithTimeout(h.Timeout), nil)
 			require.Equal(t, 1, bytes.Count(out, []byte("\n")))
-			again, err := ReadHead(out)
+			again, err := ParseRequest(out)
 			require.NoError(t, err, "%q", out)
-			require.Equal(t, [][]byte{h.ID, h.Category, h.Party, h.At},
-				[][]byte{again.ID, again.Category, again.Party, again.At})
+			require.Equal(t, [][]byte{h.ID, h.Class, h.Tenant, h.StickyBackend},
+				[][]byte{again.ID, again.Class, again.Tenant, again.StickyBackend})
 		}
 	})
 }
 
 func TestMark(t *testing.T) {
-	assert.Equal(t, uint64(0x7f3a9c21e0b4d655), Mark([]byte("7f3a9c21e0b4d655")))
-	assert.Equal(t, Mark([]byte("no number")), Mark([]byte("no number")))
-	assert.NotEqual(t, Mark([]byte("no number")), Mark([]byte("no numbers")))
+	assert.Equal(t, uint64(0x7f3a9c21e0b4d655), Hash([]byte("7f3a9c21e0b4d655")))
+	assert.Equal(t, Hash([]byte("no number")), Hash([]byte("no number")))
+	assert.NotEqual(t, Hash([]byte("no number")), Hash([]byte("no numbers")))
 }
 
 func TestReport(t *testing.T) {
@@ -139,12 +139,12 @@
 		{"util=much,odd=3", nil},
 		{"", nil},
 	} {
-		got := Report([]byte(c.text), []string{"cpu", "active", "x0"})
+		got := ParseReport([]byte(c.text), []string{"cpu", "active", "x0"})
 		assert.Equal(t, len(c.want), len(got), c.text)
 		assert.InDeltaSlice(t, c.want, got, 0, c.text)
 	}
 	for text, want := range map[string]float64{"7": 7, "0.5": 0.5, "-1": -1, "x": -1, "": -1, "NaN": -1} {
-		got, ok := Load([]byte(text))
+		got, ok := ParseLoad([]byte(text))
 		assert.Equal(t, want >= 0, ok, text)
 		if ok {
 			assert.Equal(t, want, got)
--- a/internal/recovery/golden_test.go
+++ b/internal/recovery/golden_test.go
@@ -14,9 +14,9 @@
 func TestGoldenStatus(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", "status.json"))
 	require.NoError(t, err)
-	want := Status{Phase: "admitting", Why: "no other relay is heard", For: 1500.5, Whole: true, Part: 0.125,
-		Took: []string{"2 servers, from the disk"}, Left: []string{"r2: no answer in time"}, ListTold: true, Waited: 3,
-		All: 2}
+	want := Status{Phase: "admitting", Reason: "no other relay is heard", PhaseMillis: 1500.5, FullOutage: true, CapacityShare: 0.125,
+		Accepted: []string{"2 servers, from the disk"}, Discarded: []string{"r2: no answer in time"}, EndpointsConfirmed: true, PendingAnswers: 3,
+		Answers: 2}
 	var read Status
 	require.NoError(t, json.Unmarshal(text, &read))
 	assert.Equal(t, want, read)
--- a/internal/relay/backends.go
+++ b/internal/relay/backends.go
@@ -26,49 +26,49 @@
 
 // backend is a server as this relay knows it.
 type backend struct {
-	Entry
+	Endpoint
 	id        uint32
-	condition balancer.Condition
+	condition balancer.EndpointState
 	links     []*link // that stand
 	heard     float64 // when one of them last brought anything
 	probe     *end
 	asking    bool // a probe is out
 }
 
-// Belief is what is held of one backend: what passes on the sockets, and what the module goes by.
-type Belief struct {
-	Name             string
-	Standing, Trying int // links on sockets
-	Booked           int // by the module; the same as both together
-	ReportAge        float64
-	Out              bool
+// BackendStatus is what is held of one backend: what passes on the sockets, and what the module goes by.
+type BackendStatus struct {
+	Name                  string
+	Established, Attempts int // links on sockets
+	Reserved              int // by the module; the same as both together
+	ReportAgeMillis       float64
+	Ejected               bool
 }
 
-// Beliefs are those of all backends, by name. Against a module that goes by what is no longer so: they can be
+// BackendStatuses are those of all backends, by name. Against a module that goes by what is no longer so: they can be
 // asked for while the relay serves.
-func (r *Reducer) Beliefs(now float64) []Belief {
+func (r *StateMachine) BackendStatuses(now float64) []BackendStatus {
 	tries := map[*backend]int{}
 	for _, c := range r.ends {
 		if c.backend != nil && c.link != nil && c.link.stage == trying {
 			tries[c.backend]++
 		}
 	}
-	var all []Belief
+	var all []BackendStatus
 	for _, b := range r.backends {
-		links, heard, out := r.table.Balancer.View(b.id)
-		all = append(all, Belief{Name: b.Name, Standing: len(b.links), Trying: tries[b], Booked: links,
-			ReportAge: now - heard, Out: out})
+		links, heard, out := r.table.Balancer.BackendStatus(b.id)
+		all = append(all, BackendStatus{Name: b.Name, Established: len(b.links), Attempts: tries[b], Reserved: links,
+			ReportAgeMillis: now - heard, Ejected: out})
 	}
-	slices.SortFunc(all, func(a, b Belief) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b BackendStatus) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
 
 // named finds the backend, or takes in a new one. Its number comes of its name, so that all relays draw
 // alike.
-func (r *Reducer) named(name string) *backend {
+func (r *StateMachine) named(name string) *backend {
 	b := r.backends[name]
 	if b == nil {
-		b = &backend{Entry: Entry{Name: name}, id: Number(name)}
+		b = &backend{Endpoint: Endpoint{Name: name}, id: BackendID(name)}
 		for r.byID[b.id] != nil {
 			b.id++
 		}
@@ -78,15 +78,15 @@
 	return b
 }
 
-// Number is what the module knows a backend of that name by, unless another has the number already; then it
+// BackendID is what the module knows a backend of that name by, unless another has the number already; then it
 // is the next that is free.
-func Number(name string) uint32 {
+func BackendID(name string) uint32 {
 	sum := fnv.New32a()
 	sum.Write([]byte(name))
 	return sum.Sum32()
 }
 
-func (r *Reducer) zone(name string) int {
+func (r *StateMachine) zone(name string) int {
 	z, known := r.zones[name]
 	if !known {
 		z = len(r.zones)
@@ -96,21 +96,21 @@
 }
 
 // apply takes news of the list.
-func (r *Reducer) apply(news *News) {
+func (r *StateMachine) apply(news *EndpointUpdate) {
 	r.index = news.Index
-	r.table.Balancer.ListBegan(news.Whole)
+	r.table.Balancer.BeginEndpointUpdate(news.Complete)
 	named := map[*backend]bool{}
-	for _, e := range news.Entries {
-		if e.Bad != "" {
-			r.note("bad entry in the list", "backend", e.Name, "why", e.Bad)
+	for _, e := range news.Endpoints {
+		if e.Invalid != "" {
+			r.note("bad entry in the list", "backend", e.Name, "why", e.Invalid)
 			if r.backends[e.Name] == nil {
 				continue
 			}
-			e = r.backends[e.Name].Entry
+			e = r.backends[e.Name].Endpoint
 		}
 		b := r.named(e.Name)
-		moved := b.Address != e.Address || e.Since > b.Since
-		b.Entry = e
+		moved := b.Address != e.Address || e.StartedAt > b.StartedAt
+		b.Endpoint = e
 		named[b] = true
 		switch e.Status {
 		case "active":
@@ -122,15 +122,15 @@
 		default:
 			b.condition = balancer.Gone
 		}
-		r.table.Balancer.Listed(b.id, r.zone(e.Zone), b.condition, e.Group, r.started(e), e.Weight)
+		r.table.Balancer.UpdateEndpoint(b.id, r.zone(e.Zone), b.condition, e.Group, r.started(e), e.Weight)
 		if b.probe != nil && moved {
 			r.probeOver(b)
 		}
 	}
 	r.overtaken(named)
-	r.table.Balancer.ListEnded(r.now)
+	r.table.Balancer.EndEndpointUpdate(r.now)
 	for _, b := range r.order {
-		if news.Whole && !named[b] {
+		if news.Complete && !named[b] {
 			b.condition = balancer.Gone
 		}
 		for i, l := range b.links {
@@ -139,7 +139,7 @@
 		if b.condition == balancer.Gone && b.probe != nil {
 			r.probeOver(b)
 		}
-		if booked, _, _ := r.table.Balancer.View(b.id); b.condition == balancer.Gone && booked == 0 {
+		if booked, _, _ := r.table.Balancer.BackendStatus(b.id); b.condition == balancer.Gone && booked == 0 {
 			// Against a fleet whose names never come again filling the memory. One with a try out stays: under
 			// the same name it may come again, and its links would be on a backend that nothing tells of.
 			delete(r.backends, b.Name)
@@ -153,7 +153,7 @@
 
 // overtaken takes those for gone whose address is another's by the news. Against a discovery that lost its
 // versions and so never told their end: the address would be sent links under a name that nothing is told of.
-func (r *Reducer) overtaken(named map[*backend]bool) {
+func (r *StateMachine) overtaken(named map[*backend]bool) {
 	at := map[string]*backend{}
 	for _, b := range r.order {
 		if named[b] && b.condition != balancer.Gone {
@@ -164,56 +164,56 @@
 		if by := at[b.Address]; by != nil && !named[b] && b.condition != balancer.Gone {
 			r.note("backend's address is another's now", "backend", b.Name, "by", by.Name)
 			b.condition = balancer.Gone
-			r.table.Balancer.Listed(b.id, r.zone(b.Zone), balancer.Gone, b.Group, r.started(b.Entry), b.Weight)
+			r.table.Balancer.UpdateEndpoint(b.id, r.zone(b.Zone), balancer.Gone, b.Group, r.started(b.Endpoint), b.Weight)
 		}
 	}
 }
 
 // list takes what the watch brought.
-func (r *Reducer) list(e Event) {
-	if e.Kind == ListFailed {
+func (r *StateMachine) list(e Event) {
+	if e.Kind == WatchFailed {
 		r.listFailed(e.Err.Error())
 		return
 	}
 	r.arm(&r.watched, r.now+heartbeatTimeout)
 	r.heardAt, r.answered = r.now, true
-	if e.News != nil && e.News.Clock > 0 {
-		r.dated = e.News.Clock - r.now
+	if e.Endpoints != nil && e.Endpoints.DiscoveryTime > 0 {
+		r.dated = e.Endpoints.DiscoveryTime - r.now
 	}
-	r.confirmed = r.confirmed || e.Kind == ListNews || r.asked > 0
-	if e.Kind == ListHeard {
+	r.confirmed = r.confirmed || e.Kind == EndpointsUpdated || r.asked > 0
+	if e.Kind == WatchHeartbeat {
 		return
 	}
-	if e.News.Index < r.index && (r.asked > 0 || !e.News.Whole) {
+	if e.Endpoints.Index < r.index && (r.asked > 0 || !e.Endpoints.Complete) {
 		// Against a list older than the one held: all of it is asked for. At once, where this one began elsewhere:
 		// a discovery that counts anew may have told a drain just now.
 		r.index = 0
 		if r.asked > 0 {
-			r.note("version went back", "to", e.News.Index)
+			r.note("version went back", "to", e.Endpoints.Index)
 			r.watch()
 			return
 		}
-		r.do(Effect{Do: Unwatch})
+		r.do(Effect{Kind: StopWatch})
 		r.listFailed("version went back")
 		return
 	}
 	r.untold = false
 	r.disarm(&r.renewing)
-	if e.News.Whole && !r.elder && !r.younger {
+	if e.Endpoints.Complete && !r.elder && !r.younger {
 		r.dismissed = nil
 	}
-	r.apply(e.News)
+	r.apply(e.Endpoints)
 	r.told = true
 	if r.elder || r.younger {
-		r.do(Effect{Do: Confide, News: r.listNow()})
+		r.do(Effect{Kind: SendEndpoints, Endpoints: r.listNow()})
 	}
 }
 
-func (r *Reducer) listFailed(why string) {
+func (r *StateMachine) listFailed(why string) {
 	r.note("watch failed", "why", why)
 	r.watching = 0
 	r.disarm(&r.watched)
-	r.table.Balancer.ListFailed(r.now)
+	r.table.Balancer.WatchFailed(r.now)
 	// The module's waits grow beyond the time in which a new discovery counts as having told, and in which
 	// another process of this relay has been told.
 	if r.untold || r.younger {
@@ -223,65 +223,65 @@
 
 // reload takes that the file was read again. Against a discovery that counts its versions afresh, the whole
 // list is asked for; until it comes, what was known stays.
-func (r *Reducer) reload(e Event) {
+func (r *StateMachine) reload(e Event) {
 	if e.Err != nil {
-		r.BadReloads++
+		r.FailedReloads++
 		r.note("reload refused, all stays as it was", "why", e.Err.Error())
 		return
 	}
 	r.Reloads++
-	r.note("reloaded", "discovery", e.Text, "changed", e.Text != r.source)
-	if e.Text != r.source {
-		r.source, r.untold, r.index = e.Text, true, 0
+	r.note("reloaded", "discovery", e.Address, "changed", e.Address != r.source)
+	if e.Address != r.source {
+		r.source, r.untold, r.index = e.Address, true, 0
 		r.watch()
 	}
 }
 
 // watchQuiet takes that the watch has brought nothing for too long. One that has brought something is opened anew
 // at once, as only that shows what it has missed since; a call that was never answered waits for its turn.
-func (r *Reducer) watchQuiet() {
+func (r *StateMachine) watchQuiet() {
 	if r.answered {
 		r.note("watch fell silent")
 		r.watch()
 		return
 	}
-	r.do(Effect{Do: Unwatch})
+	r.do(Effect{Kind: StopWatch})
 	r.listFailed("silent")
 }
 
 // watch asks for what is new; for the whole list where a younger process of this relay is there. That one is
 // told all there is by its first call, and both are one relay to who drains a server: against changes told
 // late.
-func (r *Reducer) watch() {
+func (r *StateMachine) watch() {
 	r.Watches++
 	r.watches++
 	r.watching, r.asked, r.answered = r.watches, r.index, false
 	if r.younger || len(r.dismissed) > 0 {
 		r.asked = 0
 	}
-	r.do(Effect{Do: Watch, Conn: r.watching, After: r.asked, Text: r.source})
+	r.do(Effect{Kind: StartWatch, Conn: r.watching, AfterIndex: r.asked, Text: r.source})
 	r.arm(&r.watched, r.now+answerTimeout)
 }
 
 // Subscribe has the list watched. A watch that still brings its empty lines needs no other.
-func (r *Reducer) Subscribe() {
+func (r *StateMachine) Subscribe() {
 	if r.watching == 0 {
 		r.watch()
 	}
 }
 
-// Probe asks the backend for its load, over one connection that stays open, as each new one is work for it.
-func (r *Reducer) Probe(id uint32) {
-	r.Probes++
+// Poll asks the backend for its load, over one connection that stays open, as each new one is work for it.
+func (r *StateMachine) Poll(id uint32) {
+	r.Polls++
 	b := r.byID[id]
 	if b == nil { // gone since the module wanted it asked
-		r.table.Balancer.Probed(r.now, id, false, nil)
+		r.table.Balancer.PollFinished(r.now, id, false, nil)
 		return
 	}
 	if b.probe == nil && len(r.ends)+r.mostMute() >= r.most {
 		// Against probes taking what clients come in by: while the elder process has most descriptors, and as many
 		// servers join beside links that stand.
-		r.table.Balancer.Unasked(id)
+		r.table.Balancer.PollNotSent(id)
 		return
 	}
 	b.asking = true
@@ -294,7 +294,7 @@
 	r.arm(&b.probe.wait, r.now+probeWaits*r.connectTime)
 }
 
-func (r *Reducer) ask(b *backend) {
+func (r *StateMachine) ask(b *backend) {
 	if len(r.fields) > 0 {
 		r.write(b.probe, []byte("STATS\r\n"))
 	} else {
@@ -302,17 +302,17 @@
 	}
 }
 
-func (r *Reducer) probeEvent(c *end, e Event) {
+func (r *StateMachine) probeEvent(c *end, e Event) {
 	b := c.backend
 	switch e.Kind {
-	case Up:
+	case ConnEstablished:
 		c.up = true
 		if b.asking {
 			r.ask(b)
 		}
-	case Over:
+	case ConnClosed:
 		r.probeOver(b)
-	case Came:
+	case DataReceived:
 		for data := e.Data; b.probe == c; {
 			line, rest, err := c.in.Next(data)
 			if err != nil {
@@ -323,13 +323,13 @@
 				return
 			}
 			data = rest
-			verb, said := protocol.Verb(line)
-			r.probed(b, string(verb) == "PONG", protocol.Report(said, r.fields))
+			verb, said := protocol.CutVerb(line)
+			r.probed(b, string(verb) == "PONG", protocol.ParseReport(said, r.fields))
 		}
 	}
 }
 
-func (r *Reducer) probed(b *backend, ok bool, report []float64) {
+func (r *StateMachine) probed(b *backend, ok bool, report []float64) {
 	if !b.asking {
 		return
 	}
@@ -337,25 +337,25 @@
 	r.disarm(&b.probe.wait)
 	if c := b.probe; r.short() { // against probes of a fleet that grows holding what clients come by
 		b.probe = nil
-		r.forget(c, End)
+		r.forget(c, Close)
 	}
-	r.table.Probed(r.now, b.id, ok, report)
+	r.table.PollFinished(r.now, b.id, ok, report)
 }
 
 // probeOver ends the connection for probes; a probe that was out has failed.
-func (r *Reducer) probeOver(b *backend) {
+func (r *StateMachine) probeOver(b *backend) {
 	c := b.probe
 	out := b.asking
 	b.probe, b.asking = nil, false
-	r.forget(c, Break)
+	r.forget(c, Reset)
 	if out {
-		r.table.Probed(r.now, b.id, false, nil)
+		r.table.PollFinished(r.now, b.id, false, nil)
 		r.silent(b)
 	}
 }
 
-func (r *Reducer) reported(b *backend, said []byte) {
-	if report := protocol.Report(said, r.fields); report != nil {
-		r.table.Balancer.Reported(r.now, b.id, report)
+func (r *StateMachine) reported(b *backend, said []byte) {
+	if report := protocol.ParseReport(said, r.fields); report != nil {
+		r.table.Balancer.LoadReported(r.now, b.id, report)
 	}
 }
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -15,30 +15,30 @@
 	"valeshift/internal/settings"
 )
 
-// Told is what a relay is told at its start.
-type Told struct {
+// Config is what a relay is told at its start.
+type Config struct {
 	Name, Listen, Discovery string
-	Ops                     string // where operators call; none where empty
+	AdminAddress            string // where operators call; none where empty
 	SocketFD                int    // of the clients' socket, where the platform holds it; else 0
-	Dir                     string // that the relay's processes share then
+	SharedDir               string // that the relay's processes share then
 	Seed                    uint64
 	Cores, MemoryMB         float64
-	Sockets                 int
-	ReportAge               float64          // ms that a server's report may be old; 0: nobody says
+	MaxSockets              int
+	MaxReportAgeMillis      float64          // ms that a server's report may be old; 0: nobody says
 	Clock                   func() time.Time // the machine's
-	Besides                 int              // descriptors needed besides, for the disk and other relays
-	Known                   *News
+	ReservedDescriptors     int              // descriptors needed besides, for the disk and other relays
+	InitialEndpoints        *EndpointUpdate
 	Settings                map[string]string
 
 	// Found out at the start of a process beside another: that there is one, and what it left.
-	Elder bool
-	Left  *Handover
+	HasParent bool
+	Handoff   *Handoff
 }
 
-// ReadAgain reads the file for a reload. Against staying with a discovery that is gone: the environment names
+// ReloadConfig reads the file for a reload. Against staying with a discovery that is gone: the environment names
 // that of the start, so the file's goes before it now.
-func ReadAgain(getenv func(string) string) (*Told, error) {
-	return ReadTold(func(name string) string {
+func ReloadConfig(getenv func(string) string) (*Config, error) {
+	return LoadConfig(func(name string) string {
 		if name == "RELAY_DISCOVERY" {
 			return ""
 		}
@@ -46,8 +46,8 @@
 	})
 }
 
-// ReadTold reads the file that RELAY_CONFIG names. What the environment says goes before the file.
-func ReadTold(getenv func(string) string) (*Told, error) {
+// LoadConfig reads the file that RELAY_CONFIG names. What the environment says goes before the file.
+func LoadConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("RELAY_CONFIG")
 	if path == "" {
 		return nil, fmt.Errorf("RELAY_CONFIG: the path of a file expected, got nothing")
@@ -73,14 +73,14 @@
 	if err := json.Unmarshal(raw, &file); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	t := &Told{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Ops: file.Ops,
-		Cores: file.Limits.Cores, MemoryMB: file.Limits.MemoryMB, Sockets: file.Limits.Sockets}
+	t := &Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, AdminAddress: file.Ops,
+		Cores: file.Limits.Cores, MemoryMB: file.Limits.MemoryMB, MaxSockets: file.Limits.Sockets}
 	for _, over := range []struct {
 		name string
 		to   *string
 	}{
 		{"RELAY_NAME", &t.Name}, {"RELAY_LISTEN", &t.Listen}, {"RELAY_DISCOVERY", &t.Discovery},
-		{"RELAY_OPS", &t.Ops},
+		{"RELAY_OPS", &t.AdminAddress},
 	} {
 		if v := getenv(over.name); v != "" {
 			*over.to = v
@@ -94,8 +94,8 @@
 			return nil, fmt.Errorf("%s: address:port expected, got %q", address.field, address.value)
 		}
 	}
-	if _, err := netip.ParseAddrPort(t.Ops); t.Ops != "" && err != nil {
-		return nil, fmt.Errorf("ops: address:port or nothing expected, got %q", t.Ops)
+	if _, err := netip.ParseAddrPort(t.AdminAddress); t.AdminAddress != "" && err != nil {
+		return nil, fmt.Errorf("ops: address:port or nothing expected, got %q", t.AdminAddress)
 	}
 	if t.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: up to 16 hexadecimal digits expected, got %q", file.Seed)
@@ -103,7 +103,7 @@
 	for _, limit := range []struct {
 		field string
 		value float64
-	}{{"cores", t.Cores}, {"memory_mb", t.MemoryMB}, {"sockets", float64(t.Sockets)}} {
+	}{{"cores", t.Cores}, {"memory_mb", t.MemoryMB}, {"sockets", float64(t.MaxSockets)}} {
 		if limit.value < 0 {
 			return nil, fmt.Errorf("limits.%s: no less than 0 expected, got %v", limit.field, limit.value)
 		}
@@ -112,14 +112,14 @@
 		if t.SocketFD, err = strconv.Atoi(fd); err != nil || t.SocketFD < 3 {
 			return nil, fmt.Errorf("RELAY_SOCKET_FD: a descriptor from 3 on expected, got %q", fd)
 		}
-		t.Dir = getenv("TMPDIR")
+		t.SharedDir = getenv("TMPDIR")
 	}
-	t.Known = &News{Whole: true}
+	t.InitialEndpoints = &EndpointUpdate{Complete: true}
 	if len(file.Known) > 0 {
-		if t.Known, err = readNews(file.Known); err != nil {
+		if t.InitialEndpoints, err = readNews(file.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
-		t.Known.Whole = true
+		t.InitialEndpoints.Complete = true
 	}
 	if len(file.Settings) == 0 {
 		return nil, fmt.Errorf("settings: an object expected, got nothing")
--- a/internal/relay/config_golden_test.go
+++ b/internal/relay/config_golden_test.go
@@ -20,20 +20,20 @@
 func TestGoldenPlatformFileIsRead(t *testing.T) {
 	env := map[string]string{"RELAY_CONFIG": "testdata/golden/platform.json", "RELAY_SOCKET_FD": "7",
 		"TMPDIR": "/shared"}
-	got, err := ReadTold(func(name string) string { return env[name] })
+	got, err := LoadConfig(func(name string) string { return env[name] })
 	require.NoError(t, err)
-	assert.Equal(t, &Told{Name: "relay-1", Listen: "127.0.0.1:8000", Discovery: "127.0.0.1:8001",
-		Ops: "127.0.0.1:8002", SocketFD: 7, Dir: "/shared", Seed: 0x5eed, Cores: 1.5, MemoryMB: 256, Sockets: 300,
-		Known: &News{Index: 41, Whole: true, Entries: goldenEntries(t)},
+	assert.Equal(t, &Config{Name: "relay-1", Listen: "127.0.0.1:8000", Discovery: "127.0.0.1:8001",
+		AdminAddress: "127.0.0.1:8002", SocketFD: 7, SharedDir: "/shared", Seed: 0x5eed, Cores: 1.5, MemoryMB: 256, MaxSockets: 300,
+		InitialEndpoints: &EndpointUpdate{Index: 41, Complete: true, Endpoints: goldenEntries(t)},
 		Settings: map[string]string{"zone": "2", "fees.probe": "0.002", "categories.count": "1",
 			"categories.0.name": "feed"}}, got)
-	for name, field := range map[string]func(*Told) string{
-		"RELAY_NAME":      func(c *Told) string { return c.Name },
-		"RELAY_LISTEN":    func(c *Told) string { return c.Listen },
-		"RELAY_DISCOVERY": func(c *Told) string { return c.Discovery },
-		"RELAY_OPS":       func(c *Told) string { return c.Ops },
+	for name, field := range map[string]func(*Config) string{
+		"RELAY_NAME":      func(c *Config) string { return c.Name },
+		"RELAY_LISTEN":    func(c *Config) string { return c.Listen },
+		"RELAY_DISCOVERY": func(c *Config) string { return c.Discovery },
+		"RELAY_OPS":       func(c *Config) string { return c.AdminAddress },
 	} {
-		got, err := ReadTold(func(asked string) string {
+		got, err := LoadConfig(func(asked string) string {
 			if asked == name {
 				return "127.0.0.1:9"
 			}
@@ -44,12 +44,12 @@
 	}
 }
 
-func goldenEntries(t *testing.T) []Entry {
+func goldenEntries(t *testing.T) []Endpoint {
 	t.Helper()
-	return []Entry{
-		{Name: "b1", Address: "127.0.0.1:9001", Zone: "west", Status: "leaving", Group: 2, Weight: 0.5, Since: 1234},
-		{Name: "b2", Address: "nowhere", Zone: "east", Status: "active", Group: 3, Weight: 1, Since: 5,
-			Bad: `address:port expected, got "nowhere"`},
+	return []Endpoint{
+		{Name: "b1", Address: "127.0.0.1:9001", Zone: "west", Status: "leaving", Group: 2, Weight: 0.5, StartedAt: 1234},
+		{Name: "b2", Address: "nowhere", Zone: "east", Status: "active", Group: 3, Weight: 1, StartedAt: 5,
+			Invalid: `address:port expected, got "nowhere"`},
 	}
 }
 
@@ -57,15 +57,15 @@
 func TestGoldenListIsRead(t *testing.T) {
 	got, err := readNews(readGoldenText(t, "list.json"))
 	require.NoError(t, err)
-	assert.Equal(t, &News{Index: 41, Whole: true, Entries: goldenEntries(t)}, got)
+	assert.Equal(t, &EndpointUpdate{Index: 41, Complete: true, Endpoints: goldenEntries(t)}, got)
 }
 
 // A list as one process of the relay passes it to the other is read, and written back as the same bytes.
 func TestGoldenNewsIsReadAndWrittenBack(t *testing.T) {
 	text := readGoldenText(t, "list-news.json")
-	var got News
+	var got EndpointUpdate
 	require.NoError(t, json.Unmarshal(text, &got))
-	assert.Equal(t, News{Index: 41, Whole: true, Entries: goldenEntries(t)}, got)
+	assert.Equal(t, EndpointUpdate{Index: 41, Complete: true, Endpoints: goldenEntries(t)}, got)
 	back, err := json.Marshal(got)
 	require.NoError(t, err)
 	assert.Equal(t, string(text), string(back)+"\n")
