--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -18,27 +18,27 @@
 	"valeshift/internal/jsonstream"
 )
 
-// Entry is a backend as the list has it. Bad says why it can't be used; only its name counts then.
-type Entry struct {
-	Name    string  `json:"Name"`
-	Address string  `json:"Address"`
-	Zone    string  `json:"Zone"`
-	Status  string  `json:"Status"`
-	Group   int     `json:"Group"`
-	Weight  float64 `json:"Weight"`
-	Since   float64 `json:"Since"`
-	Bad     string  `json:"Bad"`
+// Endpoint is a backend as the list has it. Bad says why it can't be used; only its name counts then.
+type Endpoint struct {
+	Name      string  `json:"Name"`
+	Address   string  `json:"Address"`
+	Zone      string  `json:"Zone"`
+	Status    string  `json:"Status"`
+	Group     int     `json:"Group"`
+	Weight    float64 `json:"Weight"`
+	StartedAt float64 `json:"Since"`
+	Invalid   string  `json:"Bad"`
 }
 
-// News is a list, or the changes of one.
-type News struct {
-	Index   uint64  `json:"Index"`
-	Whole   bool    `json:"Whole"`
-	Entries []Entry `json:"Entries"`
-	Clock   float64 `json:"-"` // discovery's; 0: not told
+// EndpointUpdate is a list, or the changes of one.
+type EndpointUpdate struct {
+	Index         uint64     `json:"Index"`
+	Complete      bool       `json:"Whole"`
+	Endpoints     []Endpoint `json:"Entries"`
+	DiscoveryTime float64    `json:"-"` // discovery's; 0: not told
 }
 
-func readNews(text []byte) (*News, error) {
+func readNews(text []byte) (*EndpointUpdate, error) {
 	var raw struct {
 		Index     *uint64 `json:"index"`
 		Snapshot  *bool   `json:"snapshot"`
@@ -58,10 +58,10 @@
 	if raw.Index == nil || raw.Snapshot == nil || raw.Endpoints == nil {
 		return nil, errors.New("list: index, snapshot and endpoints expected")
 	}
-	n := &News{Index: *raw.Index, Whole: *raw.Snapshot}
+	n := &EndpointUpdate{Index: *raw.Index, Complete: *raw.Snapshot}
 	for _, r := range raw.Endpoints {
-		e := Entry{Name: r.Name, Address: r.Address, Zone: r.Zone, Status: r.Status, Group: r.Group,
-			Weight: 1, Since: r.Since}
+		e := Endpoint{Name: r.Name, Address: r.Address, Zone: r.Zone, Status: r.Status, Group: r.Group,
+			Weight: 1, StartedAt: r.Since}
 		if r.Weight != nil {
 			e.Weight = *r.Weight
 		}
@@ -69,13 +69,13 @@
 		_, err := netip.ParseAddrPort(e.Address)
 		switch {
 		case e.Name == "":
-			e.Bad = "a name expected"
+			e.Invalid = "a name expected"
 		case e.Status != "active" && e.Status != "leaving" && e.Status != "left":
-			e.Bad = fmt.Sprintf("status %q is not known", e.Status)
+			e.Invalid = fmt.Sprintf("status %q is not known", e.Status)
 		case err != nil && e.Status != "left":
-			e.Bad = fmt.Sprintf("address:port expected, got %q", e.Address)
+			e.Invalid = fmt.Sprintf("address:port expected, got %q", e.Address)
 		}
-		n.Entries = append(n.Entries, e)
+		n.Endpoints = append(n.Endpoints, e)
 	}
 	return n, nil
 }
@@ -114,7 +114,7 @@
 	go func() {
 		err := d.follow(ctx, address, number, after)
 		stop()
-		d.take(Event{Kind: ListFailed, Conn: number, Err: err})
+		d.take(Event{Kind: WatchFailed, Conn: number, Err: err})
 	}()
 }
 
@@ -136,7 +136,7 @@
 	stream := jsonstream.NewScanner(answer.Body)
 	for stream.Scan() {
 		if len(stream.Object()) == 0 {
-			d.take(Event{Kind: ListHeard, Conn: number})
+			d.take(Event{Kind: WatchHeartbeat, Conn: number})
 			continue
 		}
 		news, err := readNews(stream.Object())
@@ -144,9 +144,9 @@
 			return err
 		}
 		if clock > 0 {
-			news.Clock = clock + float64(time.Since(came))/float64(time.Millisecond)
+			news.DiscoveryTime = clock + float64(time.Since(came))/float64(time.Millisecond)
 		}
-		d.take(Event{Kind: ListNews, Conn: number, News: news})
+		d.take(Event{Kind: EndpointsUpdated, Conn: number, Endpoints: news})
 	}
 	switch err := stream.Err(); {
 	case errors.Is(err, jsonstream.ErrNotObject), errors.Is(err, jsonstream.ErrNesting):
--- a/internal/relay/figures.go
+++ b/internal/relay/figures.go
@@ -17,44 +17,44 @@
 
 // figures appends what is published, in the order of names: each category's answers, the attempts written,
 // links from their heads to their ends, the list's backends and those of them that the module avoids.
-func (r *Reducer) figures(to []uint64) []uint64 {
+func (r *StateMachine) figures(to []uint64) []uint64 {
 	for _, a := range r.answers {
 		to = append(to, a.served, a.refused, a.failed)
 	}
-	known, excluded := r.table.Balancer.Census()
-	return append(to, r.Written, uint64(r.links), uint64(known), uint64(excluded))
+	known, excluded := r.table.Balancer.Counts()
+	return append(to, r.RequestsSent, uint64(r.links), uint64(known), uint64(excluded))
 }
 
-func (r *Reducer) figureNames() []admin.Figure {
-	names := make([]admin.Figure, 3*len(r.answers))
+func (r *StateMachine) figureNames() []admin.Metric {
+	names := make([]admin.Metric, 3*len(r.answers))
 	for name, i := range r.categories {
 		for k, what := range []string{"served.", "refused.", "failed."} {
-			names[3*i+k] = admin.Figure{Name: what + name, Counter: true}
+			names[3*i+k] = admin.Metric{Name: what + name, IsCounter: true}
 		}
 	}
-	return append(names, admin.Figure{Name: "attempts", Counter: true}, admin.Figure{Name: "in_flight"},
-		admin.Figure{Name: "backends_known"}, admin.Figure{Name: "backends_excluded"})
+	return append(names, admin.Metric{Name: "attempts", IsCounter: true}, admin.Metric{Name: "in_flight"},
+		admin.Metric{Name: "backends_known"}, admin.Metric{Name: "backends_excluded"})
 }
 
 // serving tells whether the relay is fit to be sent clients.
-func (r *Reducer) serving() bool { return r.ready && !r.stopping && !r.lame }
+func (r *StateMachine) serving() bool { return r.ready && !r.stopping && !r.lame }
 
 // board is what was published last.
 type board struct {
-	names  []admin.Figure
+	names  []admin.Metric
 	values []atomic.Uint64
 	ready  atomic.Bool
 	now    []uint64 // the publisher's own
 }
 
-func newBoard(r *Reducer) *board {
+func newBoard(r *StateMachine) *board {
 	names := r.figureNames()
 	return &board{names: names, values: make([]atomic.Uint64, len(names))}
 }
 
 // publish is called under the relay's lock. Against a cost for each line of a busy relay: what stays as it
 // was is not written again.
-func (b *board) publish(r *Reducer) {
+func (b *board) publish(r *StateMachine) {
 	b.now = r.figures(b.now[:0])
 	for i, v := range b.now {
 		if b.values[i].Load() != v {
@@ -72,19 +72,19 @@
 	*board
 }
 
-func (c calls) Ready() bool { return c.ready.Load() }
+func (c calls) IsReady() bool { return c.ready.Load() }
 
-func (c calls) Figures() []admin.Figure {
-	all := append([]admin.Figure(nil), c.names...)
+func (c calls) Metrics() []admin.Metric {
+	all := append([]admin.Metric(nil), c.names...)
 	for i := range all {
 		all[i].Value = c.values[i].Load()
 	}
 	return all
 }
 
-// LameDuck is answered once the event is taken.
-func (c calls) LameDuck(on bool) error {
-	c.take(Event{Kind: LameDuck, Off: !on})
+// SetDraining is answered once the event is taken.
+func (c calls) SetDraining(on bool) error {
+	c.take(Event{Kind: DrainRequested, Off: !on})
 	c.mutex.Lock()
 	stopping := !on && c.reducer.stopping
 	c.mutex.Unlock()
@@ -92,21 +92,21 @@
 		return errStopping
 	}
 	if c.mates != nil {
-		return c.mates.Order(on)
+		return c.mates.SetDraining(on)
 	}
 	return nil
 }
 
-// Held is one part of what is held for other relays; nil where nothing is.
-func (c calls) Held(part int) any {
+// ReplicatedRecords is one part of what is held for other relays; nil where nothing is.
+func (c calls) ReplicatedRecords(part int) any {
 	if c.mates == nil {
 		return nil
 	}
-	return c.mates.Held(part)
+	return c.mates.ReplicationPage(part)
 }
 
-// Fleet is what is kept and heard of others; nil where nothing is.
-func (c calls) Fleet() any {
+// FleetStatus is what is kept and heard of others; nil where nothing is.
+func (c calls) FleetStatus() any {
 	if c.mates == nil {
 		return nil
 	}
--- a/internal/relay/figures_test.go
+++ b/internal/relay/figures_test.go
@@ -116,8 +116,8 @@
 	s.play("but not if its backend goes", step{9100, "lame on", ""}, step{9101, "news 1 2 delta b1=leaving", ""},
 		step{9102, "lame off", ""})
 	s.at(12200, "tick")
-	assert.Zero(t, s.Standing)
-	assert.Equal(t, uint64(1), s.Pushed)
+	assert.Zero(t, s.Established)
+	assert.Equal(t, uint64(1), s.Migrated)
 
 	s = open(t, two, 0, "b1=active")
 	s.stands()
@@ -162,9 +162,9 @@
 	s.log, s.board = slog.New(seen), newBoard(s.reducer)
 	s.reducer.nowReady()
 	s.mutex.Unlock()
-	s.take(Event{Kind: Tick})
-	s.take(Event{Kind: LameDuck})
-	s.take(Event{Kind: LameDuck, Off: true})
+	s.take(Event{Kind: TimerFired})
+	s.take(Event{Kind: DrainRequested})
+	s.take(Event{Kind: DrainRequested, Off: true})
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	assert.Equal(t, []bool{false, true}, seen.ready, "as its note says")
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -14,12 +14,12 @@
 )
 
 // goldenEndpoints is a full endpoint list, as it stands in several of the stored forms.
-func goldenEndpoints() *News {
-	return &News{Index: 4711, Whole: true, Entries: []Entry{
+func goldenEndpoints() *EndpointUpdate {
+	return &EndpointUpdate{Index: 4711, Complete: true, Endpoints: []Endpoint{
 		{Name: "b1", Address: "10.0.0.1:9000", Zone: "hall", Status: "active", Group: 2, Weight: 1.5,
-			Since: 1700000000123.5, Bad: "a name expected"},
+			StartedAt: 1700000000123.5, Invalid: "a name expected"},
 		{Name: "b2", Address: "10.0.0.2:9000", Zone: "yard", Status: "leaving", Group: 3, Weight: 0.25,
-			Since: 1700000000456, Bad: "status \"x\" is not known"},
+			StartedAt: 1700000000456, Invalid: "status \"x\" is not known"},
 	}}
 }
 
@@ -29,35 +29,35 @@
 	file  string
 	value any
 }{
-	{"kept.json", &Kept{
-		Version: 1, List: goldenEndpoints(), Told: 1700000001000.25, Capacity: 910000.5, LoadMean: 41000.25,
-		Categories: map[string]KeptCategory{
-			"feed":  {Load: 39000.5, Weighed: 12.5},
-			"order": {Load: 43000.5, Weighed: 7.25},
+	{"kept.json", &Snapshot{
+		Version: 1, Endpoints: goldenEndpoints(), ConfirmedAt: 1700000001000.25, Capacity: 910000.5, MeanLoad: 41000.25,
+		Classes: map[string]ClassLoad{
+			"feed":  {Load: 39000.5, Weight: 12.5},
+			"order": {Load: 43000.5, Weight: 7.25},
 		},
-		Back: map[uint64]float64{31: 1700000002000.5, 18446744073709551615: 1700000003000},
+		RetryAt: map[uint64]float64{31: 1700000002000.5, 18446744073709551615: 1700000003000},
 	}},
-	{"handover.json", &Handover{
-		Version: 1, At: 1700000004000.5, List: goldenEndpoints(),
-		Module: balancer.Record{
-			At: 1700000004000.5,
-			Servers: []balancer.ServerRecord{{ID: 77, Started: 1700000000123.5, Load: 0.5, HeardAt: 1700000003000,
-				AskedAt: 1700000003100, WarmFrom: 1700000000200, Failed: 2, Lost: true, Against: 0.75,
-				Placed: []balancer.PlacedRecord{{At: 1700000003900, Load: 40000.5}}}},
-			Loads: []float64{39000.5, 43000.5}, Weighed: []float64{12.5, 7.25}, LoadMean: 41000.25, Known: 900000.5,
-			Guessed: 0.125, Listed: 1700000001000, Stood: 11.5, Over: 10.25, AsOf: 1700000003500, Width: 1.75,
-			CutAt: 1700000002500, Asked: 1700000000300, Slot: 17000000, Taken: []float64{1.5, 2.5},
-			More: []float64{3.5, 4.5}, Ended: map[uint64]float64{31: 41000.5},
+	{"handover.json", &Handoff{
+		Version: 1, CreatedAt: 1700000004000.5, Endpoints: goldenEndpoints(),
+		Balancer: balancer.Snapshot{
+			TakenAt: 1700000004000.5,
+			Backends: []balancer.BackendSnapshot{{ID: 77, StartedAt: 1700000000123.5, Load: 0.5, ReportedAt: 1700000003000,
+				PolledAt: 1700000003100, SlowStartAt: 1700000000200, ConsecutiveFailures: 2, SessionsLost: true, OutlierEvidence: 0.75,
+				RecentAssignments: []balancer.AssignmentSnapshot{{At: 1700000003900, Load: 40000.5}}}},
+			ClassLoads: []float64{39000.5, 43000.5}, ClassSamples: []float64{12.5, 7.25}, MeanSessionLoad: 41000.25, LoadSamples: 900000.5,
+			EstimatedCapacity: 0.125, ListedBackends: 1700000001000, EstablishedSessions: 11.5, EstablishedSpan: 10.25, EstablishedAsOf: 1700000003500, ConcurrencyLimit: 1.75,
+			ConcurrencyReducedAt: 1700000002500, SlowStartRequestedAt: 1700000000300, BudgetSlot: 17000000, BudgetSessions: []float64{1.5, 2.5},
+			BudgetRetries: []float64{3.5, 4.5}, EndedSessionLoads: map[uint64]float64{31: 41000.5},
 		},
-		Names: []string{"b1"}, Files: 512, Links: 128,
+		BackendNames: []string{"b1"}, Descriptors: 512, Sessions: 128,
 	}},
-	{"passed.json", &Passed{
-		Version: 1, ID: "session-1", Category: "feed", Party: "one", Key: 31, Group: 42, Backend: "b1",
-		Load: 40000.5, Measured: true, Tail: []byte("half a li"), Waits: true, Leaves: 250.5, Files: 510, Links: 127,
-		Frees: true,
+	{"passed.json", &TransferredSession{
+		Version: 1, ID: "session-1", Class: "feed", Tenant: "one", Key: 31, Group: 42, Backend: "b1",
+		Load: 40000.5, LoadMeasured: true, PartialLine: []byte("half a li"), AwaitsReply: true, LeavesInMillis: 250.5, Descriptors: 510, Sessions: 127,
+		ConfirmsRelease: true,
 	}},
 	{"news.json", goldenEndpoints()},
-	{"toward.json", &[]Toward{{Zone: "hall", Part: 0.75, Open: true}, {Zone: "yard", Part: 0.25, Open: true}}},
+	{"toward.json", &[]ZoneWeight{{Zone: "hall", Share: 0.75, AcceptsOverflow: true}, {Zone: "yard", Share: 0.25, AcceptsOverflow: true}}},
 }
 
 // Every stored or sent form reads from its golden file as the values that were written, and is written as the same
@@ -113,16 +113,16 @@
 func TestGoldenFilesAreRead(t *testing.T) {
 	text, err := os.ReadFile("testdata/golden/kept.json")
 	require.NoError(t, err)
-	kept, err := ReadKept(text)
+	kept, err := ParseSnapshot(text)
 	require.NoError(t, err)
-	written, err := kept.Text()
+	written, err := kept.Encode()
 	require.NoError(t, err)
 	assert.Equal(t, string(text), string(written))
 
 	text, err = os.ReadFile("testdata/golden/handover.json")
 	require.NoError(t, err)
-	handover, err := ReadHandover(text, 1700000005000)
+	handover, err := ParseHandoff(text, 1700000005000)
 	require.NoError(t, err)
-	assert.Equal(t, 128, handover.Links)
-	assert.Equal(t, uint32(77), handover.Module.Servers[0].ID)
+	assert.Equal(t, 128, handover.Sessions)
+	assert.Equal(t, uint32(77), handover.Balancer.Backends[0].ID)
 }
--- a/internal/relay/passing.go
+++ b/internal/relay/passing.go
@@ -22,7 +22,7 @@
 // passing is the way to the younger process.
 type passing struct {
 	mutex   sync.Mutex // over the way, one link at a time
-	way     *hotrestart.Way
+	way     *hotrestart.Channel
 	closed  bool
 	pending sync.WaitGroup
 	epoll   int // the poller's own descriptor, once found
@@ -53,12 +53,12 @@
 	text, err := json.Marshal(record)
 	gone := false
 	if err == nil {
-		gone, err = p.way.Pass(text, fds)
+		gone, err = p.way.SendSession(text, fds)
 	}
 	for _, fd := range fds {
 		syscall.Close(fd)
 	}
-	if err != nil && !errors.Is(err, hotrestart.ErrRefused) {
+	if err != nil && !errors.Is(err, hotrestart.ErrRejected) {
 		s.log.Warn("can't pass a link", "err", err)
 		p.way.Close()
 		p.closed = true
@@ -73,11 +73,11 @@
 		s.again(b)
 	}
 	s.mutex.Unlock()
-	s.take(Event{Kind: Given, Conn: client, Off: !gone})
+	s.take(Event{Kind: SessionTransferred, Conn: client, Off: !gone})
 	if gone { // the other process's descriptors keep them up
 		c.nb.Close()
 		b.nb.Close()
-		if err := p.way.Free(); err != nil && !p.closed {
+		if err := p.way.ConfirmRelease(); err != nil && !p.closed {
 			s.log.Warn("can't say that a link was let go", "err", err)
 		}
 	}
@@ -87,7 +87,7 @@
 	p := &s.passing
 	if p.way == nil && !p.closed {
 		var err error
-		if p.way, err = s.seat.Way(number); err != nil {
+		if p.way, err = s.seat.OpenChannel(number); err != nil {
 			s.log.Warn("no way to the younger process", "err", err)
 			p.closed = true
 		}
@@ -98,10 +98,10 @@
 // part has the reducer give the link up, and takes its sockets out of the poller, with descriptors of their
 // own to be sent. All under the relay's lock: no descriptor's number can come to another connection
 // meanwhile.
-func (s *Sockets) part(client uint64, c, b *socket) (*Passed, [hotrestart.Pair]int) {
+func (s *Sockets) part(client uint64, c, b *socket) (*TransferredSession, [hotrestart.FilesPerSession]int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	var fds [hotrestart.Pair]int
+	var fds [hotrestart.FilesPerSession]int
 	both := [...]*socket{c, b}
 	for _, k := range both {
 		if k.unsent.Load() > 0 || k.closing.Load() || over(k.nb) {
@@ -109,7 +109,7 @@
 		}
 	}
 	s.parted = nil
-	s.tell(Event{Kind: Part, Conn: client})
+	s.tell(Event{Kind: DetachRequested, Conn: client})
 	record := s.parted
 	if record == nil {
 		return nil, fds
@@ -133,7 +133,7 @@
 		}
 		s.again(k)
 	}
-	s.tell(Event{Kind: Given, Conn: client, Off: true})
+	s.tell(Event{Kind: SessionTransferred, Conn: client, Off: true})
 	return nil, fds
 }
 
@@ -170,12 +170,12 @@
 
 // adopt takes a link that the elder process passes. Where that says when it has let go, nothing is read or
 // written before.
-func (s *Sockets) adopt(text []byte, files [hotrestart.Pair]*os.File) (bool, func()) {
-	record := &Passed{}
+func (s *Sockets) adopt(text []byte, files [hotrestart.FilesPerSession]*os.File) (bool, func()) {
+	record := &TransferredSession{}
 	if json.Unmarshal(text, record) != nil {
 		return false, nil
 	}
-	var both [hotrestart.Pair]*nbio.Conn
+	var both [hotrestart.FilesPerSession]*nbio.Conn
 	for i, f := range files {
 		plain, err := net.FileConn(f)
 		if err == nil {
@@ -193,19 +193,19 @@
 	s.clients++
 	client := s.clients
 	s.adopted = 0
-	s.tell(Event{Kind: Adopt, Conn: client, Passed: record})
+	s.tell(Event{Kind: SessionReceived, Conn: client, Session: record})
 	if s.adopted == 0 {
 		both[0].Close()
 		both[1].Close()
 		return false, nil
 	}
-	var links [hotrestart.Pair]*socket
+	var links [hotrestart.FilesPerSession]*socket
 	for i, conn := range [...]uint64{client, s.adopted} {
 		links[i] = &socket{conn: conn, nb: both[i], early: true}
 		both[i].SetSession(links[i])
 		s.open[conn] = links[i]
 	}
-	if record.Frees {
+	if record.ConfirmsRelease {
 		return true, func() {
 			s.mutex.Lock()
 			defer s.mutex.Unlock()
@@ -217,13 +217,13 @@
 }
 
 // polls begins to read what was adopted, and writes what is to be written by now.
-func (s *Sockets) polls(links [hotrestart.Pair]*socket) {
+func (s *Sockets) polls(links [hotrestart.FilesPerSession]*socket) {
 	for _, c := range links {
 		if c.early = false; s.open[c.conn] != c {
 			continue
 		}
 		if _, err := s.engine.AddConn(c.nb); err != nil {
-			s.work.do(func() { s.take(Event{Kind: Over, Conn: c.conn, Broken: true}) })
+			s.work.do(func() { s.take(Event{Kind: ConnClosed, Conn: c.conn, Reset: true}) })
 			continue
 		}
 		c.polled = true
--- a/internal/relay/random_test.go
+++ b/internal/relay/random_test.go
@@ -75,8 +75,8 @@
 					}
 				}
 			}
-			for _, b := range s.Beliefs(now) {
-				require.Equal(t, b.Standing+b.Trying, b.Booked, "seed %d: links on %s", seed, b.Name)
+			for _, b := range s.BackendStatuses(now) {
+				require.Equal(t, b.Established+b.Attempts, b.Reserved, "seed %d: links on %s", seed, b.Name)
 			}
 			tries := map[*link]int{}
 			for _, c := range s.ends {
@@ -173,7 +173,7 @@
 			require.True(t, answered[c], "seed %d: %s has no answer", seed, c)
 		}
 		require.Zero(t, s.links, "seed %d", seed)
-		require.Zero(t, s.Standing, "seed %d", seed)
+		require.Zero(t, s.Established, "seed %d", seed)
 		for _, c := range s.ends {
 			require.Nil(t, c.link, "seed %d: left behind", seed)
 		}
--- a/internal/relay/recall.go
+++ b/internal/relay/recall.go
@@ -13,60 +13,60 @@
 
 const keptVersion = 1
 
-// Kept is what a relay keeps, for its next life and for others that ask: the list as discovery told it, what
+// Snapshot is what a relay keeps, for its next life and for others that ask: the list as discovery told it, what
 // links and servers weigh in general, and which clients it told to come again when. No load is among it, as
 // none is worth anything a second later.
-type Kept struct {
-	Version    int                     `json:"Version"`
-	List       *News                   `json:"List"`     // nil: discovery has told none in this life
-	Told       float64                 `json:"Told"`     // clock time at which it last told that the list holds
-	Capacity   float64                 `json:"Capacity"` // of a server, microseconds of work a second; 0: not known
-	LoadMean   float64                 `json:"LoadMean"`
-	Categories map[string]KeptCategory `json:"Categories"`
-	Back       map[uint64]float64      `json:"Back"` // clock times, by key
-
-	// Own and Figures are of warm servers: the load of this relay's links there, and the sum of their figures.
+type Snapshot struct {
+	Version     int                  `json:"Version"`
+	Endpoints   *EndpointUpdate      `json:"List"`     // nil: discovery has told none in this life
+	ConfirmedAt float64              `json:"Told"`     // clock time at which it last told that the list holds
+	Capacity    float64              `json:"Capacity"` // of a server, microseconds of work a second; 0: not known
+	MeanLoad    float64              `json:"LoadMean"`
+	Classes     map[string]ClassLoad `json:"Categories"`
+	RetryAt     map[uint64]float64   `json:"Back"` // clock times, by key
+
+	// OwnLoad and Figures are of warm servers: the load of this relay's links there, and the sum of their figures.
 	// Of those and of how many links each relay has, what a server bears can be told for the whole fleet.
-	Own     float64 `json:"-"`
-	Figures float64 `json:"-"`
+	OwnLoad       float64 `json:"-"`
+	EstimatedLoad float64 `json:"-"`
 
-	// Supposed: nobody who has heard discovery in this life tells the list, so that its servers are held to have
+	// EndpointsAssumed: nobody who has heard discovery in this life tells the list, so that its servers are held to have
 	// just started.
-	Supposed bool `json:"-"`
+	EndpointsAssumed bool `json:"-"`
 }
 
-// Seen is what others are told of how this relay fares.
-type Seen struct {
-	Now          float64
-	Told         bool // the list, by discovery
-	Index        uint64
-	Turned       int // clients turned away so far
-	Waiting      int // of those, in the last second
-	Links        int
-	Cold, Usable int     // servers
-	Placed       float64 // load that figures may not hold yet
-	Dated        float64 // what discovery's clock is ahead of this relay's, to half a second; NaN: not told
+// Status is what others are told of how this relay fares.
+type Status struct {
+	Now                  float64
+	EndpointsConfirmed   bool // the list, by discovery
+	Index                uint64
+	Rejected             int // clients turned away so far
+	RejectedLastSecond   int // of those, in the last second
+	Sessions             int
+	WarmingUp, Usable    int     // servers
+	UnreportedLoad       float64 // load that figures may not hold yet
+	DiscoveryClockOffset float64 // what discovery's clock is ahead of this relay's, to half a second; NaN: not told
 }
 
-// Seen is that.
-func (r *Reducer) Seen(now float64) Seen {
-	cold, usable := r.table.Balancer.Warmth(now)
-	return Seen{Now: now, Told: r.confirmed, Index: r.index, Turned: int(r.Rejected), Links: r.links, Cold: cold,
-		Usable: usable, Dated: r.dated, Placed: r.table.Balancer.Placed()}
+// Status is that.
+func (r *StateMachine) Status(now float64) Status {
+	cold, usable := r.table.Balancer.WarmingUp(now)
+	return Status{Now: now, EndpointsConfirmed: r.confirmed, Index: r.index, Rejected: int(r.Rejected), Sessions: r.links, WarmingUp: cold,
+		Usable: usable, DiscoveryClockOffset: r.dated, UnreportedLoad: r.table.Balancer.UnreportedLoad()}
 }
 
-// KeptCategory is what links of one category weigh, and how many that stands on.
-type KeptCategory struct {
-	Load    float64 `json:"Load"`
-	Weighed float64 `json:"Weighed"`
+// ClassLoad is what links of one category weigh, and how many that stands on.
+type ClassLoad struct {
+	Load   float64 `json:"Load"`
+	Weight float64 `json:"Weighed"`
 }
 
-// Text is what is kept as it is written.
-func (k *Kept) Text() ([]byte, error) { return json.Marshal(k) }
+// Encode is what is kept as it is written.
+func (k *Snapshot) Encode() ([]byte, error) { return json.Marshal(k) }
 
-// ReadKept reads it, and names what can't be.
-func ReadKept(text []byte) (*Kept, error) {
-	k := &Kept{}
+// ParseSnapshot reads it, and names what can't be.
+func ParseSnapshot(text []byte) (*Snapshot, error) {
+	k := &Snapshot{}
 	if err := json.Unmarshal(text, k); err != nil {
 		return nil, fmt.Errorf("kept: %w", err)
 	}
@@ -74,17 +74,17 @@
 	if k.Version != keptVersion {
 		return nil, fmt.Errorf("kept: version %d expected, got %d", keptVersion, k.Version)
 	}
-	if bad(k.Capacity) || bad(k.LoadMean) || bad(k.Told) {
+	if bad(k.Capacity) || bad(k.MeanLoad) || bad(k.ConfirmedAt) {
 		return nil, fmt.Errorf("kept: a figure is no number or negative")
 	}
-	for name, c := range k.Categories {
-		if bad(c.Load) || bad(c.Weighed) {
+	for name, c := range k.Classes {
+		if bad(c.Load) || bad(c.Weight) {
 			return nil, fmt.Errorf("kept: category %q: a figure is no number or negative", name)
 		}
 	}
-	if k.List != nil {
-		for _, e := range k.List.Entries {
-			if e.Name == "" || e.Address == "" || bad(e.Since) || bad(e.Weight) {
+	if k.Endpoints != nil {
+		for _, e := range k.Endpoints.Endpoints {
+			if e.Name == "" || e.Address == "" || bad(e.StartedAt) || bad(e.Weight) {
 				return nil, fmt.Errorf("kept: list: an entry without name, address or a figure that can be")
 			}
 		}
@@ -92,28 +92,28 @@
 	return k, nil
 }
 
-// Kept is what this relay would keep now.
-func (r *Reducer) Kept() *Kept {
-	l := r.table.Balancer.Learnt()
-	k := &Kept{Version: keptVersion, Capacity: l.Capacity, LoadMean: l.LoadMean, Own: l.Own,
-		Figures: l.Figures, Categories: map[string]KeptCategory{}, Back: r.table.Balancer.Told(r.now)}
+// Snapshot is what this relay would keep now.
+func (r *StateMachine) Snapshot() *Snapshot {
+	l := r.table.Balancer.Estimates()
+	k := &Snapshot{Version: keptVersion, Capacity: l.Capacity, MeanLoad: l.MeanSessionLoad, OwnLoad: l.OwnLoad,
+		EstimatedLoad: l.ReportedLoad, Classes: map[string]ClassLoad{}, RetryAt: r.table.Balancer.Reservations(r.now)}
 	for name, i := range r.categories {
-		if i < len(l.Loads) {
-			k.Categories[name] = KeptCategory{Load: l.Loads[i], Weighed: l.Weighed[i]}
+		if i < len(l.ClassLoads) {
+			k.Classes[name] = ClassLoad{Load: l.ClassLoads[i], Weight: l.ClassSamples[i]}
 		}
 	}
 	if r.confirmed {
-		k.List, k.Told = r.listNow(), r.heardAt
+		k.Endpoints, k.ConfirmedAt = r.listNow(), r.heardAt
 	}
 	return k
 }
 
 // listNow is the list as it is held.
-func (r *Reducer) listNow() *News {
-	n := &News{Index: r.index, Whole: true}
+func (r *StateMachine) listNow() *EndpointUpdate {
+	n := &EndpointUpdate{Index: r.index, Complete: true}
 	for _, b := range r.order {
 		if b.condition != balancer.Gone {
-			n.Entries = append(n.Entries, b.Entry)
+			n.Endpoints = append(n.Endpoints, b.Endpoint)
 		}
 	}
 	return n
@@ -121,27 +121,27 @@
 
 // recall takes what is believed of what was kept. A list counts only until discovery tells one, and its
 // servers are held to have just started, as nobody knows better.
-func (r *Reducer) recall(k *Kept) {
-	l := balancer.Learnt{Capacity: k.Capacity, LoadMean: k.LoadMean, Loads: make([]float64, len(r.categories)),
-		Weighed: make([]float64, len(r.categories))}
+func (r *StateMachine) recall(k *Snapshot) {
+	l := balancer.Estimates{Capacity: k.Capacity, MeanSessionLoad: k.MeanLoad, ClassLoads: make([]float64, len(r.categories)),
+		ClassSamples: make([]float64, len(r.categories))}
 	for name, i := range r.categories {
-		if c, known := k.Categories[name]; known {
-			l.Loads[i], l.Weighed[i] = c.Load, c.Weighed
+		if c, known := k.Classes[name]; known {
+			l.ClassLoads[i], l.ClassSamples[i] = c.Load, c.Weight
 		}
 	}
 	m := r.table.Balancer
-	learnt := m.Recall(l)
-	m.Promised(r.now, k.Back)
+	learnt := m.RestoreEstimates(l)
+	m.RestoreReservations(r.now, k.RetryAt)
 	listed := 0
-	if k.List != nil && !r.confirmed && len(k.List.Entries) > 0 {
-		if k.List.Index > r.index { // than the platform's
-			listed = len(k.List.Entries)
+	if k.Endpoints != nil && !r.confirmed && len(k.Endpoints.Endpoints) > 0 {
+		if k.Endpoints.Index > r.index { // than the platform's
+			listed = len(k.Endpoints.Endpoints)
 			index := r.index
-			r.apply(&News{Whole: true, Entries: k.List.Entries})
+			r.apply(&EndpointUpdate{Complete: true, Endpoints: k.Endpoints.Endpoints})
 			r.index = index // what discovery tells from there on is asked for
 		}
-		if k.Supposed {
-			m.Suppose(r.now)
+		if k.EndpointsAssumed {
+			m.AssumeEndpoints(r.now)
 		}
 		if len(r.order) > 0 {
 			r.nowReady() // by hearsay at once, in place of by nothing a second after the start
@@ -152,12 +152,12 @@
 	}
 	r.note("recalled", "backends", listed, "learnt", learnt, "capacity", math.Round(k.Capacity),
 		"told to return",
-		len(k.Back))
+		len(k.RetryAt))
 }
 
 // recovers takes that the whole fleet lost power, or that it has recovered.
-func (r *Reducer) recovers(on bool, part float64) {
-	r.table.Balancer.Recover(on, part)
+func (r *StateMachine) recovers(on bool, part float64) {
+	r.table.Balancer.SetRecovering(on, part)
 	if on != r.recovering {
 		r.note("recovery of the fleet", "on", on)
 	}
@@ -165,16 +165,16 @@
 }
 
 // started is when a server started by this relay's own clock.
-func (r *Reducer) started(e Entry) float64 {
-	if e.Since <= 0 {
-		return e.Since
+func (r *StateMachine) started(e Endpoint) float64 {
+	if e.StartedAt <= 0 {
+		return e.StartedAt
 	}
-	return e.Since + r.ahead
+	return e.StartedAt + r.ahead
 }
 
 // clocked takes how far this relay's clock is ahead of what the fleet takes for right.
-func (r *Reducer) clocked(ahead float64) {
-	r.table.Balancer.Shift(ahead - r.ahead)
+func (r *StateMachine) clocked(ahead float64) {
+	r.table.Balancer.ShiftStartTimes(ahead - r.ahead)
 	r.note("clock", "ahead of the fleet's, ms", math.Round(ahead))
 	r.ahead = ahead
 }
@@ -185,9 +185,9 @@
 )
 
 // woken takes that this process was stopped and goes on now. The watch gets the time to say what it has.
-func (r *Reducer) woken(now float64) {
+func (r *StateMachine) woken(now float64) {
 	r.note("stopped for a while", "ms", math.Round(now-r.timers[0].at))
-	r.table.Balancer.Hush(now + readTime)
+	r.table.Balancer.Pause(now + readTime)
 	if r.watched.place > 0 && r.watched.at < now+readTime {
 		r.arm(&r.watched, now+readTime)
 	}
--- a/internal/relay/reducer.go
+++ b/internal/relay/reducer.go
@@ -20,112 +20,112 @@
 	"valeshift/internal/settings"
 )
 
-// Kind is what an event tells.
-type Kind uint8
+// EventKind is what an event tells.
+type EventKind uint8
 
 // The events. Those of a connection or a watch that is over already are dropped by its number, as no number
 // is given twice.
 const (
-	Opened     Kind = iota // a client's connection was accepted
-	Up                     // a connection that was dialed is up
-	Came                   // bytes came; they are good until Take's effects are carried out
-	Over                   // a connection has ended or never came up
-	Tick                   // the timer fired
-	ListNews               // the watch brought entries
-	ListHeard              // the watch brought an empty line
-	ListFailed             // the watch ended
-	Stop                   // the relay is to stop
-	LameDuck               // the relay is to be emptied, or (Off) to go back to work
-	Beside                 // which other processes of this relay are alive
-	Confided               // another process of this relay has been told the list News
-	Part                   // the standing link of the client Conn can be passed to the younger process now
-	Given                  // and is there, or (Off) stays here
-	Adopt                  // the elder process passes a standing link, Passed, its client to be Conn
-	Reload                 // the file was read again
-	Recalled               // what is known from before the start, here or at other relays, is Kept
-	Restarted              // another life of this relay may have served until just now
-	Recovers               // the whole fleet lost power and recovers, or (Off) has recovered
-	Clocked                // this relay's clock is Ahead of what the fleet takes for right
-	Directed               // a decision in common has links meant for zones: Toward, or none
+	ConnAccepted            EventKind = iota // a client's connection was accepted
+	ConnEstablished                          // a connection that was dialed is up
+	DataReceived                             // bytes came; they are good until Take's effects are carried out
+	ConnClosed                               // a connection has ended or never came up
+	TimerFired                               // the timer fired
+	EndpointsUpdated                         // the watch brought entries
+	WatchHeartbeat                           // the watch brought an empty line
+	WatchFailed                              // the watch ended
+	ShutdownRequested                        // the relay is to stop
+	DrainRequested                           // the relay is to be emptied, or (Off) to go back to work
+	SiblingProcessesChanged                  // which other processes of this relay are alive
+	SiblingEndpointsUpdated                  // another process of this relay has been told the list News
+	DetachRequested                          // the standing link of the client Conn can be passed to the younger process now
+	SessionTransferred                       // and is there, or (Off) stays here
+	SessionReceived                          // the elder process passes a standing link, Passed, its client to be Conn
+	ConfigReloaded                           // the file was read again
+	StateRestored                            // what is known from before the start, here or at other relays, is Kept
+	IncarnationChanged                       // another life of this relay may have served until just now
+	RecoveryChanged                          // the whole fleet lost power and recovers, or (Off) has recovered
+	ClockSkewMeasured                        // this relay's clock is Ahead of what the fleet takes for right
+	ZoneWeightsChanged                       // a decision in common has links meant for zones: Toward, or none
 	// other relays hold what this one gives its Word for: marks for At beyond a hard limit; Stood
-	Holds
-	Entrusted // they hold the Word of Conn, or (Off) they don't
-	Claimed   // what they held: the Word on Key, for Conn; Off: nothing
-	Beyond    // others placed the load Placed, which figures may not hold yet; below 0: not known
-	Ended     // the process ends now: whoever has no answer yet gets one
+	ReplicationEnabled
+	RecordReplicated  // they hold the Word of Conn, or (Off) they don't
+	RecordFound       // what they held: the Word on Key, for Conn; Off: nothing
+	RemoteLoadChanged // others placed the load Placed, which figures may not hold yet; below 0: not known
+	ProcessExiting    // the process ends now: whoever has no answer yet gets one
 )
 
 // Event is one thing that happened.
 type Event struct {
-	Kind   Kind
-	Conn   uint64 // of the connection, or of the watch
-	Data   []byte
-	Broken bool // Over: by a reset, not by an end
-	Unsent bool // Over: with something not written yet
-	Slow   bool // Over: as it took in too little of what was written
-	Off    bool // LameDuck, Given, Recovers
-	Yield  bool // Stop: a younger process takes the clients from now on
-
-	Elder, Younger, Leave bool // Beside; Leave: the younger is to be left what is known
-
-	News *News
-	Err  error  // ListFailed; Reload: why the file can't be used
-	Text string // Reload: the address of discovery
-
-	Passed *Passed // Adopt
-	Kept   *Kept   // Recalled
-	Part   float64 // Recovers: of what cold servers bear, that this relay is to take
-	Ahead  float64 // Clocked: ms
-	Placed float64 // Beyond
-	Toward []Toward
-	Word   Word    // Entrusted, Claimed
-	Stood  bool    // Holds: where clients and groups stand, too
-	Key    uint64  // Claimed
-	At     float64 // Claimed, Holds
-}
-
-// Do is what an effect asks for.
-type Do uint8
+	Kind         EventKind
+	Conn         uint64 // of the connection, or of the watch
+	Data         []byte
+	Reset        bool // Over: by a reset, not by an end
+	Unsent       bool // Over: with something not written yet
+	SlowReader   bool // Over: as it took in too little of what was written
+	Off          bool // LameDuck, Given, Recovers
+	YieldToChild bool // Stop: a younger process takes the clients from now on
+
+	HasParent, HasChild, WantsHandoff bool // Beside; Leave: the younger is to be left what is known
+
+	Endpoints *EndpointUpdate
+	Err       error  // ListFailed; Reload: why the file can't be used
+	Address   string // Reload: the address of discovery
+
+	Session       *TransferredSession // Adopt
+	Snapshot      *Snapshot           // Recalled
+	CapacityShare float64             // Recovers: of what cold servers bear, that this relay is to take
+	AheadMillis   float64             // Clocked: ms
+	Load          float64             // Beyond
+	Zones         []ZoneWeight
+	Record        RecordKind // Entrusted, Claimed
+	Affinity      bool       // Holds: where clients and groups stand, too
+	Key           uint64     // Claimed
+	At            float64    // Claimed, Holds
+}
+
+// EffectKind is what an effect asks for.
+type EffectKind uint8
 
 // The effects.
 const (
-	Dial  Do = iota // for the client Peer; 0: for none
-	Write           // Parts, after all that was written before
-	End             // end the connection once all is written
-	Break           // reset it now, or stop dialing
-	Arm             // have Tick come at At
-	Watch           // watch the list at Text as Conn, from After on, in place of any other watch
-	Unwatch
-	Hold     // take in no further client
-	Free     // and again
-	Note     // a line for the log
-	Quit     // all is done
-	Pass     // the standing link of the client Conn, and Peer, to the younger process: Part
-	Parted   // it is given up, as Passed, until Given
-	Adopted  // a passed link is here, with the backend's connection as Peer
-	Ready    // the relay is fit to serve from now on
-	Bequeath // leave Left to the younger process
-	Confide  // tell the other process of this relay of the list News
-	Entrust  // have other relays hold the Word of Conn, on a client of Key: Entrusted
-	Claim    // seek what they hold for a client of Key: Claimed
-	Release  // the Word of Conn is over
+	Dial       EffectKind = iota // for the client Peer; 0: for none
+	Write                        // Parts, after all that was written before
+	Close                        // end the connection once all is written
+	Reset                        // reset it now, or stop dialing
+	SetTimer                     // have Tick come at At
+	StartWatch                   // watch the list at Text as Conn, from After on, in place of any other watch
+	StopWatch
+	PauseAccept     // take in no further client
+	ResumeAccept    // and again
+	Log             // a line for the log
+	Exit            // all is done
+	TransferSession // the standing link of the client Conn, and Peer, to the younger process: Part
+	SessionDetached // it is given up, as Passed, until Given
+	SessionAccepted // a passed link is here, with the backend's connection as Peer
+	AnnounceReady   // the relay is fit to serve from now on
+	SendHandoff     // leave Left to the younger process
+	SendEndpoints   // tell the other process of this relay of the list News
+	Replicate       // have other relays hold the Word of Conn, on a client of Key: Entrusted
+	Lookup          // seek what they hold for a client of Key: Claimed
+	Release         // the Word of Conn is over
 )
 
 // Effect is one thing to be done, in order.
 type Effect struct {
-	Do     Do
-	Conn   uint64
-	Text   string // Dial, Watch: the address; Note: what is said
-	Parts  [][]byte
-	At     float64
-	After  uint64
-	Args   []any
-	Left   *Handover
-	News   *News
-	Peer   uint64
-	Passed *Passed
-	Key    uint64
-	Word   Word
+	Kind       EffectKind
+	Conn       uint64
+	Text       string // Dial, Watch: the address; Note: what is said
+	Chunks     [][]byte
+	At         float64
+	AfterIndex uint64
+	Args       []any
+	Handoff    *Handoff
+	Endpoints  *EndpointUpdate
+	Peer       uint64
+	Session    *TransferredSession
+	Key        uint64
+	Record     RecordKind
 }
 
 const (
@@ -178,7 +178,7 @@
 	pings   int
 	since   float64 // a client's: when it came; a backend's: its start, as it was told at the choice
 	brought float64 // and when it last brought anything of its head
-	in      protocol.Splitter
+	in      protocol.LineSplitter
 	wait    timer
 }
 
@@ -198,29 +198,29 @@
 
 // link is one client's connection.
 type link struct {
-	dispatch.Link
+	dispatch.Entry
 	stage  stage
 	client *end // nil: the client has gone
 	server *end // of the setup try that is out, or of the link that stands
 	id     string
-	head   protocol.Head
+	head   protocol.Request
 	giveUp float64
-	mark   uint64  // of a setup try that others hold, or are asked to: its connection; 0: none
-	stood  uint64  // where it stands is held by others, or they are asked to: its connection; 0: not
-	awaits int     // words that it waits for
-	heldBy float64 // clock time until which its head waits for that; 0: it does not
-	last   Ending  // what the backend said of the end to come
-	ending bool    // it said so
-	broke  bool    // a side did while it was parting
-	quiet  timer   // for lines that bring nothing back
+	mark   uint64    // of a setup try that others hold, or are asked to: its connection; 0: none
+	stood  uint64    // where it stands is held by others, or they are asked to: its connection; 0: not
+	awaits int       // words that it waits for
+	heldBy float64   // clock time until which its head waits for that; 0: it does not
+	last   EndReason // what the backend said of the end to come
+	ending bool      // it said so
+	broke  bool      // a side did while it was parting
+	quiet  timer     // for lines that bring nothing back
 	leave  timer
 }
 
-// Reducer is the state of one relay.
-type Reducer struct {
+// StateMachine is the state of one relay.
+type StateMachine struct {
 	Counters
 	answers []answers // by category
-	table   *dispatch.Table[*link]
+	table   *dispatch.Dispatcher[*link]
 	now     float64
 
 	effects []Effect
@@ -286,58 +286,58 @@
 	final     timer
 	quit      bool
 
-	elder, younger bool      // another process of this relay, beside this one
-	yielded        bool      // to the younger: no client is taken any more
-	left           *Handover // by the elder
+	elder, younger bool     // another process of this relay, beside this one
+	yielded        bool     // to the younger: no client is taken any more
+	left           *Handoff // by the elder
 }
 
 // New builds the relay's state from what it is told.
-func New(now float64, t *Told) (*Reducer, error) {
-	balancer, err := settings.Over(t.Settings).Assemble(t.Seed)
+func New(now float64, t *Config) (*StateMachine, error) {
+	balancer, err := settings.NewReader(t.Settings).BuildBalancer(t.Seed)
 	if err != nil {
 		return nil, err
 	}
-	return NewOn(now, t, balancer)
+	return NewWithBalancer(now, t, balancer)
 }
 
-// NewOn does so on a module that is made already.
-func NewOn(now float64, t *Told, balancer dispatch.Module) (*Reducer, error) {
-	if t.ReportAge > 0 {
-		balancer.Late(t.ReportAge)
+// NewWithBalancer does so on a module that is made already.
+func NewWithBalancer(now float64, t *Config, balancer dispatch.Balancer) (*StateMachine, error) {
+	if t.MaxReportAgeMillis > 0 {
+		balancer.SetMaxReportAge(t.MaxReportAgeMillis)
 	}
-	p := settings.Over(t.Settings)
-	r := &Reducer{now: now, dated: math.NaN(), armed: math.Inf(1), ends: map[uint64]*end{},
-		ids: map[string]*link{}, dials: dialed, categories: p.Names("categories"), parties: p.Names("parties"),
-		zones: p.Places("localities"), fields: p.Fields(), reports: p.Text("stats.how") == "answers",
+	p := settings.NewReader(t.Settings)
+	r := &StateMachine{now: now, dated: math.NaN(), armed: math.Inf(1), ends: map[uint64]*end{},
+		ids: map[string]*link{}, dials: dialed, categories: p.RecordIndexes("categories"), parties: p.RecordIndexes("parties"),
+		zones: p.ListIndexes("localities"), fields: p.ReportFields(), reports: p.Text("stats.how") == "answers",
 		mayCancel: p.Text("limits.may-cancel") != "false",
-		maxBack:   p.MaxBack(), connectTime: p.Number("limits.connect-timeout-ms"),
+		maxBack:   p.MaxRetryAfter(), connectTime: p.Float("limits.connect-timeout-ms"),
 		source: t.Discovery,
-		files:  math.MaxInt, allHeld: int(p.Optional("limits.most-held", math.MaxInt32)),
-		elder: t.Elder, left: t.Left,
+		files:  math.MaxInt, allHeld: int(p.FloatOr("limits.most-held", math.MaxInt32)),
+		elder: t.HasParent, left: t.Handoff,
 		backends: map[string]*backend{}, byID: map[uint32]*backend{}}
 	for i := range p.Count("categories.count") {
-		r.limits = append(r.limits, p.Number("categories."+strconv.Itoa(i)+".hard-limit-ms"))
+		r.limits = append(r.limits, p.Float("categories."+strconv.Itoa(i)+".hard-limit-ms"))
 		r.longest = max(r.longest, r.limits[i])
 		r.lasting = append(r.lasting, p.Text("categories."+strconv.Itoa(i)+".effect") != "idempotent")
 	}
 	r.answers = make([]answers, len(r.limits))
-	if t.Sockets > 0 {
+	if t.MaxSockets > 0 {
 		r.reserve = spareFiles
-		r.reserve += t.Besides
-		if t.Ops != "" {
-			r.reserve += admin.Files
+		r.reserve += t.ReservedDescriptors
+		if t.AdminAddress != "" {
+			r.reserve += admin.MaxDescriptors
 		}
-		if r.files = t.Sockets - r.reserve; r.files-max(r.files/mutePart, fewHeads) < perLink {
+		if r.files = t.MaxSockets - r.reserve; r.files-max(r.files/mutePart, fewHeads) < perLink {
 			return nil, fmt.Errorf("limits.sockets: %d or more expected, got %d",
-				r.reserve+fewHeads+perLink, t.Sockets)
+				r.reserve+fewHeads+perLink, t.MaxSockets)
 		}
 	}
 	r.share()
 	if err := p.Err(); err != nil {
 		return nil, err
 	}
-	r.table = dispatch.NewTable(balancer, r)
-	r.begins(t.Known)
+	r.table = dispatch.NewDispatcher(balancer, r)
+	r.begins(t.InitialEndpoints)
 	if p.Text("discovery") == "automatic" {
 		r.watch()
 	}
@@ -353,10 +353,10 @@
 	return r, nil
 }
 
-// Check tells whether a relay could start from what it is told.
-func Check(t *Told) error {
+// CheckConfig tells whether a relay could start from what it is told.
+func CheckConfig(t *Config) error {
 	if t.SocketFD > 0 {
-		if err := hotrestart.Check(t.SocketFD); err != nil {
+		if err := hotrestart.CheckListener(t.SocketFD); err != nil {
 			return fmt.Errorf("RELAY_SOCKET_FD: %w", err)
 		}
 	}
@@ -364,69 +364,69 @@
 	return err
 }
 
-// Take takes one event and gives what is to be done, good until the next call.
-func (r *Reducer) Take(now float64, e Event) []Effect {
+// Handle takes one event and gives what is to be done, good until the next call.
+func (r *StateMachine) Handle(now float64, e Event) []Effect {
 	if len(r.timers) > 0 && now > r.timers[0].at+asleep {
 		r.woken(now)
 	}
 	r.now = now
 	switch e.Kind {
-	case Tick:
+	case TimerFired:
 		r.armed = math.Inf(1)
-	case Opened:
+	case ConnAccepted:
 		r.opened(e.Conn)
-	case Up, Came, Over:
+	case ConnEstablished, DataReceived, ConnClosed:
 		if c := r.ends[e.Conn]; c != nil {
 			r.connection(c, e)
 		}
-	case ListNews, ListHeard, ListFailed:
+	case EndpointsUpdated, WatchHeartbeat, WatchFailed:
 		if e.Conn == r.watching {
 			r.list(e)
 		}
-	case Stop:
-		r.stop(e.Yield)
-	case LameDuck:
+	case ShutdownRequested:
+		r.stop(e.YieldToChild)
+	case DrainRequested:
 		r.lameDuck(!e.Off)
-	case Beside:
+	case SiblingProcessesChanged:
 		r.beside(e)
-	case Confided:
-		r.confided(e.News)
-	case Part:
+	case SiblingEndpointsUpdated:
+		r.confided(e.Endpoints)
+	case DetachRequested:
 		r.part(e.Conn)
-	case Given:
+	case SessionTransferred:
 		r.given(e.Conn, !e.Off)
-	case Adopt:
-		r.adopt(e.Conn, e.Passed)
-	case Reload:
+	case SessionReceived:
+		r.adopt(e.Conn, e.Session)
+	case ConfigReloaded:
 		r.reload(e)
-	case Recalled:
-		r.recall(e.Kept)
-	case Restarted:
-		r.table.Balancer.Restart(r.now)
-	case Recovers:
-		r.recovers(!e.Off, e.Part)
-	case Clocked:
-		r.clocked(e.Ahead)
-	case Directed:
-		r.directed(e.Toward)
-	case Holds:
-		r.holds, r.remember, r.standsHeld = true, e.At, e.Stood
-	case Entrusted:
+	case StateRestored:
+		r.recall(e.Snapshot)
+	case IncarnationChanged:
+		r.table.Balancer.AssumeRetriesSpent(r.now)
+	case RecoveryChanged:
+		r.recovers(!e.Off, e.CapacityShare)
+	case ClockSkewMeasured:
+		r.clocked(e.AheadMillis)
+	case ZoneWeightsChanged:
+		r.directed(e.Zones)
+	case ReplicationEnabled:
+		r.holds, r.remember, r.standsHeld = true, e.At, e.Affinity
+	case RecordReplicated:
 		r.entrusted(e.Conn, !e.Off)
-	case Claimed:
+	case RecordFound:
 		r.claimed(e)
-	case Beyond:
-		r.table.Balancer.Others(e.Placed)
-	case Ended:
+	case RemoteLoadChanged:
+		r.table.Balancer.SetRemoteLoad(e.Load)
+	case ProcessExiting:
 		r.emptyNow()
 	}
 	for len(r.timers) > 0 && r.timers[0].at <= now {
 		heap.Pop(&r.timers).(*timer).fire()
 	}
-	if r.told && !r.ready && (!r.elder || r.table.Balancer.Fit(now)) {
+	if r.told && !r.ready && (!r.elder || r.table.Balancer.IsReady(now)) {
 		r.nowReady()
 	}
-	wake := r.table.Drive(now)
+	wake := r.table.Advance(now)
 	r.gate()
 	if r.stopping && (r.yielded || now >= r.stopAt+lastComers) && r.idle() {
 		r.leave()
@@ -436,7 +436,7 @@
 	}
 	if wake < r.armed {
 		r.armed = wake
-		r.do(Effect{Do: Arm, At: wake})
+		r.do(Effect{Kind: SetTimer, At: wake})
 	}
 	r.effects, r.carried = r.carried[:0], r.effects
 	r.parts, r.written = r.written[:0], r.parts
@@ -444,19 +444,19 @@
 }
 
 // mostMute is how many clients without a head may be there: what links can never take.
-func (r *Reducer) mostMute() int { return max(r.most/mutePart, fewHeads) }
+func (r *StateMachine) mostMute() int { return max(r.most/mutePart, fewHeads) }
 
 // stalest is the client without a head that is let go first: those that have begun none before those that
 // have, and of each whoever has brought nothing for longest. Against a crowd that connects and idles, or
 // stops half way, pushing out one that writes its head slowly.
-func (r *Reducer) stalest() (pick *end) {
+func (r *StateMachine) stalest() (pick *end) {
 	for _, c := range r.mute {
 		switch {
 		case r.now < c.since+grace:
 			return pick // so are all that came later
 		case c.link.stage != heading:
-		case pick == nil || (pick.in.Partial() && !c.in.Partial()) ||
-			(pick.in.Partial() == c.in.Partial() && c.brought < pick.brought):
+		case pick == nil || (pick.in.HasPending() && !c.in.HasPending()) ||
+			(pick.in.HasPending() == c.in.HasPending() && c.brought < pick.brought):
 			pick = c
 		}
 	}
@@ -466,7 +466,7 @@
 // gate lets go of clients that have said nothing for longest where there are too many, and lets others wait
 // to be accepted meanwhile. Against silent ones taking the descriptors that links need; and against breaking
 // one whose head may be on its way: it is told to come again.
-func (r *Reducer) gate() {
+func (r *StateMachine) gate() {
 	crowded := func() bool { return r.heads > r.mostMute() || len(r.ends) >= r.most }
 	for crowded() {
 		c := r.stalest()
@@ -476,31 +476,33 @@
 			}
 			break
 		}
-		r.refuse(c.link, PushedOut, r.busy())
+		r.refuse(c.link, Evicted, r.busy())
 	}
 	full := crowded() || r.yielded || (r.elder && !r.ready)
 	if full != r.full {
 		r.full = full
 		if full {
-			r.Holds++
-			r.do(Effect{Do: Hold})
+			r.AcceptPauses++
+			r.do(Effect{Kind: PauseAccept})
 		} else {
-			r.do(Effect{Do: Free})
+			r.do(Effect{Kind: ResumeAccept})
 		}
 	}
 }
 
-func (r *Reducer) do(e Effect) { r.effects = append(r.effects, e) }
+func (r *StateMachine) do(e Effect) { r.effects = append(r.effects, e) }
 
-func (r *Reducer) note(text string, args ...any) { r.do(Effect{Do: Note, Text: text, Args: args}) }
+func (r *StateMachine) note(text string, args ...any) {
+	r.do(Effect{Kind: Log, Text: text, Args: args})
+}
 
-func (r *Reducer) write(c *end, data []byte) {
+func (r *StateMachine) write(c *end, data []byte) {
 	n := len(r.parts)
 	r.parts = append(r.parts, data)
-	r.do(Effect{Do: Write, Conn: c.conn, Parts: r.parts[n : n+1 : n+1]})
+	r.do(Effect{Kind: Write, Conn: c.conn, Chunks: r.parts[n : n+1 : n+1]})
 }
 
-func (r *Reducer) arm(t *timer, at float64) {
+func (r *StateMachine) arm(t *timer, at float64) {
 	t.at = at
 	if t.place > 0 {
 		heap.Fix(&r.timers, t.place-1)
@@ -509,24 +511,24 @@
 	}
 }
 
-func (r *Reducer) disarm(t *timer) {
+func (r *StateMachine) disarm(t *timer) {
 	if t.place > 0 {
 		heap.Remove(&r.timers, t.place-1)
 	}
 }
 
-func (r *Reducer) add(c *end) *end {
+func (r *StateMachine) add(c *end) *end {
 	r.ends[c.conn] = c
 	if c.link == nil {
 		r.others++
 	}
-	r.Open = len(r.ends)
-	r.Most = max(r.Most, r.Open)
+	r.OpenConns = len(r.ends)
+	r.MaxOpenConns = max(r.MaxOpenConns, r.OpenConns)
 	return c
 }
 
 // forget lets go of a connection; with an effect, that ends it. Whatever comes of it later is dropped.
-func (r *Reducer) forget(c *end, how Do) {
+func (r *StateMachine) forget(c *end, how EffectKind) {
 	if r.ends[c.conn] == nil {
 		return
 	}
@@ -535,15 +537,15 @@
 	if c.link == nil {
 		r.others--
 	}
-	r.Open = len(r.ends)
-	r.do(Effect{Do: how, Conn: c.conn})
+	r.OpenConns = len(r.ends)
+	r.do(Effect{Kind: how, Conn: c.conn})
 }
 
 // dial starts a connection to the backend.
-func (r *Reducer) dial(b *backend, l *link) *end {
+func (r *StateMachine) dial(b *backend, l *link) *end {
 	r.dials++
-	c := r.add(&end{conn: r.dials, backend: b, link: l, since: b.Since})
-	effect := Effect{Do: Dial, Conn: c.conn, Text: b.Address}
+	c := r.add(&end{conn: r.dials, backend: b, link: l, since: b.StartedAt})
+	effect := Effect{Kind: Dial, Conn: c.conn, Text: b.Address}
 	if l != nil && l.client != nil {
 		effect.Peer = l.client.conn
 	}
@@ -551,7 +553,7 @@
 	return c
 }
 
-func (r *Reducer) opened(conn uint64) {
+func (r *StateMachine) opened(conn uint64) {
 	r.Accepted++
 	l := &link{}
 	c := r.add(&end{conn: conn, link: l, since: r.now, brought: r.now})
@@ -559,17 +561,17 @@
 	r.heads++
 	r.mute = append(r.mute, c)
 	c.wait.fire = func() {
-		if c.in.Partial() && r.now < c.since+slowHead {
+		if c.in.HasPending() && r.now < c.since+slowHead {
 			r.arm(&c.wait, c.since+slowHead)
 			return
 		}
-		r.refuse(l, NoHead, errLine)
+		r.refuse(l, RequestTimedOut, errLine)
 	}
 	r.arm(&c.wait, r.now+headTime)
 }
 
 // headed takes that the client has a head now, or is over without one. The first of mute is without.
-func (r *Reducer) headed(l *link, then stage) {
+func (r *StateMachine) headed(l *link, then stage) {
 	l.stage = then
 	r.heads--
 	for len(r.mute) > 0 && r.mute[0].link.stage != heading {
@@ -577,40 +579,40 @@
 	}
 }
 
-func (r *Reducer) connection(c *end, e Event) {
-	if e.Kind == Over {
+func (r *StateMachine) connection(c *end, e Event) {
+	if e.Kind == ConnClosed {
 		// The socket may still be open on this side, after the other has ended its sending.
-		r.forget(c, End)
+		r.forget(c, Close)
 	}
 	switch l := c.link; {
 	case l == nil:
 		r.probeEvent(c, e)
 	case l.stage == parting:
-		l.broke = l.broke || e.Kind == Over
-	case c.backend == nil && e.Kind == Came:
+		l.broke = l.broke || e.Kind == ConnClosed
+	case c.backend == nil && e.Kind == DataReceived:
 		r.fromClient(l, e.Data)
 	case c.backend == nil:
 		r.clientOver(l, e)
-	case l.stage == standing && e.Kind == Came:
+	case l.stage == standing && e.Kind == DataReceived:
 		r.fromServer(l, e.Data)
 	case l.stage == standing:
 		r.serverOver(l, e)
-	case e.Kind == Up:
+	case e.Kind == ConnEstablished:
 		r.tryUp(l)
-	case e.Kind == Came:
+	case e.Kind == DataReceived:
 		r.tryAnswer(l, e.Data)
 	case !c.up || e.Unsent:
-		r.tryOver(l, NeverUp)
+		r.tryOver(l, ConnectFailed)
 	default:
-		r.tryOver(l, BrokeOff)
+		r.tryOver(l, ClosedBeforeAnswer)
 	}
 }
 
-func (r *Reducer) fromClient(l *link, data []byte) {
+func (r *StateMachine) fromClient(l *link, data []byte) {
 	for l.stage == heading {
 		line, rest, err := l.client.in.Next(data)
 		if err != nil {
-			r.refuse(l, TooLong, errLine)
+			r.refuse(l, LineTooLong, errLine)
 			return
 		}
 		if line == nil {
@@ -619,10 +621,10 @@
 		}
 		data = rest
 		switch {
-		case string(protocol.Bare(line)) == "PING":
+		case string(protocol.TrimLineEnd(line)) == "PING":
 			r.ping(l)
 		case len(data) > 0: // a client waits after its head: this one is none, and no backend sees any of it
-			r.refuse(l, SaidMore, errLine)
+			r.refuse(l, UnexpectedData, errLine)
 		default:
 			r.begin(l, line)
 		}
@@ -632,19 +634,19 @@
 	case l.stage == standing:
 		r.toServer(l, data)
 	default:
-		r.BadClients[SaidMore]++
-		r.answers[l.Category].failed++
+		r.RequestErrors[UnexpectedData]++
+		r.answers[l.Class].failed++
 		c := l.client
 		r.write(c, []byte(errLine))
 		r.clientOver(l, Event{})
-		r.forget(c, End)
+		r.forget(c, Close)
 	}
 }
 
-func (r *Reducer) ping(l *link) {
+func (r *StateMachine) ping(l *link) {
 	c := l.client
 	if c.pings++; c.pings > mostPings {
-		r.refuse(l, ManyPings, errLine)
+		r.refuse(l, TooManyPings, errLine)
 		return
 	}
 	r.Pings++
@@ -657,13 +659,13 @@
 }
 
 // nowReady answers those that asked before the relay could serve.
-func (r *Reducer) nowReady() {
+func (r *StateMachine) nowReady() {
 	if r.ready {
 		return
 	}
 	r.ready = true
 	r.disarm(&r.starting)
-	r.do(Effect{Do: Ready})
+	r.do(Effect{Kind: AnnounceReady})
 	for _, c := range r.clients() {
 		if c.link.stage == heading {
 			for range c.pings {
@@ -674,21 +676,21 @@
 }
 
 // refuse answers a client that has no link.
-func (r *Reducer) refuse(l *link, why Badness, text string) {
-	r.BadClients[why]++
+func (r *StateMachine) refuse(l *link, why RequestError, text string) {
+	r.RequestErrors[why]++
 	if r.now >= r.noteAt {
 		r.noteAt = r.now + noteGap
-		r.note("client turned away", "why", why.String(), "so many", r.BadClients[why])
+		r.note("client turned away", "why", why.String(), "so many", r.RequestErrors[why])
 	}
 	r.headed(l, done)
 	r.write(l.client, []byte(text))
-	r.forget(l.client, End)
+	r.forget(l.client, Close)
 }
 
 const errLine = "ERR\r\n"
 
 // busy has a client come again later, where it may be told when.
-func (r *Reducer) busy() string { return busyLine(r.maxBack) }
+func (r *StateMachine) busy() string { return busyLine(r.maxBack) }
 
 func busyLine(wait float64) string {
 	if wait > 0 {
@@ -699,35 +701,35 @@
 
 // begin takes a link in, once its head has been judged whole: against work and wrong blame at a backend that
 // closes on what it can't use. It is copied, as read buffers are used again, and read in that copy.
-func (r *Reducer) begin(l *link, line []byte) {
-	head, err := protocol.ReadHead(append([]byte(nil), line...))
+func (r *StateMachine) begin(l *link, line []byte) {
+	head, err := protocol.ParseRequest(append([]byte(nil), line...))
 	if err != nil {
-		r.refuse(l, BadHead, errLine)
+		r.refuse(l, MalformedRequest, errLine)
 		return
 	}
-	category, known := r.categories[string(head.Category)]
-	party, named := r.parties[string(head.Party)]
+	category, known := r.categories[string(head.Class)]
+	party, named := r.parties[string(head.Tenant)]
 	switch {
-	case !known || (!named && len(head.Party) > 0 && len(r.parties) > 0):
+	case !known || (!named && len(head.Tenant) > 0 && len(r.parties) > 0):
 		r.refuse(l, UnknownName, errLine)
 		return
-	case len(head.At) == 0 && head.Wait > beyond*r.limits[category]:
+	case len(head.StickyBackend) == 0 && head.Timeout > beyond*r.limits[category]:
 		r.answers[category].failed++
-		r.refuse(l, BadHead, errLine)
+		r.refuse(l, MalformedRequest, errLine)
 		return
 	case r.ids[string(head.ID)] != nil:
 		r.answers[category].failed++
-		r.refuse(l, IDInUse, errLine)
+		r.refuse(l, DuplicateID, errLine)
 		return
 	}
 	l.head = head
-	l.Category, l.Key, l.Group = category, head.Key, head.Group
-	l.Hint = head.Hint * 1000
-	l.Limit = r.now + max(min(head.Wait, r.limits[category])-margin, tiny)
-	if l.Party = party; !named {
-		l.Party = len(r.parties) // one without a share
+	l.Class, l.Key, l.AffinityGroup = category, head.Key, head.AffinityGroup
+	l.LoadHint = head.LoadHint * 1000
+	l.Deadline = r.now + max(min(head.Timeout, r.limits[category])-margin, tiny)
+	if l.Tenant = party; !named {
+		l.Tenant = len(r.parties) // one without a share
 	}
-	r.Heads++
+	r.Requests++
 	r.links++
 	l.id = string(head.ID)
 	r.ids[l.id] = l
@@ -736,84 +738,84 @@
 	switch {
 	case r.quit:
 		// Against a request that nobody is left to see through to its answer.
-		r.Carry(l, balancer.Answer{Verdict: balancer.Reject, Wait: r.maxBack})
-	case len(head.At) > 0:
+		r.Execute(l, balancer.Decision{Kind: balancer.Reject, Wait: r.maxBack})
+	case len(head.StickyBackend) > 0:
 		r.resume(l)
 	case r.short() || r.links > r.mostHeld:
 		// Against running out of descriptors in mid-flow: nothing was sent, so trying again is harmless. A link
 		// that waits for a server counts with the connection that it will have: else those held take all there
 		// are once they go on, and whoever comes then waits to be accepted until its time is up.
-		r.Carry(l, balancer.Answer{Verdict: balancer.Reject, Wait: r.maxBack})
+		r.Execute(l, balancer.Decision{Kind: balancer.Reject, Wait: r.maxBack})
 	default:
 		if r.claims(l); !r.asks(l) {
-			r.table.Place(r.now, l)
+			r.table.Assign(r.now, l)
 		}
 	}
 }
 
 // short tells whether links and probes come to more descriptors than there are for them.
-func (r *Reducer) short() bool { return perLink*r.links+r.others > r.room }
+func (r *StateMachine) short() bool { return perLink*r.links+r.others > r.room }
 
-// Carry does what the module answered.
-func (r *Reducer) Carry(l *link, a balancer.Answer) {
-	switch a.Verdict {
-	case balancer.Send:
+// Execute does what the module answered.
+func (r *StateMachine) Execute(l *link, a balancer.Decision) {
+	switch a.Kind {
+	case balancer.Assign:
 		r.try(l, r.byID[a.Backend], a.Timeout)
 	case balancer.Reject:
 		r.Rejected++
-		r.answers[l.Category].refused++
+		r.answers[l.Class].refused++
 		if !r.entrusts(l, a.Wait) {
 			r.answer(l, busyLine(a.Wait))
 		}
 	case balancer.Fail:
-		r.Errored++
-		r.answers[l.Category].failed++
+		r.Failed++
+		r.answers[l.Class].failed++
 		r.answer(l, errLine)
 	}
 }
 
 // answer gives the final answer of a link that doesn't stand.
-func (r *Reducer) answer(l *link, text string) {
+func (r *StateMachine) answer(l *link, text string) {
 	r.leaveHand(l)
 	if l.client != nil {
 		r.write(l.client, []byte(text))
-		r.forget(l.client, End)
+		r.forget(l.client, Close)
 	}
 }
 
-func (r *Reducer) leaveHand(l *link) {
+func (r *StateMachine) leaveHand(l *link) {
 	if l.stage != done && l.stage != heading {
 		r.links--
 		delete(r.ids, l.id)
 	}
 	l.stage = done
-	r.table.Drop(l)
+	r.table.Forget(l)
 	r.disarm(&l.quiet)
 	r.disarm(&l.leave)
 }
 
-func (r *Reducer) try(l *link, b *backend, timeout float64) {
-	r.Tries++
+func (r *StateMachine) try(l *link, b *backend, timeout float64) {
+	r.Attempts++
 	l.stage = trying
 	l.giveUp = r.now + timeout
 	r.reach(l, b, r.connectTime)
 }
 
 // reach dials the backend for the link, which has to be up within that time.
-func (r *Reducer) reach(l *link, b *backend, within float64) {
+func (r *StateMachine) reach(l *link, b *backend, within float64) {
 	l.server = r.dial(b, l)
-	l.server.wait.fire = func() { r.tryOver(l, NeverUp) }
+	l.server.wait.fire = func() { r.tryOver(l, ConnectFailed) }
 	r.arm(&l.server.wait, min(r.now+within, l.giveUp))
 	r.marks(l)
 }
 
-func (r *Reducer) tryUp(l *link) {
+func (r *StateMachine) tryUp(l *link) {
 	if r.waits(l) {
 		return
 	}
 	c := l.server
 	c.up = true
-	if l.stage == trying && (c.backend.condition != balancer.Ready || c.backend.Since > c.since) {
+	if l.stage == trying && (c.backend.condition != balancer.Ready || c.backend.StartedAt > c.since) {
 		// Against a send to a backend that has begun to drain since it was chosen, or is cold by what was
 		// told since: all that were chosen while it was held to be warm would come to it at once.
 		r.tryOver(l, NotSent)
@@ -821,27 +823,27 @@
 	}
 	wait := l.giveUp - r.now
 	if l.stage == resuming {
-		wait = l.head.Wait
+		wait = l.head.Timeout
 	}
-	r.Written++
-	r.do(Effect{Do: Write, Conn: c.conn, Parts: l.head.Out(wait)})
-	c.wait.fire = func() { r.tryOver(l, NoAnswer) }
+	r.RequestsSent++
+	r.do(Effect{Kind: Write, Conn: c.conn, Chunks: l.head.EncodeWithTimeout(wait)})
+	c.wait.fire = func() { r.tryOver(l, AttemptTimedOut) }
 	r.arm(&c.wait, l.giveUp)
 }
 
-func (r *Reducer) tryAnswer(l *link, data []byte) {
+func (r *StateMachine) tryAnswer(l *link, data []byte) {
 	// Against what follows an answer in one piece being taken for the next try's.
 	for c := l.server; l.server == c && l.stage != standing; {
 		line, rest, err := c.in.Next(data)
 		if err != nil {
-			r.tryOver(l, BadAnswer)
+			r.tryOver(l, MalformedAnswer)
 			return
 		}
 		if line == nil {
 			return
 		}
 		data = rest
-		verb, said := protocol.Verb(line)
+		verb, said := protocol.CutVerb(line)
 		if r.reports && (string(verb) == "ERR" || string(verb) == "BUSY") {
 			r.reported(c.backend, said)
 		}
@@ -850,13 +852,13 @@
 			r.stand(l, line)
 		case "LOAD":
 		case "BUSY":
-			r.tryOver(l, TurnedDown)
+			r.tryOver(l, BackendBusy)
 		case "ERR":
 			r.tryOver(l, BackendError)
 		case "MOVE":
-			r.tryOver(l, SentAway)
+			r.tryOver(l, BackendMovedClient)
 		default:
-			r.tryOver(l, BadAnswer)
+			r.tryOver(l, MalformedAnswer)
 		}
 	}
 	if l.stage == standing && len(data) > 0 {
@@ -865,20 +867,20 @@
 }
 
 // tryOver ends the setup try that is out and asks what follows.
-func (r *Reducer) tryOver(l *link, how Ending) {
-	r.Endings[how]++
+func (r *StateMachine) tryOver(l *link, how EndReason) {
+	r.EndReasons[how]++
 	c := l.server
 	l.server = nil
 	if c.up {
-		r.forget(c, End)
+		r.forget(c, Close)
 	} else {
-		r.forget(c, Break)
+		r.forget(c, Reset)
 	}
 	if l.stage == resuming {
 		r.resumeLater(l)
 		return
 	}
-	if !c.up || how.outcome().NeverRan() {
+	if !c.up || how.outcome().IsUnprocessed() {
 		r.unmarks(l)
 	}
 	l.stage = placing
@@ -886,43 +888,43 @@
 	if gone {
 		r.leaveHand(l)
 	}
-	r.table.After(r.now, l, how.outcome(), gone)
+	r.table.AttemptFinished(r.now, l, how.outcome(), gone)
 }
 
 // clientOver takes that the client has left.
-func (r *Reducer) clientOver(l *link, e Event) {
-	how, ending := End, ClientDone
-	if e.Slow {
-		how, ending = Break, SlowReader
-	} else if e.Broken {
-		how, ending = Break, ClientBroke
+func (r *StateMachine) clientOver(l *link, e Event) {
+	how, ending := Close, ClientClosed
+	if e.SlowReader {
+		how, ending = Reset, SlowReader
+	} else if e.Reset {
+		how, ending = Reset, ClientReset
 	}
 	c := l.client
 	l.client = nil
 	switch l.stage {
 	case heading:
-		if c.in.Partial() {
-			r.BadClients[HalfHead]++
+		if c.in.HasPending() {
+			r.RequestErrors[IncompleteRequest]++
 		}
 		r.headed(l, done)
 	case placing:
-		r.Unwanted++
-		r.table.Balancer.Vanished(&l.Link.Link)
+		r.Abandoned++
+		r.table.Balancer.ClientDisconnected(&l.Entry.Session)
 		r.leaveHand(l)
 	case entrusting, asking:
-		r.Unwanted++
+		r.Abandoned++
 		r.leaveHand(l)
 	case resuming:
-		r.Unwanted++
+		r.Abandoned++
 		if l.server != nil {
 			r.forget(l.server, how)
 		}
 		r.leaveHand(l)
 	case trying:
-		r.Unwanted++
-		r.table.Balancer.Vanished(&l.Link.Link)
+		r.Abandoned++
+		r.table.Balancer.ClientDisconnected(&l.Entry.Session)
 		if r.mayCancel || !l.server.up {
-			r.tryOver(l, ClientBroke)
+			r.tryOver(l, ClientReset)
 		}
 	case standing:
 		r.finish(l, ending, how)
--- a/internal/relay/reducer_test.go
+++ b/internal/relay/reducer_test.go
@@ -29,21 +29,21 @@
 // scene is a reducer that is told of events, and tells of effects, in words. Connections of clients are 1, 2
 // ..., those of the relay s1, s2 ...; | stands for CRLF.
 type scene struct {
-	*Reducer
+	*StateMachine
 	t     *testing.T
 	notes []string
 
-	parted   *Passed // that was told last
-	confides *News   // to the other process, last
+	parted   *TransferredSession // that was told last
+	confides *EndpointUpdate     // to the other process, last
 }
 
 func open(t *testing.T, change func(text string) string, sockets int, backends ...string) *scene {
 	t.Helper()
-	return begin(t, change, &Told{Seed: 5, Sockets: sockets, Discovery: "10.1.0.1:85",
-		Known: &News{Whole: true, Entries: entries(backends)}})
+	return begin(t, change, &Config{Seed: 5, MaxSockets: sockets, Discovery: "10.1.0.1:85",
+		InitialEndpoints: &EndpointUpdate{Complete: true, Endpoints: entries(backends)}})
 }
 
-func begin(t *testing.T, change func(text string) string, what *Told) *scene {
+func begin(t *testing.T, change func(text string) string, what *Config) *scene {
 	t.Helper()
 	text := told
 	if change != nil {
@@ -55,7 +55,7 @@
 	what.Settings = values
 	r, err := New(0, what)
 	require.NoError(t, err)
-	s := &scene{Reducer: r, t: t}
+	s := &scene{StateMachine: r, t: t}
 	s.at(0, "tick")
 	return s
 }
@@ -66,13 +66,13 @@
 }
 
 // entries reads NAME=STATUS, or NAME=STATUS@SINCE; the address comes of the name's digit.
-func entries(words []string) []Entry {
-	var list []Entry
+func entries(words []string) []Endpoint {
+	var list []Endpoint
 	for _, w := range words {
 		name, status, _ := strings.Cut(w, "=")
 		status, since, _ := strings.Cut(status, "@")
-		e := Entry{Name: name, Status: status, Zone: "hall", Weight: 1, Address: "10.0.0." + name[1:] + ":9000"}
-		e.Since, _ = strconv.ParseFloat(since, 64)
+		e := Endpoint{Name: name, Status: status, Zone: "hall", Weight: 1, Address: "10.0.0." + name[1:] + ":9000"}
+		e.StartedAt, _ = strconv.ParseFloat(since, 64)
 		list = append(list, e)
 	}
 	return list
@@ -93,107 +93,107 @@
 	var e Event
 	switch word[0] {
 	case "open":
-		e = Event{Kind: Opened, Conn: s.conn(word[1])}
+		e = Event{Kind: ConnAccepted, Conn: s.conn(word[1])}
 	case "up":
-		e = Event{Kind: Up, Conn: s.conn(word[1])}
+		e = Event{Kind: ConnEstablished, Conn: s.conn(word[1])}
 	case "came":
-		e = Event{Kind: Came, Conn: s.conn(word[1]), Data: []byte(strings.ReplaceAll(word[2], "|", "\r\n"))}
+		e = Event{Kind: DataReceived, Conn: s.conn(word[1]), Data: []byte(strings.ReplaceAll(word[2], "|", "\r\n"))}
 	case "end", "reset", "cut":
-		e = Event{Kind: Over, Conn: s.conn(word[1]), Broken: word[0] != "end", Unsent: word[0] == "cut"}
+		e = Event{Kind: ConnClosed, Conn: s.conn(word[1]), Reset: word[0] != "end", Unsent: word[0] == "cut"}
 	case "news":
 		f := strings.Fields(word[2])
 		index, _ := strconv.ParseUint(f[0], 10, 64)
-		e = Event{Kind: ListNews, Conn: s.conn(word[1]), News: &News{Index: index, Whole: f[1] == "whole",
-			Entries: entries(f[2:])}}
+		e = Event{Kind: EndpointsUpdated, Conn: s.conn(word[1]), Endpoints: &EndpointUpdate{Index: index, Complete: f[1] == "whole",
+			Endpoints: entries(f[2:])}}
 	case "heard":
-		e = Event{Kind: ListHeard, Conn: s.conn(word[1])}
+		e = Event{Kind: WatchHeartbeat, Conn: s.conn(word[1])}
 	case "failed":
-		e = Event{Kind: ListFailed, Conn: s.conn(word[1]), Err: errors.New("told so")}
+		e = Event{Kind: WatchFailed, Conn: s.conn(word[1]), Err: errors.New("told so")}
 	case "reload":
-		e = Event{Kind: Reload, Text: word[1]}
+		e = Event{Kind: ConfigReloaded, Address: word[1]}
 	case "refuse":
-		e = Event{Kind: Reload, Err: errors.New("told so")}
+		e = Event{Kind: ConfigReloaded, Err: errors.New("told so")}
 	case "lame":
-		e = Event{Kind: LameDuck, Off: word[1] == "off"}
+		e = Event{Kind: DrainRequested, Off: word[1] == "off"}
 	case "part":
-		e = Event{Kind: Part, Conn: s.conn(word[1])}
+		e = Event{Kind: DetachRequested, Conn: s.conn(word[1])}
 	case "given":
-		e = Event{Kind: Given, Conn: s.conn(word[1]), Off: len(word) > 2}
+		e = Event{Kind: SessionTransferred, Conn: s.conn(word[1]), Off: len(word) > 2}
 	case "adopt":
-		e = Event{Kind: Adopt, Conn: s.conn(word[1]), Passed: s.parted}
+		e = Event{Kind: SessionReceived, Conn: s.conn(word[1]), Session: s.parted}
 	case "beside":
-		e = Event{Kind: Beside, Elder: word[1] == "elder", Younger: word[1] == "younger",
-			Leave: word[1] == "younger"}
+		e = Event{Kind: SiblingProcessesChanged, HasParent: word[1] == "elder", HasChild: word[1] == "younger",
+			WantsHandoff: word[1] == "younger"}
 	case "confided":
-		e = Event{Kind: Confided, News: &News{Whole: true, Entries: entries(strings.Fields(event)[1:])}}
+		e = Event{Kind: SiblingEndpointsUpdated, Endpoints: &EndpointUpdate{Complete: true, Endpoints: entries(strings.Fields(event)[1:])}}
 	case "holds":
-		e = Event{Kind: Holds, At: 10000, Stood: len(word) > 1}
+		e = Event{Kind: ReplicationEnabled, At: 10000, Affinity: len(word) > 1}
 	case "held", "unheld":
-		e = Event{Kind: Entrusted, Conn: s.conn(word[1]), Off: word[0] == "unheld"}
+		e = Event{Kind: RecordReplicated, Conn: s.conn(word[1]), Off: word[0] == "unheld"}
 	case "ran":
-		e = Event{Kind: Claimed, Word: Ran, Conn: s.conn(word[1]), Text: word[2], At: now - 500}
+		e = Event{Kind: RecordFound, Record: AttemptRecord, Conn: s.conn(word[1]), Address: word[2], At: now - 500}
 	case "none":
-		e = Event{Kind: Claimed, Word: Ran, Conn: s.conn(word[1]), Off: true}
+		e = Event{Kind: RecordFound, Record: AttemptRecord, Conn: s.conn(word[1]), Off: true}
 	case "stood":
-		e = Event{Kind: Claimed, Word: Stood, Conn: s.conn(word[1]), Text: word[2]}
+		e = Event{Kind: RecordFound, Record: AffinityRecord, Conn: s.conn(word[1]), Address: word[2]}
 	case "stands":
-		e = Event{Kind: Claimed, Word: Stood, Conn: s.conn(word[1]), Off: true}
+		e = Event{Kind: RecordFound, Record: AffinityRecord, Conn: s.conn(word[1]), Off: true}
 	case "recovers":
-		e = Event{Kind: Recovers, Part: 0.5}
+		e = Event{Kind: RecoveryChanged, CapacityShare: 0.5}
 	case "ended":
-		e = Event{Kind: Ended}
+		e = Event{Kind: ProcessExiting}
 	case "stop":
-		e = Event{Kind: Stop, Yield: len(word) > 1}
+		e = Event{Kind: ShutdownRequested, YieldToChild: len(word) > 1}
 	default:
-		e = Event{Kind: Tick}
+		e = Event{Kind: TimerFired}
 	}
 	var said []string
-	for _, f := range s.Take(now, e) {
+	for _, f := range s.Handle(now, e) {
 		name := fmt.Sprint(f.Conn)
 		if f.Conn >= dialed {
 			name = fmt.Sprint("s", f.Conn-dialed)
 		}
-		switch f.Do {
+		switch f.Kind {
 		case Dial:
 			said = append(said, "dial "+name+" "+f.Text)
 		case Write:
 			var all []byte
-			for _, p := range f.Parts {
+			for _, p := range f.Chunks {
 				all = append(all, p...)
 			}
 			said = append(said, "write "+name+" "+strings.ReplaceAll(string(all), "\r\n", "|"))
-		case End:
+		case Close:
 			said = append(said, "end "+name)
-		case Break:
+		case Reset:
 			said = append(said, "break "+name)
-		case Watch:
-			said = append(said, strings.TrimSuffix(fmt.Sprint("watch ", name, " after ", f.After, " at ", f.Text),
+		case StartWatch:
+			said = append(said, strings.TrimSuffix(fmt.Sprint("watch ", name, " after ", f.AfterIndex, " at ", f.Text),
 				" at 10.1.0.1:85"))
-		case Unwatch:
+		case StopWatch:
 			said = append(said, "unwatch")
-		case Note:
+		case Log:
 			s.notes = append(s.notes, fmt.Sprint(f.Text, f.Args))
-		case Hold:
+		case PauseAccept:
 			said = append(said, "hold")
-		case Free:
+		case ResumeAccept:
 			said = append(said, "free")
-		case Quit:
+		case Exit:
 			said = append(said, "quit")
-		case Pass:
+		case TransferSession:
 			said = append(said, "pass "+name)
-		case Parted:
-			s.parted = f.Passed
+		case SessionDetached:
+			s.parted = f.Session
 			said = append(said, "parted "+name)
-		case Adopted:
+		case SessionAccepted:
 			said = append(said, fmt.Sprint("adopted ", name, " s", f.Peer-dialed))
-		case Bequeath:
-			s.left = f.Left
+		case SendHandoff:
+			s.left = f.Handoff
 			said = append(said, "bequeath")
-		case Confide:
-			s.confides = f.News
-		case Entrust:
+		case SendEndpoints:
+			s.confides = f.Endpoints
+		case Replicate:
 			said = append(said, strings.TrimSpace(fmt.Sprint("entrust ", name, " ", f.Text)))
-		case Claim:
+		case Lookup:
 			said = append(said, fmt.Sprint("claim ", name))
 		case Release:
 			said = append(said, "release "+name)
@@ -230,21 +230,21 @@
 	for _, c := range []struct {
 		name, event string
 		up          bool
-		how         Ending
+		how         EndReason
 		again       bool // for one that must not run twice
 	}{
-		{"refused", "reset s1", false, NeverUp, true},
-		{"never up", "tick", false, NeverUp, true},
-		{"broken before the head was written", "cut s1", true, NeverUp, true},
-		{"turned down", "came s1 BUSY|", true, TurnedDown, true},
+		{"refused", "reset s1", false, ConnectFailed, true},
+		{"never up", "tick", false, ConnectFailed, true},
+		{"broken before the head was written", "cut s1", true, ConnectFailed, true},
+		{"turned down", "came s1 BUSY|", true, BackendBusy, true},
 		{"backend's error", "came s1 ERR|", true, BackendError, false},
-		{"no answer of the protocol", "came s1 HELLO|", true, BadAnswer, false},
-		{"line too long", "came s1 " + strings.Repeat("x", 5000), true, BadAnswer, false},
-		{"served out before it stood", "came s1 BYE|", true, BadAnswer, false},
-		{"reset", "reset s1", true, BrokeOff, false},
-		{"ended", "end s1", true, BrokeOff, false},
-		{"sent away", "came s1 MOVE|", true, SentAway, false},
-		{"an answer with another behind it", "came s1 BUSY|UP r|", true, TurnedDown, true},
+		{"no answer of the protocol", "came s1 HELLO|", true, MalformedAnswer, false},
+		{"line too long", "came s1 " + strings.Repeat("x", 5000), true, MalformedAnswer, false},
+		{"served out before it stood", "came s1 BYE|", true, MalformedAnswer, false},
+		{"reset", "reset s1", true, ClosedBeforeAnswer, false},
+		{"ended", "end s1", true, ClosedBeforeAnswer, false},
+		{"sent away", "came s1 MOVE|", true, BackendMovedClient, false},
+		{"an answer with another behind it", "came s1 BUSY|UP r|", true, BackendBusy, true},
 	} {
 		for _, category := range []string{"feed", "order"} {
 			s := open(t, nil, 0, "b1=active")
@@ -254,7 +254,7 @@
 				s.at(101, "up s1")
 			}
 			got := s.at(351, c.event)
-			assert.Equal(t, uint64(1), s.Endings[c.how], c.name)
+			assert.Equal(t, uint64(1), s.EndReasons[c.how], c.name)
 			if category == "feed" || c.again {
 				assert.Contains(t, got, "dial s2", "%s, %s", c.name, category)
 				assert.NotContains(t, got, "write 1", c.name)
@@ -267,12 +267,12 @@
 }
 
 func TestEndingsTellTheModule(t *testing.T) {
-	want := map[Ending]balancer.Outcome{NotSent: balancer.Unsent, NeverUp: balancer.Unreachable,
-		TurnedDown:   balancer.TurnedAway,
-		BackendError: balancer.Errored, BadAnswer: balancer.Errored, BrokeOff: balancer.Broken, NoAnswer: balancer.TimedOut,
-		ServedOut: balancer.Satisfied, SentAway: balancer.CalledOff, BrokeUp: balancer.Broken, FellSilent: balancer.Broken,
-		SlowReader: balancer.CalledOff, MovedAway: balancer.CalledOff, ClientDone: balancer.Satisfied,
-		ClientBroke: balancer.CalledOff, HandedOver: balancer.CalledOff}
+	want := map[EndReason]balancer.AttemptOutcome{NotSent: balancer.OutcomeNotSent, ConnectFailed: balancer.OutcomeUnreachable,
+		BackendBusy:  balancer.OutcomeRejected,
+		BackendError: balancer.OutcomeFailed, MalformedAnswer: balancer.OutcomeFailed, ClosedBeforeAnswer: balancer.OutcomeConnectionLost, AttemptTimedOut: balancer.OutcomeTimedOut,
+		BackendFinished: balancer.OutcomeSucceeded, BackendMovedClient: balancer.OutcomeCanceled, BackendClosed: balancer.OutcomeConnectionLost, BackendSilent: balancer.OutcomeConnectionLost,
+		SlowReader: balancer.OutcomeCanceled, RelayMovedClient: balancer.OutcomeCanceled, ClientClosed: balancer.OutcomeSucceeded,
+		ClientReset: balancer.OutcomeCanceled, TransferredToChild: balancer.OutcomeCanceled}
 	assert.Len(t, want, len(endingNames))
 	for how, outcome := range want {
 		assert.Equal(t, outcome, how.outcome(), how.String())
@@ -372,39 +372,39 @@
 	for _, c := range []struct {
 		name  string
 		steps []step
-		how   Ending
+		how   EndReason
 	}{
 		{"lines both ways, whole", []step{{200, "came 1 ping 1|", "write s1 ping 1|"},
 			{201, "came s1 pong", ""}, {202, "came s1  1|x|y", "write 1 pong 1|; write 1 x|"},
-			{203, "end 1", "end 1; end s1"}}, ClientDone},
-		{"a client's reset goes on as one", []step{{200, "reset 1", "end 1; break s1"}}, ClientBroke},
+			{203, "end 1", "end 1; end s1"}}, ClientClosed},
+		{"a client's reset goes on as one", []step{{200, "reset 1", "end 1; break s1"}}, ClientReset},
 		{"served out", []step{{200, "came s1 BYE inflight=7,x0=0.4|junk|", "write 1 BYE inflight=7,x0=0.4|"},
-			{201, "came s1 junk|", ""}, {202, "end s1", "end s1; end 1"}}, ServedOut},
+			{201, "came s1 junk|", ""}, {202, "end s1", "end s1; end 1"}}, BackendFinished},
 		{"served out without an end", []step{{200, "came s1 BYE|", "write 1 BYE|"},
-			{699, "tick", ""}, {700, "tick", "end 1; end s1"}}, ServedOut},
+			{699, "tick", ""}, {700, "tick", "end 1; end s1"}}, BackendFinished},
 		{"nothing is told behind BYE", []step{{200, "came s1 BYE|" + strings.Repeat("x", 5000), "write 1 BYE|"},
 			{201, "came s1 " + strings.Repeat("x", 5000), ""}, {202, "news 1 2 delta b1=leaving", "end 1; end s1"}},
-			ServedOut},
+			BackendFinished},
 		{"the backend sends the client away", []step{{200, "came s1 MOVE|", "write 1 MOVE|"},
-			{201, "end s1", "end s1; end 1"}}, SentAway},
-		{"an end goes on as an end", []step{{200, "end s1", "end s1; end 1"}}, BrokeUp},
-		{"a reset goes on as a reset", []step{{200, "reset s1", "end s1; break 1"}}, BrokeUp},
+			{201, "end s1", "end s1; end 1"}}, BackendMovedClient},
+		{"an end goes on as an end", []step{{200, "end s1", "end s1; end 1"}}, BackendClosed},
+		{"a reset goes on as a reset", []step{{200, "reset s1", "end s1; break 1"}}, BackendClosed},
 		{"a line over the bound", []step{{200, "came s1 " + strings.Repeat("x", 5000), "break 1; break s1"}},
-			BadAnswer},
+			MalformedAnswer},
 		{"lines that bring nothing back", []step{{1000, "came 1 a|", "write s1 a|"}, {1001, "came s1 b|",
 			"write 1 b|"},
 			{3000, "heard 1", ""}, {3000, "came 1 a|", "write s1 a|"}, {6000, "heard 1", ""}, {6000, "came 1 a|",
 				"write s1 a|"},
-			{6999, "tick", ""}, {7000, "tick", "write 1 MOVE|; end 1; end s1"}}, FellSilent},
+			{6999, "tick", ""}, {7000, "tick", "write 1 MOVE|; end 1; end s1"}}, BackendSilent},
 		{"MOVE stands between two lines when the backend leaves", []step{{200, "came s1 half a li", ""},
-			{201, "news 1 2 delta b1=leaving", "write 1 MOVE|; end 1; end s1"}}, MovedAway},
+			{201, "news 1 2 delta b1=leaving", "write 1 MOVE|; end 1; end s1"}}, RelayMovedClient},
 		{"a whole list without the backend", []step{
-			{200, "news 1 2 whole b2=active", "write 1 MOVE|; end 1; end s1"}}, MovedAway},
+			{200, "news 1 2 whole b2=active", "write 1 MOVE|; end 1; end s1"}}, RelayMovedClient},
 	} {
 		s := open(t, nil, 0, "b1=active")
 		s.stands()
 		s.play(c.name, c.steps...)
-		assert.Equal(t, uint64(1), s.Endings[c.how], c.name)
+		assert.Equal(t, uint64(1), s.EndReasons[c.how], c.name)
 		assert.Zero(t, s.links, c.name)
 		assert.Empty(t, s.ends, c.name)
 		assert.Empty(t, s.named("b1").links, c.name)
@@ -428,8 +428,8 @@
 		for now := 1000.0; now < 3000; now += 50 {
 			s.at(now, "tick")
 		}
-		assert.Equal(t, c.want, s.Endings[FellSilent] == 1, c.name)
-		assert.Equal(t, !c.want, s.Standing == 1, c.name)
+		assert.Equal(t, c.want, s.EndReasons[BackendSilent] == 1, c.name)
+		assert.Equal(t, !c.want, s.Established == 1, c.name)
 	}
 }
 
@@ -468,7 +468,7 @@
 		s.at(150, fmt.Sprintf("up s%d", i))
 		s.at(151, fmt.Sprintf("came s%d UP r|", i))
 	}
-	require.Equal(t, 3, s.Standing)
+	require.Equal(t, 3, s.Established)
 	s.at(1000, "news 1 1 delta b2=active b3=active b4=active b5=active b6=active b7=active b8=active")
 	for now := 1050.0; now < 4000; now += 50 {
 		assert.NotContains(t, s.at(now, "tick"), "hold", "%v", now)
@@ -485,12 +485,12 @@
 		step{101, "reset s1", "end s1"}, step{600, "tick", ""}, step{601, "tick", "dial s2 10.0.0.2:9000"},
 		step{602, "up s2", "write s2 OPEN a 1f c=feed,d=40000,at=b2|"}, step{603, "came s2 UP r|", "write 1 UP r|"})
 	s.play("not found", step{700, "open 2", ""}, step{700, "came 2 OPEN b 1f c=feed,d=2000,at=b7|", ""})
-	for now := 1000.0; now < 40000 && s.Errored == 0; now += 500 {
+	for now := 1000.0; now < 40000 && s.Failed == 0; now += 500 {
 		s.at(now, "came 1 x|")
 		s.at(now, "came s2 x|")
 	}
-	assert.Equal(t, uint64(1), s.Errored)
-	assert.Equal(t, 1, s.Standing)
+	assert.Equal(t, uint64(1), s.Failed)
+	assert.Equal(t, 1, s.Established)
 }
 
 func TestPlannedStop(t *testing.T) {
@@ -555,7 +555,7 @@
 		step{133, "open 7", "write 4 BUSY 900|; end 4"}, step{134, "end 1", "end 1; break s1"},
 		step{135, "open 8", ""}, step{136, "open 9", "write 5 BUSY 900|; end 5"},
 		step{137, "came 6 OPEN d 1f c=order,d=2000|", "dial s2 10.0.0.1:9000"})
-	assert.Equal(t, uint64(3), s.BadClients[PushedOut])
+	assert.Equal(t, uint64(3), s.RequestErrors[Evicted])
 }
 
 func TestReadyBeforePong(t *testing.T) {
@@ -581,9 +581,9 @@
 		step{11303, "news 5 2 delta b1=leaving", "unwatch"}, // and not at once for ever
 		step{12900, "tick", "watch 6 after 0"}, step{12900, "news 6 3 whole b1=active b2=active", ""})
 	assert.Equal(t, uint64(3), s.index, "a list that was asked for whole may go back")
-	s.named("b1").Entry.Bad = ""
-	bad := []Entry{{Name: "b1", Status: "odd", Bad: "status"}, {Name: "b2", Status: "left"}}
-	s.Take(12902, Event{Kind: ListNews, Conn: 6, News: &News{Index: 4, Whole: true, Entries: bad}})
+	s.named("b1").Endpoint.Invalid = ""
+	bad := []Endpoint{{Name: "b1", Status: "odd", Invalid: "status"}, {Name: "b2", Status: "left"}}
+	s.Handle(12902, Event{Kind: EndpointsUpdated, Conn: 6, Endpoints: &EndpointUpdate{Index: 4, Complete: true, Endpoints: bad}})
 	assert.Equal(t, balancer.Ready, s.named("b1").condition, "what was known of a bad entry stays")
 	assert.Equal(t, balancer.Gone, s.named("b2").condition)
 }
@@ -602,8 +602,8 @@
 		step{4111, "news 4 2 whole b1=active b3=active", ""}, step{6910, "tick", ""},
 		step{6911, "tick", "watch 5 after 2 at 10.1.0.2:85"})
 	assert.Equal(t, balancer.Gone, s.named("b2").condition)
-	assert.Equal(t, []uint64{2, 1}, []uint64{s.Reloads, s.BadReloads})
-	assert.Equal(t, 1, s.Standing)
+	assert.Equal(t, []uint64{2, 1}, []uint64{s.Reloads, s.FailedReloads})
+	assert.Equal(t, 1, s.Established)
 	s = open(t, nil, 0, "b1=active")
 	s.play("while the former watch is failing", step{1, "failed 1", ""},
 		step{2, "reload 10.1.0.2:85", "watch 2 after 0 at 10.1.0.2:85"}, step{3, "heard 2", ""},
@@ -635,8 +635,8 @@
 			continue
 		}
 		require.NoError(t, err, c.text)
-		assert.Contains(t, news.Entries[0].Bad, c.bad, c.text)
-		assert.Equal(t, c.bad == "", news.Entries[0].Bad == "", c.text)
+		assert.Contains(t, news.Endpoints[0].Invalid, c.bad, c.text)
+		assert.Equal(t, c.bad == "", news.Endpoints[0].Invalid == "", c.text)
 	}
 }
 
@@ -651,11 +651,11 @@
 		step{2401, "came s1 PONG x0=0|", ""}, step{2402, "up s2", "write s2 STATS|"},
 		step{2403, "came s2 PONG x0=0.4|", ""}, step{2404, "end s2", "end s2"}, step{2500, "heard 1", ""},
 		step{3600, "tick", "dial s3 10.0.0.1:9000"})
-	assert.Equal(t, uint64(5), s.Probes)
+	assert.Equal(t, uint64(5), s.Polls)
 	s.play("and goes with its backend", step{3601, "up s3", "write s3 STATS|"}, step{3602, "news 1 2 whole",
 		"break s3"})
 	assert.Empty(t, s.backends, "nothing is kept of one that is gone")
-	assert.NotPanics(t, func() { s.Probe(7) }, "asked for before that")
+	assert.NotPanics(t, func() { s.Poll(7) }, "asked for before that")
 }
 
 func TestBadConfiguration(t *testing.T) {
@@ -674,7 +674,7 @@
 		require.NotEqual(t, good, text)
 		path := t.TempDir() + "/config.json"
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		told, err := ReadTold(func(name string) string { return map[string]string{"RELAY_CONFIG": path}[name] })
+		told, err := LoadConfig(func(name string) string { return map[string]string{"RELAY_CONFIG": path}[name] })
 		if err == nil {
 			_, err = New(0, told)
 		}
@@ -701,7 +701,7 @@
 	s.play("both in one list stay", step{200, "news 1 2 whole b1=active c1=active", ""}, step{201, "tick", ""})
 	assert.Empty(t, s.notes)
 	s.play("one that is gone takes nothing", step{300, "news 1 3 delta c1=left", ""}, step{301, "tick", ""})
-	assert.Equal(t, 1, s.Standing)
+	assert.Equal(t, 1, s.Established)
 }
 
 // Short of descriptors, links that wait for a server count with the connection that they will have, so that
@@ -719,7 +719,7 @@
 	}
 	s.at(110, "news 1 2 whole b1=active")
 	s.at(160, "tick")
-	assert.Equal(t, 5, int(s.Tries))
+	assert.Equal(t, 5, int(s.Attempts))
 	assert.Len(t, s.ends, 10)
 	assert.False(t, s.full)
 	s.play("there is still room for who comes", step{170, "open 10", ""},
@@ -745,10 +745,10 @@
 		}
 		assert.LessOrEqual(t, s.heads, s.mostMute()+1, now)
 	}
-	assert.NotZero(t, s.BadClients[PushedOut])
+	assert.NotZero(t, s.RequestErrors[Evicted])
 	assert.Contains(t, s.at(2001, "came 1 d=2000|"), "dial s1 10.0.0.1:9000")
 	s.at(2001, "came 2 ed,d=2000|")
-	assert.Equal(t, uint64(2), s.Tries, "so is one that paused for longer, as others have begun no head at all")
+	assert.Equal(t, uint64(2), s.Attempts, "so is one that paused for longer, as others have begun no head at all")
 
 	s = open(t, nil, spareFiles+40, "b1=active")
 	for n := 1; n <= 5; n++ {
--- a/internal/relay/sockets.go
+++ b/internal/relay/sockets.go
@@ -57,7 +57,7 @@
 // Sockets runs one relay.
 type Sockets struct {
 	log       *slog.Logger
-	reducer   *Reducer
+	reducer   *StateMachine
 	discovery *discovery
 	engine    *nbio.Engine
 
@@ -77,33 +77,33 @@
 	parts    [][]byte
 	quit     chan struct{}
 	board    *board // where operators call; else nil
-	mates    Mates  // nil: this relay keeps nothing and knows no other
+	mates    Fleet  // nil: this relay keeps nothing and knows no other
 
 	listener *net.TCPListener
-	seat     *hotrestart.Seat // among the processes of this relay; nil: there can be no other
+	seat     *hotrestart.Slot // among the processes of this relay; nil: there can be no other
 	younger  int              // number of the one that was left to
 	other    int              // of the one that is there, and nearest; 0: none
 	passing  passing
-	parted   *Passed // and
-	adopted  uint64  // of the event that is carried out
-	clients  uint64  // accepted or adopted
-	besides  Event   // who was there at the last look
+	parted   *TransferredSession // and
+	adopted  uint64              // of the event that is carried out
+	clients  uint64              // accepted or adopted
+	besides  Event               // who was there at the last look
 }
 
-// Mates is what this relay keeps and hears from others. Of what is told, nothing may wait for any of them.
-type Mates interface {
+// Fleet is what this relay keeps and hears from others. Of what is told, nothing may wait for any of them.
+type Fleet interface {
 	// Start begins: tell gives the relay an event; seen, kept and looked ask it how it fares, what it knows
 	// and what it has seen of zones.
-	Start(now float64, tell func(Event), seen func() Seen, kept func() *Kept,
-		looked func() (map[string]balancer.ZoneLook, float64)) error
-	// Order takes an operators' order to empty the relay, or take it back to work; an error says what is
+	Start(now float64, tell func(Event), seen func() Status, kept func() *Snapshot,
+		looked func() (map[string]balancer.ZoneObservation, float64)) error
+	// SetDraining takes an operators' order to empty the relay, or take it back to work; an error says what is
 	// missing.
-	Order(lame bool) error
-	// Trust has others hold something (Entrust), or no more (Release), or seeks what they hold (Claim). It waits
+	SetDraining(lame bool) error
+	// Replicate has others hold something (Entrust), or no more (Release), or seeks what they hold (Claim). It waits
 	// for nothing: events follow.
-	Trust(f Effect)
-	// Held shows one part of what is held for others, to be told as JSON; nil where nothing is.
-	Held(part int) any
+	Replicate(f Effect)
+	// ReplicationPage shows one part of what is held for others, to be told as JSON; nil where nothing is.
+	ReplicationPage(part int) any
 	Status() any
 	Stop()
 }
@@ -111,7 +111,7 @@
 // Serve runs the relay until it has stopped, with its mates where it has some. Again reads anew what the
 // relay is told, and gives what is to be done besides once that is found to be right as a whole; stop, print
 // and reload bring the signals.
-func Serve(t *Told, mates Mates, again func() (*Told, func(), error), log *slog.Logger,
+func Serve(t *Config, mates Fleet, again func() (*Config, func(), error), log *slog.Logger,
 	stop, print, reload <-chan struct{}) error {
 	now := time.Now()
 	s := &Sockets{log: log, base: now, baseMS: float64(t.Clock().UnixMicro()) / 1000, open: map[uint64]*socket{},
@@ -126,10 +126,10 @@
 	s.reducer = reducer
 	s.freed = sync.NewCond(&s.mutex)
 	s.discovery = newDiscovery(s.take)
-	s.timer = time.AfterFunc(time.Hour, func() { s.take(Event{Kind: Tick}) })
+	s.timer = time.AfterFunc(time.Hour, func() { s.take(Event{Kind: TimerFired}) })
 	logging.SetLogger(nbioLog{log})
-	if t.Sockets > 0 {
-		nbio.MaxOpenFiles = max(t.Sockets, 64)
+	if t.MaxSockets > 0 {
+		nbio.MaxOpenFiles = max(t.MaxSockets, 64)
 	}
 	s.engine = nbio.NewEngine(nbio.Config{NPoller: 1, ReadBufferSize: readPiece, MaxWriteBufferSize: mostUnread})
 	buffer := make([]byte, readPiece) // one poller reads, so one buffer serves all
@@ -140,16 +140,16 @@
 		return fmt.Errorf("poll: %w", err)
 	}
 	var called net.Listener
-	if t.Ops != "" {
-		if called, err = net.Listen("tcp", t.Ops); err != nil {
+	if t.AdminAddress != "" {
+		if called, err = net.Listen("tcp", t.AdminAddress); err != nil {
 			return fmt.Errorf("ops: %w", err)
 		}
 		s.board = newBoard(reducer)
 	}
 	if s.seat != nil {
-		s.said(s.seat.Takes(s.adopt))
+		s.said(s.seat.ServeSessions(s.adopt))
 	}
-	s.take(Event{Kind: Tick})
+	s.take(Event{Kind: TimerFired})
 	if s.mates = mates; mates != nil {
 		if err := mates.Start(s.now(), s.take, s.looks, s.keeps, s.lookedAt); err != nil {
 			return err
@@ -160,7 +160,7 @@
 		go admin.Serve(called, calls{s, s.board}, log)
 	}
 	go s.accept()
-	log.Info("serving", "name", t.Name, "listen", s.listener.Addr().String(), "backends", len(t.Known.Entries))
+	log.Info("serving", "name", t.Name, "listen", s.listener.Addr().String(), "backends", len(t.InitialEndpoints.Endpoints))
 	var look <-chan time.Time
 	if s.seat != nil {
 		look = time.Tick(lookEvery)
@@ -172,7 +172,7 @@
 		case <-stop:
 			yield := s.seat != nil && s.look().Ready
 			log.Info("stopping", "for a younger process", yield)
-			s.take(Event{Kind: Stop, Yield: yield})
+			s.take(Event{Kind: ShutdownRequested, YieldToChild: yield})
 			stop = nil
 		case <-print:
 			s.counters("asked")
@@ -188,28 +188,28 @@
 }
 
 // looks and keeps ask the reducer between two events.
-func (s *Sockets) looks() Seen {
+func (s *Sockets) looks() Status {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.reducer.Seen(s.now())
+	return s.reducer.Status(s.now())
 }
 
-func (s *Sockets) lookedAt() (map[string]balancer.ZoneLook, float64) {
+func (s *Sockets) lookedAt() (map[string]balancer.ZoneObservation, float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.reducer.Looked(s.now())
+	return s.reducer.ZoneObservations(s.now())
 }
 
-func (s *Sockets) keeps() *Kept {
+func (s *Sockets) keeps() *Snapshot {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.reducer.Kept()
+	return s.reducer.Snapshot()
 }
 
 // sit has the clients' socket: the platform's, or one of its own. Where the platform holds it, another
 // process of this relay may serve already; what it leaves is read here, and the start goes on without it
 // where it can't be.
-func (s *Sockets) sit(t *Told) error {
+func (s *Sockets) sit(t *Config) error {
 	if t.SocketFD == 0 {
 		l, err := net.Listen("tcp", t.Listen)
 		if err != nil {
@@ -219,21 +219,21 @@
 		return nil
 	}
 	var err error
-	if s.listener, err = hotrestart.Listener(t.SocketFD); err != nil {
+	if s.listener, err = hotrestart.InheritListener(t.SocketFD); err != nil {
 		return fmt.Errorf("RELAY_SOCKET_FD: %w", err)
 	}
-	if s.seat, err = hotrestart.Sit(t.Dir); err != nil {
+	if s.seat, err = hotrestart.Acquire(t.SharedDir); err != nil {
 		s.log.Warn("no seat beside other processes of this relay", "err", err)
 		return nil
 	}
-	elder, _ := s.seat.Others()
-	if t.Elder = elder.Number > 0; !t.Elder {
+	elder, _ := s.seat.Siblings()
+	if t.HasParent = elder.Number > 0; !t.HasParent {
 		return nil
 	}
-	s.besides.Elder, s.other = true, elder.Number
-	text, err := s.seat.Left(leftWait)
+	s.besides.HasParent, s.other = true, elder.Number
+	text, err := s.seat.ReceiveHandoff(leftWait)
 	if err == nil {
-		t.Left, err = ReadHandover(text, s.now())
+		t.Handoff, err = ParseHandoff(text, s.now())
 	}
 	if err != nil {
 		s.log.Warn("nothing of what the elder process knew", "err", err)
@@ -242,18 +242,18 @@
 }
 
 // look sees who else is there, and tells the reducer what is new.
-func (s *Sockets) look() (younger hotrestart.Other) {
-	elder, younger := s.seat.Others()
+func (s *Sockets) look() (younger hotrestart.Process) {
+	elder, younger := s.seat.Siblings()
 	fresh := younger.Number > 0 && younger.Number != s.younger && !younger.Ready
-	e := Event{Kind: Beside, Elder: elder.Number > 0, Younger: younger.Number > 0, Leave: fresh}
-	if fresh || e.Elder != s.besides.Elder || e.Younger != s.besides.Younger {
+	e := Event{Kind: SiblingProcessesChanged, HasParent: elder.Number > 0, HasChild: younger.Number > 0, WantsHandoff: fresh}
+	if fresh || e.HasParent != s.besides.HasParent || e.HasChild != s.besides.HasChild {
 		s.younger, s.besides = younger.Number, e
 		s.take(e)
 	}
 	if s.other = max(elder.Number, younger.Number); s.other > 0 {
-		var news *News
-		if text, err := s.seat.Told(); err == nil && json.Unmarshal(text, &news) == nil && news != nil {
-			s.take(Event{Kind: Confided, News: news})
+		var news *EndpointUpdate
+		if text, err := s.seat.ReceiveMessage(); err == nil && json.Unmarshal(text, &news) == nil && news != nil {
+			s.take(Event{Kind: SiblingEndpointsUpdated, Endpoints: news})
 		}
 	}
 	return younger
@@ -275,25 +275,25 @@
 }
 
 // reloaded is the event of one reload. The file is checked whole, by the same steps as at the start.
-func (s *Sockets) reloaded(t *Told, besides func(), err error) Event {
+func (s *Sockets) reloaded(t *Config, besides func(), err error) Event {
 	if err == nil {
 		_, err = New(0, t)
 	}
 	if err != nil {
-		return Event{Kind: Reload, Err: err}
+		return Event{Kind: ConfigReloaded, Err: err}
 	}
 	besides()
-	return Event{Kind: Reload, Text: t.Discovery}
+	return Event{Kind: ConfigReloaded, Address: t.Discovery}
 }
 
 func (s *Sockets) counters(why string) {
 	s.mutex.Lock()
-	c, beliefs := s.reducer.Counters, s.reducer.Beliefs(s.now())
+	c, beliefs := s.reducer.Counters, s.reducer.BackendStatuses(s.now())
 	s.mutex.Unlock()
 	c.Log(s.log, why)
 	for _, b := range beliefs {
-		s.log.Info("backend", "name", b.Name, "standing", b.Standing, "trying", b.Trying, "booked", b.Booked,
-			"report age ms", math.Round(b.ReportAge), "out", b.Out)
+		s.log.Info("backend", "name", b.Name, "standing", b.Established, "trying", b.Attempts, "booked", b.Reserved,
+			"report age ms", math.Round(b.ReportAgeMillis), "out", b.Ejected)
 	}
 }
 
@@ -311,7 +311,7 @@
 
 // tell does so where the lock is held. The figures are published first: who has seen an effect finds it counted.
 func (s *Sockets) tell(e Event) {
-	effects := s.reducer.Take(s.now(), e)
+	effects := s.reducer.Handle(s.now(), e)
 	if s.board != nil {
 		s.board.publish(s.reducer)
 	}
@@ -320,26 +320,26 @@
 
 func (s *Sockets) carryOut(effects []Effect) {
 	for i := 0; i < len(effects); i++ {
-		switch e := effects[i]; e.Do {
+		switch e := effects[i]; e.Kind {
 		case Dial:
 			s.dial(e.Conn, e.Peer, e.Text)
 		case Write:
 			// Lines that go to one connection in a row go out together.
-			s.parts = append(s.parts[:0], e.Parts...)
-			for ; i+1 < len(effects) && effects[i+1].Do == Write && effects[i+1].Conn == e.Conn; i++ {
-				s.parts = append(s.parts, effects[i+1].Parts...)
+			s.parts = append(s.parts[:0], e.Chunks...)
+			for ; i+1 < len(effects) && effects[i+1].Kind == Write && effects[i+1].Conn == e.Conn; i++ {
+				s.parts = append(s.parts, effects[i+1].Chunks...)
 			}
 			s.write(e.Conn, s.parts)
-		case End, Break:
-			s.end(e.Conn, e.Do)
-		case Arm:
+		case Close, Reset:
+			s.end(e.Conn, e.Kind)
+		case SetTimer:
 			s.timer.Reset(time.Duration(max(e.At-s.now(), 0) * float64(time.Millisecond)))
-		case Watch:
-			s.discovery.watch(e.Text, e.Conn, e.After)
-		case Unwatch:
+		case StartWatch:
+			s.discovery.watch(e.Text, e.Conn, e.AfterIndex)
+		case StopWatch:
 			s.discovery.stop()
-		case Hold, Free:
-			s.held = e.Do == Hold
+		case PauseAccept, ResumeAccept:
+			s.held = e.Kind == PauseAccept
 			s.freed.Broadcast()
 			if s.ending {
 				continue // the listener's deadline is that of its last connections
@@ -349,30 +349,30 @@
 			} else {
 				s.listener.SetDeadline(time.Time{})
 			}
-		case Note:
+		case Log:
 			s.log.Info(e.Text, e.Args...)
-		case Ready:
+		case AnnounceReady:
 			if s.seat != nil {
-				s.said(s.seat.Ready())
+				s.said(s.seat.MarkReady())
 			}
-		case Bequeath:
-			number, left := s.younger, e.Left
-			s.work.do(func() { s.leaves(s.seat.Leave, number, left) })
-		case Confide:
-			if number, told := s.other, e.News; number > 0 {
-				s.work.do(func() { s.leaves(s.seat.Tell, number, told) })
+		case SendHandoff:
+			number, left := s.younger, e.Handoff
+			s.work.do(func() { s.leaves(s.seat.SendHandoff, number, left) })
+		case SendEndpoints:
+			if number, told := s.other, e.Endpoints; number > 0 {
+				s.work.do(func() { s.leaves(s.seat.SendMessage, number, told) })
 			}
-		case Pass:
+		case TransferSession:
 			client, server := e.Conn, e.Peer
 			s.passing.pending.Add(1)
 			s.work.do(func() { s.pass(client, server) })
-		case Parted:
-			s.parted = e.Passed
-		case Adopted:
+		case SessionDetached:
+			s.parted = e.Session
+		case SessionAccepted:
 			s.adopted = e.Peer
-		case Entrust, Claim, Release:
-			s.mates.Trust(e)
-		case Quit:
+		case Replicate, Lookup, Release:
+			s.mates.Replicate(e)
+		case Exit:
 			close(s.quit)
 		}
 	}
@@ -410,25 +410,25 @@
 	s.clients++
 	conn := s.clients
 	s.mutex.Unlock()
-	s.hold(conn, plain, Opened)
+	s.hold(conn, plain, ConnAccepted)
 	return true
 }
 
 // hold gives a connection to nbio, unless it was given up meanwhile, and tells whether it did. A client's is told
 // of before its first bytes can be.
-func (s *Sockets) hold(conn uint64, plain net.Conn, kind Kind) bool {
+func (s *Sockets) hold(conn uint64, plain net.Conn, kind EventKind) bool {
 	nb, err := nbio.NBConn(plain)
 	if err != nil {
 		plain.Close()
-		if kind == Up {
-			s.take(Event{Kind: Over, Conn: conn, Broken: true})
+		if kind == ConnEstablished {
+			s.take(Event{Kind: ConnClosed, Conn: conn, Reset: true})
 		}
 		return false
 	}
 	c := &socket{conn: conn, nb: nb}
 	nb.SetSession(c)
 	s.mutex.Lock()
-	if _, wanted := s.dialing[conn]; kind == Up && !wanted {
+	if _, wanted := s.dialing[conn]; kind == ConnEstablished && !wanted {
 		s.mutex.Unlock()
 		nb.Close()
 		return false
@@ -437,7 +437,7 @@
 	s.limitClosing(1)
 	s.open[conn] = c
 	s.mutex.Unlock()
-	if kind == Opened {
+	if kind == ConnAccepted {
 		s.take(Event{Kind: kind, Conn: conn})
 	}
 	s.mutex.Lock()
@@ -447,7 +447,7 @@
 	}
 	s.mutex.Unlock()
 	if err != nil {
-		s.take(Event{Kind: Over, Conn: conn, Broken: true})
+		s.take(Event{Kind: ConnClosed, Conn: conn, Reset: true})
 	}
 	return err == nil
 }
@@ -469,7 +469,7 @@
 				return
 			}
 		case n > 0:
-			s.take(Event{Kind: Came, Conn: c.conn, Data: buffer[:n]})
+			s.take(Event{Kind: DataReceived, Conn: c.conn, Data: buffer[:n]})
 		case err == nil:
 			nb.CloseWithError(io.EOF)
 			return
@@ -493,8 +493,8 @@
 		s.mutex.Lock()
 		s.forgetSocket(c)
 		s.mutex.Unlock()
-		s.take(Event{Kind: Over, Conn: c.conn, Broken: err != nil && !errors.Is(err, io.EOF),
-			Unsent: c.unsent.Load() > 0, Slow: errors.Is(err, nbio.ErrOverflow)})
+		s.take(Event{Kind: ConnClosed, Conn: c.conn, Reset: err != nil && !errors.Is(err, io.EOF),
+			Unsent: c.unsent.Load() > 0, SlowReader: errors.Is(err, nbio.ErrOverflow)})
 	})
 }
 
--- a/internal/relay/sockets_test.go
+++ b/internal/relay/sockets_test.go
@@ -95,15 +95,15 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.write(1, parts)
-	s.end(1, End)
+	s.end(1, Close)
 }
 
 // serving gives them a relay with one backend, to which it can't connect.
 func serving(t *testing.T, s *Sockets) {
 	values, err := settings.Flatten([]byte(told))
 	require.NoError(t, err)
-	reducer, err := New(s.now(), &Told{Settings: values, Discovery: "127.0.0.1:1",
-		Known: &News{Whole: true, Entries: entries([]string{"b1=active"})}})
+	reducer, err := New(s.now(), &Config{Settings: values, Discovery: "127.0.0.1:1",
+		InitialEndpoints: &EndpointUpdate{Complete: true, Endpoints: entries([]string{"b1=active"})}})
 	require.NoError(t, err)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -231,7 +231,7 @@
 		delete(s.open, 1)
 		k.conn = uint64(i + 1)
 		s.open[k.conn] = k
-		s.end(k.conn, End)
+		s.end(k.conn, Close)
 		assert.LessOrEqual(t, len(s.open), spareClosing)
 		s.mutex.Unlock()
 		clients = append(clients, in)
@@ -272,9 +272,9 @@
 			defer backend.Close()
 			s.reducer.backends["b1"].Address = backend.Addr().String()
 			in := connectUnpolled(t, s)
-			s.take(Event{Kind: Opened, Conn: 1})
+			s.take(Event{Kind: ConnAccepted, Conn: 1})
 			c.leave(in)
-			s.take(Event{Kind: Came, Conn: 1, Data: []byte("OPEN a 1f c=feed,t=one,d=2000\r\n")})
+			s.take(Event{Kind: DataReceived, Conn: 1, Data: []byte("OPEN a 1f c=feed,t=one,d=2000\r\n")})
 			server, err := backend.Accept()
 			require.NoError(t, err)
 			server.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -341,7 +341,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	assert.Empty(t, s.open)
-	assert.Zero(t, s.reducer.Tries)
+	assert.Zero(t, s.reducer.Attempts)
 }
 
 // A dial that is given up ends at once, though its peer says nothing: here a listener that is full.
--- a/internal/relay/standing.go
+++ b/internal/relay/standing.go
@@ -23,14 +23,14 @@
 )
 
 // resume asks the backend that has the link already.
-func (r *Reducer) resume(l *link) {
+func (r *StateMachine) resume(l *link) {
 	l.stage = resuming
 	l.giveUp = r.now + resumeTime
 	r.resumeTry(l)
 }
 
-func (r *Reducer) resumeTry(l *link) {
-	b := r.backends[string(l.head.At)]
+func (r *StateMachine) resumeTry(l *link) {
+	b := r.backends[string(l.head.StickyBackend)]
 	if b == nil || b.Address == "" {
 		r.resumeLater(l)
 		return
@@ -40,9 +40,9 @@
 
 // resumeLater tries again, as a link that stood is lost if its backend isn't found; at the end it is an
 // error.
-func (r *Reducer) resumeLater(l *link) {
+func (r *StateMachine) resumeLater(l *link) {
 	if r.now+resumeGap >= l.giveUp {
-		r.Carry(l, balancer.Answer{Verdict: balancer.Fail})
+		r.Execute(l, balancer.Decision{Kind: balancer.Fail})
 		return
 	}
 	l.quiet.fire = func() { r.resumeTry(l) }
@@ -50,25 +50,25 @@
 }
 
 // stand takes that the backend has the link.
-func (r *Reducer) stand(l *link, line []byte) {
+func (r *StateMachine) stand(l *link, line []byte) {
 	if l.client == nil { // gone, with a setup try that might not be called off
-		r.tryOver(l, ClientBroke)
+		r.tryOver(l, ClientReset)
 		return
 	}
 	c := l.server
 	r.disarm(&c.wait)
 	if l.stage == resuming {
-		r.Resumed++
-		r.table.Balancer.Resumed(r.now, &l.Link.Link, c.backend.id)
+		r.Reestablished++
+		r.table.Balancer.SessionResumed(r.now, &l.Entry.Session, c.backend.id)
 	} else {
-		r.Satisfied++
-		r.table.Balancer.Accepted(r.now, &l.Link.Link)
+		r.Succeeded++
+		r.table.Balancer.SessionEstablished(r.now, &l.Entry.Session)
 		r.unmarks(l)
 		r.stood(l)
 	}
-	r.answers[l.Category].served++
+	r.answers[l.Class].served++
 	r.write(l.client, line)
-	l.head = protocol.Head{}
+	l.head = protocol.Request{}
 	r.stands(l)
 	if r.yielded {
 		r.pass(l)
@@ -81,19 +81,19 @@
 }
 
 // stands is what holds of every link from when it stands.
-func (r *Reducer) stands(l *link) {
+func (r *StateMachine) stands(l *link) {
 	l.stage = standing
-	r.Standing++
+	r.Established++
 	b := l.server.backend
 	b.links = append(b.links, l)
-	l.quiet.fire = func() { r.move(l, FellSilent) }
-	l.leave.fire = func() { r.move(l, MovedAway) }
-	l.client.wait.fire = func() { r.move(l, MovedAway) }
+	l.quiet.fire = func() { r.move(l, BackendSilent) }
+	l.leave.fire = func() { r.move(l, RelayMovedClient) }
+	l.client.wait.fire = func() { r.move(l, RelayMovedClient) }
 	r.arm(&l.client.wait, r.now+idleClient)
 }
 
-func (r *Reducer) toServer(l *link, data []byte) {
-	r.Pieces++
+func (r *StateMachine) toServer(l *link, data []byte) {
+	r.ClientChunks++
 	r.write(l.server, data)
 	r.arm(&l.client.wait, r.now+idleClient)
 	if l.quiet.place == 0 {
@@ -102,13 +102,13 @@
 }
 
 // fromServer passes whole lines on, so that a line of the relay's own always falls between two of them.
-func (r *Reducer) fromServer(l *link, data []byte) {
+func (r *StateMachine) fromServer(l *link, data []byte) {
 	l.server.backend.heard = r.now
 	for len(data) > 0 && l.stage == standing && !l.ending {
 		line, rest, err := l.server.in.Next(data)
 		if err != nil {
 			r.note("line too long from a backend", "backend", l.server.backend.Name)
-			r.finish(l, BadAnswer, Break)
+			r.finish(l, MalformedAnswer, Reset)
 			return
 		}
 		if line == nil {
@@ -116,48 +116,48 @@
 		}
 		data = rest
 		r.disarm(&l.quiet)
-		r.Lines++
+		r.BackendLines++
 		r.write(l.client, line)
-		switch verb, said := protocol.Verb(line); string(verb) {
+		switch verb, said := protocol.CutVerb(line); string(verb) {
 		case "LOAD":
-			if load, ok := protocol.Load(said); ok {
-				r.table.Balancer.Weighed(&l.Link.Link, load)
+			if load, ok := protocol.ParseLoad(said); ok {
+				r.table.Balancer.LoadMeasured(&l.Entry.Session, load)
 			}
 		case "BYE":
 			if r.reports {
 				r.reported(l.server.backend, said)
 			}
-			r.endsSoon(l, ServedOut)
+			r.endsSoon(l, BackendFinished)
 		case "MOVE":
-			r.endsSoon(l, SentAway)
+			r.endsSoon(l, BackendMovedClient)
 		}
 	}
 }
 
 // endsSoon takes the backend's word that the link is over. What it sends after that is dropped.
-func (r *Reducer) endsSoon(l *link, how Ending) {
+func (r *StateMachine) endsSoon(l *link, how EndReason) {
 	l.last, l.ending = how, true
-	l.quiet.fire = func() { r.finish(l, how, End) }
+	l.quiet.fire = func() { r.finish(l, how, Close) }
 	r.arm(&l.quiet, r.now+endTime)
 }
 
-func (r *Reducer) serverOver(l *link, e Event) {
+func (r *StateMachine) serverOver(l *link, e Event) {
 	switch {
 	case l.ending:
-		r.finish(l, l.last, End)
-	case e.Slow:
-		r.finish(l, SlowReader, Break)
-	case e.Broken:
-		r.finish(l, BrokeUp, Break)
+		r.finish(l, l.last, Close)
+	case e.SlowReader:
+		r.finish(l, SlowReader, Reset)
+	case e.Reset:
+		r.finish(l, BackendClosed, Reset)
 	default:
-		r.finish(l, BrokeUp, End)
+		r.finish(l, BackendClosed, Close)
 	}
 }
 
 // finish ends a link that stood, on whichever sides are still open.
-func (r *Reducer) finish(l *link, how Ending, both Do) {
-	r.Endings[how]++
-	r.Standing--
+func (r *StateMachine) finish(l *link, how EndReason, both EffectKind) {
+	r.EndReasons[how]++
+	r.Established--
 	r.leavesFor(l, how)
 	b := l.server.backend
 	b.links = slices.DeleteFunc(b.links, func(other *link) bool { return other == l })
@@ -166,46 +166,46 @@
 		r.forget(l.client, both)
 	}
 	r.forget(l.server, both)
-	r.table.After(r.now, l, how.outcome(), true)
+	r.table.AttemptFinished(r.now, l, how.outcome(), true)
 }
 
 // silent has the clients of a backend that answers neither probes nor lines come again elsewhere, where the
 // module holds it to be lost. A line that waits for its answer must show it: a backend may tire of probes.
-func (r *Reducer) silent(b *backend) {
+func (r *StateMachine) silent(b *backend) {
 	quiet := 0.0
 	for _, l := range b.links {
 		if l.quiet.place > 0 && !l.ending {
 			quiet = max(quiet, r.now-l.quiet.at+silence)
 		}
 	}
-	if !r.table.Balancer.Lost(b.id, min(quiet, r.now-b.heard)) {
+	if !r.table.Balancer.IsUnresponsive(b.id, min(quiet, r.now-b.heard)) {
 		return
 	}
 	r.note("backend fell silent", "backend", b.Name, "links", len(b.links))
 	for _, l := range slices.Clone(b.links) {
-		r.move(l, FellSilent)
+		r.move(l, BackendSilent)
 	}
 }
 
 // move has the client come again elsewhere. One that its backend has said the last word to is only ended.
-func (r *Reducer) move(l *link, why Ending) {
+func (r *StateMachine) move(l *link, why EndReason) {
 	switch {
 	case l.stage == parting: // its word may be another process's to say
 		r.arm(&l.leave, r.now+partGap)
 		return
 	case l.ending:
-		r.finish(l, l.last, End)
+		r.finish(l, l.last, Close)
 		return
 	}
-	r.Pushed++
+	r.Migrated++
 	r.write(l.client, []byte("MOVE\r\n"))
-	r.finish(l, why, End)
+	r.finish(l, why, Close)
 }
 
 // stop begins the relay's planned stop: what comes is served, what stands is moved once clients are dealt
 // elsewhere, and all is answered before the kill can come. To a younger process that is ready all clients are
 // left at once: against some that this one takes last, to be moved as soon as they stand.
-func (r *Reducer) stop(yield bool) {
+func (r *StateMachine) stop(yield bool) {
 	if r.stopping {
 		return
 	}
@@ -218,12 +218,12 @@
 
 // lameDuck empties the relay as a stop does, but for its end, or takes it back to work. A stop goes before
 // it.
-func (r *Reducer) lameDuck(on bool) {
+func (r *StateMachine) lameDuck(on bool) {
 	if r.stopping || r.lame == on {
 		return
 	}
 	r.lame = on
-	r.note("lame duck", "on", on, "standing", r.Standing)
+	r.note("lame duck", "on", on, "standing", r.Established)
 	if on {
 		r.empty()
 		return
@@ -238,14 +238,14 @@
 }
 
 // leaves has a link go that stands on a backend which goes, if it is not told yet.
-func (r *Reducer) leaves(b *backend, l *link, nth int) {
+func (r *StateMachine) leaves(b *backend, l *link, nth int) {
 	if b.condition != balancer.Ready && l.leave.place == 0 {
-		r.arm(&l.leave, r.now+r.table.Balancer.Leave(nth, len(b.links), 0))
+		r.arm(&l.leave, r.now+r.table.Balancer.DrainDelay(nth, len(b.links), 0))
 	}
 }
 
 // empty has what stands moved over the time that the module gives, and whatever is left then answered.
-func (r *Reducer) empty() {
+func (r *StateMachine) empty() {
 	r.stopAt = r.now
 	var all []*link
 	for _, c := range r.clients() {
@@ -268,37 +268,37 @@
 }
 
 // stopTime is how long a stop takes at the most.
-func (r *Reducer) stopTime() float64 { return min(r.longest, stopWait) + lastWord }
+func (r *StateMachine) stopTime() float64 { return min(r.longest, stopWait) + lastWord }
 
 // leaveAt is when the nth of so many standing links is moved at a stop.
-func (r *Reducer) leaveAt(nth, of int) float64 {
-	return r.stopAt + lastComers + r.table.Balancer.Leave(nth, of, r.stopTime()-lastComers)
+func (r *StateMachine) leaveAt(nth, of int) float64 {
+	return r.stopAt + lastComers + r.table.Balancer.DrainDelay(nth, of, r.stopTime()-lastComers)
 }
 
 // emptyNow answers and moves whatever is left.
-func (r *Reducer) emptyNow() {
+func (r *StateMachine) emptyNow() {
 	for _, c := range r.clients() {
 		switch l := c.link; l.stage {
 		case heading:
-			r.refuse(l, NoHead, r.busy())
+			r.refuse(l, RequestTimedOut, r.busy())
 		case standing:
-			r.move(l, MovedAway)
+			r.move(l, RelayMovedClient)
 		case resuming:
 			if l.server != nil {
-				r.forget(l.server, End)
+				r.forget(l.server, Close)
 			}
-			r.Carry(l, balancer.Answer{Verdict: balancer.Fail})
+			r.Execute(l, balancer.Decision{Kind: balancer.Fail})
 		case trying:
-			l.Limit = r.now // so that the module gives it up
-			r.tryOver(l, NoAnswer)
+			l.Deadline = r.now // so that the module gives it up
+			r.tryOver(l, AttemptTimedOut)
 		case entrusting:
 			r.entrusted(c.conn, false)
 		case asking:
-			l.Limit = r.now
+			l.Deadline = r.now
 			r.place(l)
 		case placing:
-			l.Limit = r.now
-			r.table.Place(r.now, l)
+			l.Deadline = r.now
+			r.table.Assign(r.now, l)
 		}
 	}
 	if r.stopping {
@@ -307,7 +307,7 @@
 }
 
 // idle tells whether nobody waits for anything: no link, and no client whose head may be on its way.
-func (r *Reducer) idle() bool {
+func (r *StateMachine) idle() bool {
 	if r.links > 0 {
 		return false
 	}
@@ -320,15 +320,15 @@
 }
 
 // leave has the program exit, once.
-func (r *Reducer) leave() {
+func (r *StateMachine) leave() {
 	if !r.quit {
 		r.quit = true
-		r.do(Effect{Do: Quit})
+		r.do(Effect{Kind: Exit})
 	}
 }
 
 // clients are the clients' connections in the order they came.
-func (r *Reducer) clients() []*end {
+func (r *StateMachine) clients() []*end {
 	var all []*end
 	for _, c := range r.ends {
 		if c.backend == nil {
--- a/internal/relay/succession.go
+++ b/internal/relay/succession.go
@@ -19,55 +19,55 @@
 	besideFiles     = 18      // descriptors of a process that has no connection: 13 idle, the watch, the way
 )
 
-// Handover is what the elder process leaves to the younger. Fields that are not known are passed over, so
+// Handoff is what the elder process leaves to the younger. Fields that are not known are passed over, so
 // that one of the same version may gain some; a change of their meaning is another version.
-type Handover struct {
-	Version int             `json:"Version"`
-	At      float64         `json:"At"`
-	List    *News           `json:"List"`
-	Module  balancer.Record `json:"Module"`
-	Names   []string        `json:"Names"` // of the module's servers, in its order
-	Files   int             `json:"Files"` // descriptors that the elder keeps to, what it needs besides connections included
-	Links   int             `json:"Links"` // and links
+type Handoff struct {
+	Version      int               `json:"Version"`
+	CreatedAt    float64           `json:"At"`
+	Endpoints    *EndpointUpdate   `json:"List"`
+	Balancer     balancer.Snapshot `json:"Module"`
+	BackendNames []string          `json:"Names"` // of the module's servers, in its order
+	Descriptors  int               `json:"Files"` // descriptors that the elder keeps to, what it needs besides connections included
+	Sessions     int               `json:"Links"` // and links
 }
 
-// ReadHandover reads what was left, and says why it can't be used.
-func ReadHandover(text []byte, now float64) (*Handover, error) {
-	h := &Handover{}
+// ParseHandoff reads what was left, and says why it can't be used.
+func ParseHandoff(text []byte, now float64) (*Handoff, error) {
+	h := &Handoff{}
 	if err := json.Unmarshal(text, h); err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	switch {
 	case h.Version != handoverVersion:
 		return nil, fmt.Errorf("handover: version %d expected, got %d", handoverVersion, h.Version)
-	case !(h.At <= now+handoverAge && h.At >= now-handoverAge):
-		return nil, fmt.Errorf("handover: of %.0f ms ago, %v at the most", now-h.At, handoverAge)
-	case h.List == nil || len(h.Names) != len(h.Module.Servers) || h.Files < 0 || h.Links < 0:
+	case !(h.CreatedAt <= now+handoverAge && h.CreatedAt >= now-handoverAge):
+		return nil, fmt.Errorf("handover: of %.0f ms ago, %v at the most", now-h.CreatedAt, handoverAge)
+	case h.Endpoints == nil || len(h.BackendNames) != len(h.Balancer.Backends) || h.Descriptors < 0 || h.Sessions < 0:
 		return nil, fmt.Errorf("handover: a field is missing or wrong")
 	}
-	h.List.Whole = true
+	h.Endpoints.Complete = true
 	return h, nil
 }
 
 // handover is what this process knows now.
-func (r *Reducer) handover() *Handover {
-	h := &Handover{Version: handoverVersion, At: r.now, List: r.listNow(),
-		Module: r.table.Balancer.Record(r.now), Files: r.most + r.besides(), Links: min(r.mostHeld, math.MaxInt32)}
-	kept := h.Module.Servers[:0]
-	for _, s := range h.Module.Servers {
+func (r *StateMachine) handover() *Handoff {
+	h := &Handoff{Version: handoverVersion, CreatedAt: r.now, Endpoints: r.listNow(),
+		Balancer: r.table.Balancer.Snapshot(r.now), Descriptors: r.most + r.besides(), Sessions: min(r.mostHeld, math.MaxInt32)}
+	kept := h.Balancer.Backends[:0]
+	for _, s := range h.Balancer.Backends {
 		if b := r.byID[s.ID]; b != nil {
-			kept, h.Names = append(kept, s), append(h.Names, b.Name)
+			kept, h.BackendNames = append(kept, s), append(h.BackendNames, b.Name)
 		}
 	}
-	h.Module.Servers = kept
+	h.Balancer.Backends = kept
 	return h
 }
 
 // begins takes the list told at the start, or the elder's where that is newer, and what the elder has learnt.
 // Against two lists in a row: the second would be discovery's to the module, which then asks for none.
-func (r *Reducer) begins(known *News) {
-	if r.left != nil && r.left.List.Index >= known.Index {
-		known = r.left.List
+func (r *StateMachine) begins(known *EndpointUpdate) {
+	if r.left != nil && r.left.Endpoints.Index >= known.Index {
+		known = r.left.Endpoints
 	}
 	r.apply(known)
 	if r.left == nil {
@@ -78,60 +78,60 @@
 	}
 }
 
-func (r *Reducer) inherit(h *Handover) error {
-	record := h.Module
-	record.Servers = nil
-	for i, s := range h.Module.Servers {
-		if b := r.backends[h.Names[i]]; b != nil {
+func (r *StateMachine) inherit(h *Handoff) error {
+	record := h.Balancer
+	record.Backends = nil
+	for i, s := range h.Balancer.Backends {
+		if b := r.backends[h.BackendNames[i]]; b != nil {
 			s.ID = b.id
-			record.Servers = append(record.Servers, s)
+			record.Backends = append(record.Backends, s)
 		}
 	}
-	if err := r.table.Balancer.Inherit(r.now, &record); err != nil {
+	if err := r.table.Balancer.Restore(r.now, &record); err != nil {
 		return err
 	}
-	r.note("took over what the elder process knew", "age ms", math.Round(r.now-h.At), "backends",
-		len(record.Servers))
+	r.note("took over what the elder process knew", "age ms", math.Round(r.now-h.CreatedAt), "backends",
+		len(record.Backends))
 	return nil
 }
 
 // beside takes which other processes of this relay are alive.
-func (r *Reducer) beside(e Event) {
-	if e.Younger != r.younger {
-		r.note("younger process", "there", e.Younger)
-		r.younger = e.Younger
-		r.table.Balancer.Yield(e.Younger) // it has the budgets from here on
-		if e.Younger {
+func (r *StateMachine) beside(e Event) {
+	if e.HasChild != r.younger {
+		r.note("younger process", "there", e.HasChild)
+		r.younger = e.HasChild
+		r.table.Balancer.SetDraining(e.HasChild) // it has the budgets from here on
+		if e.HasChild {
 			r.Subscribe()
 		}
 	}
-	if e.Elder != r.elder {
-		r.note("elder process", "there", e.Elder)
-		r.elder = e.Elder
+	if e.HasParent != r.elder {
+		r.note("elder process", "there", e.HasParent)
+		r.elder = e.HasParent
 	}
 	r.share()
-	if !e.Elder && !e.Younger && len(r.dismissed) > 0 {
+	if !e.HasParent && !e.HasChild && len(r.dismissed) > 0 {
 		r.watch() // what another process was told holds until discovery tells this one
 	}
-	if e.Younger && e.Leave {
-		r.do(Effect{Do: Bequeath, Left: r.handover()})
+	if e.HasChild && e.WantsHandoff {
+		r.do(Effect{Kind: SendHandoff, Handoff: r.handover()})
 	}
 }
 
 // confided takes the list that another process of this relay was told, as far as that is stricter than this
 // one's: servers that are to get nothing new, or have restarted. Against a discovery that tells one of the
 // two late: to who drains a server both are one relay.
-func (r *Reducer) confided(n *News) {
+func (r *StateMachine) confided(n *EndpointUpdate) {
 	if !r.younger && !r.elder {
 		return
 	}
-	told := map[string]Entry{}
-	for _, e := range n.Entries {
+	told := map[string]Endpoint{}
+	for _, e := range n.Endpoints {
 		told[e.Name] = e
 	}
 	was := r.dismissed
 	r.dismissed = map[string]bool{}
-	var changed []Entry
+	var changed []Endpoint
 	for _, b := range r.order {
 		e, there := told[b.Name]
 		dismissed := !there || e.Status != "active"
@@ -139,24 +139,24 @@
 			r.dismissed[b.Name] = true
 		}
 		if dismissed || was[b.Name] {
-			e = b.Entry
+			e = b.Endpoint
 		}
-		if e.Since > b.Since || dismissed != was[b.Name] {
+		if e.StartedAt > b.StartedAt || dismissed != was[b.Name] {
 			changed = append(changed, e)
 		}
 	}
 	if len(changed) > 0 {
-		r.apply(&News{Index: r.index, Entries: changed})
+		r.apply(&EndpointUpdate{Index: r.index, Endpoints: changed})
 	}
 }
 
 // besides is what another process needs for itself.
-func (r *Reducer) besides() int { return besideFiles + r.reserve - spareFiles }
+func (r *StateMachine) besides() int { return besideFiles + r.reserve - spareFiles }
 
 // share holds this process to its part of the descriptors and links while there is another: to what it has,
 // or half of what there is where that is more; the younger to the rest. What is kept for dials and the like
 // is there once for both.
-func (r *Reducer) share() {
+func (r *StateMachine) share() {
 	files, links := r.files, r.allHeld
 	half := (files - r.besides()) / 2
 	switch {
@@ -167,9 +167,9 @@
 		links = max(links/2, r.links)
 	case r.elder && r.left != nil:
 		if files < math.MaxInt {
-			files -= min(r.left.Files, files)
+			files -= min(r.left.Descriptors, files)
 		}
-		links -= min(r.left.Links, links)
+		links -= min(r.left.Sessions, links)
 	case r.elder:
 		if files < math.MaxInt {
 			files = half
@@ -186,29 +186,29 @@
 	}
 }
 
-// Passed is a link that stands, on its way from one process of the relay to another. The two may be of
+// TransferredSession is a link that stands, on its way from one process of the relay to another. The two may be of
 // different versions of the program, so that all is by name and the younger refuses what it doesn't know.
-type Passed struct {
-	Version  int     `json:"Version"`
-	ID       string  `json:"ID"`
-	Category string  `json:"Category"`
-	Party    string  `json:"Party"`
-	Key      uint64  `json:"Key"`
-	Group    uint64  `json:"Group"`
-	Backend  string  `json:"Backend"`
-	Load     float64 `json:"Load"`
-	Measured bool    `json:"Measured"`
-	Tail     []byte  `json:"Tail"`   // of a line whose end the backend has not sent yet
-	Waits    bool    `json:"Waits"`  // a line of the client's waits for its answer
-	Leaves   float64 `json:"Leaves"` // in so many milliseconds, as its backend goes; -1: it stays
-	Files    int     `json:"Files"`  // that the elder keeps to from now on
-	Links    int     `json:"Links"`  // and links
-	Frees    bool    `json:"Frees"`  // the elder says when it has let go of its own descriptors
+type TransferredSession struct {
+	Version         int     `json:"Version"`
+	ID              string  `json:"ID"`
+	Class           string  `json:"Category"`
+	Tenant          string  `json:"Party"`
+	Key             uint64  `json:"Key"`
+	Group           uint64  `json:"Group"`
+	Backend         string  `json:"Backend"`
+	Load            float64 `json:"Load"`
+	LoadMeasured    bool    `json:"Measured"`
+	PartialLine     []byte  `json:"Tail"`   // of a line whose end the backend has not sent yet
+	AwaitsReply     bool    `json:"Waits"`  // a line of the client's waits for its answer
+	LeavesInMillis  float64 `json:"Leaves"` // in so many milliseconds, as its backend goes; -1: it stays
+	Descriptors     int     `json:"Files"`  // that the elder keeps to from now on
+	Sessions        int     `json:"Links"`  // and links
+	ConfirmsRelease bool    `json:"Frees"`  // the elder says when it has let go of its own descriptors
 }
 
 // pass has the sockets pass the link on when they can.
-func (r *Reducer) pass(l *link) {
-	r.do(Effect{Do: Pass, Conn: l.client.conn, Peer: l.server.conn})
+func (r *StateMachine) pass(l *link) {
+	r.do(Effect{Kind: TransferSession, Conn: l.client.conn, Peer: l.server.conn})
 }
 
 func nameOf(names map[string]int, number int) string {
@@ -221,26 +221,26 @@
 }
 
 // part gives a link up for as long as it is on its way: nothing that is told of it counts until given.
-func (r *Reducer) part(conn uint64) {
+func (r *StateMachine) part(conn uint64) {
 	c := r.ends[conn]
 	if c == nil || c.link.stage != standing || c.link.ending {
 		return
 	}
 	l := c.link
 	l.stage = parting
-	p := &Passed{Version: handoverVersion, ID: l.id, Category: nameOf(r.categories, l.Category),
-		Party: nameOf(r.parties, l.Party), Key: l.Key, Group: l.Group, Backend: l.server.backend.Name,
-		Tail: l.server.in.Tail(), Waits: l.quiet.place > 0, Leaves: -1,
-		Files: perLink*(r.links+r.heads-1) + r.others + r.besides(), Links: r.links + r.heads - 1, Frees: true}
-	p.Load, p.Measured = l.Link.Link.Load()
+	p := &TransferredSession{Version: handoverVersion, ID: l.id, Class: nameOf(r.categories, l.Class),
+		Tenant: nameOf(r.parties, l.Tenant), Key: l.Key, Group: l.AffinityGroup, Backend: l.server.backend.Name,
+		PartialLine: l.server.in.Pending(), AwaitsReply: l.quiet.place > 0, LeavesInMillis: -1,
+		Descriptors: perLink*(r.links+r.heads-1) + r.others + r.besides(), Sessions: r.links + r.heads - 1, ConfirmsRelease: true}
+	p.Load, p.LoadMeasured = l.Entry.Session.Load()
 	if l.server.backend.condition != balancer.Ready && l.leave.place > 0 {
-		p.Leaves = max(l.leave.at-r.now, 0)
+		p.LeavesInMillis = max(l.leave.at-r.now, 0)
 	}
-	r.do(Effect{Do: Parted, Conn: conn, Passed: p})
+	r.do(Effect{Kind: SessionDetached, Conn: conn, Session: p})
 }
 
 // given takes that the younger process has the link, or that it stays.
-func (r *Reducer) given(conn uint64, gone bool) {
+func (r *StateMachine) given(conn uint64, gone bool) {
 	c := r.ends[conn]
 	if c == nil || c.link.stage != parting {
 		return
@@ -248,63 +248,63 @@
 	l := c.link
 	l.stage = standing
 	if gone {
-		r.finish(l, HandedOver, End) // the sockets have none of it any more
+		r.finish(l, TransferredToChild, Close) // the sockets have none of it any more
 	} else if l.broke {
-		r.finish(l, BrokeUp, Break)
+		r.finish(l, BackendClosed, Reset)
 	}
 }
 
 // adopt takes a link that stands from the elder process, with its part of the limits. One that is not known
 // to this process as it is to the elder is refused.
-func (r *Reducer) adopt(conn uint64, p *Passed) {
-	category, known := r.categories[p.Category]
-	party, named := r.parties[p.Party]
+func (r *StateMachine) adopt(conn uint64, p *TransferredSession) {
+	category, known := r.categories[p.Class]
+	party, named := r.parties[p.Tenant]
 	b := r.backends[p.Backend]
-	strange := p.Version != handoverVersion || !known || b == nil || (p.Party != "" && !named)
+	strange := p.Version != handoverVersion || !known || b == nil || (p.Tenant != "" && !named)
 	wrong := !(p.Load >= 0 && p.Load < math.MaxFloat64) || p.ID == "" || r.ids[p.ID] != nil
 	if strange || wrong || r.stopping {
-		r.note("refused a link of the elder process", "version", p.Version, "category", p.Category,
+		r.note("refused a link of the elder process", "version", p.Version, "category", p.Class,
 			"backend", p.Backend)
 		return
 	}
 	if left := r.left; left != nil {
 		// Against what the elder held at first keeping clients of this process waiting at the door while the elder
 		// waits for its last setup tries.
-		files, links := left.Files, left.Links
-		left.Files, left.Links = min(files, max(p.Files, 0)), min(links, max(p.Links, 0))
+		files, links := left.Descriptors, left.Sessions
+		left.Descriptors, left.Sessions = min(files, max(p.Descriptors, 0)), min(links, max(p.Sessions, 0))
 		r.share()
 		// And against links that leave no place at that door; they are moved.
 		if perLink*(r.links+1)+r.others > r.room || r.links >= r.mostHeld {
-			left.Files, left.Links = files, links
+			left.Descriptors, left.Sessions = files, links
 			r.share()
 			r.note("no room for a link of the elder process", "links", r.links)
 			return
 		}
 	}
 	l := &link{id: p.ID}
-	l.Category, l.Party, l.Key, l.Group = category, party, p.Key, p.Group
+	l.Class, l.Tenant, l.Key, l.AffinityGroup = category, party, p.Key, p.Group
 	if !named {
-		l.Party = len(r.parties)
+		l.Tenant = len(r.parties)
 	}
-	r.Handed++
+	r.SessionsReceived++
 	l.client = r.add(&end{conn: conn, link: l, since: r.now})
 	r.dials++
 	l.server = r.add(&end{conn: r.dials, backend: b, link: l, up: true})
-	l.server.in.Resume(p.Tail)
+	l.server.in.Restore(p.PartialLine)
 	r.links++
 	r.ids[l.id] = l
-	r.table.Balancer.Adopted(r.now, &l.Link.Link, b.id, p.Load, p.Measured)
+	r.table.Balancer.SessionReceived(r.now, &l.Entry.Session, b.id, p.Load, p.LoadMeasured)
 	r.stands(l)
-	if p.Waits {
+	if p.AwaitsReply {
 		r.arm(&l.quiet, r.now+silence)
 	}
 	switch {
-	case p.Leaves >= 0:
-		r.arm(&l.leave, r.now+p.Leaves)
+	case p.LeavesInMillis >= 0:
+		r.arm(&l.leave, r.now+p.LeavesInMillis)
 	case r.lame:
 		r.arm(&l.leave, max(r.now, r.leaveAt(0, 1)))
 	default:
 		r.leaves(b, l, len(b.links)-1)
 	}
-	r.do(Effect{Do: Adopted, Conn: conn, Peer: l.server.conn})
+	r.do(Effect{Kind: SessionAccepted, Conn: conn, Peer: l.server.conn})
 }
--- a/internal/relay/succession_test.go
+++ b/internal/relay/succession_test.go
@@ -15,16 +15,16 @@
 )
 
 // beside is the younger of two processes, which has been left what the elder knows, by the form of the file.
-func beside(t *testing.T, left *Handover, sockets int) *scene {
+func beside(t *testing.T, left *Handoff, sockets int) *scene {
 	if left != nil {
 		text, err := json.Marshal(left)
 		require.NoError(t, err)
-		left, err = ReadHandover(text, left.At+50)
+		left, err = ParseHandoff(text, left.CreatedAt+50)
 		require.NoError(t, err)
 	}
-	return begin(t, with(`"probes": false`, `"probes": true`), &Told{Seed: 6, Sockets: sockets,
-		Elder: true, Left: left,
-		Discovery: "10.1.0.1:85", Known: &News{Whole: true, Entries: entries([]string{"b9=active"})}})
+	return begin(t, with(`"probes": false`, `"probes": true`), &Config{Seed: 6, MaxSockets: sockets,
+		HasParent: true, Handoff: left,
+		Discovery: "10.1.0.1:85", InitialEndpoints: &EndpointUpdate{Complete: true, Endpoints: entries([]string{"b9=active"})}})
 }
 
 func TestYoungerProcess(t *testing.T) {
@@ -55,8 +55,8 @@
 		step{fitTime - 1, "heard 1", ""}, step{fitTime, "tick", "free"})
 	assert.True(t, s.serving())
 	bad := *old.left
-	bad.Module.Width = -1
-	s = begin(t, nil, &Told{Elder: true, Left: &bad, Discovery: "10.1.0.1:85", Known: &News{}})
+	bad.Balancer.ConcurrencyLimit = -1
+	s = begin(t, nil, &Config{HasParent: true, Handoff: &bad, Discovery: "10.1.0.1:85", InitialEndpoints: &EndpointUpdate{}})
 	assert.Contains(t, strings.Join(s.notes, " "), "what the elder process left is passed over")
 }
 
@@ -78,7 +78,7 @@
 	} {
 		text := strings.Replace(string(good), c.old, c.new, 1)
 		require.Equal(t, c.old == "", text == string(good), c.name)
-		_, err := ReadHandover([]byte(text), 1050)
+		_, err := ParseHandoff([]byte(text), 1050)
 		if c.want == "" {
 			assert.NoError(t, err, c.name)
 		} else {
@@ -104,7 +104,7 @@
 		conditions := func() (all string) {
 			for _, name := range []string{"b1", "b2", "b3", "b4"} {
 				b := s.backends[name]
-				all += fmt.Sprintf("%t@%.0f ", b.condition == balancer.Ready, b.Since)
+				all += fmt.Sprintf("%t@%.0f ", b.condition == balancer.Ready, b.StartedAt)
 			}
 			return all
 		}
@@ -113,7 +113,7 @@
 		s.at(2, "beside "+other)
 		s.at(10, "news 1 4 whole b1=active b2=active b3=active b4=active")
 		require.NotNil(t, s.confides)
-		assert.Len(t, s.confides.Entries, 4)
+		assert.Len(t, s.confides.Endpoints, 4)
 		s.at(20, "confided b1=leaving b3=active@15 b4=active")
 		want := "false@0 false@0 true@15 true@0 "
 		assert.Equal(t, want, conditions(), "b2 is not there any more, b3 has restarted")
@@ -147,7 +147,7 @@
 		step{1601, "given 1", "end 1; end s1"}, step{1602, "given 1", ""},
 		// And it does not wait for who asks only whether it is there.
 		step{1610, "given 2", "end 2; end s2; quit"})
-	assert.Equal(t, []uint64{2, 0}, []uint64{s.Endings[HandedOver], s.Pushed})
+	assert.Equal(t, []uint64{2, 0}, []uint64{s.EndReasons[TransferredToChild], s.Migrated})
 
 	s = open(t, nil, 0, "b1=active")
 	s.stands()
@@ -157,7 +157,7 @@
 	for now := 1010.0; now < 1000+s.stopTime() && !s.quit; now += 10 {
 		s.at(now, "tick")
 	}
-	assert.Equal(t, uint64(1), s.Pushed)
+	assert.Equal(t, uint64(1), s.Migrated)
 	s = open(t, nil, 0, "b1=active")
 	s.stands()
 	s.play("or ended, as it has broken meanwhile", step{200, "beside younger", "bequeath"},
@@ -191,8 +191,8 @@
 		whole, files := old.most, len(old.ends)
 		old.at(3, "beside younger")
 		assert.LessOrEqual(t, files, old.most, "held %d", held)
-		s := begin(t, with(`"may-cancel": true`, `"may-cancel": true, "most-held": 60`), &Told{Elder: true,
-			Left: old.left, Sockets: sockets, Discovery: "10.1.0.1:85", Known: &News{}})
+		s := begin(t, with(`"may-cancel": true`, `"may-cancel": true, "most-held": 60`), &Config{HasParent: true,
+			Handoff: old.left, MaxSockets: sockets, Discovery: "10.1.0.1:85", InitialEndpoints: &EndpointUpdate{}})
 		assert.LessOrEqual(t, old.most+s.most+s.reserve+s.besides(), sockets, "held %d", held)
 		assert.LessOrEqual(t, old.mostHeld+s.mostHeld, 60, "held %d", held)
 		assert.GreaterOrEqual(t, s.room, perLink, "held %d", held)
@@ -226,8 +226,8 @@
 		s := open(t, nil, 0, "b1=active")
 		s.parted = old.parted
 		s.play(c.name, step{1, "heard 1", ""}, step{105, "adopt 7", "adopted 7 s1"})
-		links, _, _ := s.table.Balancer.View(s.backends["b1"].id)
-		assert.Equal(t, []int{1, 1, 1}, []int{links, s.Standing, s.links}, c.name)
+		links, _, _ := s.table.Balancer.BackendStatus(s.backends["b1"].id)
+		assert.Equal(t, []int{1, 1, 1}, []int{links, s.Established, s.links}, c.name)
 		assert.Equal(t, "in_flight 1, backends_known 1", s.told(), "served by the other process")
 		s.at(3000, "heard 1")
 		s.now = 105
@@ -235,10 +235,10 @@
 		assert.Zero(t, s.links, c.name)
 		assert.Empty(t, s.ids, c.name)
 	}
-	for name, spoil := range map[string]func(*Passed){
-		"version": func(p *Passed) { p.Version = 9 }, "category": func(p *Passed) { p.Category = "x" },
-		"party": func(p *Passed) { p.Party = "x" }, "backend": func(p *Passed) { p.Backend = "b7" },
-		"load": func(p *Passed) { p.Load = math.NaN() }, "id": func(p *Passed) { p.ID = "" },
+	for name, spoil := range map[string]func(*TransferredSession){
+		"version": func(p *TransferredSession) { p.Version = 9 }, "category": func(p *TransferredSession) { p.Class = "x" },
+		"party": func(p *TransferredSession) { p.Tenant = "x" }, "backend": func(p *TransferredSession) { p.Backend = "b7" },
+		"load": func(p *TransferredSession) { p.Load = math.NaN() }, "id": func(p *TransferredSession) { p.ID = "" },
 	} {
 		bad := *old.parted
 		spoil(&bad)
@@ -272,8 +272,8 @@
 	names := []string{"b1=active", "b2=active", "b3=active", "b4=active", "b5=active", "b6=active", "b7=active",
 		"b8=active", "b9=active"}
 	probing := with(`"probes": false`, `"probes": true`)
-	old := begin(t, probing, &Told{Seed: 5, Sockets: sockets, Discovery: "10.1.0.1:85",
-		Known: &News{Index: 1, Whole: true, Entries: entries(names)}})
+	old := begin(t, probing, &Config{Seed: 5, MaxSockets: sockets, Discovery: "10.1.0.1:85",
+		InitialEndpoints: &EndpointUpdate{Index: 1, Complete: true, Endpoints: entries(names)}})
 	for i := 1; i <= 30; i++ {
 		id := strings.Repeat("i", i)
 		old.at(2, "open "+strconv.Itoa(i))
@@ -284,17 +284,17 @@
 			old.at(4, "came "+conn+" UP r|")
 		}
 	}
-	require.Greater(t, old.Standing, 20)
+	require.Greater(t, old.Established, 20)
 	old.at(100, "beside younger")
-	s := begin(t, probing, &Told{Seed: 6, Sockets: sockets, Elder: true, Left: old.left,
-		Discovery: "10.1.0.1:85",
-		Known:     &News{}})
+	s := begin(t, probing, &Config{Seed: 6, MaxSockets: sockets, HasParent: true, Handoff: old.left,
+		Discovery:        "10.1.0.1:85",
+		InitialEndpoints: &EndpointUpdate{}})
 	s.at(10, "news 1 5 whole "+strings.Join(names, " "))
 	for now := 100.0; now < 2600; now += 50 {
 		s.at(now, "tick")
 	}
 	assert.False(t, s.full, "%d connections of %d", len(s.ends), s.most)
-	assert.Less(t, s.Probes, uint64(200), "no spinning")
+	assert.Less(t, s.Polls, uint64(200), "no spinning")
 	old.at(2600, "stop yield")
 	handed := 0
 	for i := 1; i <= 30; i++ {
@@ -318,5 +318,5 @@
 	assert.False(t, s.full, "%d connections of %d after %d", len(s.ends), s.most, handed)
 	s.at(2700, "open 1")
 	s.at(2701, "came 1 OPEN z 1f c=feed,t=one,d=2000|")
-	assert.Equal(t, uint64(1), s.Heads, "whoever comes is heard")
+	assert.Equal(t, uint64(1), s.Requests, "whoever comes is heard")
 }
--- a/internal/replication/golden_test.go
+++ b/internal/replication/golden_test.go
@@ -27,15 +27,15 @@
 // goldenRecord has no field that is zero.
 func goldenRecord(kind Kind) Record {
 	return Record{Kind: kind, Key: "00000000deadbeef", ID: 0x0123456789abcdef, Version: 300, Owner: "relay-1",
-		At: 1700000000123.5, End: 1700000060000, Body: []byte("s1\x00\xff"),
-		Holders: []Holder{{"relay-1", 7}, {"relay-2", 1 << 40}, {"relay-3", 9}}}
+		ValidFrom: 1700000000123.5, ExpiresAt: 1700000060000, Body: []byte("s1\x00\xff"),
+		Replicas: []Replica{{"relay-1", 7}, {"relay-2", 1 << 40}, {"relay-3", 9}}}
 }
 
 // goldenMessage has no field that is zero.
 func goldenMessage(kind what, record Kind) message {
 	return message{What: kind, Token: 0xfedcba9876543211, From: "relay-2", Life: 1 << 40, Ballot: ballot{5, 11},
 		Taken: ballot{4, 13}, By: 0x8000000000000001,
-		Records: []Record{goldenRecord(record), {Kind: Mark, Key: "k", ID: 77}}}
+		Records: []Record{goldenRecord(record), {Kind: AttemptMarker, Key: "k", ID: 77}}}
 }
 
 // Each kind of message and of record, as they go between relays.
@@ -46,20 +46,20 @@
 		golden[name] = digits
 	}
 	cases := map[string]message{
-		"put":                goldenMessage(put, Place),
-		"held":               goldenMessage(held, Order),
-		"refuse":             goldenMessage(refuse, Mark),
+		"put":                goldenMessage(put, Reservation),
+		"held":               goldenMessage(held, OperatorOrder),
+		"refuse":             goldenMessage(refuse, AttemptMarker),
 		"seek":               goldenMessage(seek, Affinity),
-		"found":              goldenMessage(found, Place),
-		"bind":               goldenMessage(bind, Place),
-		"bound":              goldenMessage(bound, Place),
-		"accept":             goldenMessage(accept, Place),
-		"accepted":           goldenMessage(accepted, Place),
-		"dropped":            goldenMessage(dropped, Mark),
-		"point":              goldenMessage(point, Order),
+		"found":              goldenMessage(found, Reservation),
+		"bind":               goldenMessage(bind, Reservation),
+		"bound":              goldenMessage(bound, Reservation),
+		"accept":             goldenMessage(accept, Reservation),
+		"accepted":           goldenMessage(accepted, Reservation),
+		"dropped":            goldenMessage(dropped, AttemptMarker),
+		"point":              goldenMessage(point, OperatorOrder),
 		"refuse-never":       {What: refuse, Token: 1, From: "relay-3", Ballot: ballot{Round: math.MaxUint64}},
 		"found-without-any":  {What: found, Token: 2, From: "relay-3", Life: 9},
-		"found-mark-is-over": {What: found, Token: 3, From: "relay-3", Life: 9, Records: []Record{{Kind: Mark, Key: "k", ID: 5}}},
+		"found-mark-is-over": {What: found, Token: 3, From: "relay-3", Life: 9, Records: []Record{{Kind: AttemptMarker, Key: "k", ID: 5}}},
 	}
 	assert.Len(t, golden, len(cases))
 	for name, message := range cases {
@@ -80,8 +80,8 @@
 	body, err := hex.DecodeString(digits)
 	require.NoError(t, err)
 	c := New("relay-2", 1<<40, 3, 10, rand.New(rand.NewSource(1)))
-	require.True(t, c.Load(1700000000000, name, body))
-	assert.Equal(t, &holding{Record: goldenRecord(Place), Bound: ballot{6, 17}, Taken: ballot{5, 11},
+	require.True(t, c.LoadRecord(1700000000000, name, body))
+	assert.Equal(t, &holding{Record: goldenRecord(Reservation), Bound: ballot{6, 17}, Taken: ballot{5, 11},
 		By: 0x8000000000000001}, c.records[0x0123456789abcdef])
 	again := c.saves(c.records[0x0123456789abcdef])
 	assert.Equal(t, name, again.Name)
@@ -92,7 +92,7 @@
 func TestGoldenKinds(t *testing.T) {
 	var names []string
 	require.NoError(t, json.Unmarshal(readGolden(t, "kinds.json"), &names))
-	for i, kind := range []Kind{Place, Order, Mark, Affinity} {
+	for i, kind := range []Kind{Reservation, OperatorOrder, AttemptMarker, Affinity} {
 		assert.Equal(t, i+1, int(kind))
 		assert.Equal(t, names[i], kind.String())
 	}
@@ -101,26 +101,26 @@
 
 // goldenPage has no field that is zero.
 func goldenPage() Page {
-	shown := func(kind, id, state string) Shown {
-		return Shown{Kind: kind, Key: "00000000deadbeef", ID: id, Owner: "relay-1", Version: 300,
-			At: 1700000000123.5, End: 1700000060000, Holders: []Holder{{"relay-1", 7}, {"relay-2", 1 << 40}},
+	shown := func(kind, id, state string) RecordSnapshot {
+		return RecordSnapshot{Kind: kind, Key: "00000000deadbeef", ID: id, Owner: "relay-1", Version: 300,
+			ValidFrom: 1700000000123.5, ExpiresAt: 1700000060000, Replicas: []Replica{{"relay-1", 7}, {"relay-2", 1 << 40}},
 			State: state, Body: []byte("s1\x00\xff")}
 	}
-	return Page{Name: "relay-2", Now: 1700000000500.25, Records: []Shown{shown("places", "0123456789abcdef", "used"),
+	return Page{Relay: "relay-2", Now: 1700000000500.25, Records: []RecordSnapshot{shown("places", "0123456789abcdef", "used"),
 		shown("orders", "1123456789abcdef", "open"), shown("marks", "2123456789abcdef", "over"),
-		{Kind: "affinities", ID: "3123456789abcdef", Holders: []Holder{}}}}
+		{Kind: "affinities", ID: "3123456789abcdef", Replicas: []Replica{}}}}
 }
 
 // The forms in JSON: a page of /_holdings, and what /_fleet has of a kind.
 func TestGoldenJSON(t *testing.T) {
 	for name, c := range map[string]struct{ value, read any }{
-		"empty-page.json": {&Page{Name: "relay-2", Now: 1, Records: []Shown{}}, new(Page)},
+		"empty-page.json": {&Page{Relay: "relay-2", Now: 1, Records: []RecordSnapshot{}}, new(Page)},
 		"page.json":       {func() *Page { p := goldenPage(); return &p }(), new(Page)},
-		"standing.json":   {&Standing{Held: 9, Open: 8, Under: 7, Short: 6}, new(Standing)},
-		"counts.json": {&Counts{Held: 1, Full: 2, Promised: 3, Refused: 4, Sought: 5, Took: 6, Again: 7, Missed: 8,
+		"standing.json":   {&KindStatus{Stored: 9, Open: 8, UnderReplicated: 7, BelowQuorum: 6}, new(KindStatus)},
+		"counts.json": {&Counts{Stored: 1, RejectedFull: 2, Replicated: 3, NotReplicated: 4, Lookups: 5, Found: 6, AlreadyUsed: 7, Missed: 8,
 			Accepted: 9}, new(Counts)},
-		"finding.json": {&Finding{Records: 1, Whole: 2, Under: 3, Short: 4, Unknown: 5, Wrong: []string{"w"}},
-			new(Finding)},
+		"finding.json": {&Report{Records: 1, FullyReplicated: 2, UnderReplicated: 3, BelowQuorum: 4, Unknown: 5, Inconsistencies: []string{"w"}},
+			new(Report)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			golden := strings.TrimSpace(string(readGolden(t, name)))
@@ -139,8 +139,8 @@
 	body, err := hex.DecodeString(digits)
 	require.NoError(t, err)
 	c := New("relay-2", 1<<40, 3, 10, rand.New(rand.NewSource(1)))
-	require.True(t, c.Load(1700000000000, name, body))
-	text, err := json.Marshal(c.Page(1700000000000, 0x0123456789abcdef%Parts))
+	require.True(t, c.LoadRecord(1700000000000, name, body))
+	text, err := json.Marshal(c.Page(1700000000000, 0x0123456789abcdef%Partitions))
 	require.NoError(t, err)
 	assert.Equal(t, strings.TrimSpace(string(readGolden(t, "page-of-saved.json"))), string(text))
 }
--- a/internal/replication/message.go
+++ b/internal/replication/message.go
@@ -58,12 +58,12 @@
 	to = appendText(append(to, byte(r.Kind)), r.Key)
 	to = binary.AppendUvarint(binary.AppendUvarint(to, r.ID), r.Version)
 	to = appendText(to, r.Owner)
-	to = binary.LittleEndian.AppendUint64(to, math.Float64bits(r.At))
-	to = binary.LittleEndian.AppendUint64(to, math.Float64bits(r.End))
+	to = binary.LittleEndian.AppendUint64(to, math.Float64bits(r.ValidFrom))
+	to = binary.LittleEndian.AppendUint64(to, math.Float64bits(r.ExpiresAt))
 	to = binary.AppendUvarint(to, uint64(len(r.Body)))
-	to = append(append(to, r.Body...), byte(len(r.Holders)))
-	for _, h := range r.Holders {
-		to = binary.AppendUvarint(appendText(to, h.Name), h.Life)
+	to = append(append(to, r.Body...), byte(len(r.Replicas)))
+	for _, h := range r.Replicas {
+		to = binary.AppendUvarint(appendText(to, h.Name), h.Incarnation)
 	}
 	return to
 }
@@ -133,7 +133,7 @@
 
 func (r *reader) record() (x Record) {
 	x.Kind, x.Key, x.ID, x.Version, x.Owner = Kind(r.byte()), r.text(), r.number(), r.number(), r.text()
-	x.At, x.End = r.time(), r.time()
+	x.ValidFrom, x.ExpiresAt = r.time(), r.time()
 	n := r.number()
 	r.bad = r.bad || n > mostBody || x.Kind == 0 || x.Kind >= lastKind
 	if x.Body = append([]byte(nil), r.take(int(n))...); len(x.Body) == 0 {
@@ -142,7 +142,7 @@
 	holders := int(r.byte())
 	r.bad = r.bad || holders > mostCopies
 	for i := 0; i < holders && !r.bad; i++ {
-		x.Holders = append(x.Holders, Holder{r.text(), r.number()})
+		x.Replicas = append(x.Replicas, Replica{r.text(), r.number()})
 	}
 	return x
 }
--- a/internal/replication/replication.go
+++ b/internal/replication/replication.go
@@ -21,18 +21,18 @@
 
 // The kinds.
 const (
-	Place    Kind = iota + 1 // of a client that was told to come again; used once, by its key
-	Order                    // an operators' one, by the relay it was given; the highest version holds
-	Mark                     // of a setup try that may run, by its client's key; until its owner knows better
-	Affinity                 // where a group or a client stood, by its number; a hint: the highest version holds
-	lastKind                 // none
+	Reservation   Kind = iota + 1 // of a client that was told to come again; used once, by its key
+	OperatorOrder                 // an operators' one, by the relay it was given; the highest version holds
+	AttemptMarker                 // of a setup try that may run, by its client's key; until its owner knows better
+	Affinity                      // where a group or a client stood, by its number; a hint: the highest version holds
+	lastKind                      // none
 )
 
 // once tells whether a record of that kind is used up by whoever takes it.
-func (k Kind) once() bool { return k == Place }
+func (k Kind) once() bool { return k == Reservation }
 
 // latest tells whether the highest version of a key is all that counts of a kind.
-func (k Kind) latest() bool { return k == Order || k == Affinity }
+func (k Kind) latest() bool { return k == OperatorOrder || k == Affinity }
 
 // hint tells whether a kind is never promised: it lies in memory alone, and has a bounded part of that.
 func (k Kind) hint() bool { return k == Affinity }
@@ -41,29 +41,29 @@
 
 func (k Kind) String() string { return kindNames[k] }
 
-// Holder is a relay in one of its lives. What was sent to it for another life is not taken in.
-type Holder struct {
-	Name string `json:"Name"`
-	Life uint64 `json:"Life"`
+// Replica is a relay in one of its lives. What was sent to it for another life is not taken in.
+type Replica struct {
+	Name        string `json:"Name"`
+	Incarnation uint64 `json:"Life"`
 }
 
 // Record is one thing held.
 type Record struct {
-	Kind    Kind
-	Key     string
-	ID      uint64 // drawn by its owner
-	Version uint64
-	Owner   string
-	At, End float64 // what it is about, and until when it holds
-	Body    []byte
-	Holders []Holder
+	Kind                 Kind
+	Key                  string
+	ID                   uint64 // drawn by its owner
+	Version              uint64
+	Owner                string
+	ValidFrom, ExpiresAt float64 // what it is about, and until when it holds
+	Body                 []byte
+	Replicas             []Replica
 }
 
 // Member is a relay that can hold something, this one among them. One that leaves is given nothing new.
 type Member struct {
 	Name, Zone, Address string
-	Life                uint64
-	Leaves              bool
+	Incarnation         uint64
+	Draining            bool
 }
 
 const (
@@ -110,19 +110,19 @@
 // open tells whether the record is there for who seeks it: neither taken by somebody nor shut.
 func (h *holding) open() bool { return h.Taken == (ballot{}) && h.Bound.Round < math.MaxUint64 }
 
-// Act is what is to be done, one field at a time.
-type Act struct {
-	To   string // address that Data is to be sent to
-	Data []byte
-	Save *Save
-	Done *Outcome
+// Action is what is to be done, one field at a time.
+type Action struct {
+	To      string // address that Data is to be sent to
+	Data    []byte
+	Write   *Write
+	Outcome *Outcome
 }
 
-// Save is to be durable before Saved is called with it: Body under Name; none: it is taken back.
-type Save struct {
+// Write is to be durable before Saved is called with it: Body under Name; none: it is taken back.
+type Write struct {
 	Name  string
 	Body  []byte
-	sends []Act
+	sends []Action
 	mine  []message // answers that this relay gives itself
 }
 
@@ -131,27 +131,27 @@
 	Token  uint64
 	OK     bool // all holders have it; or it is this relay's to use
 	Record Record
-	Why    string
+	Reason string
 }
 
 // Counts are what operators are told of a kind.
 type Counts struct {
-	Held     uint64 `json:"Held"`     // for others: taken in
-	Full     uint64 `json:"Full"`     // for others: refused for want of room
-	Promised uint64 `json:"Promised"` // of what this relay wanted held
-	Refused  uint64 `json:"Refused"`
-	Sought   uint64 `json:"Sought"`
-	Took     uint64 `json:"Took"`
-	Again    uint64 `json:"Again"`  // found used
-	Missed   uint64 `json:"Missed"` // found, and not got in time
-	Accepted uint64 `json:"Accepted"`
+	Stored        uint64 `json:"Held"`     // for others: taken in
+	RejectedFull  uint64 `json:"Full"`     // for others: refused for want of room
+	Replicated    uint64 `json:"Promised"` // of what this relay wanted held
+	NotReplicated uint64 `json:"Refused"`
+	Lookups       uint64 `json:"Sought"`
+	Found         uint64 `json:"Took"`
+	AlreadyUsed   uint64 `json:"Again"`  // found used
+	Missed        uint64 `json:"Missed"` // found, and not got in time
+	Accepted      uint64 `json:"Accepted"`
 }
 
 // Add adds others' counts.
 func (c *Counts) Add(o Counts) {
-	c.Held, c.Full = c.Held+o.Held, c.Full+o.Full
-	c.Promised, c.Refused = c.Promised+o.Promised, c.Refused+o.Refused
-	c.Sought, c.Took, c.Again = c.Sought+o.Sought, c.Took+o.Took, c.Again+o.Again
+	c.Stored, c.RejectedFull = c.Stored+o.Stored, c.RejectedFull+o.RejectedFull
+	c.Replicated, c.NotReplicated = c.Replicated+o.Replicated, c.NotReplicated+o.NotReplicated
+	c.Lookups, c.Found, c.AlreadyUsed = c.Lookups+o.Lookups, c.Found+o.Found, c.AlreadyUsed+o.AlreadyUsed
 	c.Missed, c.Accepted = c.Missed+o.Missed, c.Accepted+o.Accepted
 }
 
@@ -163,8 +163,8 @@
 	Drops   bool // and a mark that is over
 }
 
-// Core is one relay's part, as a holder and as one that has others hold.
-type Core struct {
+// Replicator is one relay's part, as a holder and as one that has others hold.
+type Replicator struct {
 	name    string
 	life    uint64
 	copies  int
@@ -172,9 +172,9 @@
 	chance  *rand.Rand
 	members []Member
 	records map[uint64]*holding
-	parts   [Parts][]*holding // the same, so that a look over all can be taken in parts
-	kinds   [lastKind]int     // how many there are
-	looked  [Parts][lastKind]Standing
+	parts   [Partitions][]*holding // the same, so that a look over all can be taken in parts
+	kinds   [lastKind]int          // how many there are
+	looked  [Partitions][lastKind]KindStatus
 	lookAt  float64
 	look    int
 	hinted  map[string]int // hints here, by owner
@@ -220,8 +220,8 @@
 
 // New starts with nothing held: the relay's name, this life's number, how many copies are made (1, 3, 5 or 7)
 // and how many records are held here at the most.
-func New(name string, life uint64, copies, most int, chance *rand.Rand) *Core {
-	return &Core{name: name, life: life, copies: copies, most: most, chance: chance,
+func New(name string, life uint64, copies, most int, chance *rand.Rand) *Replicator {
+	return &Replicator{name: name, life: life, copies: copies, most: most, chance: chance,
 		records: map[uint64]*holding{}, hinted: map[string]int{},
 		byKey: map[string][]uint64{}, ends: map[int64][]uint64{}, hints: map[string]Record{},
 		out: map[uint64]*errand{}, mine: map[uint64]Record{},
@@ -233,14 +233,14 @@
 // nameOf is what a record is kept under.
 func nameOf(id uint64) string { return fmt.Sprintf("%016x", id) }
 
-// Load takes what the disk has, under that name; false: it can't be read, or is over.
-func (c *Core) Load(now float64, name string, body []byte) bool {
+// LoadRecord takes what the disk has, under that name; false: it can't be read, or is over.
+func (c *Replicator) LoadRecord(now float64, name string, body []byte) bool {
 	m, err := readMessage(body)
 	if err != nil || m.What != bound || len(m.Records) != 1 {
 		return false
 	}
 	h := &holding{Record: m.Records[0], Bound: m.Ballot, Taken: m.Taken, By: m.By}
-	if nameOf(h.ID) != name || !h.right(now) || h.End+keptPast < now {
+	if nameOf(h.ID) != name || !h.right(now) || h.ExpiresAt+keptPast < now {
 		return false
 	}
 	if c.records[h.ID] == nil {
@@ -249,35 +249,35 @@
 	return true
 }
 
-// Mute has this relay hold nothing new and say nothing of what it holds: its disk is not known to be the one
+// SetSuspended has this relay hold nothing new and say nothing of what it holds: its disk is not known to be the one
 // that it has spoken by, or another process has its name.
-func (c *Core) Mute(on bool) { c.mute = on }
+func (c *Replicator) SetSuspended(on bool) { c.mute = on }
 
-// Forget drops all that is held: the disk is an older one. What it would say might contradict what it has
+// DiscardAll drops all that is held: the disk is an older one. What it would say might contradict what it has
 // said.
-func (c *Core) Forget() (acts []Act) {
+func (c *Replicator) DiscardAll() (acts []Action) {
 	for id := range c.records {
-		acts = append(acts, Act{Save: &Save{Name: nameOf(id)}})
+		acts = append(acts, Action{Write: &Write{Name: nameOf(id)}})
 	}
 	c.records, c.byKey, c.ends = map[uint64]*holding{}, map[string][]uint64{}, map[int64][]uint64{}
-	c.hinted, c.hintSum, c.parts, c.kinds = map[string]int{}, 0, [Parts][]*holding{}, [lastKind]int{}
+	c.hinted, c.hintSum, c.parts, c.kinds = map[string]int{}, 0, [Partitions][]*holding{}, [lastKind]int{}
 	return acts
 }
 
 func (r *Record) right(now float64) bool {
-	return r.ID != 0 && r.Key != "" && len(r.Key) <= mostKey && len(r.Body) <= mostBody && len(r.Holders) > 0 &&
-		len(r.Holders) <= mostCopies && r.End < now+mostEnd
+	return r.ID != 0 && r.Key != "" && len(r.Key) <= mostKey && len(r.Body) <= mostBody && len(r.Replicas) > 0 &&
+		len(r.Replicas) <= mostCopies && r.ExpiresAt < now+mostEnd
 }
 
-func (c *Core) add(h *holding) {
+func (c *Replicator) add(h *holding) {
 	c.records[h.ID] = h
-	p := &c.parts[h.ID%Parts]
+	p := &c.parts[h.ID%Partitions]
 	h.place = len(*p)
 	*p = append(*p, h)
 	c.kinds[h.Kind]++
 	key := keyOf(h.Kind, h.Key)
 	c.byKey[key] = append(c.byKey[key], h.ID)
-	second := int64((h.End + keptPast) / 1000)
+	second := int64((h.ExpiresAt + keptPast) / 1000)
 	c.ends[second] = append(c.ends[second], h.ID)
 	if h.Kind.hint() {
 		c.hinted[h.Owner]++
@@ -285,13 +285,13 @@
 	}
 }
 
-func (c *Core) drop(id uint64) {
+func (c *Replicator) drop(id uint64) {
 	h := c.records[id]
 	if h == nil {
 		return
 	}
 	delete(c.records, id)
-	p := &c.parts[id%Parts]
+	p := &c.parts[id%Partitions]
 	last := (*p)[len(*p)-1]
 	(*p)[h.place], last.place = last, h.place
 	(*p)[len(*p)-1] = nil
@@ -310,9 +310,9 @@
 	}
 }
 
-// Members takes who can hold something now, this relay too. Where they are others than before, whoever seeks
+// UpdateMembers takes who can hold something now, this relay too. Where they are others than before, whoever seeks
 // a record may ask others than those that hold it: those are told where it is.
-func (c *Core) Members(all []Member) {
+func (c *Replicator) UpdateMembers(all []Member) {
 	if slices.EqualFunc(all, c.members, func(a, b Member) bool { return a.Name == b.Name }) {
 		c.members = all
 		return
@@ -321,7 +321,7 @@
 }
 
 // points tells some of those who will be asked for what is held here, and don't hold it themselves.
-func (c *Core) points(now float64) (acts []Act) {
+func (c *Replicator) points(now float64) (acts []Action) {
 	if len(c.walk) == 0 {
 		if c.walks == 0 || now < c.walkAt || c.mute {
 			return nil
@@ -338,18 +338,18 @@
 	n := min(tellMost, len(c.walk))
 	for _, id := range c.walk[:n] {
 		h := c.records[id]
-		if h == nil || h.End <= now {
+		if h == nil || h.ExpiresAt <= now {
 			continue
 		}
 		var text []byte
 		for _, m := range c.rank(h.Key, c.copies, true) {
-			if slices.ContainsFunc(h.Holders, func(o Holder) bool { return o.Name == m.Name }) {
+			if slices.ContainsFunc(h.Replicas, func(o Replica) bool { return o.Name == m.Name }) {
 				continue
 			}
 			if text == nil {
 				text = (&message{What: point, From: c.name, Life: c.life, Records: []Record{h.Record}}).text()
 			}
-			acts = append(acts, Act{To: m.Address, Data: text})
+			acts = append(acts, Action{To: m.Address, Data: text})
 		}
 	}
 	c.walk = c.walk[n:]
@@ -357,23 +357,23 @@
 }
 
 // leaves tells whether this relay is to be given nothing new.
-func (c *Core) leaves() bool {
-	return slices.ContainsFunc(c.members, func(m Member) bool { return m.Name == c.name && m.Leaves })
+func (c *Replicator) leaves() bool {
+	return slices.ContainsFunc(c.members, func(m Member) bool { return m.Name == c.name && m.Draining })
 }
 
-// Able tells whether there are members enough for a promise.
-func (c *Core) Able() bool { return len(c.rank("", c.copies, false)) >= c.copies }
+// HasEnoughMembers tells whether there are members enough for a promise.
+func (c *Replicator) HasEnoughMembers() bool { return len(c.rank("", c.copies, false)) >= c.copies }
 
 // rank has members in the order in which they hold what has that key: by lot, the same at all relays, and
 // such that no zone comes twice before all have come once. Against a zone lost with most copies.
-func (c *Core) rank(key string, n int, leaving bool) (all []Member) {
+func (c *Replicator) rank(key string, n int, leaving bool) (all []Member) {
 	type drawn struct {
 		Member
 		lot uint64
 	}
 	byZone := map[string][]drawn{}
 	for _, m := range c.members {
-		if m.Leaves && !leaving {
+		if m.Draining && !leaving {
 			continue
 		}
 		h := fnv.New64a()
@@ -409,37 +409,37 @@
 	return all
 }
 
-// Put has a record held by as many as copies are made, and tells within that time whether it is.
-func (c *Core) Put(now float64, r Record, within float64) (token uint64, acts []Act) {
+// Replicate has a record held by as many as copies are made, and tells within that time whether it is.
+func (c *Replicator) Replicate(now float64, r Record, within float64) (token uint64, acts []Action) {
 	token = c.chance.Uint64() | 1
-	r.ID, r.Owner, r.Holders = c.chance.Uint64()|1, c.name, nil
+	r.ID, r.Owner, r.Replicas = c.chance.Uint64()|1, c.name, nil
 	holders := c.rank(r.Key, c.copies, false)
 	for _, m := range holders {
-		r.Holders = append(r.Holders, Holder{m.Name, m.Life})
+		r.Replicas = append(r.Replicas, Replica{m.Name, m.Incarnation})
 	}
 	why := ""
 	switch {
 	case len(holders) < c.copies:
 		why = fmt.Sprintf("%d relays are there for %d copies", len(holders), c.copies)
-	case !r.right(now) || r.End <= now:
+	case !r.right(now) || r.ExpiresAt <= now:
 		why = "it can't be held"
 	case len(c.out) >= mostOut:
 		why = "too much is under way"
 	}
 	if why != "" {
-		c.counts[r.Kind].Refused++
-		return token, []Act{{Done: &Outcome{Token: token, Record: r, Why: why}}}
+		c.counts[r.Kind].NotReplicated++
+		return token, []Action{{Outcome: &Outcome{Token: token, Record: r, Reason: why}}}
 	}
-	if r.Kind == Mark || r.Kind.hint() {
+	if r.Kind == AttemptMarker || r.Kind.hint() {
 		c.mine[token] = r
 	}
 	e := &errand{token: token, step: put, record: r, until: now + within, asked: holders}
 	return token, c.begin(now, e)
 }
 
-// Over tells those who hold the mark or hint that was put by that token that it holds no more, twice, and
+// Revoke tells those who hold the mark or hint that was put by that token that it holds no more, twice, and
 // gives up having it held where that is still under way.
-func (c *Core) Over(now float64, token uint64) []Act {
+func (c *Replicator) Revoke(now float64, token uint64) []Action {
 	r, there := c.mine[token]
 	if !there {
 		return nil
@@ -450,52 +450,52 @@
 	}
 	delete(c.out, token)
 	delete(c.mine, token)
-	return c.Release(now, r)
+	return c.Discard(now, r)
 }
 
-// Release tells those who hold a record of this relay's to forget it, as it is over or held anew by others.
-func (c *Core) Release(now float64, r Record) (acts []Act) {
+// Discard tells those who hold a record of this relay's to forget it, as it is over or held anew by others.
+func (c *Replicator) Discard(now float64, r Record) (acts []Action) {
 	m := message{What: dropped, From: c.name, Life: c.life, Records: []Record{r}}
 	for _, to := range c.members {
-		switch held := slices.ContainsFunc(r.Holders, func(h Holder) bool { return h.Name == to.Name }); {
+		switch held := slices.ContainsFunc(r.Replicas, func(h Replica) bool { return h.Name == to.Name }); {
 		case held && to.Name == c.name:
 			acts = append(acts, c.asked(now, "", m)...)
 		case held:
-			acts = append(acts, Act{To: to.Address, Data: m.text()})
+			acts = append(acts, Action{To: to.Address, Data: m.text()})
 		}
 	}
 	return acts
 }
 
-// Take has this relay seek a record by its key, and use it, if nobody has.
-func (c *Core) Take(now float64, kind Kind, key string) (token uint64, acts []Act) {
+// Acquire has this relay seek a record by its key, and use it, if nobody has.
+func (c *Replicator) Acquire(now float64, kind Kind, key string) (token uint64, acts []Action) {
 	return c.seek(now, kind, key, seekFor)
 }
 
-// Read seeks the latest version of a record that is not used up by it, for so long.
-func (c *Core) Read(now float64, kind Kind, key string, within float64) (token uint64, acts []Act) {
+// Lookup seeks the latest version of a record that is not used up by it, for so long.
+func (c *Replicator) Lookup(now float64, kind Kind, key string, within float64) (token uint64, acts []Action) {
 	return c.seek(now, kind, key, within)
 }
 
-func (c *Core) seek(now float64, kind Kind, key string, within float64) (token uint64, acts []Act) {
-	c.counts[kind].Sought++
+func (c *Replicator) seek(now float64, kind Kind, key string, within float64) (token uint64, acts []Action) {
+	c.counts[kind].Lookups++
 	token = c.chance.Uint64() | 1
 	e := &errand{token: token, step: seek, record: Record{Kind: kind, Key: key}, until: now + within,
 		asked: c.rank(key, c.copies+moreAsked, true)}
 	if len(c.out) >= mostOut || len(e.asked) == 0 || key == "" || len(key) > mostKey {
-		return token, []Act{{Done: &Outcome{Token: token, Record: e.record, Why: "nobody can be asked"}}}
+		return token, []Action{{Outcome: &Outcome{Token: token, Record: e.record, Reason: "nobody can be asked"}}}
 	}
 	return token, c.begin(now, e)
 }
 
-func (c *Core) begin(now float64, e *errand) []Act {
+func (c *Replicator) begin(now float64, e *errand) []Action {
 	c.out[e.token] = e
 	e.said, e.wait = map[string]message{}, againEvery
 	return c.sends(now, e)
 }
 
 // sends asks those who have not answered.
-func (c *Core) sends(now float64, e *errand) (acts []Act) {
+func (c *Replicator) sends(now float64, e *errand) (acts []Action) {
 	e.next = now + e.wait
 	e.wait = min(2*e.wait, mostAgain)
 	c.due = min(c.due, e.next, e.until)
@@ -518,13 +518,13 @@
 		if text == nil {
 			text = m.text()
 		}
-		acts = append(acts, Act{To: to.Address, Data: text})
+		acts = append(acts, Action{To: to.Address, Data: text})
 	}
 	return acts
 }
 
-// Heard takes a message from an address.
-func (c *Core) Heard(now float64, from string, data []byte) ([]Act, error) {
+// HandleMessage takes a message from an address.
+func (c *Replicator) HandleMessage(now float64, from string, data []byte) ([]Action, error) {
 	m, err := readMessage(data)
 	if err != nil {
 		return nil, err
@@ -537,7 +537,7 @@
 }
 
 // asked is a holder's side. What it answers waits until what it rests on is durable.
-func (c *Core) asked(now float64, from string, m message) []Act {
+func (c *Replicator) asked(now float64, from string, m message) []Action {
 	if c.mute || len(m.Records) != 1 {
 		return nil
 	}
@@ -550,37 +550,37 @@
 		back.What = found
 		for _, id := range c.byKey[keyOf(r.Kind, r.Key)] {
 			h := c.records[id]
-			if h.End > now && len(back.Records) < mostRecords && h.open() {
+			if h.ExpiresAt > now && len(back.Records) < mostRecords && h.open() {
 				back.Records = append(back.Records, h.Record)
 			}
 		}
 		for _, id := range c.byKey[keyOf(r.Kind, r.Key)] {
-			if h := c.records[id]; r.Kind == Mark && !h.open() && len(back.Records) < mostRecords {
+			if h := c.records[id]; r.Kind == AttemptMarker && !h.open() && len(back.Records) < mostRecords {
 				// Without holders it says that the mark is over: one who has not heard so may say that it stands.
-				back.Records = append(back.Records, Record{Kind: Mark, Key: r.Key, ID: id})
+				back.Records = append(back.Records, Record{Kind: AttemptMarker, Key: r.Key, ID: id})
 			}
 		}
-		if hint, there := c.hints[keyOf(r.Kind, r.Key)]; there && hint.End > now && len(back.Records) == 0 {
+		if hint, there := c.hints[keyOf(r.Kind, r.Key)]; there && hint.ExpiresAt > now && len(back.Records) == 0 {
 			back.Records = append(back.Records, hint)
 		}
 		return c.answer(now, from, back, nil)
 	case point:
 		key := keyOf(r.Kind, r.Key)
 		was, there := c.hints[key]
-		if r.right(now) && r.End > now && (there || len(c.hints) < c.most) && r.Version >= was.Version {
+		if r.right(now) && r.ExpiresAt > now && (there || len(c.hints) < c.most) && r.Version >= was.Version {
 			c.hints[key] = r
 		}
 		return nil
 	case dropped:
 		h := c.records[r.ID]
-		if h == nil && r.Kind == Mark && r.Owner == m.From && r.right(now) && r.End > now &&
+		if h == nil && r.Kind == AttemptMarker && r.Owner == m.From && r.right(now) && r.ExpiresAt > now &&
 			len(c.records) < c.most {
 			// Against what has it held coming later, and nobody saying again that it is over.
 			h = &holding{Record: r}
 			c.add(h)
 		}
 		if h != nil && h.Owner == m.From {
-			if (h.Kind.once() || h.Kind == Mark) && !c.faults.Drops {
+			if (h.Kind.once() || h.Kind == AttemptMarker) && !c.faults.Drops {
 				return c.shut(h)
 			}
 			return c.dropped(h)
@@ -611,29 +611,29 @@
 
 // shut has nobody take a record that was not promised. It stays until its end, against a copy of it that
 // comes late being held and taken as if nothing had been; and what was accepted stays accepted.
-func (c *Core) shut(h *holding) []Act {
+func (c *Replicator) shut(h *holding) []Action {
 	h.Bound = ballot{math.MaxUint64, 0}
-	return []Act{{Save: c.saves(h)}}
+	return []Action{{Write: c.saves(h)}}
 }
 
 // dropped has it forgotten.
-func (c *Core) dropped(h *holding) []Act {
+func (c *Replicator) dropped(h *holding) []Action {
 	if c.drop(h.ID); h.Kind.hint() {
 		return nil
 	}
-	return []Act{{Save: &Save{Name: nameOf(h.ID)}}}
+	return []Action{{Write: &Write{Name: nameOf(h.ID)}}}
 }
 
 // crowded tells whether there is no room for one more hint of that owner. Those that are there stay until
 // they end: against a flood of new ones washing them out.
-func (c *Core) crowded(owner string) bool {
+func (c *Replicator) crowded(owner string) bool {
 	room := c.most / hintPart
 	return c.hintSum >= room || c.hinted[owner] >= max(ownerParts*room/max(len(c.members), ownerParts), 1)
 }
 
 // hold takes a record in, where it is meant for this life. One that is there already is not changed: its
 // answer is given again. Of a kind that holds by its version an older one makes room.
-func (c *Core) hold(now float64, from string, r Record, back message) []Act {
+func (c *Replicator) hold(now float64, from string, r Record, back message) []Action {
 	back.What = held
 	if h := c.records[r.ID]; h != nil {
 		if r.Kind.hint() {
@@ -643,15 +643,15 @@
 	}
 	if back.What = refuse; len(c.records) >= c.most || (r.Kind.hint() && c.crowded(r.Owner) &&
 		len(c.byKey[keyOf(r.Kind, r.Key)]) == 0) {
-		c.counts[r.Kind].Full++
+		c.counts[r.Kind].RejectedFull++
 		return c.answer(now, from, back, nil)
 	}
-	if c.leaves() || !r.right(now) || r.End <= now || !slices.Contains(r.Holders, Holder{c.name, c.life}) {
+	if c.leaves() || !r.right(now) || r.ExpiresAt <= now || !slices.Contains(r.Replicas, Replica{c.name, c.life}) {
 		return c.answer(now, from, back, nil)
 	}
 	back.What = held
 	h := &holding{Record: r}
-	var acts []Act
+	var acts []Action
 	if r.Kind.latest() {
 		for _, id := range slices.Clone(c.byKey[keyOf(r.Kind, r.Key)]) {
 			if was := c.records[id]; was.Version <= r.Version {
@@ -660,41 +660,41 @@
 		}
 	}
 	c.add(h)
-	c.counts[r.Kind].Held++
+	c.counts[r.Kind].Stored++
 	if r.Kind.hint() {
 		return c.answer(now, from, back, nil)
 	}
 	return append(c.answer(now, from, back, c.saves(h)), acts...) // the older one goes once the newer is there
 }
 
-func (c *Core) saves(h *holding) *Save {
+func (c *Replicator) saves(h *holding) *Write {
 	m := message{What: bound, From: c.name, Life: c.life, Ballot: h.Bound, Taken: h.Taken, By: h.By,
 		Records: []Record{h.Record}}
-	return &Save{Name: nameOf(h.ID), Body: m.text()}
+	return &Write{Name: nameOf(h.ID), Body: m.text()}
 }
 
 // answer sends what a holder says, once what it rests on is durable; to this relay itself as well.
-func (c *Core) answer(now float64, from string, m message, save *Save) []Act {
+func (c *Replicator) answer(now float64, from string, m message, save *Write) []Action {
 	if save == nil || c.faults.Early {
-		var acts []Act
+		var acts []Action
 		if save != nil {
-			acts = append(acts, Act{Save: save})
+			acts = append(acts, Action{Write: save})
 		}
 		if from == "" {
 			return append(acts, c.said(now, m)...)
 		}
-		return append(acts, Act{To: from, Data: m.text()})
+		return append(acts, Action{To: from, Data: m.text()})
 	}
 	if from == "" {
 		save.mine = append(save.mine, m)
 	} else {
-		save.sends = append(save.sends, Act{To: from, Data: m.text()})
+		save.sends = append(save.sends, Action{To: from, Data: m.text()})
 	}
-	return []Act{{Save: save}}
+	return []Action{{Write: save}}
 }
 
-// Saved says that a save is durable; one that failed is never told of, and nothing that rests on it is said.
-func (c *Core) Saved(now float64, s *Save) []Act {
+// CompleteWrite says that a save is durable; one that failed is never told of, and nothing that rests on it is said.
+func (c *Replicator) CompleteWrite(now float64, s *Write) []Action {
 	acts := s.sends
 	for _, m := range s.mine {
 		acts = append(acts, c.said(now, m)...)
@@ -703,7 +703,7 @@
 }
 
 // said takes an answer.
-func (c *Core) said(now float64, m message) []Act {
+func (c *Replicator) said(now float64, m message) []Action {
 	e := c.out[m.Token]
 	if e == nil || !slices.ContainsFunc(e.asked, func(a Member) bool { return a.Name == m.From }) {
 		return nil
@@ -717,7 +717,7 @@
 	if (e.step == bind || e.step == accept) && m.What != refuse && m.Ballot != mine {
 		return nil // of a former round
 	}
-	if e.step == put && !slices.Contains(e.record.Holders, Holder{m.From, m.Life}) {
+	if e.step == put && !slices.Contains(e.record.Replicas, Replica{m.From, m.Life}) {
 		return nil // another life, or another process under its name
 	}
 	if _, there := e.said[m.From]; there {
@@ -731,7 +731,7 @@
 }
 
 // goOn looks whether an errand has all that it waits for.
-func (c *Core) goOn(now float64, e *errand) []Act {
+func (c *Replicator) goOn(now float64, e *errand) []Action {
 	count := func(w what) (n int) {
 		for _, m := range e.said {
 			if m.What == w {
@@ -740,7 +740,7 @@
 		}
 		return n
 	}
-	n := len(e.record.Holders)
+	n := len(e.record.Replicas)
 	switch e.step {
 	case put:
 		if count(refuse) > 0 {
@@ -770,7 +770,7 @@
 
 // another seeks the next record of that key, as this one is somebody else's: against many clients of one key
 // that come at one instant and all try for the same place.
-func (c *Core) another(now float64, e *errand) []Act {
+func (c *Replicator) another(now float64, e *errand) []Action {
 	e.others = append(e.others, e.record.ID)
 	e.step, e.round, e.by, e.tries = seek, 0, 0, 0
 	e.record = Record{Kind: e.record.Kind, Key: e.record.Key}
@@ -781,21 +781,21 @@
 // drawn tells whether a record's holders are as many as there are copies, each another. Against one relay
 // that tells of a record that it made up, and grants it alone.
 func (r *Record) drawn(copies int) bool {
-	for i, h := range r.Holders {
-		if slices.ContainsFunc(r.Holders[:i], func(o Holder) bool { return o.Name == h.Name }) {
+	for i, h := range r.Replicas {
+		if slices.ContainsFunc(r.Replicas[:i], func(o Replica) bool { return o.Name == h.Name }) {
 			return false
 		}
 	}
-	return len(r.Holders) == copies
+	return len(r.Replicas) == copies
 }
 
 // best is the highest version that was found, but for marks of which somebody knows that they are over; of
 // places that are alike, one by chance.
-func (c *Core) best(now float64, e *errand) (best *Record) {
+func (c *Replicator) best(now float64, e *errand) (best *Record) {
 	over := map[uint64]bool{}
 	for _, m := range e.said {
 		for _, r := range m.Records {
-			if r.Kind == Mark && len(r.Holders) == 0 {
+			if r.Kind == AttemptMarker && len(r.Replicas) == 0 {
 				over[r.ID] = true
 			}
 		}
@@ -818,7 +818,7 @@
 
 // picks goes on with what was found. A record that is used once is taken as soon as anybody holds it; one
 // that holds by its version is read at a majority of those who may have it.
-func (c *Core) picks(now float64, e *errand) []Act {
+func (c *Replicator) picks(now float64, e *errand) []Action {
 	best := c.best(now, e)
 	all := len(e.said) == len(e.asked)
 	switch {
@@ -835,11 +835,11 @@
 		e.record = *best
 		return c.done(e, true, "")
 	}
-	if now < best.At-early {
+	if now < best.ValidFrom-early {
 		return c.done(e, false, "it comes too early") // and may have its place when it comes again
 	}
 	e.record, e.asked = *best, nil
-	for _, h := range best.Holders {
+	for _, h := range best.Replicas {
 		for _, m := range c.members {
 			if m.Name == h.Name {
 				e.asked = append(e.asked, m)
@@ -851,7 +851,7 @@
 }
 
 // outbid goes on in a higher ballot, for a while.
-func (c *Core) outbid(now float64, e *errand) []Act {
+func (c *Replicator) outbid(now float64, e *errand) []Action {
 	if e.tries++; e.tries >= ballotTries {
 		return c.done(e, false, "others take it")
 	}
@@ -872,7 +872,7 @@
 
 // binds goes on with what over half of the holders are bound to: where one of them has accepted somebody's
 // claim, that may have been decided, and is seen through. Against two that each give way to the other.
-func (c *Core) binds(now float64, e *errand) []Act {
+func (c *Replicator) binds(now float64, e *errand) []Action {
 	var taken ballot
 	e.by = e.token
 	for _, m := range e.said {
@@ -884,28 +884,28 @@
 	return c.begin(now, e)
 }
 
-func (c *Core) done(e *errand, ok bool, why string) []Act {
+func (c *Replicator) done(e *errand, ok bool, why string) []Action {
 	delete(c.out, e.token)
 	switch counts := &c.counts[e.record.Kind]; {
 	case e.step == put && ok:
-		counts.Promised++
+		counts.Replicated++
 	case e.step == put:
-		counts.Refused++
+		counts.NotReplicated++
 	case ok:
-		counts.Took++
+		counts.Found++
 	case why == used:
-		counts.Again++
+		counts.AlreadyUsed++
 	case e.step != seek && why != never:
 		counts.Missed++
 	}
-	return []Act{{Done: &Outcome{Token: e.token, OK: ok, Record: e.record, Why: why}}}
+	return []Action{{Outcome: &Outcome{Token: e.token, OK: ok, Record: e.record, Reason: why}}}
 }
 
-// Due is when Tick is, but for what may wait for a while; +Inf: never.
-func (c *Core) Due() float64 { return c.due }
+// NextDeadline is when Tick is, but for what may wait for a while; +Inf: never.
+func (c *Replicator) NextDeadline() float64 { return c.due }
 
 // Tick sends again what got no answer, gives up what is late, and forgets what is over.
-func (c *Core) Tick(now float64) (acts []Act) {
+func (c *Replicator) Tick(now float64) (acts []Action) {
 	if by := now - c.ticked; c.ticked > 0 && math.Abs(by) > jumps {
 		// The clock was set: what is under way has the time that it had.
 		for _, e := range c.out {
@@ -918,7 +918,7 @@
 	}
 	c.ticked = now
 	for len(c.over) > 0 && now >= c.over[0].at {
-		acts = append(acts, c.Release(now, c.over[0].record)...)
+		acts = append(acts, c.Discard(now, c.over[0].record)...)
 		c.over = c.over[1:]
 	}
 	tokens := make([]uint64, 0, len(c.out))
@@ -954,19 +954,19 @@
 		}
 		delete(c.ends, c.swept)
 		for token, r := range c.mine {
-			if r.End < now {
+			if r.ExpiresAt < now {
 				delete(c.mine, token)
 			}
 		}
 		for key, r := range c.hints {
-			if r.End < now {
+			if r.ExpiresAt < now {
 				delete(c.hints, key)
 			}
 		}
 	}
 	if now >= c.lookAt && len(c.records) > few { // up to which Status looks itself
 		c.lookAt = now + lookEvery
-		c.look = (c.look + 1) % Parts
+		c.look = (c.look + 1) % Partitions
 		c.looks(now, c.look, c.there())
 	}
 	return append(acts, c.points(now)...)
@@ -974,15 +974,15 @@
 
 // fails gives a promise up. Its holders are told to forget it: nobody was told of it. A mark is true without
 // a promise, and stays where it is; so does a hint.
-func (c *Core) fails(e *errand, why string) (acts []Act) {
-	if e.record.Kind == Mark || e.record.Kind.hint() {
+func (c *Replicator) fails(e *errand, why string) (acts []Action) {
+	if e.record.Kind == AttemptMarker || e.record.Kind.hint() {
 		return c.done(e, false, why)
 	}
 	text := (&message{What: dropped, Token: e.token, From: c.name, Life: c.life,
 		Records: []Record{e.record}}).text()
 	for _, m := range e.asked {
 		if m.Name != c.name {
-			acts = append(acts, Act{To: m.Address, Data: text})
+			acts = append(acts, Action{To: m.Address, Data: text})
 		}
 	}
 	if h := c.records[e.record.ID]; h != nil {
@@ -992,7 +992,7 @@
 }
 
 // late gives up.
-func (c *Core) late(now float64, e *errand) (acts []Act) {
+func (c *Replicator) late(now float64, e *errand) (acts []Action) {
 	if e.step == seek && !e.record.Kind.once() {
 		if best := c.best(now, e); best != nil {
 			e.record = *best
@@ -1008,17 +1008,17 @@
 	return c.done(e, false, "not in time")
 }
 
-// Standing is how things are with what is held of a kind. Under and Short count what this relay is the first
+// KindStatus is how things are with what is held of a kind. Under and Short count what this relay is the first
 // living holder of, so that all relays' sums count each record once.
-type Standing struct {
-	Held  int `json:"Held"`  // here
-	Open  int `json:"Open"`  // of those: to be used, or to be read, yet
-	Under int `json:"Under"` // some holder is not there
-	Short int `json:"Short"` // no more than half are: it can't be used, or read for certain, until more are
+type KindStatus struct {
+	Stored          int `json:"Held"`  // here
+	Open            int `json:"Open"`  // of those: to be used, or to be read, yet
+	UnderReplicated int `json:"Under"` // some holder is not there
+	BelowQuorum     int `json:"Short"` // no more than half are: it can't be used, or read for certain, until more are
 }
 
 // there are the members, by name.
-func (c *Core) there() map[string]bool {
+func (c *Replicator) there() map[string]bool {
 	there := make(map[string]bool, len(c.members))
 	for _, m := range c.members {
 		there[m.Name] = true
@@ -1027,25 +1027,25 @@
 }
 
 // looks takes a look over one part of what is held.
-func (c *Core) looks(now float64, part int, there map[string]bool) {
-	c.looked[part] = [lastKind]Standing{}
+func (c *Replicator) looks(now float64, part int, there map[string]bool) {
+	c.looked[part] = [lastKind]KindStatus{}
 	for _, h := range c.parts[part] {
-		if !h.open() || h.End <= now {
+		if !h.open() || h.ExpiresAt <= now {
 			continue
 		}
 		s := &c.looked[part][h.Kind]
 		s.Open++
 		lives, first := 0, ""
-		for _, o := range h.Holders {
+		for _, o := range h.Replicas {
 			if there[o.Name] {
 				lives++
 				first = cmp.Or(first, o.Name)
 			}
 		}
-		if n := len(h.Holders); first == c.name && lives < n {
-			s.Under++
+		if n := len(h.Replicas); first == c.name && lives < n {
+			s.UnderReplicated++
 			if 2*lives <= n {
-				s.Short++
+				s.BelowQuorum++
 			}
 		}
 	}
@@ -1053,19 +1053,19 @@
 
 // Status tells how things stand, by kind, and what came of what was asked. Where very much is held, all but
 // Held is as it was within the last seconds: against a look over all of it taking a hundred milliseconds.
-func (c *Core) Status(now float64) (standing map[string]Standing, counts map[string]Counts) {
-	standing, counts = map[string]Standing{}, map[string]Counts{}
+func (c *Replicator) Status(now float64) (standing map[string]KindStatus, counts map[string]Counts) {
+	standing, counts = map[string]KindStatus{}, map[string]Counts{}
 	if len(c.records) <= few {
 		there := c.there()
-		for part := range Parts {
+		for part := range Partitions {
 			c.looks(now, part, there)
 		}
 	}
-	for k := Place; k < lastKind; k++ {
-		sum := Standing{Held: c.kinds[k]}
+	for k := Reservation; k < lastKind; k++ {
+		sum := KindStatus{Stored: c.kinds[k]}
 		for _, looked := range c.looked {
-			sum.Open, sum.Under, sum.Short = sum.Open+looked[k].Open, sum.Under+looked[k].Under,
-				sum.Short+looked[k].Short
+			sum.Open, sum.UnderReplicated, sum.BelowQuorum = sum.Open+looked[k].Open, sum.UnderReplicated+looked[k].UnderReplicated,
+				sum.BelowQuorum+looked[k].BelowQuorum
 		}
 		standing[k.String()], counts[k.String()] = sum, c.counts[k]
 	}
