--- a/internal/replication/replication_test.go
+++ b/internal/replication/replication_test.go
@@ -16,10 +16,10 @@
 
 // node is a relay with a disk and a way to each other.
 type node struct {
-	*Core
+	*Replicator
 	name, zone string
 	disk       map[string][]byte
-	writes     []*Save // on their way there, in order
+	writes     []*Write // on their way there, in order
 	syncsAt    float64
 	down, stop bool
 	wiped      int // times
@@ -95,10 +95,10 @@
 func (w *world) start(i int) {
 	n := w.nodes[i]
 	n.lives++
-	n.Core = New(n.name, uint64(i+1)*1000+n.lives, w.copies, 100000, rand.New(rand.NewSource(w.chance.Int63())))
+	n.Replicator = New(n.name, uint64(i+1)*1000+n.lives, w.copies, 100000, rand.New(rand.NewSource(w.chance.Int63())))
 	n.faults = w.faults
 	for name, body := range n.disk {
-		n.Load(w.now, name, body)
+		n.LoadRecord(w.now, name, body)
 	}
 	n.down, n.writes, n.inbox = false, nil, nil
 }
@@ -138,22 +138,22 @@
 	}
 	for _, n := range w.nodes {
 		if !n.down {
-			n.Members(all)
+			n.UpdateMembers(all)
 		}
 	}
 }
 
-func (w *world) do(i int, acts []Act) {
+func (w *world) do(i int, acts []Action) {
 	n := w.nodes[i]
 	for _, a := range acts {
 		switch {
-		case a.Save != nil:
+		case a.Write != nil:
 			if len(n.writes) == 0 {
 				n.syncsAt = w.now + 1 + 2*w.chance.Float64()
 			}
-			n.writes = append(n.writes, a.Save)
-		case a.Done != nil:
-			w.done(i, a.Done)
+			n.writes = append(n.writes, a.Write)
+		case a.Outcome != nil:
+			w.done(i, a.Outcome)
 		case a.Data != nil:
 			var to int
 			fmt.Sscan(a.To, &to)
@@ -179,7 +179,7 @@
 		if x := w.words[key]; o.OK {
 			x.record, x.given = o.Record, w.now
 			w.promise = append(w.promise, w.now-x.at)
-			for _, h := range o.Record.Holders {
+			for _, h := range o.Record.Replicas {
 				x.wiped = append(x.wiped, w.node(h.Name).wiped)
 			}
 		}
@@ -193,7 +193,7 @@
 	from := x.pending[o.Token]
 	delete(x.pending, o.Token)
 	delete(w.takenBy, o.Token)
-	if o.Record.Kind == Mark || o.Record.Kind == Affinity {
+	if o.Record.Kind == AttemptMarker || o.Record.Kind == Affinity {
 		if o.OK {
 			x.record = o.Record
 		}
@@ -209,11 +209,11 @@
 			w.wrong = append(w.wrong, key+" is another record")
 		}
 	}
-	if o.OK || o.Why == used {
+	if o.OK || o.Reason == used {
 		x.ops = append(x.ops, porcupine.Operation{ClientId: len(x.ops), Input: "take", Output: o.OK,
 			Call: int64(from * 1000), Return: int64(w.now*1000) + 1})
 	}
-	x.missed = x.missed || !o.OK && o.Why != used
+	x.missed = x.missed || !o.OK && o.Reason != used
 }
 
 func (w *world) node(name string) *node {
@@ -240,11 +240,11 @@
 			for _, m := range inbox {
 				if m.form != n.form {
 					other := append([]byte{formVersion + 1}, m.data[1:]...)
-					_, err := n.Heard(w.now, m.from, other)
+					_, err := n.HandleMessage(w.now, m.from, other)
 					require.Error(w.t, err)
 					continue
 				}
-				acts, err := n.Heard(w.now, m.from, m.data)
+				acts, err := n.HandleMessage(w.now, m.from, m.data)
 				require.NoError(w.t, err)
 				w.do(i, acts)
 			}
@@ -259,7 +259,7 @@
 					}
 				}
 				for _, s := range group {
-					w.do(i, n.Saved(w.now, s))
+					w.do(i, n.CompleteWrite(w.now, s))
 				}
 			}
 			w.do(i, n.Tick(w.now))
@@ -270,14 +270,14 @@
 // gives has relay i tell a client to come again.
 func (w *world) gives(i int, key string, end float64) {
 	w.words[key] = &word{at: w.now, pending: map[uint64]float64{}}
-	token, acts := w.nodes[i].Put(w.now, Record{Kind: Place, Key: key, At: w.now, End: end}, 50)
+	token, acts := w.nodes[i].Replicate(w.now, Record{Kind: Reservation, Key: key, ValidFrom: w.now, ExpiresAt: end}, 50)
 	w.putBy[token] = key
 	w.do(i, acts)
 }
 
 // comes has the client of that key come to relay i.
 func (w *world) comes(i int, key string) {
-	token, acts := w.nodes[i].Take(w.now, Place, key)
+	token, acts := w.nodes[i].Acquire(w.now, Reservation, key)
 	w.takenBy[token] = key
 	w.words[key].pending[token] = w.now
 	w.do(i, acts)
@@ -323,7 +323,7 @@
 // a zone; all power; ways cut; others dying meanwhile.
 func TestPromises(t *testing.T) {
 	holders := func(w *world) (all []int) {
-		for _, h := range w.words["k"].record.Holders {
+		for _, h := range w.words["k"].record.Replicas {
 			all = append(all, slices.Index(w.nodes, w.node(h.Name)))
 		}
 		return all
@@ -395,7 +395,7 @@
 
 // gone counts a record's holders that were wiped since it was promised.
 func (w *world) gone(x *word) (n int) {
-	for k, h := range x.record.Holders {
+	for k, h := range x.record.Replicas {
 		if w.node(h.Name).wiped != x.wiped[k] {
 			n++
 		}
@@ -406,7 +406,7 @@
 // marks has relay i mark a try of that key's.
 func (w *world) marks(i int, key string, end float64) {
 	n := w.nodes[i]
-	token, acts := n.Put(w.now, Record{Kind: Mark, Key: key, End: end, Body: []byte("s")}, 50)
+	token, acts := n.Replicate(w.now, Record{Kind: AttemptMarker, Key: key, ExpiresAt: end, Body: []byte("s")}, 50)
 	w.words[key] = &word{at: w.now, pending: map[uint64]float64{}, owner: i, life: n.lives, token: token}
 	w.putBy[token] = key
 	w.do(i, acts)
@@ -418,13 +418,13 @@
 	x := w.words[key]
 	known := false
 	for _, n := range w.nodes {
-		for _, id := range n.byKey[keyOf(Mark, key)] {
+		for _, id := range n.byKey[keyOf(AttemptMarker, key)] {
 			known = known || !n.records[id].open()
 		}
 	}
 	found := w.seeks(i, key).record.ID != 0
 	switch {
-	case x.given > 0 && !x.over && 2*w.gone(x) < len(x.record.Holders) && !found:
+	case x.given > 0 && !x.over && 2*w.gone(x) < len(x.record.Replicas) && !found:
 		w.wrong = append(w.wrong, key+" is lost")
 	case x.over && (known || w.faults.Drops) && found:
 		w.wrong = append(w.wrong, key+" is over, and found")
@@ -465,7 +465,7 @@
 		if x := w.words[marks[chance.Intn(len(marks))]]; chance.Intn(2) == 0 && !w.nodes[x.owner].down {
 			if n := w.nodes[x.owner]; n.lives == x.life && !n.stop {
 				x.over = true
-				w.do(x.owner, n.Over(w.now, x.token))
+				w.do(x.owner, n.Revoke(w.now, x.token))
 			}
 		}
 		for range 4 {
@@ -542,7 +542,7 @@
 		if x.given == 0 || x.used > 0 || x.missed || len(x.ops)+len(x.pending) > 0 {
 			continue // without a place; or somebody gave up or died half-way and may have used it
 		}
-		if 2*w.gone(x) >= len(x.record.Holders) {
+		if 2*w.gone(x) >= len(x.record.Replicas) {
 			continue
 		}
 		w.comes(up(), key)
@@ -619,9 +619,9 @@
 func TestOrders(t *testing.T) {
 	w := newWorld(t, 9, 3, 3, 1, Faults{})
 	for version := uint64(1); version <= 3; version++ {
-		_, acts := w.nodes[int(version)].Put(w.now, Record{Kind: Order, Key: "relay-1", Version: version,
-			End:  w.now + 1e6,
-			Body: []byte{byte(version)}}, 50)
+		_, acts := w.nodes[int(version)].Replicate(w.now, Record{Kind: OperatorOrder, Key: "relay-1", Version: version,
+			ExpiresAt: w.now + 1e6,
+			Body:      []byte{byte(version)}}, 50)
 		w.do(int(version), acts)
 		w.run(w.now + 60)
 	}
@@ -635,7 +635,7 @@
 	assert.Equal(t, 3, held)
 	for i, n := range w.nodes[:3] {
 		w.wipe(8 - i)
-		token, acts := n.Read(w.now, Order, "relay-1", 1000)
+		token, acts := n.Lookup(w.now, OperatorOrder, "relay-1", 1000)
 		w.words["order"] = &word{pending: map[uint64]float64{}}
 		w.takenBy[token] = "order"
 		w.do(i, acts)
@@ -648,7 +648,7 @@
 func (w *world) seeks(i int, key string) *word {
 	x := &word{pending: map[uint64]float64{}}
 	w.words["sought"] = x
-	token, acts := w.nodes[i].Read(w.now, Mark, key, 50)
+	token, acts := w.nodes[i].Lookup(w.now, AttemptMarker, key, 50)
 	w.takenBy[token] = "sought"
 	w.do(i, acts)
 	w.run(w.now + 60)
@@ -676,7 +676,7 @@
 	} {
 		for seed := range int64(20) {
 			w := newWorld(t, 9, 3, c.copies, seed, Faults{})
-			token, acts := w.nodes[0].Put(w.now, Record{Kind: Mark, Key: "k", End: w.now + 5000, Body: []byte("s")},
+			token, acts := w.nodes[0].Replicate(w.now, Record{Kind: AttemptMarker, Key: "k", ExpiresAt: w.now + 5000, Body: []byte("s")},
 				50)
 			r := w.nodes[0].mine[token]
 			w.words["mark"] = &word{pending: map[uint64]float64{}}
@@ -685,13 +685,13 @@
 			w.run(w.now + 60)
 			require.Positive(t, w.words["mark"].given, name)
 			var holders []int
-			for _, h := range r.Holders {
+			for _, h := range r.Replicas {
 				i := slices.Index(w.nodes, w.node(h.Name))
 				holders = append(holders, i)
 				w.nodes[i].former = map[uint64]*holding{r.ID: {Record: r}}
 			}
 			if c.over {
-				w.do(0, w.nodes[0].Over(w.now, token))
+				w.do(0, w.nodes[0].Revoke(w.now, token))
 				w.run(w.now + 60)
 			}
 			c.breaks(w, holders)
@@ -709,8 +709,8 @@
 // What has it held may come after what takes it back: then it is over as well.
 func TestMarkIsTakenBackFirst(t *testing.T) {
 	w := newWorld(t, 9, 3, 3, 1, Faults{})
-	token, acts := w.nodes[0].Put(w.now, Record{Kind: Mark, Key: "k", End: w.now + 5000}, 50)
-	w.do(0, w.nodes[0].Over(w.now, token))
+	token, acts := w.nodes[0].Replicate(w.now, Record{Kind: AttemptMarker, Key: "k", ExpiresAt: w.now + 5000}, 50)
+	w.do(0, w.nodes[0].Revoke(w.now, token))
 	w.run(w.now + 60)
 	w.do(0, acts)
 	w.run(w.now + 60)
@@ -727,8 +727,8 @@
 func TestHints(t *testing.T) {
 	w := newWorld(t, 9, 3, 3, 1, Faults{})
 	hint := func(i int, key, where string) uint64 {
-		token, acts := w.nodes[i].Put(w.now, Record{Kind: Affinity, Key: key, Version: uint64(w.now), At: w.now,
-			End: w.now + 60000, Body: []byte(where)}, 50)
+		token, acts := w.nodes[i].Replicate(w.now, Record{Kind: Affinity, Key: key, Version: uint64(w.now), ValidFrom: w.now,
+			ExpiresAt: w.now + 60000, Body: []byte(where)}, 50)
 		w.do(i, acts)
 		return token
 	}
@@ -752,14 +752,14 @@
 	seek := func() string {
 		x := &word{pending: map[uint64]float64{}}
 		w.words["sought"] = x
-		token, acts := w.nodes[5].Read(w.now, Affinity, "k", 8)
+		token, acts := w.nodes[5].Lookup(w.now, Affinity, "k", 8)
 		w.takenBy[token] = "sought"
 		w.do(5, acts)
 		w.run(w.now + 20)
 		return string(x.record.Body)
 	}
 	assert.Equal(t, "s2", seek())
-	w.do(1, w.nodes[1].Over(w.now, token))
+	w.do(1, w.nodes[1].Revoke(w.now, token))
 	w.run(w.now + 20)
 	assert.Empty(t, seek())
 	w.run(w.now + 60000 + keptPast + 2000)
@@ -777,7 +777,7 @@
 		ids, taken := map[uint64]bool{}, 0
 		for i := range 30 {
 			w.words[fmt.Sprint("word", i)] = &word{pending: map[uint64]float64{}}
-			token, acts := w.nodes[i%9].Put(w.now, Record{Kind: Place, Key: "hot", At: w.now, End: w.now + 5000}, 50)
+			token, acts := w.nodes[i%9].Replicate(w.now, Record{Kind: Reservation, Key: "hot", ValidFrom: w.now, ExpiresAt: w.now + 5000}, 50)
 			w.putBy[token] = fmt.Sprint("word", i)
 			w.do(i%9, acts)
 		}
@@ -808,16 +808,16 @@
 		w.gives(0, "k", w.now+5000)
 		w.run(w.now + 60)
 		require.Positive(t, w.words["k"].given)
-		liar := w.node(w.words["k"].record.Holders[seed%3].Name)
-		liar.Forget()
-		made := Record{Kind: Place, Key: "made", ID: 7, At: w.now, End: w.now + 5000, Owner: liar.name,
-			Holders: []Holder{{liar.name, liar.life}}}
+		liar := w.node(w.words["k"].record.Replicas[seed%3].Name)
+		liar.DiscardAll()
+		made := Record{Kind: Reservation, Key: "made", ID: 7, ValidFrom: w.now, ExpiresAt: w.now + 5000, Owner: liar.name,
+			Replicas: []Replica{{liar.name, liar.life}}}
 		if seed%2 == 0 {
-			made.Holders = append(made.Holders, Holder{"n0", w.nodes[0].life}, Holder{"n1", w.nodes[1].life})
+			made.Replicas = append(made.Replicas, Replica{"n0", w.nodes[0].life}, Replica{"n1", w.nodes[1].life})
 		}
 		for _, n := range w.nodes { // it says so to whoever asks
 			if n == liar || seed%4 > 1 {
-				n.hints[keyOf(Place, "made")] = made
+				n.hints[keyOf(Reservation, "made")] = made
 			}
 		}
 		liar.add(&holding{Record: made})
@@ -868,7 +868,7 @@
 // Who comes too early has its place when it comes again, and who comes after its end has none.
 func TestPlaceIsForItsTime(t *testing.T) {
 	w := newWorld(t, 9, 3, 3, 1, Faults{})
-	token, acts := w.nodes[0].Put(w.now, Record{Kind: Place, Key: "k", At: w.now + 1000, End: w.now + 1700}, 50)
+	token, acts := w.nodes[0].Replicate(w.now, Record{Kind: Reservation, Key: "k", ValidFrom: w.now + 1000, ExpiresAt: w.now + 1700}, 50)
 	w.words["k"], w.putBy[token] = &word{at: w.now, pending: map[uint64]float64{}}, "k"
 	w.do(0, acts)
 	for _, c := range []struct{ after, used float64 }{{400, 0}, {400, 1}, {1500, 1}} {
@@ -887,13 +887,13 @@
 func FuzzHeard(f *testing.F) {
 	m := message{What: put, Token: 1, From: "x", Life: 2, Ballot: ballot{1, 2}, Taken: ballot{3, 4},
 		Records: []Record{{
-			Kind: Place, Key: "k", ID: 7, Version: 1, Owner: "o", At: 5, End: 6, Body: []byte("b"),
-			Holders: []Holder{{"h", 1}, {"i", 2}}}}}
+			Kind: Reservation, Key: "k", ID: 7, Version: 1, Owner: "o", ValidFrom: 5, ExpiresAt: 6, Body: []byte("b"),
+			Replicas: []Replica{{"h", 1}, {"i", 2}}}}}
 	f.Add(m.text())
 	f.Add([]byte{formVersion})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		c := New("h", 1, 3, 10, rand.New(rand.NewSource(1)))
-		acts, err := c.Heard(1, "x", data)
+		acts, err := c.HandleMessage(1, "x", data)
 		if err != nil {
 			require.Empty(t, acts)
 			return
@@ -903,7 +903,7 @@
 		same, err := readMessage(again.text())
 		require.NoError(t, err)
 		require.Equal(t, again, same)
-		c.Load(1, nameOf(7), data)
+		c.LoadRecord(1, nameOf(7), data)
 		c.Tick(2)
 	})
 }
@@ -913,23 +913,23 @@
 func BenchmarkHold(b *testing.B) {
 	c := New("h", 1, 3, 1<<30, rand.New(rand.NewSource(1)))
 	now, bytes := 1e6, 0
-	saved := func(acts []Act) {
+	saved := func(acts []Action) {
 		for _, a := range acts {
-			if a.Save != nil {
-				bytes += len(a.Save.Body)
-				for _, back := range c.Saved(now, a.Save) {
+			if a.Write != nil {
+				bytes += len(a.Write.Body)
+				for _, back := range c.CompleteWrite(now, a.Write) {
 					bytes += len(back.Data)
 				}
 			}
 		}
 	}
 	for i := range b.N {
-		r := Record{Kind: Place, Key: fmt.Sprintf("%016x", i), ID: uint64(i + 1), Owner: "relay-17", At: now + 500,
-			End: now + 1200, Holders: []Holder{{"h", 1}, {"relay-203", 1 << 60}, {"relay-77", 1 << 61}}}
+		r := Record{Kind: Reservation, Key: fmt.Sprintf("%016x", i), ID: uint64(i + 1), Owner: "relay-17", ValidFrom: now + 500,
+			ExpiresAt: now + 1200, Replicas: []Replica{{"h", 1}, {"relay-203", 1 << 60}, {"relay-77", 1 << 61}}}
 		for _, w := range []what{put, bind, accept} {
 			m := message{What: w, Token: 9, From: "relay-17", Life: 1 << 60, Ballot: ballot{1, 9}, By: 9,
 				Records: []Record{r}}
-			acts, err := c.Heard(now, "x", m.text())
+			acts, err := c.HandleMessage(now, "x", m.text())
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -952,11 +952,11 @@
 		runtime.ReadMemStats(&before)
 		c, now := New("h", 1, 3, 1<<30, rand.New(rand.NewSource(1))), 1e6
 		for i := range many {
-			r := Record{Kind: Place, Key: fmt.Sprintf("%016x", i), ID: uint64(i + 1), Owner: "relay-17", At: now + 5e5,
-				End: now + 5e5 + float64(i%1000), Holders: []Holder{{"h", 1}, {"relay-203", 1 << 60}, {"relay-77",
+			r := Record{Kind: Reservation, Key: fmt.Sprintf("%016x", i), ID: uint64(i + 1), Owner: "relay-17", ValidFrom: now + 5e5,
+				ExpiresAt: now + 5e5 + float64(i%1000), Replicas: []Replica{{"h", 1}, {"relay-203", 1 << 60}, {"relay-77",
 					1 << 61}}}
 			m := message{What: put, Token: 9, From: "relay-17", Life: 1 << 60, Records: []Record{r}}
-			c.Heard(now, "x", m.text())
+			c.HandleMessage(now, "x", m.text())
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/replication/shown_test.go
+++ b/internal/replication/shown_test.go
@@ -11,7 +11,7 @@
 
 func (w *world) pages() (all []Page) {
 	for _, n := range w.nodes {
-		for part := range Parts {
+		for part := range Partitions {
 			if p := n.Page(w.now, part); len(p.Records) > 0 || part == 0 {
 				all = append(all, *p)
 			}
@@ -22,12 +22,12 @@
 
 // What relays show is held against each other: copies that are missing are counted, what can't be is named.
 func TestVerify(t *testing.T) {
-	pick := func(p []Page, holder int) (r *Shown) {
+	pick := func(p []Page, holder int) (r *RecordSnapshot) {
 		id := ""
 		for i := range p {
 			for k := range p[i].Records {
 				if x := &p[i].Records[k]; x.Kind == "orders" && (id == "" || id == x.ID) &&
-					p[i].Name == x.Holders[holder].Name {
+					p[i].Relay == x.Replicas[holder].Name {
 					return x
 				}
 			}
@@ -35,12 +35,12 @@
 		return nil
 	}
 	without := func(p []Page, names ...string) (left []Page) {
-		return slices.DeleteFunc(slices.Clone(p), func(x Page) bool { return slices.Contains(names, x.Name) })
+		return slices.DeleteFunc(slices.Clone(p), func(x Page) bool { return slices.Contains(names, x.Relay) })
 	}
 	emptied := func(p []Page, names ...string) []Page {
 		p = slices.Clone(p)
 		for i := range p {
-			if slices.Contains(names, p[i].Name) {
+			if slices.Contains(names, p[i].Relay) {
 				p[i].Records = nil
 			}
 		}
@@ -48,44 +48,44 @@
 	}
 	for name, c := range map[string]struct {
 		change func(p []Page) []Page
-		want   Finding // of orders, of which there is one
+		want   Report // of orders, of which there is one
 		wrong  string
 	}{
-		"as it is": {func(p []Page) []Page { return p }, Finding{Records: 1, Whole: 1}, ""},
-		"one not asked": {func(p []Page) []Page { return without(p, pick(p, 0).Holders[1].Name) },
-			Finding{Records: 1, Unknown: 1}, ""},
-		"one has lost it": {func(p []Page) []Page { return emptied(p, pick(p, 0).Holders[1].Name) },
-			Finding{Records: 1, Under: 1}, ""},
+		"as it is": {func(p []Page) []Page { return p }, Report{Records: 1, FullyReplicated: 1}, ""},
+		"one not asked": {func(p []Page) []Page { return without(p, pick(p, 0).Replicas[1].Name) },
+			Report{Records: 1, Unknown: 1}, ""},
+		"one has lost it": {func(p []Page) []Page { return emptied(p, pick(p, 0).Replicas[1].Name) },
+			Report{Records: 1, UnderReplicated: 1}, ""},
 		"two have lost it": {func(p []Page) []Page {
-			h := pick(p, 0).Holders
+			h := pick(p, 0).Replicas
 			return emptied(p, h[0].Name,
 				h[2].Name)
-		}, Finding{Records: 1, Short: 1}, ""},
+		}, Report{Records: 1, BelowQuorum: 1}, ""},
 		"a former one lies on at some": {func(p []Page) []Page {
 			was := *pick(p, 0)
 			was.ID, was.Version, was.Body = "0000000000000001", 0, []byte("former")
 			for i := range p {
-				if p[i].Name == was.Holders[0].Name {
+				if p[i].Relay == was.Replicas[0].Name {
 					p[i].Records = append(p[i].Records, was)
 					break
 				}
 			}
 			return p
-		}, Finding{Records: 1, Whole: 1}, ""},
+		}, Report{Records: 1, FullyReplicated: 1}, ""},
 		"it is two": {func(p []Page) []Page { pick(p, 1).Body = []byte("other"); return p },
-			Finding{Records: 1, Whole: 1}, "is two"},
-		"another version": {func(p []Page) []Page { pick(p, 2).Version = 9; return p }, Finding{Records: 1,
-			Whole: 1}, "another record"},
-		"no end": {func(p []Page) []Page { pick(p, 2).End = 1e300; return p }, Finding{Records: 1,
-			Whole: 1}, "beyond all bounds"},
+			Report{Records: 1, FullyReplicated: 1}, "is two"},
+		"another version": {func(p []Page) []Page { pick(p, 2).Version = 9; return p }, Report{Records: 1,
+			FullyReplicated: 1}, "another record"},
+		"no end": {func(p []Page) []Page { pick(p, 2).ExpiresAt = 1e300; return p }, Report{Records: 1,
+			FullyReplicated: 1}, "beyond all bounds"},
 		"at a stranger": {func(p []Page) []Page {
 			p[0].Records = append(p[0].Records, *pick(p, 0))
-			p[0].Name = "stranger"
+			p[0].Relay = "stranger"
 			return p
-		}, Finding{Records: 1, Whole: 1}, "none of its holders"},
+		}, Report{Records: 1, FullyReplicated: 1}, "none of its holders"},
 	} {
 		w := newWorld(t, 9, 3, 3, 4, Faults{})
-		_, acts := w.nodes[2].Put(w.now, Record{Kind: Order, Key: "n2", Version: 1, End: w.now + 1e6,
+		_, acts := w.nodes[2].Replicate(w.now, Record{Kind: OperatorOrder, Key: "n2", Version: 1, ExpiresAt: w.now + 1e6,
 			Body: []byte("x")}, 50)
 		w.do(2, acts)
 		w.gives(1, "k", w.now+5000)
@@ -98,8 +98,8 @@
 		require.NoError(t, json.Unmarshal(text, &pages))
 		found := Verify(c.change(pages))
 		got := *found["orders"]
-		wrong := got.Wrong
-		if got.Wrong = nil; name != "at a stranger" {
+		wrong := got.Inconsistencies
+		if got.Inconsistencies = nil; name != "at a stranger" {
 			assert.Equal(t, c.want, got, name)
 		}
 		assert.Zero(t, found["places"].Records, "%s: it is used", name)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -13,29 +13,29 @@
 	"valeshift/balancer"
 )
 
-// Pairs looks settings up by path and keeps the first that was needed and not there.
-type Pairs struct {
+// Reader looks settings up by path and keeps the first that was needed and not there.
+type Reader struct {
 	values map[string]string
 	err    error
 }
 
-// Over reads from values under paths.
-func Over(values map[string]string) *Pairs { return &Pairs{values: values} }
+// NewReader reads from values under paths.
+func NewReader(values map[string]string) *Reader { return &Reader{values: values} }
 
 // Err tells which setting was needed and not there, or not of its kind.
-func (p *Pairs) Err() error { return p.err }
+func (p *Reader) Err() error { return p.err }
 
 // Text reads a setting as it stands; one that is not there is empty.
-func (p *Pairs) Text(path string) string { return p.values[path] }
+func (p *Reader) Text(path string) string { return p.values[path] }
 
-func (p *Pairs) fail(path, want string) {
+func (p *Reader) fail(path, want string) {
 	if p.err == nil {
 		p.err = fmt.Errorf("settings: %s: %s expected, got %q", path, want, p.values[path])
 	}
 }
 
-// Number reads a setting that a decision needs.
-func (p *Pairs) Number(path string) float64 {
+// Float reads a setting that a decision needs.
+func (p *Reader) Float(path string) float64 {
 	v, err := strconv.ParseFloat(p.values[path], 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 		p.fail(path, "a number")
@@ -44,17 +44,17 @@
 	return v
 }
 
-// Optional reads a setting that the wire lets stay away.
-func (p *Pairs) Optional(path string, otherwise float64) float64 {
+// FloatOr reads a setting that the wire lets stay away.
+func (p *Reader) FloatOr(path string, otherwise float64) float64 {
 	if _, ok := p.values[path]; !ok {
 		return otherwise
 	}
-	return p.Number(path)
+	return p.Float(path)
 }
 
 // Count reads a whole number that a decision needs.
-func (p *Pairs) Count(path string) int {
-	v := p.Number(path)
+func (p *Reader) Count(path string) int {
+	v := p.Float(path)
 	if v != math.Trunc(v) || v > 1e6 {
 		p.fail(path, "a count")
 		return 0
@@ -62,8 +62,8 @@
 	return int(v)
 }
 
-// Flag reads true or false.
-func (p *Pairs) Flag(path string) bool {
+// Bool reads true or false.
+func (p *Reader) Bool(path string) bool {
 	switch p.values[path] {
 	case "true":
 		return true
@@ -74,8 +74,8 @@
 	return false
 }
 
-// Word reads one of the words given, as its place among them.
-func (p *Pairs) Word(path string, words ...string) int {
+// Enum reads one of the words given, as its place among them.
+func (p *Reader) Enum(path string, words ...string) int {
 	for i, w := range words {
 		if p.values[path] == w {
 			return i
@@ -85,17 +85,17 @@
 	return 0
 }
 
-// Names reads the names of a list of records as the place of each, which is its number in the module.
-func (p *Pairs) Names(path string) map[string]int {
+// RecordIndexes reads the names of a list of records as the place of each, which is its number in the module.
+func (p *Reader) RecordIndexes(path string) map[string]int {
 	var names []string
-	for i := range int(min(p.Optional(path+".count", 0), 1e6)) {
+	for i := range int(min(p.FloatOr(path+".count", 0), 1e6)) {
 		names = append(names, p.values[fmt.Sprintf("%s.%d.name", path, i)])
 	}
 	return places(names)
 }
 
-// Places reads a plain list of names as the place of each.
-func (p *Pairs) Places(path string) map[string]int {
+// ListIndexes reads a plain list of names as the place of each.
+func (p *Reader) ListIndexes(path string) map[string]int {
 	return places(strings.Split(p.values[path], ","))
 }
 
@@ -107,24 +107,24 @@
 	return m
 }
 
-// Fields reads which values a load report has; none where nothing reports.
-func (p *Pairs) Fields() []string {
-	if p.Word("stats.how", "none", "answers", "probe") > 0 {
+// ReportFields reads which values a load report has; none where nothing reports.
+func (p *Reader) ReportFields() []string {
+	if p.Enum("stats.how", "none", "answers", "probe") > 0 {
 		return strings.Split(p.values["stats.fields"], ",")
 	}
 	return nil
 }
 
-// MaxBack reads the longest wait that clients follow, or 0 where none may be told.
-func (p *Pairs) MaxBack() float64 {
-	if p.Flag("limits.retry-after") {
-		return p.Number("limits.max-retry-after-ms")
+// MaxRetryAfter reads the longest wait that clients follow, or 0 where none may be told.
+func (p *Reader) MaxRetryAfter() float64 {
+	if p.Bool("limits.retry-after") {
+		return p.Float("limits.max-retry-after-ms")
 	}
 	return 0
 }
 
 // budget reads the budget of setup tries beyond a link's first; without its three settings there is none.
-func (p *Pairs) budget() *balancer.Budget {
+func (p *Reader) budget() *balancer.RetryBudget {
 	paths := [...]string{"contract.free-resends", "contract.extra-share", "contract.extra-window-ms"}
 	there := 0
 	for _, path := range paths {
@@ -135,35 +135,35 @@
 	if there == 0 {
 		return nil
 	}
-	free, share, window := p.Number(paths[0]), p.Number(paths[1]), p.Number(paths[2])
+	free, share, window := p.Float(paths[0]), p.Float(paths[1]), p.Float(paths[2])
 	if window <= 0 {
 		p.fail(paths[2], "a length over 0")
 	}
-	return balancer.NewBudget(free, share, window)
+	return balancer.NewRetryBudget(free, share, window)
 }
 
-// Assemble builds the module of one relay.
-func (p *Pairs) Assemble(seed uint64) (*balancer.Balancer, error) {
+// BuildBalancer builds the module of one relay.
+func (p *Reader) BuildBalancer(seed uint64) (*balancer.Balancer, error) {
 	chance := rand.New(rand.NewSource(int64(seed)))
 	relays := max(1, p.Count("replicas-of-me"))
 
 	n := p.Count("categories.count")
-	var categories []balancer.Category
+	var categories []balancer.Class
 	for i := 0; i < n && p.err == nil; i++ {
 		at := fmt.Sprintf("categories.%d.", i)
-		c := balancer.Category{
-			PromisedTime: p.Number(at + "promised-time-ms"),
-			Gain:         p.Number(at + "gain"),
-			Effect:       balancer.Effect(p.Word(at+"effect", "idempotent", "deduplicated", "at_most_once")),
+		c := balancer.Class{
+			LatencyObjective: p.Float(at + "promised-time-ms"),
+			PriorityWeight:   p.Float(at + "gain"),
+			Idempotency:      balancer.Idempotency(p.Enum(at+"effect", "idempotent", "deduplicated", "at_most_once")),
 		}
-		if c.Effect == balancer.Referenced {
-			c.Scope = balancer.Scope(p.Word(at+"group", "all", "zone", "cell"))
-			c.RepeatWindow = p.Number(at + "repeat-window-ms")
+		if c.Idempotency == balancer.IdempotentByKey {
+			c.Scope = balancer.DeduplicationScope(p.Enum(at+"group", "all", "zone", "cell"))
+			c.DeduplicationWindow = p.Float(at + "repeat-window-ms")
 		}
 		categories = append(categories, c)
 	}
 
-	n = int(min(p.Optional("parties.count", 0), 1e6))
+	n = int(min(p.FloatOr("parties.count", 0), 1e6))
 	var listed []string
 	if list := p.values["family-info.tenant-quota-connections"]; list != "" {
 		listed = strings.Split(list, ",")
@@ -177,22 +177,22 @@
 		quotas[i] = links
 	}
 
-	asked := p.Word("discovery", "automatic", "subscribe") == 1
+	asked := p.Enum("discovery", "automatic", "subscribe") == 1
 	askWithin := 0.0
 	if asked {
-		askWithin = p.Number("contract.ask-within-ms")
-	}
-	fields, maxBack := p.Fields(), p.MaxBack()
-	warmup := balancer.NewWarmup(p.Number("contract.cold-from"), p.Number("contract.cold-ms"),
-		p.Number("contract.tip-multiple"), p.Number("contract.fall-ms"), relays)
-	probing := balancer.NewProbing(p.Flag("limits.probes"), p.Optional("fees.probe", 0), fields)
-	effects := balancer.NewEffects(categories, p.Count("limits.most-setup-tries"), maxBack, relays, p.budget())
-	shares := balancer.NewShares(categories, quotas, p.Optional("beyond-share-gain", 1), relays)
+		askWithin = p.Float("contract.ask-within-ms")
+	}
+	fields, maxBack := p.ReportFields(), p.MaxRetryAfter()
+	warmup := balancer.NewSlowStart(p.Float("contract.cold-from"), p.Float("contract.cold-ms"),
+		p.Float("contract.tip-multiple"), p.Float("contract.fall-ms"), relays)
+	probing := balancer.NewLoadPoller(p.Bool("limits.probes"), p.FloatOr("fees.probe", 0), fields)
+	effects := balancer.NewAttemptPolicy(categories, p.Count("limits.most-setup-tries"), maxBack, relays, p.budget())
+	shares := balancer.NewQuotas(categories, quotas, p.FloatOr("beyond-share-gain", 1), relays)
 	zone := p.Count("zone")
 	if p.err != nil {
 		return nil, p.err
 	}
-	return balancer.New(balancer.NewRoster(asked, askWithin), balancer.NewTurns(chance), warmup, probing, effects, shares,
-		zone, p.Optional("fees.cross-zone", 0), p.values["family-info.groups"] == "true",
+	return balancer.New(balancer.NewEndpointSet(asked, askWithin), balancer.NewRoundRobin(chance), warmup, probing, effects, shares,
+		zone, p.FloatOr("fees.cross-zone", 0), p.values["family-info.groups"] == "true",
 		p.values["family-info.mode"] == "pass"), nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -33,19 +33,19 @@
 }
 
 func TestFirstWrongSettingIsNamed(t *testing.T) {
-	p := Over(map[string]string{"a": "1.5", "b": "-1", "c": "yes", "d": "odd", "e": "NaN"})
-	assert.Equal(t, 1.5, p.Number("a"))
-	assert.Equal(t, 7.0, p.Optional("absent", 7))
+	p := NewReader(map[string]string{"a": "1.5", "b": "-1", "c": "yes", "d": "odd", "e": "NaN"})
+	assert.Equal(t, 1.5, p.Float("a"))
+	assert.Equal(t, 7.0, p.FloatOr("absent", 7))
 	require.NoError(t, p.Err())
-	for path, ask := range map[string]func(*Pairs){
-		"b": func(p *Pairs) { p.Number("b") }, "c": func(p *Pairs) { p.Flag("c") },
-		"e": func(p *Pairs) { p.Number("e") },
-		"d": func(p *Pairs) { p.Word("d", "even") }, "a": func(p *Pairs) { p.Count("a") },
-		"absent": func(p *Pairs) { p.Number("absent") },
+	for path, ask := range map[string]func(*Reader){
+		"b": func(p *Reader) { p.Float("b") }, "c": func(p *Reader) { p.Bool("c") },
+		"e": func(p *Reader) { p.Float("e") },
+		"d": func(p *Reader) { p.Enum("d", "even") }, "a": func(p *Reader) { p.Count("a") },
+		"absent": func(p *Reader) { p.Float("absent") },
 	} {
-		p := Over(p.values)
+		p := NewReader(p.values)
 		ask(p)
-		p.Number("z")
+		p.Float("z")
 		assert.ErrorContains(t, p.Err(), "settings: "+path+":")
 	}
 }
@@ -69,7 +69,7 @@
 		{"without the share", map[string]string{free: "3", window: "5000"}, share},
 		{"without the free ones", map[string]string{share: "0.1", window: "5000"}, free},
 	} {
-		p := Over(c.values)
+		p := NewReader(c.values)
 		b := p.budget()
 		if c.wrong == "" {
 			require.NoError(t, p.Err(), c.name)
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -15,13 +15,13 @@
 	"valeshift/balancer"
 )
 
-// Module is one baseline in one relay.
-type Module struct {
+// Policy is one baseline in one relay.
+type Policy struct {
 	policy     string
 	zone       int // the relay's own
 	zones      []int
 	chance     *rand.Rand
-	categories []balancer.Category
+	categories []balancer.Class
 	mostTries  int
 	maxBack    float64
 	truth      func(id uint32) float64 // load, for perfect sight
@@ -34,7 +34,7 @@
 	mention []bool
 	whole   bool
 	turn    int
-	state   map[*balancer.Link]*link
+	state   map[*balancer.Session]*link
 	askAt   float64
 	shifts  []int
 }
@@ -48,28 +48,28 @@
 // New takes the policy's name, the relay's zone, what its chance is drawn from, the categories, the most
 // setup tries of a link, the longest time to come back that may be told, the servers' true loads, which only
 // "sight" reads, and whether they bear one more link, which only "sight-kept" does.
-func New(policy string, zone int, seed uint64, categories []balancer.Category, mostTries int, maxBack float64,
-	truth func(id uint32) float64, bears func(id uint32) bool) (*Module, error) {
+func New(policy string, zone int, seed uint64, categories []balancer.Class, mostTries int, maxBack float64,
+	truth func(id uint32) float64, bears func(id uint32) bool) (*Policy, error) {
 	switch policy {
 	case "random", "round-robin", "least", "two", "near", "sight", "sight-kept":
 	default:
 		return nil, fmt.Errorf("variants: no baseline is called %q", policy)
 	}
-	return &Module{policy: policy, zone: zone, chance: rand.New(rand.NewSource(int64(seed))),
+	return &Policy{policy: policy, zone: zone, chance: rand.New(rand.NewSource(int64(seed))),
 		categories: categories,
 		mostTries:  mostTries, maxBack: maxBack, truth: truth, bears: bears, index: map[uint32]int{},
-		state: map[*balancer.Link]*link{}, askAt: math.Inf(1)}, nil
+		state: map[*balancer.Session]*link{}, askAt: math.Inf(1)}, nil
 }
 
-// Place says where the link goes, or that it is given up.
-func (m *Module) Place(now float64, l *balancer.Link) balancer.Answer {
+// Assign says where the link goes, or that it is given up.
+func (m *Policy) Assign(now float64, l *balancer.Session) balancer.Decision {
 	s := m.state[l]
 	if s == nil {
 		s = &link{server: -1}
 		m.state[l] = s
 	}
-	once := s.ran && m.categories[l.Category].Effect != balancer.Replayable
-	if s.tries >= m.mostTries || now >= l.Limit || once {
+	once := s.ran && m.categories[l.Class].Idempotency != balancer.Idempotent
+	if s.tries >= m.mostTries || now >= l.Deadline || once {
 		return m.end(l, s)
 	}
 	server := m.choose(s.server)
@@ -79,19 +79,19 @@
 	s.server, s.out = server, true
 	s.tries++
 	m.links[server]++
-	return balancer.Answer{Verdict: balancer.Send, Backend: m.ids[server], Timeout: l.Limit - now, Round: s.tries - 1}
+	return balancer.Decision{Kind: balancer.Assign, Backend: m.ids[server], Timeout: l.Deadline - now, Attempt: s.tries - 1}
 }
 
-func (m *Module) end(l *balancer.Link, s *link) balancer.Answer {
+func (m *Policy) end(l *balancer.Session, s *link) balancer.Decision {
 	delete(m.state, l)
-	if !s.ran || m.categories[l.Category].Effect == balancer.Replayable {
-		return balancer.Answer{Verdict: balancer.Reject, Wait: m.maxBack}
+	if !s.ran || m.categories[l.Class].Idempotency == balancer.Idempotent {
+		return balancer.Decision{Kind: balancer.Reject, Wait: m.maxBack}
 	}
-	return balancer.Answer{Verdict: balancer.Fail}
+	return balancer.Decision{Kind: balancer.Fail}
 }
 
 // choose picks among the servers that are ready, but for the one that the link was tried on last.
-func (m *Module) choose(not int) int {
+func (m *Policy) choose(not int) int {
 	some := m.shifts[:0]
 	for s, ready := range m.ready {
 		if ready && s != not && (m.policy != "sight-kept" || m.bears(m.ids[s])) {
@@ -133,39 +133,39 @@
 	return some[m.chance.Intn(len(some))]
 }
 
-// After says what follows the outcome of a setup try, or of its link.
-func (m *Module) After(now float64, l *balancer.Link, outcome balancer.Outcome, last bool) balancer.Answer {
+// AttemptFinished says what follows the outcome of a setup try, or of its link.
+func (m *Policy) AttemptFinished(now float64, l *balancer.Session, outcome balancer.AttemptOutcome, last bool) balancer.Decision {
 	s := m.state[l]
 	if s == nil || !s.out {
-		return balancer.Answer{}
+		return balancer.Decision{}
 	}
 	s.out = false
 	m.links[s.server]--
 	if last || s.open || s.gone {
 		delete(m.state, l)
-		return balancer.Answer{}
+		return balancer.Decision{}
 	}
-	s.ran = s.ran || (outcome != balancer.TurnedAway && outcome != balancer.Unreachable && outcome != balancer.Unsent)
-	return m.Place(now, l)
+	s.ran = s.ran || (outcome != balancer.OutcomeRejected && outcome != balancer.OutcomeUnreachable && outcome != balancer.OutcomeNotSent)
+	return m.Assign(now, l)
 }
 
-// Next asks for the list where it has failed. Baselines send no probes.
-func (m *Module) Next(now float64) balancer.Due {
+// NextAction asks for the list where it has failed. Baselines send no probes.
+func (m *Policy) NextAction(now float64) balancer.Action {
 	if now >= m.askAt {
 		m.askAt = math.Inf(1)
-		return balancer.Due{Subscribe: true}
+		return balancer.Action{Subscribe: true}
 	}
-	return balancer.Due{Wait: m.askAt - now}
+	return balancer.Action{Wait: m.askAt - now}
 }
 
-// ListBegan starts news of the list.
-func (m *Module) ListBegan(whole bool) {
+// BeginEndpointUpdate starts news of the list.
+func (m *Policy) BeginEndpointUpdate(whole bool) {
 	m.whole = whole
 	clear(m.mention)
 }
 
-// Listed takes one entry.
-func (m *Module) Listed(id uint32, zone int, cond balancer.Condition, _ int, _, _ float64) {
+// UpdateEndpoint takes one entry.
+func (m *Policy) UpdateEndpoint(id uint32, zone int, cond balancer.EndpointState, _ int, _, _ float64) {
 	s, known := m.index[id]
 	if !known {
 		s = len(m.ids)
@@ -177,43 +177,43 @@
 	m.ready[s], m.mention[s] = cond == balancer.Ready, true
 }
 
-// ListEnded closes the news.
-func (m *Module) ListEnded(float64) {
+// EndEndpointUpdate closes the news.
+func (m *Policy) EndEndpointUpdate(float64) {
 	for s, mentioned := range m.mention {
 		m.ready[s] = m.ready[s] && (mentioned || !m.whole)
 	}
 	m.askAt = math.Inf(1)
 }
 
-// ListFailed has the list asked for again soon.
-func (m *Module) ListFailed(now float64) { m.askAt = now + 200 + 200*m.chance.Float64() }
+// WatchFailed has the list asked for again soon.
+func (m *Policy) WatchFailed(now float64) { m.askAt = now + 200 + 200*m.chance.Float64() }
 
-// Probed takes nothing.
-func (m *Module) Probed(float64, uint32, bool, []float64) {}
+// PollFinished takes nothing.
+func (m *Policy) PollFinished(float64, uint32, bool, []float64) {}
 
-// Reported takes nothing.
-func (m *Module) Reported(float64, uint32, []float64) {}
+// LoadReported takes nothing.
+func (m *Policy) LoadReported(float64, uint32, []float64) {}
 
-// Accepted takes that a link stands.
-func (m *Module) Accepted(_ float64, l *balancer.Link) {
+// SessionEstablished takes that a link stands.
+func (m *Policy) SessionEstablished(_ float64, l *balancer.Session) {
 	if s := m.state[l]; s != nil {
 		s.open = true
 	}
 }
 
-// Weighed takes nothing.
-func (m *Module) Weighed(*balancer.Link, float64) {}
+// LoadMeasured takes nothing.
+func (m *Policy) LoadMeasured(*balancer.Session, float64) {}
 
-// Resumed takes a link that stood before.
-func (m *Module) Resumed(_ float64, l *balancer.Link, id uint32) {
+// SessionResumed takes a link that stood before.
+func (m *Policy) SessionResumed(_ float64, l *balancer.Session, id uint32) {
 	if s, known := m.index[id]; known {
 		m.state[l] = &link{server: s, out: true, open: true}
 		m.links[s]++
 	}
 }
 
-// Vanished takes that the client has left.
-func (m *Module) Vanished(l *balancer.Link) bool {
+// ClientDisconnected takes that the client has left.
+func (m *Policy) ClientDisconnected(l *balancer.Session) bool {
 	s := m.state[l]
 	if s == nil {
 		return false
@@ -225,16 +225,16 @@
 	return s.out
 }
 
-// Leave spreads what must go over a second and a half, to the end of the time there is.
-func (m *Module) Leave(nth, of int, within float64) float64 {
+// DrainDelay spreads what must go over a second and a half, to the end of the time there is.
+func (m *Policy) DrainDelay(nth, of int, within float64) float64 {
 	return max(within-1500, 0) + 1500*float64(nth)/float64(of)
 }
 
-// Lost is never held of a server.
-func (m *Module) Lost(uint32, float64) bool { return false }
+// IsUnresponsive is never held of a server.
+func (m *Policy) IsUnresponsive(uint32, float64) bool { return false }
 
-// View tells the links booked on a server.
-func (m *Module) View(id uint32) (int, float64, bool) {
+// BackendStatus tells the links booked on a server.
+func (m *Policy) BackendStatus(id uint32) (int, float64, bool) {
 	s, known := m.index[id]
 	if !known {
 		return 0, math.Inf(-1), true
@@ -242,11 +242,11 @@
 	return m.links[s], math.Inf(-1), !m.ready[s]
 }
 
-// Knows tells whether there is such a category.
-func (m *Module) Knows(category int) bool { return category < len(m.categories) }
+// HasClass tells whether there is such a category.
+func (m *Policy) HasClass(category int) bool { return category < len(m.categories) }
 
-// Census counts the servers listed, and those of them that no link is sent to.
-func (m *Module) Census() (listed, avoided int) {
+// Counts counts the servers listed, and those of them that no link is sent to.
+func (m *Policy) Counts() (listed, avoided int) {
 	for s := range m.ids {
 		if !m.ready[s] {
 			avoided++
@@ -255,76 +255,76 @@
 	return len(m.ids), avoided
 }
 
-// Fit, Yield, Record and Inherit are of two processes of one relay, which the baselines know nothing of.
-func (m *Module) Fit(float64) bool { return true }
+// IsReady, Yield, Record and Inherit are of two processes of one relay, which the baselines know nothing of.
+func (m *Policy) IsReady(float64) bool { return true }
 
-// Yield does nothing: there is no budget of cold servers.
-func (m *Module) Yield(bool) {}
+// SetDraining does nothing: there is no budget of cold servers.
+func (m *Policy) SetDraining(bool) {}
 
-// Record is empty: nothing is learnt.
-func (m *Module) Record(now float64) balancer.Record { return balancer.Record{At: now} }
+// Snapshot is empty: nothing is learnt.
+func (m *Policy) Snapshot(now float64) balancer.Snapshot { return balancer.Snapshot{TakenAt: now} }
 
-// Inherit takes nothing.
-func (m *Module) Inherit(float64, *balancer.Record) error { return nil }
+// Restore takes nothing.
+func (m *Policy) Restore(float64, *balancer.Snapshot) error { return nil }
 
-// Adopted takes a link that stood at another process.
-func (m *Module) Adopted(now float64, l *balancer.Link, id uint32, _ float64, _ bool) {
-	m.Resumed(now, l, id)
+// SessionReceived takes a link that stood at another process.
+func (m *Policy) SessionReceived(now float64, l *balancer.Session, id uint32, _ float64, _ bool) {
+	m.SessionResumed(now, l, id)
 }
 
-// Unasked takes that a probe was not sent; the baselines send none.
-func (m *Module) Unasked(uint32) {}
+// PollNotSent takes that a probe was not sent; the baselines send none.
+func (m *Policy) PollNotSent(uint32) {}
 
-// Learnt and what follows are of a fleet that recovers, which baselines know nothing of.
-func (m *Module) Learnt() balancer.Learnt { return balancer.Learnt{} }
+// Estimates and what follows are of a fleet that recovers, which baselines know nothing of.
+func (m *Policy) Estimates() balancer.Estimates { return balancer.Estimates{} }
 
-// Recall takes nothing.
-func (m *Module) Recall(balancer.Learnt) bool { return false }
+// RestoreEstimates takes nothing.
+func (m *Policy) RestoreEstimates(balancer.Estimates) bool { return false }
 
-// Recover changes nothing.
-func (m *Module) Recover(bool, float64) {}
+// SetRecovering changes nothing.
+func (m *Policy) SetRecovering(bool, float64) {}
 
-// Warmth says that all are warm.
-func (m *Module) Warmth(float64) (cold, usable int) { return 0, len(m.ids) }
+// WarmingUp says that all are warm.
+func (m *Policy) WarmingUp(float64) (cold, usable int) { return 0, len(m.ids) }
 
-// Restart changes nothing.
-func (m *Module) Restart(float64) {}
+// AssumeRetriesSpent changes nothing.
+func (m *Policy) AssumeRetriesSpent(float64) {}
 
-// Suppose changes nothing.
-func (m *Module) Suppose(float64) {}
+// AssumeEndpoints changes nothing.
+func (m *Policy) AssumeEndpoints(float64) {}
 
-// Shift changes nothing.
-func (m *Module) Shift(float64) {}
+// ShiftStartTimes changes nothing.
+func (m *Policy) ShiftStartTimes(float64) {}
 
-// Hush changes nothing.
-func (m *Module) Hush(float64) {}
+// Pause changes nothing.
+func (m *Policy) Pause(float64) {}
 
-// Late changes nothing.
-func (m *Module) Late(float64) {}
+// SetMaxReportAge changes nothing.
+func (m *Policy) SetMaxReportAge(float64) {}
 
-// Placed is nothing, as figures are not looked at so.
-func (m *Module) Placed() float64 { return 0 }
+// UnreportedLoad is nothing, as figures are not looked at so.
+func (m *Policy) UnreportedLoad() float64 { return 0 }
 
-// Others changes nothing.
-func (m *Module) Others(float64) {}
+// SetRemoteLoad changes nothing.
+func (m *Policy) SetRemoteLoad(float64) {}
 
-// Direct changes nothing: no policy here knows of zones decided in common.
-func (m *Module) Direct([]balancer.Direction) {}
+// SetZoneWeights changes nothing: no policy here knows of zones decided in common.
+func (m *Policy) SetZoneWeights([]balancer.ZoneWeight) {}
 
-// Zones gives nothing.
-func (m *Module) Zones(float64) ([]balancer.ZoneLook, float64) { return nil, 0 }
+// ZoneObservations gives nothing.
+func (m *Policy) ZoneObservations(float64) ([]balancer.ZoneObservation, float64) { return nil, 0 }
 
-// Ran changes nothing: no policy here hears of others' tries.
-func (m *Module) Ran(*balancer.Link, uint32, float64) {}
+// RecordEarlierAttempt changes nothing: no policy here hears of others' tries.
+func (m *Policy) RecordEarlierAttempt(*balancer.Session, uint32, float64) {}
 
-// Prefer changes nothing either.
-func (m *Module) Prefer(*balancer.Link, uint32) {}
+// PreferBackend changes nothing either.
+func (m *Policy) PreferBackend(*balancer.Session, uint32) {}
 
-// Forgo changes nothing.
-func (m *Module) Forgo(uint64) {}
+// DropReservation changes nothing.
+func (m *Policy) DropReservation(uint64) {}
 
-// Told is nobody.
-func (m *Module) Told(float64) map[uint64]float64 { return nil }
+// Reservations is nobody.
+func (m *Policy) Reservations(float64) map[uint64]float64 { return nil }
 
-// Promised takes nothing.
-func (m *Module) Promised(float64, map[uint64]float64) {}
+// RestoreReservations takes nothing.
+func (m *Policy) RestoreReservations(float64, map[uint64]float64) {}
--- a/internal/testbed/cost/cost.go
+++ b/internal/testbed/cost/cost.go
@@ -28,34 +28,34 @@
 	"valeshift/internal/testbed/procstat"
 )
 
-// Figures are what one way through came to.
-type Figures struct {
-	Way       string  `json:"way"`
-	Servers   int     `json:"servers"`
-	Setups    int     `json:"setups"`
-	Failed    int     `json:"failed"`
-	PerSecond float64 `json:"setups-a-second"`
-	PerCPU    float64 `json:"setups-a-cpu-second,omitempty"` // 0: it has no process of its own
-	P50       float64 `json:"P50"`                           // of a line there and back, milliseconds
-	P99       float64 `json:"P99"`
-	P999      float64 `json:"P999"`
-	Lines     int64   `json:"lines"`
-	LineCPU   float64 `json:"cpu-microseconds-a-line,omitempty"`
-	Memory    float64 `json:"bytes-a-link,omitempty"`
-	Idle      int     `json:"links-for-that,omitempty"`
+// Result are what one way through came to.
+type Result struct {
+	Path               string  `json:"way"`
+	Servers            int     `json:"servers"`
+	Setups             int     `json:"setups"`
+	Failed             int     `json:"failed"`
+	SetupsPerSecond    float64 `json:"setups-a-second"`
+	SetupsPerCPUSecond float64 `json:"setups-a-cpu-second,omitempty"` // 0: it has no process of its own
+	LineP50Millis      float64 `json:"P50"`                           // of a line there and back, milliseconds
+	LineP99Millis      float64 `json:"P99"`
+	LineP999Millis     float64 `json:"P999"`
+	Lines              int64   `json:"lines"`
+	CPUMicrosPerLine   float64 `json:"cpu-microseconds-a-line,omitempty"`
+	BytesPerSession    float64 `json:"bytes-a-link,omitempty"`
+	IdleSessions       int     `json:"links-for-that,omitempty"`
 }
 
 // Plan says how much is measured.
 type Plan struct {
-	Relay, Forwarder []string // commands; the forwarder is told the servers on its standard input
-	Servers          int
-	Clients          int           // that open and reset links one after another
-	Lasts            time.Duration // of each measurement
-	Standing         int           // links that send lines
-	Every            time.Duration // between a link's lines
-	Idle             int           // links that stand for the measurement of memory
-	Rounds           int           // in which the ways take turns
-	Dir              string
+	RelayCommand, ForwarderCommand []string // commands; the forwarder is told the servers on its standard input
+	Servers                        int
+	Clients                        int           // that open and reset links one after another
+	Duration                       time.Duration // of each measurement
+	ActiveSessions                 int           // links that send lines
+	LineInterval                   time.Duration // between a link's lines
+	IdleSessions                   int           // links that stand for the measurement of memory
+	Rounds                         int           // in which the ways take turns
+	Dir                            string
 }
 
 // servers answer heads with UP, lines with themselves, and probes with a load.
@@ -154,7 +154,7 @@
 }
 
 // Measure runs the plan for one size of the fleet.
-func Measure(ctx context.Context, p Plan) ([]*Figures, error) {
+func Measure(ctx context.Context, p Plan) ([]*Result, error) {
 	s, err := serve(p.Servers)
 	if err != nil {
 		return nil, err
@@ -178,13 +178,13 @@
 	}
 	defer relay.stop()
 	ways := []*way{relay, forwarder, direct}
-	all := map[*way]*Figures{}
+	all := map[*way]*Result{}
 	lines, cpu, taken := map[*way]*hdrhistogram.Histogram{}, map[*way]float64{}, map[*way]float64{}
 	for _, w := range ways {
-		all[w] = &Figures{Way: w.name, Servers: p.Servers}
+		all[w] = &Result{Path: w.name, Servers: p.Servers}
 		lines[w] = hdrhistogram.New(1, 60_000_000, 3)
-		if w.cmd != nil && p.Idle > 0 { // first, as a process keeps what it once had
-			if all[w].Memory, all[w].Idle, err = w.memory(p.Idle); err != nil {
+		if w.cmd != nil && p.IdleSessions > 0 { // first, as a process keeps what it once had
+			if all[w].BytesPerSession, all[w].IdleSessions, err = w.memory(p.IdleSessions); err != nil {
 				return nil, fmt.Errorf("%s: %w", w.name, err)
 			}
 		}
@@ -205,19 +205,19 @@
 				return nil, fmt.Errorf("%s: %w", w.name, err)
 			}
 			after, _ := w.use()
-			all[w].LineCPU += after - before
+			all[w].CPUMicrosPerLine += after - before
 		}
 	}
-	var out []*Figures
+	var out []*Result
 	for _, w := range ways {
 		f, h := all[w], lines[w]
-		f.PerSecond = float64(f.Setups) / taken[w]
+		f.SetupsPerSecond = float64(f.Setups) / taken[w]
 		if cpu[w] > 0 {
-			f.PerCPU = float64(f.Setups) / cpu[w]
+			f.SetupsPerCPUSecond = float64(f.Setups) / cpu[w]
 		}
 		ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-		f.P50, f.P99, f.P999, f.Lines = ms(50), ms(99), ms(99.9), h.TotalCount()
-		f.LineCPU = f.LineCPU * 1e6 / float64(max(f.Lines, 1))
+		f.LineP50Millis, f.LineP99Millis, f.LineP999Millis, f.Lines = ms(50), ms(99), ms(99.9), h.TotalCount()
+		f.CPUMicrosPerLine = f.CPUMicrosPerLine * 1e6 / float64(max(f.Lines, 1))
 		out = append(out, f)
 	}
 	return out, nil
@@ -227,7 +227,7 @@
 func (w *way) setups(ctx context.Context, p Plan) (done, failed int) {
 	var wait sync.WaitGroup
 	var good, bad atomic.Int64
-	until := time.Now().Add(p.Lasts)
+	until := time.Now().Add(p.Duration)
 	for range p.Clients {
 		wait.Add(1)
 		go func() {
@@ -254,8 +254,8 @@
 	var mutex sync.Mutex
 	var wait sync.WaitGroup
 	var first error
-	until := time.Now().Add(p.Lasts)
-	for i := range p.Standing {
+	until := time.Now().Add(p.Duration)
+	for i := range p.ActiveSessions {
 		c, in, err := w.open()
 		if err != nil {
 			return err
@@ -265,8 +265,8 @@
 			defer wait.Done()
 			defer c.Close()
 			own := hdrhistogram.New(1, 60_000_000, 3)
-			meant := time.Now().Add(p.Every * time.Duration(i) / time.Duration(p.Standing))
-			for ; meant.Before(until) && ctx.Err() == nil; meant = meant.Add(p.Every) {
+			meant := time.Now().Add(p.LineInterval * time.Duration(i) / time.Duration(p.ActiveSessions))
+			for ; meant.Before(until) && ctx.Err() == nil; meant = meant.Add(p.LineInterval) {
 				time.Sleep(time.Until(meant))
 				c.SetDeadline(time.Now().Add(10 * time.Second))
 				sent := time.Now() // the timer's own lateness is the lab's, the same for all ways
@@ -349,7 +349,7 @@
 	if err != nil {
 		return nil, err
 	}
-	command := append(append([]string(nil), p.Forwarder...), address)
+	command := append(append([]string(nil), p.ForwarderCommand...), address)
 	return start(ctx, "forwarder", command, []string{"GOMAXPROCS=2"},
 		strings.NewReader(strings.Join(s.addresses, "\n")), address, filepath.Join(p.Dir, "forwarder.log"))
 }
@@ -401,13 +401,13 @@
 	if err := os.WriteFile(file, text, 0o600); err != nil {
 		return nil, err
 	}
-	return start(ctx, "relay", p.Relay, []string{"RELAY_CONFIG=" + file, "RELAY_NAME=", "RELAY_LISTEN=",
+	return start(ctx, "relay", p.RelayCommand, []string{"RELAY_CONFIG=" + file, "RELAY_NAME=", "RELAY_LISTEN=",
 		"RELAY_DISCOVERY="}, nil, address, filepath.Join(p.Dir, "relay.log"))
 }
 
-// Forward is the bare forwarder: it reads servers' addresses, one a line, and serves at the address until the
+// RunForwarder is the bare forwarder: it reads servers' addresses, one a line, and serves at the address until the
 // context ends.
-func Forward(ctx context.Context, in io.Reader, address string) error {
+func RunForwarder(ctx context.Context, in io.Reader, address string) error {
 	text, err := io.ReadAll(in)
 	if err != nil {
 		return err
--- a/internal/testbed/cost/cost_test.go
+++ b/internal/testbed/cost/cost_test.go
@@ -23,17 +23,17 @@
 	}
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
-	all, err := Measure(ctx, Plan{Relay: []string{filepath.Join(dir, "valeshift")},
-		Forwarder: []string{filepath.Join(dir, "valeshift-testbed"), "forward"}, Servers: 30, Clients: 4,
-		Lasts: 300 * time.Millisecond, Standing: 5, Every: 10 * time.Millisecond, Idle: 50, Rounds: 1, Dir: dir})
+	all, err := Measure(ctx, Plan{RelayCommand: []string{filepath.Join(dir, "valeshift")},
+		ForwarderCommand: []string{filepath.Join(dir, "valeshift-testbed"), "forward"}, Servers: 30, Clients: 4,
+		Duration: 300 * time.Millisecond, ActiveSessions: 5, LineInterval: 10 * time.Millisecond, IdleSessions: 50, Rounds: 1, Dir: dir})
 	require.NoError(t, err)
 	require.Len(t, all, 3)
 	for i, way := range []string{"relay", "forwarder", "direct"} {
-		assert.Equal(t, way, all[i].Way)
+		assert.Equal(t, way, all[i].Path)
 		assert.Zero(t, all[i].Failed, way)
 		assert.Greater(t, all[i].Setups, 20, way)
 		assert.Greater(t, all[i].Lines, int64(50), way)
-		assert.Greater(t, all[i].P50, 0.0, way)
+		assert.Greater(t, all[i].LineP50Millis, 0.0, way)
 	}
 }
 
@@ -42,5 +42,5 @@
 	in, err := os.Open(os.DevNull)
 	require.NoError(t, err)
 	defer in.Close()
-	assert.ErrorContains(t, Forward(context.Background(), in, "127.0.0.1:0"), "servers' addresses expected")
+	assert.ErrorContains(t, RunForwarder(context.Background(), in, "127.0.0.1:0"), "servers' addresses expected")
 }
--- a/internal/testbed/cost/golden_test.go
+++ b/internal/testbed/cost/golden_test.go
@@ -11,11 +11,11 @@
 
 // The figures of a measurement as they are written to a file, by the build before all of them had tags.
 func TestFiguresGolden(t *testing.T) {
-	want := Figures{Way: "relay", Servers: 30, Setups: 900, Failed: 2, PerSecond: 300.5, PerCPU: 2500.25, P50: 0.125,
-		P99: 0.5, P999: 1.5, Lines: 4000, LineCPU: 12.5, Memory: 4096, Idle: 1000}
+	want := Result{Path: "relay", Servers: 30, Setups: 900, Failed: 2, SetupsPerSecond: 300.5, SetupsPerCPUSecond: 2500.25, LineP50Millis: 0.125,
+		LineP99Millis: 0.5, LineP999Millis: 1.5, Lines: 4000, CPUMicrosPerLine: 12.5, BytesPerSession: 4096, IdleSessions: 1000}
 	data, err := os.ReadFile("testdata/golden/figures.json")
 	require.NoError(t, err)
-	var read Figures
+	var read Result
 	require.NoError(t, json.Unmarshal(data, &read))
 	assert.Equal(t, want, read)
 	written, err := json.Marshal(want)
--- a/internal/testbed/experiment/experiment.go
+++ b/internal/testbed/experiment/experiment.go
@@ -20,7 +20,7 @@
 
 // UnmarshalText reads a length such as "250ms".
 func (s *Span) UnmarshalText(text []byte) error {
-	ms, ok := config.Length(text, 24*time.Hour)
+	ms, ok := config.ParseMilliseconds(text, 24*time.Hour)
 	if !ok {
 		return fmt.Errorf("a length from 0 to 24h expected, such as \"250ms\", got %q", text)
 	}
@@ -251,7 +251,7 @@
 // Parse reads an experiment, fills in what is left out and checks the whole.
 func Parse(text []byte) (*Experiment, error) {
 	x := Default()
-	if err := config.Strict(text, x); err != nil {
+	if err := config.DecodeStrict(text, x); err != nil {
 		return nil, err
 	}
 	if err := x.Complete(); err != nil {
--- a/internal/testbed/live/live.go
+++ b/internal/testbed/live/live.go
@@ -543,12 +543,12 @@
 type watcher struct {
 	mutex sync.Mutex
 	lines [][]byte
-	news  []*relay.News
+	news  []*relay.EndpointUpdate
 	ended bool
 	wake  chan struct{}
 }
 
-func (w *watcher) add(line []byte, n *relay.News, ended bool) {
+func (w *watcher) add(line []byte, n *relay.EndpointUpdate, ended bool) {
 	w.mutex.Lock()
 	w.lines, w.news, w.ended = append(w.lines, line), append(w.news, n), w.ended || ended
 	w.mutex.Unlock()
@@ -558,11 +558,11 @@
 	}
 }
 
-func (w *watcher) News(n *relay.News) { w.add(encode(n), n, false) }
-func (w *watcher) Heard()             { w.add([]byte("\n"), nil, false) }
-func (w *watcher) Failed(error)       { w.add(nil, nil, true) }
+func (w *watcher) News(n *relay.EndpointUpdate) { w.add(encode(n), n, false) }
+func (w *watcher) Heard()                       { w.add([]byte("\n"), nil, false) }
+func (w *watcher) Failed(error)                 { w.add(nil, nil, true) }
 
-func encode(n *relay.News) []byte {
+func encode(n *relay.EndpointUpdate) []byte {
 	type entry struct {
 		Name    string  `json:"name"`
 		Address string  `json:"address"`
@@ -576,10 +576,10 @@
 		Index     uint64  `json:"index"`
 		Snapshot  bool    `json:"snapshot"`
 		Endpoints []entry `json:"endpoints"`
-	}{n.Index, n.Whole, []entry{}}
-	for _, e := range n.Entries {
+	}{n.Index, n.Complete, []entry{}}
+	for _, e := range n.Endpoints {
 		all.Endpoints = append(all.Endpoints, entry{e.Name, e.Address, e.Zone, e.Group, e.Status, e.Weight,
-			e.Since})
+			e.StartedAt})
 	}
 	text, _ := json.Marshal(all) // of plain values: it can't fail
 	return append(text, '\n')
@@ -600,7 +600,7 @@
 	told := map[string]bool{}
 	// What is written while the way is not open has not arrived; and once it is, the relay may have given this
 	// watch up meanwhile, whose end is known here a moment later.
-	var held []*relay.News
+	var held []*relay.EndpointUpdate
 	var opened time.Time
 	look := time.NewTicker(heldLook)
 	defer look.Stop()
@@ -650,40 +650,40 @@
 }
 
 // active is the part of news that allows more.
-func active(n *relay.News) *relay.News {
-	part := &relay.News{Index: n.Index}
-	for _, e := range n.Entries {
+func active(n *relay.EndpointUpdate) *relay.EndpointUpdate {
+	part := &relay.EndpointUpdate{Index: n.Index}
+	for _, e := range n.Endpoints {
 		if e.Status == "active" {
-			part.Entries = append(part.Entries, e)
+			part.Endpoints = append(part.Endpoints, e)
 		}
 	}
 	return part
 }
 
 // lasting is the part of news that nothing later has changed.
-func lasting(n *relay.News, later []*relay.News) *relay.News {
-	part := &relay.News{Index: n.Index, Whole: n.Whole && len(later) == 0}
-	for _, e := range n.Entries {
-		if !slices.ContainsFunc(later, func(n *relay.News) bool {
-			return slices.ContainsFunc(n.Entries, func(f relay.Entry) bool { return f.Name == e.Name })
+func lasting(n *relay.EndpointUpdate, later []*relay.EndpointUpdate) *relay.EndpointUpdate {
+	part := &relay.EndpointUpdate{Index: n.Index, Complete: n.Complete && len(later) == 0}
+	for _, e := range n.Endpoints {
+		if !slices.ContainsFunc(later, func(n *relay.EndpointUpdate) bool {
+			return slices.ContainsFunc(n.Endpoints, func(f relay.Endpoint) bool { return f.Name == e.Name })
 		}) {
-			part.Entries = append(part.Entries, e)
+			part.Endpoints = append(part.Endpoints, e)
 		}
 	}
 	return part
 }
 
 // tell has the auditor know what a relay was told.
-func (r *Run) tell(number int, n *relay.News, told map[string]bool) {
+func (r *Run) tell(number int, n *relay.EndpointUpdate, told map[string]bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	seen := map[string]bool{}
-	for _, e := range n.Entries {
+	for _, e := range n.Endpoints {
 		told[e.Name], seen[e.Name] = true, true
-		r.audit.Told(r.now(), number, e.Name, e.Status, e.Since)
+		r.audit.Told(r.now(), number, e.Name, e.Status, e.StartedAt)
 	}
 	for name := range told {
-		if n.Whole && !seen[name] {
+		if n.Complete && !seen[name] {
 			r.audit.Told(r.now(), number, name, "left", 0)
 		}
 	}
--- a/internal/testbed/live/machines_test.go
+++ b/internal/testbed/live/machines_test.go
@@ -101,7 +101,7 @@
 			for i, text := range r.Fleet {
 				var s fleet.Status
 				require.NoError(t, json.Unmarshal(text, &s))
-				assert.Equal(t, "normal", s.Recovery.Phase, "relay %d: %s", i, s.Recovery.Why)
+				assert.Equal(t, "normal", s.Recovery.Phase, "relay %d: %s", i, s.Recovery.Reason)
 			}
 		})
 	}
@@ -144,9 +144,9 @@
 			for _, text := range r.Fleet {
 				var s fleet.Status
 				require.NoError(t, json.Unmarshal(text, &s))
-				n := s.Holdings.Counts["places"]
-				promised, took, again, missed = promised+n.Promised, took+n.Took, again+n.Again, missed+n.Missed
-				t.Logf("relay: words held after %.1f ms, p99 %.1f", s.Holdings.P50, s.Holdings.P99)
+				n := s.Replication.Counts["places"]
+				promised, took, again, missed = promised+n.Replicated, took+n.Found, again+n.AlreadyUsed, missed+n.Missed
+				t.Logf("relay: words held after %.1f ms, p99 %.1f", s.Replication.P50Millis, s.Replication.P99Millis)
 			}
 			t.Logf("promised %d, took %d, again %d, missed %d", promised, took, again, missed)
 			assert.Greater(t, promised, uint64(5))
@@ -195,9 +195,9 @@
 			for _, text := range r.Fleet {
 				var s fleet.Status
 				require.NoError(t, json.Unmarshal(text, &s))
-				n := s.Holdings.Counts["marks"]
-				t.Logf("relay: marks %+v, held after %.1f ms, p99 %.1f", n, s.Holdings.P50, s.Holdings.P99)
-				met += int(n.Took)
+				n := s.Replication.Counts["marks"]
+				t.Logf("relay: marks %+v, held after %.1f ms, p99 %.1f", n, s.Replication.P50Millis, s.Replication.P99Millis)
+				met += int(n.Found)
 			}
 			t.Logf("further tries that met a mark %d, begun again %d", met, r.Audit.Repeated)
 			assert.Greater(t, met, 10)
--- a/internal/testbed/model/catalogue.go
+++ b/internal/testbed/model/catalogue.go
@@ -8,7 +8,7 @@
 
 // Listener is a relay's watch on the list.
 type Listener interface {
-	News(n *relay.News)
+	News(n *relay.EndpointUpdate)
 	Heard()
 	Failed(err error)
 }
@@ -16,7 +16,7 @@
 // Catalogue is discovery: the list of servers, its versions and who watches it.
 type Catalogue struct {
 	host     Host
-	entries  map[string]relay.Entry
+	entries  map[string]relay.Endpoint
 	versions map[string]uint64 // of each entry's last change
 	index    uint64
 	watches  map[uint64]*watch
@@ -37,23 +37,23 @@
 
 // NewCatalogue starts with an empty list.
 func NewCatalogue(host Host) *Catalogue {
-	return &Catalogue{host: host, entries: map[string]relay.Entry{}, versions: map[string]uint64{},
+	return &Catalogue{host: host, entries: map[string]relay.Endpoint{}, versions: map[string]uint64{},
 		index: 1, watches: map[uint64]*watch{}}
 }
 
 // Set takes an entry in, or changes it; all watches are told once the list's delay is over.
-func (c *Catalogue) Set(e relay.Entry) {
+func (c *Catalogue) Set(e relay.Endpoint) {
 	c.index++
 	c.entries[e.Name], c.versions[e.Name] = e, c.index
 	c.host.After(c.Late, c.tell)
 }
 
 // Whole is the list as it is now.
-func (c *Catalogue) Whole() *relay.News {
-	n := &relay.News{Index: c.index, Whole: true}
+func (c *Catalogue) Whole() *relay.EndpointUpdate {
+	n := &relay.EndpointUpdate{Index: c.index, Complete: true}
 	for _, name := range sorted(c.entries) {
 		if e := c.entries[name]; e.Status != "left" {
-			n.Entries = append(n.Entries, e)
+			n.Endpoints = append(n.Endpoints, e)
 		}
 	}
 	return n
@@ -72,10 +72,10 @@
 	}
 	n := c.Whole()
 	if w.told {
-		n = &relay.News{Index: c.index}
+		n = &relay.EndpointUpdate{Index: c.index}
 		for _, name := range sorted(c.entries) {
 			if c.versions[name] > w.has {
-				n.Entries = append(n.Entries, c.entries[name])
+				n.Endpoints = append(n.Endpoints, c.entries[name])
 			}
 		}
 	}
--- a/internal/testbed/model/crowd.go
+++ b/internal/testbed/model/crowd.go
@@ -60,7 +60,7 @@
 	place       int     // among those known
 	conn        uint64
 	relay       int
-	in          protocol.Splitter
+	in          protocol.LineSplitter
 	stage       int
 	retry       bool
 	errands     int // that are done
@@ -205,7 +205,7 @@
 			break
 		}
 	}
-	l.stage, l.in = dialing, protocol.Splitter{}
+	l.stage, l.in = dialing, protocol.LineSplitter{}
 	l.conn = c.host.Dial(c.fronts[l.relay].address)
 	c.conns[l.conn] = l
 	c.limit(l, 3000)
@@ -428,7 +428,7 @@
 			return
 		}
 		data = rest
-		verb, said := protocol.Verb(line)
+		verb, said := protocol.CutVerb(line)
 		if l.stage == waiting {
 			c.answer(l, string(verb), said)
 		} else {
--- a/internal/testbed/model/server.go
+++ b/internal/testbed/model/server.go
@@ -83,7 +83,7 @@
 type session struct {
 	conn     uint64
 	id       string
-	in       protocol.Splitter
+	in       protocol.LineSplitter
 	stands   bool
 	trying   bool
 	load     float64
@@ -300,7 +300,7 @@
 }
 
 func (s *Server) line(c *session, line []byte) {
-	verb, rest := protocol.Verb(line)
+	verb, rest := protocol.CutVerb(line)
 	switch {
 	case c.id != "" && c.stands:
 		s.served1(c, rest)
@@ -339,7 +339,7 @@
 // open takes a link's head.
 func (s *Server) open(c *session, line []byte) {
 	now := s.host.Now()
-	head, err := protocol.ReadHead(line)
+	head, err := protocol.ParseRequest(line)
 	if err != nil {
 		s.say(c, "SYNTAX\r\n")
 		s.drop(c, false)
@@ -432,7 +432,7 @@
 // the lab's clients say so in their heads, as w and e, which relays pass on unread.
 func weight(head []byte) (load, every float64) {
 	list := head[bytes.LastIndexByte(head, ' ')+1:]
-	for pair := range bytes.SplitSeq(protocol.Bare(list), []byte(",")) {
+	for pair := range bytes.SplitSeq(protocol.TrimLineEnd(list), []byte(",")) {
 		name, value, _ := bytes.Cut(pair, []byte("="))
 		switch string(name) {
 		case "w":
--- a/internal/testbed/model/world.go
+++ b/internal/testbed/model/world.go
@@ -110,8 +110,8 @@
 }
 
 func (w *World) list(s *Server, status string) {
-	w.List.Set(relay.Entry{Name: s.Name, Address: s.Address, Zone: s.Zone, Status: status, Weight: 1,
-		Since: s.Since})
+	w.List.Set(relay.Endpoint{Name: s.Name, Address: s.Address, Zone: s.Zone, Status: status, Weight: 1,
+		StartedAt: s.Since})
 }
 
 // notice is how long it takes until the list has that a server is gone without a word.
--- a/internal/testbed/sim/council.go
+++ b/internal/testbed/sim/council.go
@@ -59,8 +59,8 @@
 	}
 	if !v.p.frozen {
 		v.core.Tick(v.p.clock(), v.s.wall(v.k))
-		if to := v.core.Asks(v.p.clock()); to != "" && int(v.p.clock()/voterTick)%25 == 0 {
-			v.send(to, failover.Shown, nil)
+		if to := v.core.AnnouncementSource(v.p.clock()); to != "" && int(v.p.clock()/voterTick)%25 == 0 {
+			v.send(to, failover.ObservationsDatagram, nil)
 		}
 		v.carry()
 	}
@@ -69,29 +69,29 @@
 
 func (v *seat) carry() {
 	for !v.saving {
-		out := v.core.Next()
-		if out.Save != nil {
+		out := v.core.Ready()
+		if out.DurableState != nil {
 			v.saving = true
 			v.s.net.after(syncTime, func() {
 				if !v.p.over { // else it is lost with the power
-					v.disk, v.saving = out.Save, false
-					v.sends(out.Send)
-					v.core.Saved()
+					v.disk, v.saving = out.DurableState, false
+					v.sends(out.Messages)
+					v.core.Advance()
 					v.carry()
 				}
 			})
 			return
 		}
-		if len(out.Send) == 0 {
+		if len(out.Messages) == 0 {
 			return
 		}
-		v.sends(out.Send)
+		v.sends(out.Messages)
 	}
 }
 
-func (v *seat) sends(all []consensus.Send) {
+func (v *seat) sends(all []consensus.OutgoingMessage) {
 	for _, m := range all {
-		v.send(m.To, failover.Frame, m.Data)
+		v.send(m.To, failover.ConsensusDatagram, m.Data)
 	}
 }
 
@@ -111,17 +111,17 @@
 	}
 	now := v.p.clock()
 	switch data[0] {
-	case failover.Frame:
-		v.core.Take(now, data[1:])
-	case failover.Shown:
-		if word, err := v.core.Hear(now, data[1:]); err == nil && relay {
+	case failover.ConsensusDatagram:
+		v.core.ReceiveMessage(now, data[1:])
+	case failover.ObservationsDatagram:
+		if word, err := v.core.ReceiveObservations(now, data[1:]); err == nil && relay {
 			v.s.datagram(v.k, membership.Datagram{To: from,
-				Data: membership.Seal(fleetKey, append([]byte{failover.Says}, word...))}, voterAddress(v.k))
+				Data: membership.Seal(fleetKey, append([]byte{failover.AnnouncementDatagram}, word...))}, voterAddress(v.k))
 		} else if err == nil {
-			v.send(from, failover.Says, word)
+			v.send(from, failover.AnnouncementDatagram, word)
 		}
-	case failover.Says:
-		v.core.Told(now, data[1:])
+	case failover.AnnouncementDatagram:
+		v.core.ReceiveAnnouncement(now, data[1:])
 	}
 	v.carry()
 }
--- a/internal/testbed/sim/holdings_test.go
+++ b/internal/testbed/sim/holdings_test.go
@@ -21,11 +21,11 @@
 	sum, left := replication.Counts{}, map[string]int{}
 	for _, p := range s.relays {
 		if !p.over {
-			h := p.mates.core.Status(p.clock()).Holdings
+			h := p.mates.core.Status(p.clock()).Replication
 			sum.Add(h.Counts["places"])
 			for kind, n := range h.Kinds {
-				if n.Held > 0 {
-					left[kind] += n.Held
+				if n.Stored > 0 {
+					left[kind] += n.Stored
 				}
 			}
 		}
@@ -54,9 +54,9 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			_, sum, left := entrusted(t, text+c.faults)
-			assert.Greater(t, sum.Promised, uint64(30))
-			assert.Greater(t, sum.Took, uint64(10))
-			assert.LessOrEqual(t, float64(sum.Missed), c.missed*float64(sum.Took+sum.Missed))
+			assert.Greater(t, sum.Replicated, uint64(30))
+			assert.Greater(t, sum.Found, uint64(10))
+			assert.LessOrEqual(t, float64(sum.Missed), c.missed*float64(sum.Found+sum.Missed))
 			assert.Empty(t, left)
 		})
 	}
@@ -93,13 +93,13 @@
 			assert.GreaterOrEqual(t, r.Audit.Repeated, c.least)
 			sum := replication.Counts{}
 			for _, p := range s.relays {
-				if h := p.mates.core.Status(p.clock()).Holdings; h != nil && !p.over {
+				if h := p.mates.core.Status(p.clock()).Replication; h != nil && !p.over {
 					sum.Add(h.Counts["marks"])
 				}
 			}
 			t.Logf("repeated %d, %+v, service %.4f", r.Audit.Repeated, sum, r.Tally.Service(6000, 20000))
 			if c.least == 0 {
-				assert.Greater(t, sum.Took, uint64(20), "further tries that met a mark")
+				assert.Greater(t, sum.Found, uint64(20), "further tries that met a mark")
 			}
 		})
 	}
@@ -158,7 +158,7 @@
 	sums := map[string]replication.Counts{}
 	for _, p := range s.relays {
 		if !p.over {
-			for kind, n := range p.mates.core.Status(p.clock()).Holdings.Counts {
+			for kind, n := range p.mates.core.Status(p.clock()).Replication.Counts {
 				sum := sums[kind]
 				sum.Add(n)
 				sums[kind] = sum
@@ -167,8 +167,8 @@
 	}
 	t.Logf("%+v; begun again %d; %d of %d back where they stood; service %.4f", sums, r.Audit.Repeated, r.Audit.There,
 		r.Audit.Returns, r.Tally.Service(4500, 8000))
-	assert.Greater(t, sums["marks"].Took, uint64(20))
-	assert.LessOrEqual(t, float64(r.Audit.Repeated), 2+0.1*float64(sums["marks"].Took))
+	assert.Greater(t, sums["marks"].Found, uint64(20))
+	assert.LessOrEqual(t, float64(r.Audit.Repeated), 2+0.1*float64(sums["marks"].Found))
 	assert.Greater(t, r.Audit.Returns, 40)
 	assert.GreaterOrEqual(t, float64(r.Audit.There), 0.8*float64(r.Audit.Returns))
 }
--- a/internal/testbed/sim/mates.go
+++ b/internal/testbed/sim/mates.go
@@ -68,15 +68,15 @@
 	m := &mates{s: s, i: i, p: p, core: fleet.New(p.clock(), own, seeds, fleetKey, x.Relays.Disk, chance)}
 	if x.Relays.Council > 0 {
 		_, voters := s.voters()
-		m.core.Follows(own.Name, own.Zone, voters, fleetKey, chance)
+		m.core.FollowCoordinators(own.Name, own.Zone, voters, fleetKey, chance)
 		if i < len(voters) {
 			s.vote(i, p)
 		}
 	}
 	p.mates = m
-	p.take(relay.Event{Kind: relay.Restarted})
+	p.take(relay.Event{Kind: relay.IncarnationChanged})
 	if x.Relays.Holdings > 0 {
-		m.do(m.core.Holds(own.Name, own.Life, x.Relays.Holdings, float64(x.Relays.Remember), x.Relays.Stood,
+		m.do(m.core.EnableReplication(own.Name, own.Life, x.Relays.Holdings, float64(x.Relays.Remember), x.Relays.Stood,
 			fleetKey, chance))
 	}
 	if x.Relays.Disk {
@@ -99,7 +99,7 @@
 	if err == nil {
 		m.store = s
 	}
-	m.do(m.core.Disk(m.p.clock(), s, found, err))
+	m.do(m.core.Restore(m.p.clock(), s, found, err))
 }
 
 func (m *mates) tick() {
@@ -107,13 +107,13 @@
 		return
 	}
 	if now := m.p.clock(); !m.p.frozen {
-		m.do(m.core.Tick(now, m.s.wall(m.i), m.s.reducer[m.i].Seen(now)))
-		if m.core.Shows(now) {
-			zones, demand := m.s.reducer[m.i].Looked(now)
-			m.do(m.core.Show(now, zones, demand))
+		m.do(m.core.Tick(now, m.s.wall(m.i), m.s.reducer[m.i].Status(now)))
+		if m.core.IsObservationDue(now) {
+			zones, demand := m.s.reducer[m.i].ZoneObservations(now)
+			m.do(m.core.SendObservations(now, zones, demand))
 		}
-		if m.store != nil && m.core.Keeps(now) {
-			m.save(m.core.Keep(now, m.s.reducer[m.i].Kept()), nil)
+		if m.store != nil && m.core.IsSnapshotDue(now) {
+			m.save(m.core.RecordSnapshot(now, m.s.reducer[m.i].Snapshot()), nil)
 		}
 	}
 	m.s.net.after(tickEvery, m.tick)
@@ -135,38 +135,38 @@
 func (m *mates) trust(f relay.Effect) {
 	m.s.net.after(0, func() {
 		if !m.p.over {
-			m.do(m.core.Trust(m.p.clock(), f))
+			m.do(m.core.HandleReplicationEffect(m.p.clock(), f))
 		}
 	})
 }
 
-func (m *mates) do(acts []fleet.Act) {
+func (m *mates) do(acts []fleet.Action) {
 	for _, a := range acts {
 		switch {
 		case a.Send != nil:
 			m.s.datagram(m.i, *a.Send, peerAddress(m.i))
-		case a.Ask != nil:
-			m.ask(*a.Ask)
-		case a.Save != nil:
+		case a.Query != nil:
+			m.ask(*a.Query)
+		case a.Persist != nil:
 			var done func(error)
-			if number := a.Kept; number > 0 {
-				done = func(error) { m.core.Kept(m.p.clock(), number) }
-			} else if then := a.Then; then != nil {
+			if number := a.ConfirmDecision; number > 0 {
+				done = func(error) { m.core.ConfirmDecisionPersisted(m.p.clock(), number) }
+			} else if then := a.ReplicationWrite; then != nil {
 				done = func(err error) {
 					if err == nil && !m.p.over {
-						m.do(m.core.Durable(m.p.clock(), then))
+						m.do(m.core.CompleteReplicationWrite(m.p.clock(), then))
 					}
 				}
 			}
-			m.save(*a.Save, done)
-		case a.Tell != nil:
-			m.p.take(*a.Tell)
-		case a.Note != "":
-			m.s.net.tell("relay %d fleet: %s", m.i, a.Note)
+			m.save(*a.Persist, done)
+		case a.Event != nil:
+			m.p.take(*a.Event)
+		case a.Log != "":
+			m.s.net.tell("relay %d fleet: %s", m.i, a.Log)
 		}
 	}
 	now := m.p.clock()
-	if wait := m.core.HeldDue(now); !math.IsInf(wait, 1) && (m.dueAt == 0 || now+wait < m.dueAt) {
+	if wait := m.core.ReplicationDelay(now); !math.IsInf(wait, 1) && (m.dueAt == 0 || now+wait < m.dueAt) {
 		due := now + max(wait, 0.01)
 		m.dueAt = due
 		m.s.net.after(due-now, func() {
@@ -174,7 +174,7 @@
 				return
 			}
 			if m.dueAt = 0; !m.p.frozen {
-				m.do(m.core.HeldOn(m.p.clock()))
+				m.do(m.core.TickReplication(m.p.clock()))
 			}
 		})
 	}
@@ -229,7 +229,7 @@
 					v.heard(by, d.Data)
 				}
 			case p.mates != nil:
-				p.mates.do(p.mates.core.Heard(p.clock(), by, d.Data))
+				p.mates.do(p.mates.core.ReceiveDatagram(p.clock(), by, d.Data))
 			}
 		})
 	}
@@ -239,12 +239,12 @@
 
 var errSilent = errors.New("no answer in time")
 
-func (m *mates) ask(q fleet.Question) {
+func (m *mates) ask(q fleet.Query) {
 	over := false
 	answered := func(text []byte, err error) {
 		if !over && !m.p.over {
 			over = true
-			m.core.Answered(q.Name, text, err)
+			m.core.ReceiveAnswer(q.Name, text, err)
 		}
 	}
 	m.s.net.after(askTime, func() { answered(nil, errSilent) })
@@ -259,7 +259,7 @@
 		if other == nil {
 			return
 		}
-		text := other.core.Answer(other.p.clock(), m.s.reducer[to].Kept())
+		text := other.core.AnswerQuery(other.p.clock(), m.s.reducer[to].Snapshot())
 		m.s.net.after(m.s.net.way()+float64(back.Delay), func() { answered(text, nil) })
 	})
 }
--- a/internal/testbed/sim/recovery_test.go
+++ b/internal/testbed/sim/recovery_test.go
@@ -139,12 +139,12 @@
 // The checks above trip over relays that are wrong on purpose.
 func TestPlantedFaults(t *testing.T) {
 	down := fault("discovery-down", "10s", "for = \"5s\"")
-	believes := func(change func(k *relay.Kept)) func(e relay.Event) relay.Event {
+	believes := func(change func(k *relay.Snapshot)) func(e relay.Event) relay.Event {
 		return func(e relay.Event) relay.Event {
-			if e.Kind == relay.Recalled {
-				k := *e.Kept
+			if e.Kind == relay.StateRestored {
+				k := *e.Snapshot
 				change(&k)
-				e.Kept = &k
+				e.Snapshot = &k
 			}
 			return e
 		}
@@ -154,12 +154,12 @@
 		before        func(e relay.Event) relay.Event
 	}{
 		{"each believes that servers bear a hundred times as much", down,
-			believes(func(k *relay.Kept) { k.Capacity *= 100 })},
-		{"each takes hearsay for discovery's word", down, believes(func(k *relay.Kept) { k.Supposed = false })},
+			believes(func(k *relay.Snapshot) { k.Capacity *= 100 })},
+		{"each takes hearsay for discovery's word", down, believes(func(k *relay.Snapshot) { k.EndpointsAssumed = false })},
 		{"none is told that its clock is ahead", fault("clock-wrong", "11s", "for = \"16s\"\nshare = 1.0"),
 			func(e relay.Event) relay.Event {
-				if e.Kind == relay.Clocked {
-					e.Ahead = 0
+				if e.Kind == relay.ClockSkewMeasured {
+					e.AheadMillis = 0
 				}
 				return e
 			}},
--- a/internal/testbed/sim/relay.go
+++ b/internal/testbed/sim/relay.go
@@ -16,7 +16,7 @@
 
 // Brain is what a relay runs on: its reducer, or one with something wrong about it.
 type Brain interface {
-	Take(now float64, e relay.Event) []relay.Effect
+	Handle(now float64, e relay.Event) []relay.Effect
 }
 
 // process is one life of a relay: it carries the reducer's effects out on the simulated network, as Sockets
@@ -44,9 +44,9 @@
 	mates  *mates   // nil: it keeps nothing and knows no other
 	beside *process // another process on the same socket
 	holds  bool
-	left   *relay.Handover
+	left   *relay.Handoff
 	given  uint64 // the backend's connection of what is being passed
-	passed *relay.Passed
+	passed *relay.TransferredSession
 	ready  func()
 }
 
@@ -78,7 +78,7 @@
 	for len(p.due) > 0 && !p.over {
 		e := p.due[0]
 		p.due = p.due[1:]
-		for _, f := range p.brain.Take(p.clock(), e) {
+		for _, f := range p.brain.Handle(p.clock(), e) {
 			p.carry(f)
 		}
 	}
@@ -89,78 +89,78 @@
 	if p.over {
 		return
 	}
-	switch f.Do {
+	switch f.Kind {
 	case relay.Dial:
 		p.last++
 		p.conns[f.Conn], p.back[p.last] = p.last, f.Conn
 		p.dial(p.last, f.Text)
 	case relay.Write:
 		size := 0
-		for _, part := range f.Parts {
+		for _, part := range f.Chunks {
 			size += len(part)
 		}
 		all := make([]byte, 0, size)
-		for _, part := range f.Parts {
+		for _, part := range f.Chunks {
 			all = append(all, part...)
 		}
 		if conn, open := p.conns[f.Conn]; open {
 			p.write(conn, all)
 		}
-	case relay.End, relay.Break:
+	case relay.Close, relay.Reset:
 		if conn, open := p.conns[f.Conn]; open {
-			p.end(conn, f.Do == relay.Break)
+			p.end(conn, f.Kind == relay.Reset)
 			delete(p.conns, f.Conn)
 			delete(p.back, conn)
 		}
-	case relay.Arm:
+	case relay.SetTimer:
 		p.alarm++
 		alarm := p.alarm
 		p.net.after(f.At-p.clock(), func() {
 			if p.alarm == alarm && !p.over {
-				p.take(relay.Event{Kind: relay.Tick})
+				p.take(relay.Event{Kind: relay.TimerFired})
 			}
 		})
-	case relay.Watch:
+	case relay.StartWatch:
 		p.unwatch()
 		w := &follower{p: p, number: f.Conn}
 		p.follow = w
 		p.pass(p.number, experiment.Discovery, func() {
 			if p.follow == w {
-				w.id = p.list.Watch(f.After, w)
+				w.id = p.list.Watch(f.AfterIndex, w)
 			}
 		})
-	case relay.Unwatch:
+	case relay.StopWatch:
 		p.unwatch()
-	case relay.Hold, relay.Free:
-		p.holds = f.Do == relay.Hold
+	case relay.PauseAccept, relay.ResumeAccept:
+		p.holds = f.Kind == relay.PauseAccept
 		p.door()
-	case relay.Ready:
+	case relay.AnnounceReady:
 		if p.ready != nil {
 			p.ready()
 		}
-	case relay.Bequeath:
-		p.left = f.Left
-	case relay.Confide:
-		told := f.News
+	case relay.SendHandoff:
+		p.left = f.Handoff
+	case relay.SendEndpoints:
+		told := f.Endpoints
 		p.net.after(seen, func() {
 			if p.beside != nil && !p.beside.over {
-				p.beside.take(relay.Event{Kind: relay.Confided, News: told})
+				p.beside.take(relay.Event{Kind: relay.SiblingEndpointsUpdated, Endpoints: told})
 			}
 		})
-	case relay.Pass:
+	case relay.TransferSession:
 		client, server := f.Conn, f.Peer
 		p.net.after(passing, func() { p.handOver(client, server) })
-	case relay.Parted:
-		p.passed = f.Passed
-	case relay.Adopted:
+	case relay.SessionDetached:
+		p.passed = f.Session
+	case relay.SessionAccepted:
 		p.given = f.Peer
-	case relay.Note:
+	case relay.Log:
 		if p.net.trace != nil {
 			p.net.tell("%s note %s %v", p.address, f.Text, f.Args)
 		}
-	case relay.Entrust, relay.Claim, relay.Release:
+	case relay.Replicate, relay.Lookup, relay.Release:
 		p.mates.trust(f)
-	case relay.Quit:
+	case relay.Exit:
 		p.net.after(1, func() {
 			if !p.over {
 				p.stop(false)
@@ -192,12 +192,12 @@
 		return
 	}
 	p.passed = nil
-	p.take(relay.Event{Kind: relay.Part, Conn: client})
+	p.take(relay.Event{Kind: relay.DetachRequested, Conn: client})
 	if p.passed == nil {
 		return
 	}
 	text, err := json.Marshal(p.passed)
-	passed, next := &relay.Passed{}, p.beside
+	passed, next := &relay.TransferredSession{}, p.beside
 	if err == nil {
 		err = json.Unmarshal(text, passed)
 	}
@@ -208,7 +208,7 @@
 	if gone {
 		next.count++
 		next.given = 0
-		next.take(relay.Event{Kind: relay.Adopt, Conn: next.count, Passed: passed})
+		next.take(relay.Event{Kind: relay.SessionReceived, Conn: next.count, Session: passed})
 		gone = next.given != 0
 	}
 	if gone {
@@ -219,7 +219,7 @@
 			next.conns[its], next.back[conn] = conn, its
 		}
 	}
-	p.take(relay.Event{Kind: relay.Given, Conn: client, Off: !gone})
+	p.take(relay.Event{Kind: relay.SessionTransferred, Conn: client, Off: !gone})
 }
 
 func (p *process) unwatch() {
@@ -256,7 +256,7 @@
 func (p *process) Opened(conn uint64) {
 	p.count++
 	p.conns[p.count], p.back[conn] = conn, p.count
-	p.take(relay.Event{Kind: relay.Opened, Conn: p.count})
+	p.take(relay.Event{Kind: relay.ConnAccepted, Conn: p.count})
 }
 
 // of is the process that has the connection.
@@ -270,13 +270,13 @@
 // Up tells that a dial is up.
 func (p *process) Up(conn uint64) {
 	p = p.of(conn)
-	p.take(relay.Event{Kind: relay.Up, Conn: p.back[conn]})
+	p.take(relay.Event{Kind: relay.ConnEstablished, Conn: p.back[conn]})
 }
 
 // Came tells bytes.
 func (p *process) Came(conn uint64, data []byte) {
 	p = p.of(conn)
-	p.take(relay.Event{Kind: relay.Came, Conn: p.back[conn], Data: data})
+	p.take(relay.Event{Kind: relay.DataReceived, Conn: p.back[conn], Data: data})
 }
 
 // Over tells an end from the other side.
@@ -285,7 +285,7 @@
 	of := p.back[conn]
 	delete(p.back, conn)
 	delete(p.conns, of)
-	p.take(relay.Event{Kind: relay.Over, Conn: of, Broken: broken})
+	p.take(relay.Event{Kind: relay.ConnClosed, Conn: of, Reset: broken})
 }
 
 // follower is one watch: what it tells arrives in order.
@@ -330,44 +330,44 @@
 func (p *process) reset() {
 	if w := p.follow; w != nil {
 		p.unwatch()
-		p.take(relay.Event{Kind: relay.ListFailed, Conn: w.number, Err: errReset})
+		p.take(relay.Event{Kind: relay.WatchFailed, Conn: w.number, Err: errReset})
 	}
 }
 
 var errReset = errors.New("watch: connection reset")
 
 // News brings the list or its changes.
-func (w *follower) News(n *relay.News) {
+func (w *follower) News(n *relay.EndpointUpdate) {
 	w.tell(func() {
 		p := w.p
 		seen := map[string]bool{}
-		for _, e := range n.Entries {
+		for _, e := range n.Endpoints {
 			p.told[e.Name], seen[e.Name] = true, true
-			p.watch.Told(p.net.now, p.number, e.Name, e.Status, e.Since)
+			p.watch.Told(p.net.now, p.number, e.Name, e.Status, e.StartedAt)
 		}
-		if n.Whole {
+		if n.Complete {
 			for _, name := range sorted(p.told) {
 				if !seen[name] {
 					p.watch.Told(p.net.now, p.number, name, "left", 0)
 				}
 			}
 		}
-		p.net.tell("%s news %d of %d", p.address, len(n.Entries), n.Index)
+		p.net.tell("%s news %d of %d", p.address, len(n.Endpoints), n.Index)
 		dated := *n
-		dated.Clock = p.net.now
-		p.take(relay.Event{Kind: relay.ListNews, Conn: w.number, News: &dated})
+		dated.DiscoveryTime = p.net.now
+		p.take(relay.Event{Kind: relay.EndpointsUpdated, Conn: w.number, Endpoints: &dated})
 	})
 }
 
 // Heard brings an empty line.
 func (w *follower) Heard() {
-	w.tell(func() { w.p.take(relay.Event{Kind: relay.ListHeard, Conn: w.number}) })
+	w.tell(func() { w.p.take(relay.Event{Kind: relay.WatchHeartbeat, Conn: w.number}) })
 }
 
 // Failed brings the watch's end.
 func (w *follower) Failed(err error) {
 	w.tell(func() {
 		w.p.follow = nil
-		w.p.take(relay.Event{Kind: relay.ListFailed, Conn: w.number, Err: err})
+		w.p.take(relay.Event{Kind: relay.WatchFailed, Conn: w.number, Err: err})
 	})
 }
--- a/internal/testbed/sim/sim.go
+++ b/internal/testbed/sim/sim.go
@@ -38,9 +38,9 @@
 	world   *model.World
 	audit   *audit.Auditor
 	relays  []*process
-	reducer []*relay.Reducer
+	reducer []*relay.StateMachine
 	lives   []int
-	known   []*relay.News
+	known   []*relay.EndpointUpdate
 	past    []relay.Counters // of lives that are over
 	ways    map[[2]int]experiment.Way
 	disks   []*disk
@@ -101,7 +101,7 @@
 		Fallen: s.world.Fallen(), Events: s.net.events, Bytes: s.net.bytes, Took: time.Since(began)}
 	for i, d := range s.reducer {
 		r.Relays = append(r.Relays, d.Counters)
-		if d.Counters.Satisfied == 0 {
+		if d.Counters.Succeeded == 0 {
 			r.Relays[i] = s.past[i]
 		}
 	}
@@ -116,23 +116,23 @@
 	}
 	s.relays[i] = p
 	p.listens()
-	p.take(relay.Event{Kind: relay.Tick})
+	p.take(relay.Event{Kind: relay.TimerFired})
 	s.join(i, p)
 	return nil
 }
 
 // process makes a process of a relay; beside an elder one, with what that has left.
-func (s *Sim) process(i int, elder *process, left *relay.Handover) (*process, error) {
+func (s *Sim) process(i int, elder *process, left *relay.Handoff) (*process, error) {
 	x := s.x
 	s.lives[i]++
-	told := &relay.Told{Name: fmt.Sprintf("relay-%d", i), Discovery: "10.0.0.1:1", Sockets: x.Relays.Sockets,
-		Seed: x.Chance("relay", i*1000+s.lives[i]).Uint64(), Known: s.known[i],
-		Settings: x.Told(i % x.Fleet.Zones), ReportAge: x.ReportAge(), Elder: elder != nil, Left: left}
+	told := &relay.Config{Name: fmt.Sprintf("relay-%d", i), Discovery: "10.0.0.1:1", MaxSockets: x.Relays.Sockets,
+		Seed: x.Chance("relay", i*1000+s.lives[i]).Uint64(), InitialEndpoints: s.known[i],
+		Settings: x.Told(i % x.Fleet.Zones), MaxReportAgeMillis: x.ReportAge(), HasParent: elder != nil, Handoff: left}
 	module, err := Policy(x, s.variant, i%x.Fleet.Zones, told, s.truth, s.bears)
 	if err != nil {
 		return nil, err
 	}
-	reducer, err := relay.NewOn(s.wall(i), told, module)
+	reducer, err := relay.NewWithBalancer(s.wall(i), told, module)
 	if err != nil {
 		return nil, err
 	}
@@ -155,15 +155,15 @@
 func (s *Sim) Replace(i int, done func()) {
 	s.net.tell("relay %d is replaced", i)
 	elder := s.relays[i]
-	elder.take(relay.Event{Kind: relay.Beside, Younger: true, Leave: true})
+	elder.take(relay.Event{Kind: relay.SiblingProcessesChanged, HasChild: true, WantsHandoff: true})
 	s.net.after(seen, func() {
 		if elder.over || s.relays[i] != elder {
 			return
 		}
 		text, err := json.Marshal(elder.left)
-		var left *relay.Handover
+		var left *relay.Handoff
 		if err == nil {
-			left, err = relay.ReadHandover(text, s.wall(i))
+			left, err = relay.ParseHandoff(text, s.wall(i))
 		}
 		if err != nil { // as its machine's clock was set meanwhile: it begins without
 			s.net.tell("relay %d: %v", i, err)
@@ -178,7 +178,7 @@
 			younger.listens()
 			s.net.after(noticed, func() { s.yield(i, elder, younger, done) })
 		}
-		younger.take(relay.Event{Kind: relay.Tick})
+		younger.take(relay.Event{Kind: relay.TimerFired})
 	})
 }
 
@@ -192,13 +192,13 @@
 		s.net.after(seen, func() {
 			younger.beside = nil
 			if !younger.over {
-				younger.take(relay.Event{Kind: relay.Beside})
+				younger.take(relay.Event{Kind: relay.SiblingProcessesChanged})
 				done()
 			}
 		})
 	}
 	elder.exit = alone
-	elder.take(relay.Event{Kind: relay.Stop, Yield: true})
+	elder.take(relay.Event{Kind: relay.ShutdownRequested, YieldToChild: true})
 	s.net.after(s.x.KillAfter(), func() {
 		if !elder.over {
 			elder.stop(true)
@@ -211,9 +211,9 @@
 func (s *Sim) LameDuck(i int, on bool) {
 	s.net.tell("relay %d lame duck %t", i, on)
 	p := s.relays[i]
-	p.take(relay.Event{Kind: relay.LameDuck, Off: !on})
+	p.take(relay.Event{Kind: relay.DrainRequested, Off: !on})
 	if p.mates != nil && !p.over {
-		record, acts := p.mates.core.Order(p.clock(), on)
+		record, acts := p.mates.core.SetDraining(p.clock(), on)
 		p.mates.do(acts)
 		p.mates.save(record, nil)
 	}
@@ -226,25 +226,25 @@
 }
 
 // keeps is what the platform keeps of the list for a relay that ends now.
-func (s *Sim) keeps() *relay.News {
+func (s *Sim) keeps() *relay.EndpointUpdate {
 	if !s.x.Relays.Known {
-		return &relay.News{Whole: true}
+		return &relay.EndpointUpdate{Complete: true}
 	}
 	return s.world.List.Whole()
 }
 
 // Policy makes the module of one relay for a variant.
-func Policy(x *experiment.Experiment, variant string, zone int, told *relay.Told,
-	truth func(uint32) float64, bears func(uint32) bool) (dispatch.Module, error) {
+func Policy(x *experiment.Experiment, variant string, zone int, told *relay.Config,
+	truth func(uint32) float64, bears func(uint32) bool) (dispatch.Balancer, error) {
 	if variant == experiment.Known[0] {
-		return settings.Over(told.Settings).Assemble(told.Seed)
+		return settings.NewReader(told.Settings).BuildBalancer(told.Seed)
 	}
-	var categories []balancer.Category
+	var categories []balancer.Class
 	for _, t := range x.Categories() {
-		effect := map[string]balancer.Effect{"replayable": balancer.Replayable, "referenced": balancer.Referenced,
-			"single-use": balancer.SingleUse}[t.Effect]
-		categories = append(categories, balancer.Category{PromisedTime: float64(t.Promised), Gain: t.Gain,
-			Effect: effect})
+		effect := map[string]balancer.Idempotency{"replayable": balancer.Idempotent, "referenced": balancer.IdempotentByKey,
+			"single-use": balancer.NonIdempotent}[t.Effect]
+		categories = append(categories, balancer.Class{LatencyObjective: float64(t.Promised), PriorityWeight: t.Gain,
+			Idempotency: effect})
 	}
 	return baseline.New(variant, zone, told.Seed, categories, x.Relays.Tries, float64(x.Relays.MaxBack), truth,
 		bears)
@@ -253,7 +253,7 @@
 // truth is a server's true load, for perfect sight; one that is dead or dark is full.
 func (s *Sim) truth(id uint32) float64 {
 	for _, v := range s.world.Servers {
-		if relay.Number(v.Name) == id && !v.Dead {
+		if relay.BackendID(v.Name) == id && !v.Dead {
 			return v.Demand / max(v.Capacity(s.net.now), 1e-6)
 		}
 	}
@@ -263,7 +263,7 @@
 // bears tells whether a server has room for one more link: perfect sight that keeps the rules.
 func (s *Sim) bears(id uint32) bool {
 	for _, v := range s.world.Servers {
-		if relay.Number(v.Name) == id {
+		if relay.BackendID(v.Name) == id {
 			return s.world.Bears(v)
 		}
 	}
@@ -340,7 +340,7 @@
 func (s *Sim) Stop(i int) {
 	s.net.tell("relay %d stops", i)
 	p := s.relays[i]
-	p.take(relay.Event{Kind: relay.Stop})
+	p.take(relay.Event{Kind: relay.ShutdownRequested})
 	s.net.after(s.x.KillAfter(), func() {
 		if !p.over {
 			p.stop(true)
@@ -361,6 +361,6 @@
 func (s *Sim) Reload(i int) {
 	s.net.tell("relay %d reloads", i)
 	if p := s.relays[i]; !p.over {
-		p.take(relay.Event{Kind: relay.Reload, Text: fmt.Sprintf("10.0.0.%d:1", 2+s.net.seq%200)})
+		p.take(relay.Event{Kind: relay.ConfigReloaded, Address: fmt.Sprintf("10.0.0.%d:1", 2+s.net.seq%200)})
 	}
 }
--- a/internal/testbed/sim/spoil_test.go
+++ b/internal/testbed/sim/spoil_test.go
@@ -20,11 +20,11 @@
 	after  func(all []relay.Effect) []relay.Effect
 }
 
-func (s *spoiled) Take(now float64, e relay.Event) []relay.Effect {
+func (s *spoiled) Handle(now float64, e relay.Event) []relay.Effect {
 	if s.before != nil {
 		e = s.before(e)
 	}
-	all := s.Brain.Take(now, e)
+	all := s.Brain.Handle(now, e)
 	if s.after != nil {
 		all = s.after(slices.Clone(all))
 	}
@@ -41,9 +41,9 @@
 	}
 }
 
-func text(f relay.Effect) string { return string(bytes.Join(f.Parts, nil)) }
+func text(f relay.Effect) string { return string(bytes.Join(f.Chunks, nil)) }
 
-func toClient(f relay.Effect) bool { return f.Do == relay.Write && f.Conn < 1<<63 }
+func toClient(f relay.Effect) bool { return f.Kind == relay.Write && f.Conn < 1<<63 }
 
 const twoFree = 1 << 62 // numbers that no reducer gives
 
@@ -78,7 +78,7 @@
 		{"answers twice", audit.FinalAnswer, "BUSY after UP", func() *spoiled {
 			return &spoiled{after: each(func(f relay.Effect) []relay.Effect {
 				if toClient(f) && strings.HasPrefix(text(f), "UP") {
-					return []relay.Effect{f, {Do: relay.Write, Conn: f.Conn, Parts: [][]byte{[]byte("BUSY 5\r\n")}}}
+					return []relay.Effect{f, {Kind: relay.Write, Conn: f.Conn, Chunks: [][]byte{[]byte("BUSY 5\r\n")}}}
 				}
 				return []relay.Effect{f}
 			})}
@@ -99,7 +99,7 @@
 			return &spoiled{after: each(func(f relay.Effect) []relay.Effect {
 				if toClient(f) && strings.HasPrefix(text(f), "UP") {
 					if n++; n%20 == 0 {
-						return []relay.Effect{{Do: relay.End, Conn: f.Conn}}
+						return []relay.Effect{{Kind: relay.Close, Conn: f.Conn}}
 					}
 				}
 				return []relay.Effect{f}
@@ -115,13 +115,13 @@
 			s := &spoiled{}
 			s.after = each(func(f relay.Effect) []relay.Effect {
 				switch {
-				case f.Do == relay.Dial:
+				case f.Kind == relay.Dial:
 					dialed = append(dialed, f.Text)
 					next++
 					second[f.Conn] = next
-					return []relay.Effect{f, {Do: relay.Dial, Conn: next, Text: dialed[len(dialed)/2]}}
-				case f.Do == relay.Write && strings.HasPrefix(text(f), "OPEN"):
-					return []relay.Effect{f, {Do: relay.Write, Conn: second[f.Conn], Parts: f.Parts}}
+					return []relay.Effect{f, {Kind: relay.Dial, Conn: next, Text: dialed[len(dialed)/2]}}
+				case f.Kind == relay.Write && strings.HasPrefix(text(f), "OPEN"):
+					return []relay.Effect{f, {Kind: relay.Write, Conn: second[f.Conn], Chunks: f.Chunks}}
 				}
 				return []relay.Effect{f}
 			})
@@ -129,8 +129,8 @@
 		}},
 		{"keeps its clients though it is to be empty", audit.Lines, "still held", func() *spoiled {
 			return &spoiled{before: func(e relay.Event) relay.Event {
-				if e.Kind == relay.LameDuck {
-					e = relay.Event{Kind: relay.Tick}
+				if e.Kind == relay.DrainRequested {
+					e = relay.Event{Kind: relay.TimerFired}
 				}
 				return e
 			}}
@@ -138,24 +138,24 @@
 		{"turns clients away while it is replaced", audit.FinalAnswer, "did not let a client in", func() *spoiled {
 			replaced := false
 			return &spoiled{before: func(e relay.Event) relay.Event {
-				replaced = replaced || e.Kind == relay.Beside
+				replaced = replaced || e.Kind == relay.SiblingProcessesChanged
 				return e
 			}, after: each(func(f relay.Effect) []relay.Effect {
 				if replaced && toClient(f) && strings.HasPrefix(text(f), "UP") {
-					return []relay.Effect{{Do: relay.End, Conn: f.Conn}}
+					return []relay.Effect{{Kind: relay.Close, Conn: f.Conn}}
 				}
 				return []relay.Effect{f}
 			})}
 		}},
 		{"ignores drains", audit.Drain, "leaving for", func() *spoiled {
 			return &spoiled{before: func(e relay.Event) relay.Event {
-				if e.Kind == relay.ListNews {
-					news := *e.News
-					news.Entries = slices.Clone(news.Entries)
-					for i := range news.Entries {
-						news.Entries[i].Status = "active"
+				if e.Kind == relay.EndpointsUpdated {
+					news := *e.Endpoints
+					news.Endpoints = slices.Clone(news.Endpoints)
+					for i := range news.Endpoints {
+						news.Endpoints[i].Status = "active"
 					}
-					e.News = &news
+					e.Endpoints = &news
 				}
 				return e
 			}}
@@ -163,19 +163,19 @@
 		{"takes cold servers for warm", audit.Cold, "was sent", func() *spoiled {
 			only := ""
 			return &spoiled{before: func(e relay.Event) relay.Event {
-				if e.Kind == relay.ListNews {
-					news := *e.News
-					news.Entries = slices.Clone(news.Entries)
-					for i := range news.Entries {
-						if news.Entries[i].Since > 0 {
-							news.Entries[i].Since, only = 0, news.Entries[i].Address
+				if e.Kind == relay.EndpointsUpdated {
+					news := *e.Endpoints
+					news.Endpoints = slices.Clone(news.Endpoints)
+					for i := range news.Endpoints {
+						if news.Endpoints[i].StartedAt > 0 {
+							news.Endpoints[i].StartedAt, only = 0, news.Endpoints[i].Address
 						}
 					}
-					e.News = &news
+					e.Endpoints = &news
 				}
 				return e
 			}, after: each(func(f relay.Effect) []relay.Effect {
-				if f.Do == relay.Dial && only != "" {
+				if f.Kind == relay.Dial && only != "" {
 					f.Text = only
 				}
 				return []relay.Effect{f}
@@ -195,7 +195,7 @@
 		{"doubles lines", audit.Lines, "came again", func() *spoiled {
 			n := 0
 			return &spoiled{after: each(func(f relay.Effect) []relay.Effect {
-				if f.Do == relay.Write && strings.HasPrefix(text(f), "M ") {
+				if f.Kind == relay.Write && strings.HasPrefix(text(f), "M ") {
 					if n++; n%50 == 0 {
 						return []relay.Effect{f, f}
 					}
@@ -208,7 +208,7 @@
 			return &spoiled{after: each(func(f relay.Effect) []relay.Effect {
 				if toClient(f) && strings.HasPrefix(text(f), "R ") {
 					if n++; n%500 == 0 {
-						return []relay.Effect{f, {Do: relay.Break, Conn: f.Conn}}
+						return []relay.Effect{f, {Kind: relay.Reset, Conn: f.Conn}}
 					}
 				}
 				return []relay.Effect{f}
@@ -243,7 +243,7 @@
 	var conn uint64
 	return func(e relay.Event) relay.Event {
 			conn = 0
-			if e.Kind == relay.Came && bytes.HasPrefix(e.Data, []byte("OPEN")) {
+			if e.Kind == relay.DataReceived && bytes.HasPrefix(e.Data, []byte("OPEN")) {
 				conn = e.Conn
 			}
 			return e
@@ -251,7 +251,7 @@
 			if conn == 0 {
 				return all
 			}
-			return append([]relay.Effect{{Do: relay.Write, Conn: conn, Parts: [][]byte{[]byte("UP mine\r\n")}}},
+			return append([]relay.Effect{{Kind: relay.Write, Conn: conn, Chunks: [][]byte{[]byte("UP mine\r\n")}}},
 				all...)
 		}
 }
