--- /dev/null
+++ b/internal/membership/golden_test.go
@@ -0,0 +1,126 @@
+package membership
+
+import (
+	"encoding/json"
+	"flag"
+	"math/rand"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew, from what the code writes now")
+
+// golden returns the content of a golden file; with -update it writes the file first.
+func golden(t *testing.T, name string, now []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		require.NoError(t, os.WriteFile(path, now, 0o644))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	return want
+}
+
+const (
+	goldenTime = 90000.0 // when the datagrams of the golden files are sent
+	goldenFrom = "10.0.0.1:7000"
+)
+
+// goldenWords are a sender's own state and what it passes on of two others, with no field left zero.
+func goldenWords() (own, second, third Word) {
+	own = Word{Name: "relay-1", Zone: "a", Region: "north", Address: goldenFrom, Boot: 7, Life: 0x0102030405060708,
+		Phase: 2, List: 314, Placed: 123456, Waiting: 21, Links: 1999, Order: 5, Lame: true}
+	second = Word{Name: "relay-2", Zone: "b", Region: "south", Address: "10.0.0.2:7000", Boot: 300,
+		Life: 0xf1f2f3f4f5f6f7f8, Beat: 70000, Age: 5400000, Phase: 1, List: 313, Placed: 9, Waiting: 4294967295,
+		Links: 1, Order: 4, Lame: true}
+	third = Word{Name: "relay-3", Zone: "c", Region: "south", Address: "[::1]:7000", Boot: 1, Life: 3, Beat: 12,
+		Age: 2400, Phase: 3, List: 312, Placed: 1 << 40, Waiting: 17, Links: 40000, Order: 6}
+	return own, second, third
+}
+
+// goldenSender is a relay that has heard of two others and sends at goldenTime.
+func goldenSender() *Peers {
+	own, second, third := goldenWords()
+	p := New(1000, own, []string{"10.0.0.9:7000"}, key, rand.New(rand.NewSource(1)))
+	p.own.Beat = 44
+	p.Off = 1700000000000
+	p.hear(89200, third, false)
+	p.hear(89500, second, true)
+	return p
+}
+
+// Datagrams are read as what the golden file was written from, and written as the same bytes.
+func TestGoldenDatagrams(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		file string
+		asks bool
+	}{
+		{"gossip that asks for an answer", "datagram-asks.bin", true},
+		{"answer", "datagram-answer.bin", false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			sent := goldenSender().frame(goldenTime, "10.0.0.4:7000", c.asks)
+			want := golden(t, c.file, sent.Data)
+			assert.Equal(t, want, sent.Data)
+
+			receiver := New(0, Word{Name: "relay-4", Address: "10.0.0.4:7000", Life: 9}, []string{goldenFrom}, key,
+				rand.New(rand.NewSource(1)))
+			answers := receiver.Take(50, goldenFrom, want)
+			assert.Equal(t, c.asks, len(answers) == 1)
+			own, second, third := goldenWords()
+			own.Beat, own.Age = 44, goldenTime-1000
+			second.Age += 500
+			third.Age += 800
+			got := receiver.Members(50)
+			require.Len(t, got, 3)
+			for i, state := range []Word{own, second, third} {
+				assert.Equal(t, state, got[i].Word)
+			}
+			assert.Equal(t, 1700000000000+goldenTime-50, got[0].Off)
+			assert.Equal(t, goldenFrom, receiver.Reach(got[0]))
+		})
+	}
+}
+
+// A datagram's plain part: the states alone, without the header and the seal.
+func TestGoldenStates(t *testing.T) {
+	own, second, third := goldenWords()
+	own.Beat, own.Age = 44, 89000
+	var plain []byte
+	for _, w := range []Word{own, second, third} {
+		plain = appendWord(plain, w)
+	}
+	want := golden(t, "states.bin", plain)
+	assert.Equal(t, want, plain)
+	words, err := readWords(want, 3)
+	require.NoError(t, err)
+	assert.Equal(t, []Word{own, second, third}, words)
+}
+
+// A sealed request to another relay.
+func TestGoldenSealed(t *testing.T) {
+	body := []byte("question: what do you hold?")
+	want := golden(t, "sealed.bin", Seal(key, body))
+	assert.Equal(t, want, Seal(key, body))
+	opened, err := Open(key, want)
+	require.NoError(t, err)
+	assert.Equal(t, body, opened)
+}
+
+// The counts of the wire, as the status of the fleet has them.
+func TestGoldenCounts(t *testing.T) {
+	counts := Counts{Sent: 1, SentBytes: 2, Heard: 3, HeardBytes: 4, Refused: 5, Strange: 6}
+	text, err := json.Marshal(counts)
+	require.NoError(t, err)
+	want := golden(t, "counts.json", text)
+	assert.Equal(t, string(want), string(text))
+	var read Counts
+	require.NoError(t, json.Unmarshal(want, &read))
+	assert.Equal(t, counts, read)
+}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -87,7 +87,14 @@
 var magic = [4]byte{'v', 's', 'p', version}
 
 // Counts is what was seen on the wire.
-type Counts struct{ Sent, SentBytes, Heard, HeardBytes, Refused, Strange uint64 }
+type Counts struct {
+	Sent       uint64 `json:"Sent"`
+	SentBytes  uint64 `json:"SentBytes"`
+	Heard      uint64 `json:"Heard"`
+	HeardBytes uint64 `json:"HeardBytes"`
+	Refused    uint64 `json:"Refused"`
+	Strange    uint64 `json:"Strange"`
+}
 
 // Peers is one relay's view.
 type Peers struct {
--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -28,3 +28,13 @@
 		assert.Equal(t, c.breaks, a.Counts[Cold], "%s: %v", name, a.Breaks)
 	}
 }
+
+// Reports name the rules, and print what broke them, as they always did.
+func TestTextOfRulesAndBreaks(t *testing.T) {
+	for rule, want := range map[Rule]string{FinalAnswer: "final answer", Twice: "twice", Drain: "drain",
+		Cold: "cold", Lines: "lines"} {
+		assert.Equal(t, want, rule.String())
+		assert.Equal(t, "12.5 "+want+": what was seen (link 7f)",
+			Break{Rule: rule, At: 12.5, Link: "7f", What: "what was seen"}.String())
+	}
+}
--- a/internal/testbed/model/tally.go
+++ b/internal/testbed/model/tally.go
@@ -8,10 +8,17 @@
 
 // Second is what was counted in one second of a run.
 type Second struct {
-	Wanted, Served              float64 // gain of lines meant to be sent, and of those answered in time
-	Setups, Rejected, Errored   int     // answers
-	Unanswered, Cut, Standing   int
-	Spread, MeanUtil, WorstUtil float64 // of the servers that serve
+	Wanted     float64 `json:"Wanted"` // gain of lines meant to be sent
+	Served     float64 `json:"Served"` // gain of those answered in time
+	Setups     int     `json:"Setups"`
+	Rejected   int     `json:"Rejected"`
+	Errored    int     `json:"Errored"`
+	Unanswered int     `json:"Unanswered"`
+	Cut        int     `json:"Cut"`
+	Standing   int     `json:"Standing"`
+	Spread     float64 `json:"Spread"` // of the servers that serve, as the next two
+	MeanUtil   float64 `json:"MeanUtil"`
+	WorstUtil  float64 `json:"WorstUtil"`
 }
 
 // Tally is what a run came to, as clients saw it.
--- a/internal/testbed/model/world.go
+++ b/internal/testbed/model/world.go
@@ -51,8 +51,9 @@
 
 // Mark is a fault as it came, for the time axis.
 type Mark struct {
-	From, To float64 // of the run
-	Text     string
+	From float64 `json:"From"` // of the run
+	To   float64 `json:"To"`
+	Text string  `json:"Text"`
 }
 
 type relayState struct {
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -44,8 +44,10 @@
 
 // Quantile are figures of one histogram.
 type Quantile struct {
-	Count          int64   `json:"count"`
-	P50, P99, P999 float64 `json:",omitempty"`
+	Count int64   `json:"count"`
+	P50   float64 `json:"P50,omitempty"`
+	P99   float64 `json:"P99,omitempty"`
+	P999  float64 `json:"P999,omitempty"`
 }
 
 // Report is an experiment with its runs.
