--- a/cmd/valeshift-coordinator/disk.go
+++ b/cmd/valeshift-coordinator/disk.go
@@ -4,4 +4,4 @@
 
 import "valeshift/internal/store"
 
-func folder(path string) store.FS { return store.Folder(path) }
+func folder(path string) store.FS { return store.DirFS(path) }
--- a/cmd/valeshift-testbed/main.go
+++ b/cmd/valeshift-testbed/main.go
@@ -191,7 +191,7 @@
 
 // Run plays all variants, one after the other. Only the first is held to the rules.
 func (c *simCommand) Run() error {
-	x, err := experiment.Read(c.File)
+	x, err := experiment.ReadFile(c.File)
 	if err != nil {
 		return err
 	}
@@ -214,7 +214,7 @@
 		if err != nil {
 			return err
 		}
-		run := r.Add(x, variant, "simulated", result.Tally, result.Marks, result.Audit, result.Fallen)
+		run := r.AddRun(x, variant, "simulated", result.Tally, result.Marks, result.Audit, result.Fallen)
 		err = say(run, i == 0, fmt.Sprintf("(%.1f simulated seconds a second, %.2f M events/s)",
 			float64(x.Length)/1000/result.Took.Seconds(), float64(result.Events)/1e6/result.Took.Seconds()))
 		if broken == nil {
@@ -236,7 +236,7 @@
 
 // Run plays the module on sockets.
 func (c *loadCommand) Run(ctx context.Context) error {
-	x, err := experiment.Read(c.File)
+	x, err := experiment.ReadFile(c.File)
 	if err != nil {
 		return err
 	}
@@ -273,10 +273,10 @@
 		return err
 	}
 	r := report.New(x)
-	run := r.Add(x, experiment.Known[0], "on sockets", result.Tally, result.Marks, result.Audit, result.Fallen)
+	run := r.AddRun(x, experiment.Policies[0], "on sockets", result.Tally, result.Marks, result.Audit, result.Fallen)
 	run.Late, run.Memory, run.CPU = result.Late, result.Memory, result.CPU
 	broken := say(run, !result.Late, fmt.Sprintf("(%.0f ms behind its schedule at the most)",
-		result.Tally.Behind))
+		result.Tally.MaxLag))
 	if err := c.write(r); err != nil {
 		return err
 	}
@@ -293,11 +293,11 @@
 // Run plays the file with relays that know of each other and have disks, whatever it says of that, and keeps
 // their logs and disks: in the folder that --logs names, else in a temporary one.
 func (c *fleetCommand) Run(ctx context.Context) error {
-	x, err := experiment.Read(c.File)
+	x, err := experiment.ReadFile(c.File)
 	if err != nil {
 		return err
 	}
-	x.Relays.Peers, x.Relays.Disk = true, true
+	x.Relays.Membership, x.Relays.Disk = true, true
 	if c.Logs == "" {
 		if c.Logs, err = os.MkdirTemp("", x.Name+".machines-"); err != nil {
 			return err
@@ -337,10 +337,10 @@
 
 // Run checks.
 func (c *checkCommand) Run() error {
-	x, err := experiment.Read(c.File)
+	x, err := experiment.ReadFile(c.File)
 	if err == nil {
 		fmt.Printf("ok: %s, %d relays, %d servers, %d kinds of traffic, %d faults\n", x.Name, x.Relays.Count,
-			x.Fleet.Servers, len(x.Traffic), len(x.Faults))
+			x.Fleet.Backends, len(x.Traffic), len(x.Faults))
 	}
 	return err
 }
@@ -360,12 +360,12 @@
 
 // processes plays a schedule with relay processes. One that the machine was too slow for is not counted,
 // twice at the most.
-func (c *huntCommand) processes(ctx context.Context, x *experiment.Experiment) *explore.Found {
+func (c *huntCommand) processes(ctx context.Context, x *experiment.Experiment) *explore.Finding {
 	binary := c.Relay
 	if binary == "" {
 		own, err := program("")
 		if err != nil {
-			return &explore.Found{Experiment: x, Panic: err.Error()}
+			return &explore.Finding{Experiment: x, Panic: err.Error()}
 		}
 		binary = own + "-faultdisk"
 	}
@@ -373,18 +373,18 @@
 	for range 2 {
 		os.RemoveAll(dir)
 		if err := os.MkdirAll(dir, 0o755); err != nil {
-			return &explore.Found{Experiment: x, Panic: err.Error()}
+			return &explore.Finding{Experiment: x, Panic: err.Error()}
 		}
 		r, err := live.Play(ctx, x, binary, dir)
 		switch {
 		case ctx.Err() != nil:
 			return nil
 		case err != nil:
-			return &explore.Found{Experiment: x, Panic: err.Error()}
+			return &explore.Finding{Experiment: x, Panic: err.Error()}
 		case r.Late:
 			continue
 		}
-		found := explore.Of(x, r.Audit)
+		found := explore.NewFinding(x, r.Audit)
 		if found == nil {
 			os.RemoveAll(dir) // logs and disks are kept of what broke a rule
 		}
@@ -400,16 +400,16 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	began := time.Now()
-	var all []*explore.Found
+	var all []*explore.Finding
 	last, seen := time.Now(), 0
 	side, play := runtime.GOMAXPROCS(0), explore.Play
-	draw := explore.Draw
+	draw := explore.Generate
 	if c.Processes {
-		side, draw = c.Side, explore.Machines
-		play = func(x *experiment.Experiment) *explore.Found { return c.processes(ctx, x) }
+		side, draw = c.Side, explore.GenerateForProcesses
+		play = func(x *experiment.Experiment) *explore.Finding { return c.processes(ctx, x) }
 	}
-	each := func(seed uint64) *explore.Found { return play(draw(seed)) }
-	explore.HuntBy(ctx, c.From, c.From+c.Count, side, each, func(f *explore.Found) {
+	each := func(seed uint64) *explore.Finding { return play(draw(seed)) }
+	explore.ExploreWith(ctx, c.From, c.From+c.Count, side, each, func(f *explore.Finding) {
 		if all = append(all, f); len(all) >= c.Most {
 			stop()
 		}
@@ -427,7 +427,7 @@
 	}
 	for _, f := range all {
 		if c.Shrink > 0 {
-			f = explore.ShrinkBy(f, c.Shrink, play)
+			f = explore.ShrinkWith(f, c.Shrink, play)
 		}
 		text, err := f.Text()
 		if err != nil {
@@ -441,7 +441,7 @@
 			return err
 		}
 		fmt.Printf("%s %v %s\n", path, f.Counts, f.Panic)
-		for _, b := range f.Breaks[:min(len(f.Breaks), 3)] {
+		for _, b := range f.Violations[:min(len(f.Violations), 3)] {
 			fmt.Println("  ", b)
 		}
 	}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,4 +1,4 @@
-// Package ops is where operators call: HTTP/1.1, five calls, one to a connection. It turns calls into what
+// Package admin is where operators call: HTTP/1.1, five calls, one to a connection. It turns calls into what
 // its Relay does and writes out the figures that were published last. It must never wait for a client's
 // traffic, look at the relay's state itself, or act on who calls.
 package admin
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,4 +1,4 @@
-// Package admit decides how much one relay sends to cold servers after the whole fleet lost power, and whom
+// Package admission decides how much one relay sends to cold servers after the whole fleet lost power, and whom
 // it lets go first: all servers are cold then, all relays young, all clients there at once. The paper has no
 // such case: its buckets follow probed load (section IV-B), which says nothing of servers that nobody has
 // used yet. It is asked by the decision module, knows no server and no link, and is silent until the module
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package operator reads the operators' own file: what an installation wants of this program beyond what its
+// Package config reads the operators' own file: what an installation wants of this program beyond what its
 // platform tells. It is TOML, optional, and read whole or not at all. Each section is a type here, with the
 // values that hold where the file is silent. The package says where the file is wrong, by line, column and
 // field; it must never act on what it reads, nor keep it.
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -1,4 +1,4 @@
-// Package council has a few voters agree on one list of entries, each with a number that only grows. The
+// Package consensus has a few voters agree on one list of entries, each with a number that only grows. The
 // agreement is Raft's (go.etcd.io/raft); here is what lies around it: who is a voter, by the disk it keeps
 // its votes on; that nothing is spoken of before it is on that disk; and for how long a leader may hold that
 // it leads. It touches no disk, socket or clock: frames and times come in, what is to be saved and sent goes
--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -1,4 +1,4 @@
-// Package chamber is one voter of the council as a whole: what relays see of zones comes in, what is judged
+// Package coordinator is one voter of the council as a whole: what relays see of zones comes in, what is judged
 // of it is agreed on with the other voters, and what was decided goes out to whoever asks. Core has all
 // state and no I/O, so that it runs under virtual time; Run drives it on sockets and a disk. No relay's link
 // ever waits for it.
--- a/internal/coordinator/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -39,12 +39,12 @@
 	t.Helper()
 	folder := t.TempDir()
 	require.NoError(t, os.CopyFS(folder, os.DirFS(filepath.Join("testdata", "golden", "folder"))))
-	address, err := procstat.FreeOn("127.0.0.1")
+	address, err := procstat.FreeAddressOn("127.0.0.1")
 	require.NoError(t, err)
 	me := consensus.Member{Name: "v", Address: address}
 	zones := []failover.Zone{{Name: "a", Region: "r0"}, {Name: "b", Region: "r0"}, {Name: "c", Region: "r1"},
 		{Name: "d", Region: "r1"}}
-	r, err = Start(me, []consensus.Member{me}, zones, []byte(key), store.Folder(folder),
+	r, err = Start(me, []consensus.Member{me}, zones, []byte(key), store.DirFS(folder),
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
 	require.NoError(t, err)
 	t.Cleanup(r.Stop)
--- a/internal/coordinator/processes_test.go
+++ b/internal/coordinator/processes_test.go
@@ -38,7 +38,7 @@
 	ops    string
 	file   string
 	hears  string
-	ways   map[int]*netem.Way // to the others
+	ways   map[int]*netem.Proxy // to the others
 	cmd    *exec.Cmd
 }
 
@@ -52,15 +52,15 @@
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "key"), []byte(key), 0o600))
 	for i := range count {
 		m := &machine{t: t, name: fmt.Sprint("v", i), dir: filepath.Join(dir, fmt.Sprint(i)), binary: binary,
-			ways: map[int]*netem.Way{}}
+			ways: map[int]*netem.Proxy{}}
 		require.NoError(t, os.MkdirAll(filepath.Join(m.dir, "disk"), 0o700))
-		m.hears, err = procstat.FreeOn(fmt.Sprintf("127.0.10.%d", i+1))
+		m.hears, err = procstat.FreeAddressOn(fmt.Sprintf("127.0.10.%d", i+1))
 		require.NoError(t, err)
 		all = append(all, m)
 		t.Cleanup(m.kill)
 	}
 	for i, m := range all {
-		m.ops, err = procstat.FreeOn(fmt.Sprintf("127.0.10.%d", i+1))
+		m.ops, err = procstat.FreeAddressOn(fmt.Sprintf("127.0.10.%d", i+1))
 		require.NoError(t, err)
 		text := fmt.Sprintf("name = %q\nops = %q\nkey-file = %q\nfolder = %q\n", m.name, m.ops, filepath.Join(dir,
 			"key"),
@@ -108,8 +108,8 @@
 	i := slices.Index(all, m)
 	for _, k := range others {
 		if k != i {
-			m.ways[k].Set(netem.State{Cut: there}, netem.State{Cut: there})
-			all[k].ways[i].Set(netem.State{Cut: back}, netem.State{Cut: back})
+			m.ways[k].SetImpairments(netem.Impairment{Cut: there}, netem.Impairment{Cut: there})
+			all[k].ways[i].SetImpairments(netem.Impairment{Cut: back}, netem.Impairment{Cut: back})
 		}
 	}
 }
--- a/internal/coordinator/run.go
+++ b/internal/coordinator/run.go
@@ -52,8 +52,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if found.Damaged > 0 || found.Torn > 0 {
-		log.Warn("disk: damaged pieces passed over", "damaged", found.Damaged, "torn", found.Torn)
+	if found.Damaged > 0 || found.TornBytes > 0 {
+		log.Warn("disk: damaged pieces passed over", "damaged", found.Damaged, "torn", found.TornBytes)
 	}
 	var lot [8]byte
 	if _, err := rand.Read(lot[:]); err != nil {
@@ -61,7 +61,7 @@
 	}
 	r := &Node{log: log, key: key, base: time.Now(), store: kept, saves: make(chan consensus.Ready, 1),
 		ended: make(chan struct{})}
-	record, _ := kept.Get(store.Council, "")
+	record, _ := kept.Get(store.KindConsensus, "")
 	chance := mathrand.New(mathrand.NewSource(int64(binary.LittleEndian.Uint64(lot[:]))))
 	if r.core, err = New(r.now(), me, voters, zones, record.Body, chance); err != nil {
 		return nil, errors.Join(err, kept.Close())
@@ -217,7 +217,7 @@
 
 func (r *Node) write(data []byte) bool {
 	durable := make(chan error, 1)
-	r.store.Put(store.Record{Kind: store.Council, Body: data}, func(err error) { durable <- err })
+	r.store.Put(store.Record{Kind: store.KindConsensus, Body: data}, func(err error) { durable <- err })
 	if err := r.store.Flush(); err != nil {
 		r.log.Error("disk: this voter is silent until it can be written", "err", err)
 		return false
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,4 +1,4 @@
-// Package hand keeps the links that a driver has in hand for one relay: it puts them to the module, asks
+// Package dispatch keeps the links that a driver has in hand for one relay: it puts them to the module, asks
 // again about those held, and asks what is due until nothing is. Both drivers, the wire's and the sockets',
 // stand on it, so that the same decisions come of the same news. It decides nothing and knows no wire.
 package dispatch
--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -51,7 +51,7 @@
 
 // Core is one relay's side of the fleet.
 type Core struct {
-	membership       *membership.Peers // nil: none are named
+	membership       *membership.View // nil: none are named
 	plan             *recovery.Plan
 	phase            recovery.Phase
 	boot             uint64 // as it was saved
@@ -77,7 +77,7 @@
 
 // New starts the relay's side: with others, where an own word is given that says where it hears them, and
 // with a disk, which is told of by Disk.
-func New(now float64, own membership.Word, seeds []string, key []byte, disk bool, chance *rand.Rand) *Core {
+func New(now float64, own membership.MemberState, seeds []string, key []byte, disk bool, chance *rand.Rand) *Core {
 	c := &Core{plan: recovery.New(now, disk, own.Address != ""), hasDisk: disk, turnedAt: now,
 		keepAt: now + keepEvery, kept: &relay.Snapshot{}, beyondSaid: -1, diskWhy: "being read"}
 	if !disk {
@@ -96,34 +96,34 @@
 }
 
 // Restore takes what the store had at the start, or why there is none. An order on it holds at once.
-func (c *Core) Restore(now float64, s *store.Store, found store.Found, err error) (acts []Action) {
+func (c *Core) Restore(now float64, s *store.Store, found store.Recovery, err error) (acts []Action) {
 	d := recovery.DiskResult{}
 	if err != nil {
 		c.diskWhy, c.hasDisk, d.Fault = err.Error(), false, err.Error()
 		return c.acts(c.plan.ReceiveDisk(now, d))
 	}
 	c.diskWhy, c.diskRead = "", true
-	if found.Damaged > 0 || found.Torn > 0 {
-		c.diskWhy = fmt.Sprintf("%d damaged pieces passed over, %d bytes cut off", found.Damaged, found.Torn)
+	if found.Damaged > 0 || found.TornBytes > 0 {
+		c.diskWhy = fmt.Sprintf("%d damaged pieces passed over, %d bytes cut off", found.Damaged, found.TornBytes)
 		acts = append(acts, Action{Log: "disk: " + c.diskWhy})
 	}
 	c.boot = found.LastBoot + 1
 	if c.membership != nil {
-		c.membership.Above(found.LastBoot)
-		c.boot = c.membership.Own().Boot
+		c.membership.RestoreBoot(found.LastBoot)
+		c.boot = c.membership.LocalState().Boot
 	}
 	acts = append(acts, c.saveBoot(now))
-	if r, there := s.Get(store.Order, ""); there {
+	if r, there := s.Get(store.KindOrder, ""); there {
 		var o storedOrder
 		if json.Unmarshal(r.Body, &o) == nil && o.Number >= c.orderNumber {
 			acts = append(acts, c.applyOrder(o.Number, o.Lame)...)
 		}
 	}
 	c.restoreReplicas(now, s, found.LastBoot)
-	if r, there := s.Get(store.Decision, ""); there && c.coordinators != nil {
+	if r, there := s.Get(store.KindDecision, ""); there && c.coordinators != nil {
 		c.coordinators.follower.Restore(r.Body)
 	}
-	if r, there := s.Get(store.Knowing, ""); there {
+	if r, there := s.Get(store.KindSnapshot, ""); there {
 		if d.Snapshot, err = relay.ParseSnapshot(r.Body); err != nil {
 			d.Snapshot, d.Fault = nil, err.Error()
 		} else if c.kept.Endpoints == nil && c.kept.Capacity == 0 {
@@ -134,7 +134,7 @@
 }
 
 func (c *Core) saveBoot(now float64) Action {
-	return Action{Persist: &store.Record{Kind: store.Boot, Boot: c.boot, At: now, Body: []byte("x")}}
+	return Action{Persist: &store.Record{Kind: store.KindBoot, Boot: c.boot, UnixMillis: now, Body: []byte("x")}}
 }
 
 // applyOrder has the relay be as the order of that number says.
@@ -142,9 +142,9 @@
 	changed := lame != c.draining
 	c.orderNumber, c.draining = number, lame
 	if c.membership != nil {
-		w := c.membership.Own()
-		w.Order, w.Lame = number, lame
-		c.membership.Say(w)
+		w := c.membership.LocalState()
+		w.OrderNumber, w.Draining = number, lame
+		c.membership.SetLocalState(w)
 	}
 	if changed {
 		acts = append(acts, Action{Event: &relay.Event{Kind: relay.DrainRequested, Off: !lame}})
@@ -156,11 +156,11 @@
 func (c *Core) SetDraining(now float64, lame bool) (store.Record, []Action) {
 	number := c.orderNumber + 1
 	if c.membership != nil {
-		number = max(number, c.membership.Own().Order+1)
+		number = max(number, c.membership.LocalState().OrderNumber+1)
 	}
 	acts := c.applyOrder(number, lame)
 	body, _ := json.Marshal(storedOrder{number, lame}) // of plain values
-	return store.Record{Kind: store.Order, Boot: c.boot, At: now, Body: body}, acts
+	return store.Record{Kind: store.KindOrder, Boot: c.boot, UnixMillis: now, Body: body}, acts
 }
 
 // ReceiveDatagram takes a datagram.
@@ -174,7 +174,7 @@
 	if c.membership == nil {
 		return nil
 	}
-	for _, d := range c.membership.Take(now, from, data) {
+	for _, d := range c.membership.Receive(now, from, data) {
 		acts = append(acts, Action{Send: &d})
 	}
 	return append(acts, c.own(now)...)
@@ -182,14 +182,14 @@
 
 // own follows what others know of this relay: a boot above its own, an order later than its own.
 func (c *Core) own(now float64) (acts []Action) {
-	w := c.membership.Own()
+	w := c.membership.LocalState()
 	if w.Boot > c.boot && c.diskRead {
 		if c.boot = w.Boot; c.replication != nil {
 			c.replication.older = true
 		}
 		acts = append(acts, c.saveBoot(now))
 	}
-	return append(acts, c.adoptOrder(now, w.Order, w.Lame)...)
+	return append(acts, c.adoptOrder(now, w.OrderNumber, w.Draining)...)
 }
 
 // adoptOrder takes an order to this relay that others know, where it is later than its own or the stricter.
@@ -200,7 +200,7 @@
 	acts := append([]Action{{Log: fmt.Sprintf("order %d, empty %t, as other relays remember it", number, lame)}},
 		c.applyOrder(number, lame)...)
 	body, _ := json.Marshal(storedOrder{number, lame}) // of plain values
-	return append(acts, Action{Persist: &store.Record{Kind: store.Order, Boot: c.boot, At: now, Body: body}})
+	return append(acts, Action{Persist: &store.Record{Kind: store.KindOrder, Boot: c.boot, UnixMillis: now, Body: body}})
 }
 
 // aliveMembers are the relays that are alive now.
@@ -208,14 +208,14 @@
 	if c.membership == nil {
 		return nil
 	}
-	return slices.DeleteFunc(c.membership.Members(now), func(m membership.Member) bool { return m.State != membership.Alive })
+	return slices.DeleteFunc(c.membership.Members(now), func(m membership.Member) bool { return m.Liveness != membership.Alive })
 }
 
 // others are those as the plan sees them.
 func (c *Core) others(now float64) (all []recovery.Peer) {
 	for _, m := range c.aliveMembers(now) {
-		all = append(all, recovery.Peer{Name: m.Name, AgeMillis: m.Age, Phase: recovery.Phase(m.Phase),
-			RejectedLastSecond: m.Waiting, Sessions: m.Links, Unreachable: c.membership.Reach(m) == ""})
+		all = append(all, recovery.Peer{Name: m.Name, AgeMillis: m.AgeMillis, Phase: recovery.Phase(m.Phase),
+			RejectedLastSecond: m.WaitingClients, Sessions: m.Sessions, Unreachable: c.membership.Address(m) == ""})
 	}
 	return all
 }
@@ -233,11 +233,11 @@
 	}
 	all := []float64{wall - now}
 	if c.membership != nil {
-		c.membership.Off = wall - now
+		c.membership.ClockOffset = wall - now
 	}
 	for _, m := range c.aliveMembers(now) {
-		if !math.IsNaN(m.Off) {
-			all = append(all, m.Off)
+		if !math.IsNaN(m.ClockOffset) {
+			all = append(all, m.ClockOffset)
 		}
 	}
 	slices.Sort(all)
@@ -283,11 +283,11 @@
 	acts = append(c.clock(now, wall, seen.DiscoveryClockOffset), c.acts(c.plan.Advance(now, others, seen))...)
 	acts = append(append(acts, c.updateZoneWeights(now)...), c.maintainReplication(now)...)
 	if c.membership != nil {
-		w := c.membership.Own()
-		w.Phase, w.List = uint8(c.plan.Phase()), seen.Index
-		w.Waiting, w.Links = uint32(max(seen.RejectedLastSecond, 0)), uint32(max(seen.Sessions, 0))
-		w.Order, w.Lame, w.Placed = c.orderNumber, c.draining, uint64(max(seen.UnreportedLoad, 0))
-		c.membership.Say(w)
+		w := c.membership.LocalState()
+		w.Phase, w.EndpointsVersion = uint8(c.plan.Phase()), seen.Index
+		w.WaitingClients, w.Sessions = uint32(max(seen.RejectedLastSecond, 0)), uint32(max(seen.Sessions, 0))
+		w.OrderNumber, w.Draining, w.PlacedLoad = c.orderNumber, c.draining, uint64(max(seen.UnreportedLoad, 0))
+		c.membership.SetLocalState(w)
 		acts = append(acts, c.beyond(now, max(seen.UnreportedLoad, 0))...)
 		for _, d := range c.membership.Tick(now) {
 			acts = append(acts, Action{Send: &d})
@@ -305,13 +305,13 @@
 	c.beyondAt = now + beyondEvery
 	others, all, sum := c.aliveMembers(now), []float64{own}, -1.0
 	for _, m := range others {
-		all = append(all, float64(m.Placed))
+		all = append(all, float64(m.PlacedLoad))
 	}
 	if len(others) > 0 {
 		slices.Sort(all)
 		sum = 0
 		for _, m := range others {
-			sum += min(float64(m.Placed), mostVoice*all[len(all)/2])
+			sum += min(float64(m.PlacedLoad), mostVoice*all[len(all)/2])
 		}
 	}
 	if sum == c.beyondSaid {
@@ -339,7 +339,7 @@
 	c.learnt(now, k)
 	c.kept = k
 	text, _ := shifted(k, c.fleetClockOffset).Encode() // of plain values
-	return store.Record{Kind: store.Knowing, Boot: c.boot, At: now, Body: text}
+	return store.Record{Kind: store.KindSnapshot, Boot: c.boot, UnixMillis: now, Body: text}
 }
 
 // learnt fills in what this life has not learnt yet.
@@ -364,7 +364,7 @@
 	if usual && links >= leastLinks && k.EstimatedLoad > leastFigures {
 		sum := links
 		for _, m := range c.aliveMembers(now) {
-			sum += float64(m.Links)
+			sum += float64(m.Sessions)
 		}
 		measured := k.OwnLoad * sum / links / k.EstimatedLoad
 		if c.measured == 0 {
@@ -424,7 +424,7 @@
 		switch {
 		case a.Query != "":
 			if m, there := c.member(a.Query); there {
-				acts = append(acts, Action{Query: &Query{a.Query, c.membership.Reach(m)}})
+				acts = append(acts, Action{Query: &Query{a.Query, c.membership.Address(m)}})
 			}
 		case a.Event != nil:
 			if a.Event.Snapshot != nil {
@@ -493,13 +493,13 @@
 	if c.membership == nil {
 		return s
 	}
-	s.Boot, s.Datagrams = c.membership.Own().Boot, c.membership.Counts
-	s.HasDuplicate = c.membership.Twin > 0 && now < c.membership.Twin+duplicateMillis
+	s.Boot, s.Datagrams = c.membership.LocalState().Boot, c.membership.Counts
+	s.HasDuplicate = c.membership.DuplicateSeenAt > 0 && now < c.membership.DuplicateSeenAt+duplicateMillis
 	for _, m := range c.membership.Members(now) {
 		s.Members = append(s.Members, MemberStatus{Name: m.Name, Zone: m.Zone, Region: m.Region,
-			State: m.State.String(), Phase: recovery.Phase(min(m.Phase, uint8(recovery.Normal))).String(),
-			Boot: m.Boot, EndpointsVersion: m.List, AgeMillis: m.Age, SilentMillis: now - m.Heard, RejectedLastSecond: m.Waiting, Sessions: m.Links,
-			Draining: m.Lame})
+			State: m.Liveness.String(), Phase: recovery.Phase(min(m.Phase, uint8(recovery.Normal))).String(),
+			Boot: m.Boot, EndpointsVersion: m.EndpointsVersion, AgeMillis: m.AgeMillis, SilentMillis: now - m.HeardAt, RejectedLastSecond: m.WaitingClients, Sessions: m.Sessions,
+			Draining: m.Draining})
 	}
 	return s
 }
--- a/internal/fleet/core_test.go
+++ b/internal/fleet/core_test.go
@@ -16,11 +16,11 @@
 const now = 1e12
 
 // hearing is a relay that has heard of so many others, which are as each is made.
-func hearing(count int, make func(i int, p *membership.Peers)) *Core {
+func hearing(count int, make func(i int, p *membership.View)) *Core {
 	key := []byte("a key that all share")
-	core := New(now, membership.Word{Name: "own", Address: "own"}, nil, key, false, rand.New(rand.NewSource(1)))
+	core := New(now, membership.MemberState{Name: "own", Address: "own"}, nil, key, false, rand.New(rand.NewSource(1)))
 	for i := range count {
-		p := membership.New(now, membership.Word{Name: fmt.Sprint(i), Address: "other"}, []string{"own"}, key,
+		p := membership.New(now, membership.MemberState{Name: fmt.Sprint(i), Address: "other"}, []string{"own"}, key,
 			rand.New(rand.NewSource(2)))
 		make(i, p)
 		for _, d := range p.Tick(now) {
@@ -54,7 +54,7 @@
 		{"no number", 0, []float64{math.Inf(1), 0}, never, 0, false},
 		{"discovery goes before all", 0, []float64{0, 0, 0}, -hour, hour, true},
 	} {
-		core := hearing(len(c.others), func(i int, p *membership.Peers) { p.Off = c.others[i] })
+		core := hearing(len(c.others), func(i int, p *membership.View) { p.ClockOffset = c.others[i] })
 		corrected := false
 		for _, a := range core.Tick(now+50, now+50+c.wall, relay.Status{DiscoveryClockOffset: c.dated}) {
 			if a.Event != nil && a.Event.Kind == relay.ClockSkewMeasured {
@@ -69,10 +69,10 @@
 
 // A promised time is kept by the fleet's clock, so that it holds for a life whose clock is another.
 func TestPromisedTimeOverClocks(t *testing.T) {
-	memory := store.NewMemory()
+	memory := store.NewMemoryFS()
 	life := func(ahead float64) (*Core, *store.Store, map[uint64]float64) {
 		own := now + ahead
-		core := New(own, membership.Word{}, nil, nil, true, rand.New(rand.NewSource(1)))
+		core := New(own, membership.MemberState{}, nil, nil, true, rand.New(rand.NewSource(1)))
 		acts := core.Tick(own, own, relay.Status{DiscoveryClockOffset: -ahead})
 		s, found, err := store.Open(memory, "own", 1<<20)
 		assert.NoError(t, err)
@@ -104,10 +104,10 @@
 		{100, nil, -1}, {100, []uint64{50, 70}, 120}, {0, []uint64{0, 0, 1e12}, 0}, {100, []uint64{100, 1e12}, 400},
 		{1e12, []uint64{100, 200}, 300},
 	} {
-		core := hearing(len(c.others), func(i int, p *membership.Peers) {
-			w := p.Own()
-			w.Placed = c.others[i]
-			p.Say(w)
+		core := hearing(len(c.others), func(i int, p *membership.View) {
+			w := p.LocalState()
+			w.PlacedLoad = c.others[i]
+			p.SetLocalState(w)
 		})
 		told := -1.0
 		for _, a := range core.Tick(now+50, now+50, relay.Status{DiscoveryClockOffset: math.NaN(), UnreportedLoad: c.own}) {
--- a/internal/fleet/council.go
+++ b/internal/fleet/council.go
@@ -107,7 +107,7 @@
 		k.follower.ConfirmPersisted(now, w.Number)
 		return nil, true
 	}
-	return []Action{{Persist: &store.Record{Kind: store.Decision, Boot: c.boot, At: now, Body: keep},
+	return []Action{{Persist: &store.Record{Kind: store.KindDecision, Boot: c.boot, UnixMillis: now, Body: keep},
 		ConfirmDecision: w.Number}}, true
 }
 
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -55,7 +55,7 @@
 
 // alone is a relay without others or a disk, whose start has come to its end.
 func alone() *Core {
-	return New(now-60000, membership.Word{}, nil, nil, false, rand.New(rand.NewSource(1)))
+	return New(now-60000, membership.MemberState{}, nil, nil, false, rand.New(rand.NewSource(1)))
 }
 
 // What is stored and what one relay answers another, byte by byte.
@@ -69,7 +69,7 @@
 			core := alone()
 			core.orderNumber = 6
 			record, _ := core.SetDraining(now, true)
-			assert.Equal(t, store.Order, record.Kind)
+			assert.Equal(t, store.KindOrder, record.Kind)
 			return record.Body
 		}, func(t *testing.T, text []byte) {
 			var o storedOrder
@@ -78,7 +78,7 @@
 		}},
 		{"knowledge.json", func(t *testing.T) []byte {
 			record := alone().RecordSnapshot(now, fullKept())
-			assert.Equal(t, store.Knowing, record.Kind)
+			assert.Equal(t, store.KindSnapshot, record.Kind)
 			return record.Body
 		}, func(t *testing.T, text []byte) {
 			k, err := relay.ParseSnapshot(text)
@@ -124,7 +124,7 @@
 		WarmingUp: 5, Usable: 9, AheadMillis: -3600.5, HasDuplicate: true,
 		Members: []MemberStatus{{Name: "r2", Zone: "b", Region: "north", State: "alive", Phase: "normal", Boot: 4,
 			EndpointsVersion: 33, AgeMillis: 61000.5, SilentMillis: 120.25, RejectedLastSecond: 8, Sessions: 300, Draining: true}},
-		Datagrams: membership.Counts{Sent: 1, SentBytes: 2, Heard: 3, HeardBytes: 4, Refused: 5, Strange: 6},
+		Datagrams: membership.Counts{Sent: 1, SentBytes: 2, Received: 3, ReceivedBytes: 4, Unauthenticated: 5, Malformed: 6},
 		Coordinators: &CoordinatorStatus{Number: 21, Followed: true, RenewalDueMillis: 2500.5, Leader: "10.0.0.9:7100",
 			ZoneWeights: []relay.ZoneWeight{{Zone: "a", Share: 0.75, AcceptsOverflow: true}, {Zone: "b", Share: 0.25, AcceptsOverflow: true}}},
 		Replication: &ReplicationStatus{
@@ -241,21 +241,21 @@
 	key := []byte("a key that all share")
 	n := &network{t: t, cores: map[string]*Core{}, stores: map[string]*store.Store{},
 		order: []string{"r1", "r2", "r3"}}
-	memory := map[string]*store.Memory{"r2": store.NewMemory(), "r3": store.NewMemory()}
+	memory := map[string]*store.MemoryFS{"r2": store.NewMemoryFS(), "r3": store.NewMemoryFS()}
 	voters := []string{"v1"}
 	for life := range 3 {
 		for i, name := range n.order {
-			var disk store.FS = store.Folder(folder)
+			var disk store.FS = store.DirFS(folder)
 			if memory[name] != nil {
 				disk = memory[name]
 			}
 			s, found, err := store.Open(disk, name, 1<<20)
 			require.NoError(t, err)
 			chance := rand.New(rand.NewSource(int64(i + 1)))
-			own := membership.Word{Name: name, Address: name, Zone: string(rune('a' + i)), Life: uint64(i + 1)}
+			own := membership.MemberState{Name: name, Address: name, Zone: string(rune('a' + i)), Incarnation: uint64(i + 1)}
 			n.stores[name], n.cores[name] = s, New(now, own, n.order, key, true, chance)
 			n.cores[name].FollowCoordinators(name, own.Zone, voters, key, chance)
-			n.do(now, name, n.cores[name].EnableReplication(name, own.Life, 3, 5000, true, key, chance))
+			n.do(now, name, n.cores[name].EnableReplication(name, own.Incarnation, 3, 5000, true, key, chance))
 			n.do(now, name, n.cores[name].Restore(now, s, found, nil))
 		}
 		if life < 2 {
@@ -327,7 +327,7 @@
 	peers := &Config{Listen: "127.0.0.1:0", Zone: "a", Region: "north", KeyFile: key, Voters: []string{"127.0.0.1:1"},
 		Copies: 3, MarkerRetentionMillis: 5000, ReplicateAffinity: true}
 	var log bytes.Buffer
-	r, err := NewNode("r1", peers, store.Folder(folder), 1<<20, clock, slog.New(slog.NewTextHandler(&log, nil)))
+	r, err := NewNode("r1", peers, store.DirFS(folder), 1<<20, clock, slog.New(slog.NewTextHandler(&log, nil)))
 	require.NoError(t, err)
 	events := make(chan relay.Event, 1000)
 	require.NoError(t, r.Start(folderNow, func(e relay.Event) { events <- e },
--- a/internal/fleet/holdings.go
+++ b/internal/fleet/holdings.go
@@ -108,7 +108,7 @@
 func (c *Core) ReplicateOrder(now float64) (token uint64, acts []Action) {
 	body, _ := json.Marshal(storedOrder{c.orderNumber, c.draining}) // of plain values
 	token, all := c.replication.core.Replicate(c.fleetTime(now), replication.Record{Kind: replication.OperatorOrder,
-		Key:     c.membership.Own().Name,
+		Key:     c.membership.LocalState().Name,
 		Version: c.orderNumber, ExpiresAt: c.fleetTime(now) + orderFor, Body: body}, orderWithin)
 	c.replication.orders[token], c.replication.nextAt = true, now+orderEvery
 	return token, c.holds(now, all)
@@ -124,7 +124,7 @@
 	h.nextAt = now + orderEvery
 	if h.reads < orderReads && c.orderNumber == 0 && len(members) > 1 {
 		h.reads++
-		token, acts := h.core.Lookup(c.fleetTime(now), replication.OperatorOrder, c.membership.Own().Name, orderReadFor)
+		token, acts := h.core.Lookup(c.fleetTime(now), replication.OperatorOrder, c.membership.LocalState().Name, orderReadFor)
 		h.orders[token] = true
 		return c.holds(now, acts)
 	}
@@ -224,7 +224,7 @@
 	for _, a := range all {
 		switch {
 		case a.Write != nil:
-			acts = append(acts, Action{Persist: &store.Record{Kind: store.Holding, Key: a.Write.Name, Boot: c.boot, At: now,
+			acts = append(acts, Action{Persist: &store.Record{Kind: store.KindReplica, Key: a.Write.Name, Boot: c.boot, UnixMillis: now,
 				Body: a.Write.Body}, ReplicationWrite: a.Write})
 		case a.Data != nil:
 			acts = append(acts, Action{Send: &membership.Datagram{To: a.To,
@@ -263,7 +263,7 @@
 			if json.Unmarshal(o.Record.Body, &kept) == nil { // one that its own disk has lost
 				acts = append(acts, c.adoptOrder(now, kept.Number, kept.Lame)...)
 			}
-			if o.Record.Owner == c.membership.Own().Name && o.Record.Version == c.orderNumber {
+			if o.Record.Owner == c.membership.LocalState().Name && o.Record.Version == c.orderNumber {
 				if h.former, h.tells = h.ordered, orderTells; h.ordered.ID == o.Record.ID {
 					h.tells = 0
 				}
@@ -290,18 +290,18 @@
 	}
 	if now >= h.viewAt {
 		h.viewAt = now + viewEvery
-		own := c.membership.Own()
+		own := c.membership.LocalState()
 		all := []replication.Member{{Name: own.Name, Zone: own.Zone, Address: own.Address, Incarnation: h.life,
 			Draining: c.draining}}
 		for _, m := range c.aliveMembers(now) {
-			if at := c.membership.Reach(m); at != "" {
-				all = append(all, replication.Member{Name: m.Name, Zone: m.Zone, Address: at, Incarnation: m.Life,
-					Draining: m.Lame})
+			if at := c.membership.Address(m); at != "" {
+				all = append(all, replication.Member{Name: m.Name, Zone: m.Zone, Address: at, Incarnation: m.Incarnation,
+					Draining: m.Draining})
 			}
 		}
 		h.members = all
 		h.core.UpdateMembers(all)
-		twin := c.membership.Twin > 0 && now < c.membership.Twin+duplicateMillis
+		twin := c.membership.DuplicateSeenAt > 0 && now < c.membership.DuplicateSeenAt+duplicateMillis
 		h.core.SetSuspended(!c.diskRead || twin || c.plan.Phase() < recovery.Admitting)
 	}
 	if now >= h.sweepAt {
@@ -352,7 +352,7 @@
 	if c.replication == nil {
 		return
 	}
-	for _, r := range s.All(store.Holding) {
+	for _, r := range s.Records(store.KindReplica) {
 		c.replication.core.LoadRecord(c.fleetTime(now), r.Key, r.Body)
 	}
 	c.replication.older = c.boot > lastBoot+1
--- a/internal/fleet/processes_test.go
+++ b/internal/fleet/processes_test.go
@@ -53,7 +53,7 @@
 		m := &machine{t: t, number: i, dir: filepath.Join(dir, fmt.Sprint(i)), binary: binary,
 			key: "a key that all share"}
 		require.NoError(t, os.MkdirAll(m.disk(), 0o700))
-		m.hears, err = procstat.FreeOn(fmt.Sprintf("127.0.9.%d", i+1))
+		m.hears, err = procstat.FreeAddressOn(fmt.Sprintf("127.0.9.%d", i+1))
 		require.NoError(t, err)
 		if seeds = append(seeds, m.hears); len(seeds) > 3 {
 			seeds = seeds[:3]
@@ -78,9 +78,9 @@
 
 func (m *machine) start() {
 	var err error
-	m.ops, err = procstat.FreeOn(fmt.Sprintf("127.0.9.%d", m.number+1))
+	m.ops, err = procstat.FreeAddressOn(fmt.Sprintf("127.0.9.%d", m.number+1))
 	require.NoError(m.t, err)
-	listen, err := procstat.FreeOn(fmt.Sprintf("127.0.9.%d", m.number+1))
+	listen, err := procstat.FreeAddressOn(fmt.Sprintf("127.0.9.%d", m.number+1))
 	require.NoError(m.t, err)
 	quoted := strings.Join(m.seeds, `", "`)
 	operator := m.write("operator.toml",
@@ -277,7 +277,7 @@
 	eventually(t, all[:6], "six know six", func(_ *machine, s Status) bool { return alive(s) == 5 })
 	eventually(t, all[:3], "who has another key is refused", func(_ *machine,
 		s Status) bool {
-		return s.Datagrams.Refused > 0
+		return s.Datagrams.Unauthenticated > 0
 	})
 	s, err := all[6].status()
 	require.NoError(t, err)
@@ -293,7 +293,7 @@
 
 	// A second process under the name and with the disk of another: it is kept from the disk, and both are told.
 	twin := *all[2]
-	twin.hears, err = procstat.FreeOn("127.0.9.8")
+	twin.hears, err = procstat.FreeAddressOn("127.0.9.8")
 	require.NoError(t, err)
 	twin.dir = filepath.Join(all[7].dir, "twin")
 	require.NoError(t, os.MkdirAll(twin.dir, 0o700))
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -123,8 +123,8 @@
 	if _, err := rand.Read(lot[:]); err != nil {
 		return err
 	}
-	own := membership.Word{Name: r.name, Zone: r.peers.Zone, Region: r.peers.Region, Address: r.peers.Listen,
-		Life: binary.LittleEndian.Uint64(lot[:])}
+	own := membership.MemberState{Name: r.name, Zone: r.peers.Zone, Region: r.peers.Region, Address: r.peers.Listen,
+		Incarnation: binary.LittleEndian.Uint64(lot[:])}
 	chance := mathrand.New(mathrand.NewSource(int64(binary.LittleEndian.Uint64(lot[8:]))))
 	if own.Address != "" {
 		at, err := net.ResolveUDPAddr("udp", own.Address)
@@ -141,7 +141,7 @@
 	}
 	r.core = New(now, own, r.peers.Seeds, r.key, r.fs != nil, chance)
 	if r.core.membership != nil {
-		r.core.membership.Only = r.peers.SeedsOnly
+		r.core.membership.SeedsOnly = r.peers.SeedsOnly
 	}
 	if len(r.peers.Voters) > 0 {
 		r.core.FollowCoordinators(r.name, r.peers.Zone, r.peers.Voters, r.key, chance)
@@ -150,7 +150,7 @@
 	if r.peers.Copies > 0 {
 		r.wants = make(chan relay.Effect, maxPendingReplications)
 		r.poked, r.dueAt = make(chan struct{}, 1), math.Inf(1)
-		for _, a := range r.core.EnableReplication(r.name, own.Life, r.peers.Copies, r.peers.MarkerRetentionMillis, r.peers.ReplicateAffinity, r.key,
+		for _, a := range r.core.EnableReplication(r.name, own.Incarnation, r.peers.Copies, r.peers.MarkerRetentionMillis, r.peers.ReplicateAffinity, r.key,
 			chance) {
 			tell(*a.Event)
 		}
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -1,4 +1,4 @@
-// Package handover is how the processes of one relay find each other where the platform holds the clients'
+// Package hotrestart is how the processes of one relay find each other where the platform holds the clients'
 // socket: by files in a directory that they share. Each takes the next number and a file of that number,
 // which it keeps locked while it lives; a lock that can be had means a dead owner, whatever the file says. It
 // carries what one leaves to another as bytes, whole or not at all. It must never know what they mean, or
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -32,23 +32,23 @@
 )
 
 // goldenWords are a sender's own state and what it passes on of two others, with no field left zero.
-func goldenWords() (own, second, third Word) {
-	own = Word{Name: "relay-1", Zone: "a", Region: "north", Address: goldenFrom, Boot: 7, Life: 0x0102030405060708,
-		Phase: 2, List: 314, Placed: 123456, Waiting: 21, Links: 1999, Order: 5, Lame: true}
-	second = Word{Name: "relay-2", Zone: "b", Region: "south", Address: "10.0.0.2:7000", Boot: 300,
-		Life: 0xf1f2f3f4f5f6f7f8, Beat: 70000, Age: 5400000, Phase: 1, List: 313, Placed: 9, Waiting: 4294967295,
-		Links: 1, Order: 4, Lame: true}
-	third = Word{Name: "relay-3", Zone: "c", Region: "south", Address: "[::1]:7000", Boot: 1, Life: 3, Beat: 12,
-		Age: 2400, Phase: 3, List: 312, Placed: 1 << 40, Waiting: 17, Links: 40000, Order: 6}
+func goldenWords() (own, second, third MemberState) {
+	own = MemberState{Name: "relay-1", Zone: "a", Region: "north", Address: goldenFrom, Boot: 7, Incarnation: 0x0102030405060708,
+		Phase: 2, EndpointsVersion: 314, PlacedLoad: 123456, WaitingClients: 21, Sessions: 1999, OrderNumber: 5, Draining: true}
+	second = MemberState{Name: "relay-2", Zone: "b", Region: "south", Address: "10.0.0.2:7000", Boot: 300,
+		Incarnation: 0xf1f2f3f4f5f6f7f8, Heartbeat: 70000, AgeMillis: 5400000, Phase: 1, EndpointsVersion: 313, PlacedLoad: 9, WaitingClients: 4294967295,
+		Sessions: 1, OrderNumber: 4, Draining: true}
+	third = MemberState{Name: "relay-3", Zone: "c", Region: "south", Address: "[::1]:7000", Boot: 1, Incarnation: 3, Heartbeat: 12,
+		AgeMillis: 2400, Phase: 3, EndpointsVersion: 312, PlacedLoad: 1 << 40, WaitingClients: 17, Sessions: 40000, OrderNumber: 6}
 	return own, second, third
 }
 
 // goldenSender is a relay that has heard of two others and sends at goldenTime.
-func goldenSender() *Peers {
+func goldenSender() *View {
 	own, second, third := goldenWords()
 	p := New(1000, own, []string{"10.0.0.9:7000"}, key, rand.New(rand.NewSource(1)))
-	p.own.Beat = 44
-	p.Off = 1700000000000
+	p.own.Heartbeat = 44
+	p.ClockOffset = 1700000000000
 	p.hear(89200, third, false)
 	p.hear(89500, second, true)
 	return p
@@ -69,21 +69,21 @@
 			want := golden(t, c.file, sent.Data)
 			assert.Equal(t, want, sent.Data)
 
-			receiver := New(0, Word{Name: "relay-4", Address: "10.0.0.4:7000", Life: 9}, []string{goldenFrom}, key,
+			receiver := New(0, MemberState{Name: "relay-4", Address: "10.0.0.4:7000", Incarnation: 9}, []string{goldenFrom}, key,
 				rand.New(rand.NewSource(1)))
-			answers := receiver.Take(50, goldenFrom, want)
+			answers := receiver.Receive(50, goldenFrom, want)
 			assert.Equal(t, c.asks, len(answers) == 1)
 			own, second, third := goldenWords()
-			own.Beat, own.Age = 44, goldenTime-1000
-			second.Age += 500
-			third.Age += 800
+			own.Heartbeat, own.AgeMillis = 44, goldenTime-1000
+			second.AgeMillis += 500
+			third.AgeMillis += 800
 			got := receiver.Members(50)
 			require.Len(t, got, 3)
-			for i, state := range []Word{own, second, third} {
-				assert.Equal(t, state, got[i].Word)
+			for i, state := range []MemberState{own, second, third} {
+				assert.Equal(t, state, got[i].MemberState)
 			}
-			assert.Equal(t, 1700000000000+goldenTime-50, got[0].Off)
-			assert.Equal(t, goldenFrom, receiver.Reach(got[0]))
+			assert.Equal(t, 1700000000000+goldenTime-50, got[0].ClockOffset)
+			assert.Equal(t, goldenFrom, receiver.Address(got[0]))
 		})
 	}
 }
@@ -91,16 +91,16 @@
 // A datagram's plain part: the states alone, without the header and the seal.
 func TestGoldenStates(t *testing.T) {
 	own, second, third := goldenWords()
-	own.Beat, own.Age = 44, 89000
+	own.Heartbeat, own.AgeMillis = 44, 89000
 	var plain []byte
-	for _, w := range []Word{own, second, third} {
+	for _, w := range []MemberState{own, second, third} {
 		plain = appendWord(plain, w)
 	}
 	want := golden(t, "states.bin", plain)
 	assert.Equal(t, want, plain)
 	words, err := readWords(want, 3)
 	require.NoError(t, err)
-	assert.Equal(t, []Word{own, second, third}, words)
+	assert.Equal(t, []MemberState{own, second, third}, words)
 }
 
 // A sealed request to another relay.
@@ -115,7 +115,7 @@
 
 // The counts of the wire, as the status of the fleet has them.
 func TestGoldenCounts(t *testing.T) {
-	counts := Counts{Sent: 1, SentBytes: 2, Heard: 3, HeardBytes: 4, Refused: 5, Strange: 6}
+	counts := Counts{Sent: 1, SentBytes: 2, Received: 3, ReceivedBytes: 4, Unauthenticated: 5, Malformed: 6}
 	text, err := json.Marshal(counts)
 	require.NoError(t, err)
 	want := golden(t, "counts.json", text)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,4 +1,4 @@
-// Package peers keeps what the relays of a fleet say of themselves: who is alive, suspected or gone, in which
+// Package membership keeps what the relays of a fleet say of themselves: who is alive, suspected or gone, in which
 // life, and what each last said. It gossips: a few datagrams a period, each with the sender's own word and a
 // part of the others'. Of two words on one relay the later holds (boot, then beat), so that whatever is lost,
 // late, doubled or out of order takes nothing back. It decides nothing, touches no socket, asks no clock:
@@ -18,43 +18,43 @@
 	"slices"
 )
 
-// Word is what a relay says of itself.
-type Word struct {
-	Name, Zone, Region string
-	Address            string  // where it hears others
-	Boot               uint64  // of its starts, from 1; never goes down
-	Life               uint64  // drawn at the start, against two processes that count alike
-	Beat               uint64  // of its words in this life
-	Age                float64 // since its start, ms
-	Phase              uint8
-	List               uint64 // version of the list that it has
-	Placed             uint64 // load that it placed and figures may not hold yet, microseconds of work a second
-	Waiting, Links     uint32 // clients turned away in the last second and not served; links that stand
-	Order              uint64 // number of the operators' last order to it, and whether it is to be empty
-	Lame               bool
+// MemberState is what a relay says of itself.
+type MemberState struct {
+	Name, Zone, Region       string
+	Address                  string  // where it hears others
+	Boot                     uint64  // of its starts, from 1; never goes down
+	Incarnation              uint64  // drawn at the start, against two processes that count alike
+	Heartbeat                uint64  // of its words in this life
+	AgeMillis                float64 // since its start, ms
+	Phase                    uint8
+	EndpointsVersion         uint64 // version of the list that it has
+	PlacedLoad               uint64 // load that it placed and figures may not hold yet, microseconds of work a second
+	WaitingClients, Sessions uint32 // clients turned away in the last second and not served; links that stand
+	OrderNumber              uint64 // number of the operators' last order to it, and whether it is to be empty
+	Draining                 bool
 }
 
-// State is what is held of a member.
-type State uint8
+// Liveness is what is held of a member.
+type Liveness uint8
 
 // The states, from the best.
 const (
-	Alive State = iota
+	Alive Liveness = iota
 	Suspected
 	Gone
 )
 
-func (s State) String() string { return [...]string{"alive", "suspected", "gone"}[s] }
+func (s Liveness) String() string { return [...]string{"alive", "suspected", "gone"}[s] }
 
 // Member is one relay as this one sees it.
 type Member struct {
-	Word
-	State State
-	Heard float64 // when its word last was news here; of this relay's clock
-	since float64 // of the word's age: when it was
-	Off   float64 // what its clock was ahead of this relay's, by its own last datagram that came; NaN: none did
-	bound string  // address by which it answered, which goes before the one it says
-	place *list.Element
+	MemberState
+	Liveness    Liveness
+	HeardAt     float64 // when its word last was news here; of this relay's clock
+	since       float64 // of the word's age: when it was
+	ClockOffset float64 // what its clock was ahead of this relay's, by its own last datagram that came; NaN: none did
+	bound       string  // address by which it answered, which goes before the one it says
+	place       *list.Element
 }
 
 // Datagram is to be sent.
@@ -88,72 +88,72 @@
 
 // Counts is what was seen on the wire.
 type Counts struct {
-	Sent       uint64 `json:"Sent"`
-	SentBytes  uint64 `json:"SentBytes"`
-	Heard      uint64 `json:"Heard"`
-	HeardBytes uint64 `json:"HeardBytes"`
-	Refused    uint64 `json:"Refused"`
-	Strange    uint64 `json:"Strange"`
+	Sent            uint64 `json:"Sent"`
+	SentBytes       uint64 `json:"SentBytes"`
+	Received        uint64 `json:"Heard"`
+	ReceivedBytes   uint64 `json:"HeardBytes"`
+	Unauthenticated uint64 `json:"Refused"`
+	Malformed       uint64 `json:"Strange"`
 }
 
-// Peers is one relay's view.
-type Peers struct {
-	own     Word
-	key     []byte
-	chance  *rand.Rand
-	began   float64
-	seeds   []string
-	bound   map[string]string // name by seed
-	members map[string]*Member
-	names   []string // sorted
-	next    float64
-	ticked  float64
-	recent  *list.List // of *Member, whose word was news last first
-	backs   float64    // answers left
-	backsAt float64
-	Counts  Counts
-	Off     float64 // what the machine's clock is ahead of the times that come in
-	Only    bool    // others are reached by the seeds' addresses alone
-	Twin    float64 // when another process under this relay's name was last heard; 0: never
+// View is one relay's view.
+type View struct {
+	own             MemberState
+	key             []byte
+	chance          *rand.Rand
+	began           float64
+	seeds           []string
+	bound           map[string]string // name by seed
+	members         map[string]*Member
+	names           []string // sorted
+	next            float64
+	ticked          float64
+	recent          *list.List // of *Member, whose word was news last first
+	backs           float64    // answers left
+	backsAt         float64
+	Counts          Counts
+	ClockOffset     float64 // what the machine's clock is ahead of the times that come in
+	SeedsOnly       bool    // others are reached by the seeds' addresses alone
+	DuplicateSeenAt float64 // when another process under this relay's name was last heard; 0: never
 }
 
 // New starts with what this relay says of itself, where others may be, and the key that all share.
-func New(now float64, own Word, seeds []string, key []byte, chance *rand.Rand) *Peers {
+func New(now float64, own MemberState, seeds []string, key []byte, chance *rand.Rand) *View {
 	own.Boot = max(own.Boot, 1)
-	return &Peers{own: own, key: key, chance: chance, began: now, seeds: seeds, bound: map[string]string{},
+	return &View{own: own, key: key, chance: chance, began: now, seeds: seeds, bound: map[string]string{},
 		members: map[string]*Member{}, recent: list.New(), next: now, ticked: now, backs: mostBack, backsAt: now}
 }
 
-// Own is this relay's word as it stands.
-func (p *Peers) Own() Word { return p.own }
+// LocalState is this relay's word as it stands.
+func (p *View) LocalState() MemberState { return p.own }
 
-// Say changes what this relay says of itself, from the next datagram on. Name, boot, life and beat stay.
-func (p *Peers) Say(w Word) {
-	w.Name, w.Boot, w.Life, w.Beat = p.own.Name, p.own.Boot, p.own.Life, p.own.Beat
-	w.Order, w.Lame = laterOrder(w, p.own)
+// SetLocalState changes what this relay says of itself, from the next datagram on. Name, boot, life and beat stay.
+func (p *View) SetLocalState(w MemberState) {
+	w.Name, w.Boot, w.Incarnation, w.Heartbeat = p.own.Name, p.own.Boot, p.own.Incarnation, p.own.Heartbeat
+	w.OrderNumber, w.Draining = laterOrder(w, p.own)
 	p.own = w
 }
 
-// Above takes the boot that the disk had, as it is read later than the first word may go out.
-func (p *Peers) Above(boot uint64) {
+// RestoreBoot takes the boot that the disk had, as it is read later than the first word may go out.
+func (p *View) RestoreBoot(boot uint64) {
 	if boot >= p.own.Boot {
-		p.own.Boot, p.own.Beat = boot+1, 0
+		p.own.Boot, p.own.Heartbeat = boot+1, 0
 	}
 }
 
-// Reach is where a member can be reached; empty: nowhere.
-func (p *Peers) Reach(m Member) string { return p.address(&m) }
+// Address is where a member can be reached; empty: nowhere.
+func (p *View) Address(m Member) string { return p.address(&m) }
 
-// Next is when Tick is due.
-func (p *Peers) Next() float64 { return p.next }
+// NextTick is when Tick is due.
+func (p *View) NextTick() float64 { return p.next }
 
 // Members are the others as they are held now, by name.
-func (p *Peers) Members(now float64) []Member {
+func (p *View) Members(now float64) []Member {
 	all := make([]Member, 0, len(p.names))
 	for _, n := range p.names {
 		m := *p.members[n]
-		m.State = p.state(now, &m)
-		m.Age += now - m.since
+		m.Liveness = p.state(now, &m)
+		m.AgeMillis += now - m.since
 		all = append(all, m)
 	}
 	return all
@@ -161,13 +161,13 @@
 
 // patience is how long a relay may be without news here before it is suspected: some times what news of one
 // of so many takes, as each datagram has room for a part of them only.
-func (p *Peers) patience() float64 {
+func (p *View) patience() float64 {
 	news := float64(len(p.names)) / (mostWords * 2 * fanOut) * period
 	return max(suspectMin, rounds*(news+period))
 }
 
-func (p *Peers) state(now float64, m *Member) State {
-	switch quiet := now - m.Heard; {
+func (p *View) state(now float64, m *Member) Liveness {
+	switch quiet := now - m.HeardAt; {
 	case quiet < p.patience():
 		return Alive
 	case quiet < goneTimes*p.patience():
@@ -177,18 +177,18 @@
 }
 
 // Tick gives what is to be sent now, where a period is over.
-func (p *Peers) Tick(now float64) (out []Datagram) {
+func (p *View) Tick(now float64) (out []Datagram) {
 	if now < p.next {
 		return nil
 	}
 	if gap := now - p.ticked - period; gap > asleep {
 		for _, m := range p.members {
-			m.Heard += gap
+			m.HeardAt += gap
 		}
 	}
 	p.ticked = now
 	p.next = now + period*(0.9+0.2*p.chance.Float64())
-	p.own.Beat++
+	p.own.Heartbeat++
 	for _, to := range p.targets(now) {
 		out = append(out, p.frame(now, to, true))
 	}
@@ -198,7 +198,7 @@
 
 // targets draws whom to tell: members that live, by chance; now and then one that is gone; and each time a
 // seed that has not answered yet.
-func (p *Peers) targets(now float64) (to []string) {
+func (p *View) targets(now float64) (to []string) {
 	add := func(address string) {
 		if address != "" && !slices.Contains(to, address) {
 			to = append(to, address)
@@ -232,23 +232,23 @@
 	return to
 }
 
-func (p *Peers) address(m *Member) string {
-	if p.Only {
+func (p *View) address(m *Member) string {
+	if p.SeedsOnly {
 		return m.bound
 	}
 	return cmp.Or(m.bound, m.Address)
 }
 
 // frame is one datagram: this relay's word, and as many others as there is room for, the latest news first.
-func (p *Peers) frame(now float64, to string, asks bool) Datagram {
+func (p *View) frame(now float64, to string, asks bool) Datagram {
 	data := append(make([]byte, 0, mostFrame), magic[:]...)
 	kind := byte(0)
 	if asks {
 		kind = 1
 	}
 	data = append(data, kind, 0, 0) // and how many words
-	data = binary.LittleEndian.AppendUint64(data, math.Float64bits(now+p.Off))
-	p.own.Age = now - p.began
+	data = binary.LittleEndian.AppendUint64(data, math.Float64bits(now+p.ClockOffset))
+	p.own.AgeMillis = now - p.began
 	data = appendWord(data, p.own)
 	count := 1
 	for e := p.recent.Front(); e != nil; e = e.Next() {
@@ -259,8 +259,8 @@
 		if len(p.names) > 2*mostWords && p.chance.Float64() < passOver {
 			continue
 		}
-		w := m.Word
-		w.Age += now - m.since
+		w := m.MemberState
+		w.AgeMillis += now - m.since
 		if longer := appendWord(data, w); len(longer) <= mostFrame-tag {
 			data = longer
 			count++
@@ -275,29 +275,29 @@
 	return Datagram{to, data}
 }
 
-func (p *Peers) seal(data []byte) []byte {
+func (p *View) seal(data []byte) []byte {
 	h := hmac.New(sha256.New, p.key)
 	h.Write(data)
 	return h.Sum(data)[:len(data)+tag]
 }
 
-// Take takes a datagram, from that address, and gives the answer to it. One that has not the key, is of
+// Receive takes a datagram, from that address, and gives the answer to it. One that has not the key, is of
 // another version or of a form that can't be changes nothing.
-func (p *Peers) Take(now float64, from string, data []byte) (out []Datagram) {
-	p.Counts.Heard++
-	p.Counts.HeardBytes += uint64(len(data))
+func (p *View) Receive(now float64, from string, data []byte) (out []Datagram) {
+	p.Counts.Received++
+	p.Counts.ReceivedBytes += uint64(len(data))
 	if len(data) < header+tag || len(data) > mostFrame || [4]byte(data) != magic {
-		p.Counts.Strange++
+		p.Counts.Malformed++
 		return nil
 	}
 	body := data[:len(data)-tag]
 	if sealed := p.seal(slices.Clone(body)); !hmac.Equal(sealed[len(body):], data[len(body):]) {
-		p.Counts.Refused++
+		p.Counts.Unauthenticated++
 		return nil
 	}
 	words, err := readWords(body[header:], int(binary.LittleEndian.Uint16(body[5:])))
 	if err != nil || len(words) == 0 {
-		p.Counts.Strange++
+		p.Counts.Malformed++
 		return nil
 	}
 	for i, w := range words {
@@ -305,7 +305,7 @@
 	}
 	clock := math.Float64frombits(binary.LittleEndian.Uint64(body[7:]))
 	if m := p.members[words[0].Name]; m != nil && !math.IsNaN(clock) && !math.IsInf(clock, 0) {
-		m.Off = clock - now // less the way, which is short
+		m.ClockOffset = clock - now // less the way, which is short
 	}
 	if slices.Contains(p.seeds, from) {
 		p.bind(from, words[0].Name)
@@ -317,14 +317,14 @@
 }
 
 // bind takes by which seed's address a member answers.
-func (p *Peers) bind(seed, name string) {
+func (p *View) bind(seed, name string) {
 	if m := p.members[name]; m != nil {
 		p.bound[seed], m.bound = name, seed
 	}
 }
 
 // answers bounds how many are given.
-func (p *Peers) answers(now float64) bool {
+func (p *View) answers(now float64) bool {
 	p.backs = min(p.backs+(now-p.backsAt)*mostBack/1000, mostBack)
 	p.backsAt = now
 	if p.backs < 1 {
@@ -335,7 +335,7 @@
 }
 
 // hear takes a word, the sender's own or one that it passes on.
-func (p *Peers) hear(now float64, w Word, direct bool) {
+func (p *View) hear(now float64, w MemberState, direct bool) {
 	if w.Name == p.own.Name {
 		p.aboutSelf(now, w, direct)
 		return
@@ -345,64 +345,64 @@
 		if len(p.names) >= mostNames {
 			return
 		}
-		m = &Member{Word: w, Heard: now, since: now, Off: math.NaN()}
+		m = &Member{MemberState: w, HeardAt: now, since: now, ClockOffset: math.NaN()}
 		p.members[w.Name] = m
 		m.place = p.recent.PushFront(m)
 		at, _ := slices.BinarySearch(p.names, w.Name)
 		p.names = slices.Insert(p.names, at, w.Name)
 		return
 	}
-	if newer(w, m.Word) {
-		w.Order, w.Lame = laterOrder(w, m.Word)
-		m.Word, m.Heard, m.since = w, now, now
+	if newer(w, m.MemberState) {
+		w.OrderNumber, w.Draining = laterOrder(w, m.MemberState)
+		m.MemberState, m.HeardAt, m.since = w, now, now
 		p.recent.MoveToFront(m.place)
 	}
 }
 
 // newer tells whether one word is later than another on the same relay: by its boot, by its beat within one
 // life; of two lives with one boot, as a copied disk makes them, always the same one is taken.
-func newer(a, b Word) bool {
+func newer(a, b MemberState) bool {
 	if a.Boot != b.Boot {
 		return a.Boot > b.Boot
 	}
-	if a.Life != b.Life {
-		return a.Life > b.Life
+	if a.Incarnation != b.Incarnation {
+		return a.Incarnation > b.Incarnation
 	}
-	return a.Beat > b.Beat
+	return a.Heartbeat > b.Heartbeat
 }
 
 // laterOrder is the order of the higher number, and of equal ones the stricter: what a relay has forgotten of
 // its own orders, the others still know.
-func laterOrder(a, b Word) (uint64, bool) {
+func laterOrder(a, b MemberState) (uint64, bool) {
 	switch {
-	case a.Order > b.Order:
-		return a.Order, a.Lame
-	case b.Order > a.Order:
-		return b.Order, b.Lame
+	case a.OrderNumber > b.OrderNumber:
+		return a.OrderNumber, a.Draining
+	case b.OrderNumber > a.OrderNumber:
+		return b.OrderNumber, b.Draining
 	}
-	return a.Order, a.Lame || b.Lame
+	return a.OrderNumber, a.Draining || b.Draining
 }
 
 // aboutSelf takes what others know of this relay's name: of former lives, whose boot this one must be above,
 // or of a twin that lives now.
-func (p *Peers) aboutSelf(now float64, w Word, direct bool) {
-	p.own.Order, p.own.Lame = laterOrder(w, p.own)
-	if w.Life == p.own.Life {
+func (p *View) aboutSelf(now float64, w MemberState, direct bool) {
+	p.own.OrderNumber, p.own.Draining = laterOrder(w, p.own)
+	if w.Incarnation == p.own.Incarnation {
 		return
 	}
 	if direct {
-		p.Twin = now
+		p.DuplicateSeenAt = now
 	}
 	if w.Boot >= p.own.Boot {
 		p.own.Boot = w.Boot + 1
-		p.own.Beat = 0
+		p.own.Heartbeat = 0
 	}
 }
 
 // clean forgets who has been gone for long.
-func (p *Peers) clean(now float64) {
+func (p *View) clean(now float64) {
 	p.names = slices.DeleteFunc(p.names, func(n string) bool {
-		if m := p.members[n]; now > m.Heard+forget {
+		if m := p.members[n]; now > m.HeardAt+forget {
 			for seed, name := range p.bound {
 				if name == n {
 					delete(p.bound, seed)
@@ -416,20 +416,20 @@
 	})
 }
 
-func appendWord(to []byte, w Word) []byte {
+func appendWord(to []byte, w MemberState) []byte {
 	for _, text := range []string{w.Name, w.Zone, w.Region, w.Address} {
 		to = append(to, byte(min(len(text), mostText)))
 		to = append(to, text[:min(len(text), mostText)]...)
 	}
 	flags := w.Phase << 1
-	if w.Lame {
+	if w.Draining {
 		flags |= 1
 	}
 	to = append(to, flags)
-	to = binary.LittleEndian.AppendUint64(to, w.Life)
-	age := uint64(min(max(w.Age, 0), 1e15))
-	for _, n := range []uint64{w.Boot, w.Beat, age, w.List, uint64(w.Waiting), uint64(w.Links), w.Order,
-		w.Placed} {
+	to = binary.LittleEndian.AppendUint64(to, w.Incarnation)
+	age := uint64(min(max(w.AgeMillis, 0), 1e15))
+	for _, n := range []uint64{w.Boot, w.Heartbeat, age, w.EndpointsVersion, uint64(w.WaitingClients), uint64(w.Sessions), w.OrderNumber,
+		w.PlacedLoad} {
 		to = binary.AppendUvarint(to, n)
 	}
 	return to
@@ -437,9 +437,9 @@
 
 var errWords = errors.New("peers: words that can't be")
 
-func readWords(data []byte, count int) (words []Word, err error) {
+func readWords(data []byte, count int) (words []MemberState, err error) {
 	for range count {
-		var w Word
+		var w MemberState
 		for _, to := range []*string{&w.Name, &w.Zone, &w.Region, &w.Address} {
 			if len(data) < 1 || data[0] > mostText || len(data) < 1+int(data[0]) {
 				return nil, errWords
@@ -449,7 +449,7 @@
 		if len(data) < 9 || w.Name == "" {
 			return nil, errWords
 		}
-		w.Phase, w.Lame, w.Life = data[0]>>1, data[0]&1 == 1, binary.LittleEndian.Uint64(data[1:])
+		w.Phase, w.Draining, w.Incarnation = data[0]>>1, data[0]&1 == 1, binary.LittleEndian.Uint64(data[1:])
 		data = data[9:]
 		var numbers [8]uint64
 		for i := range numbers {
@@ -462,9 +462,9 @@
 		if numbers[4] > math.MaxUint32 || numbers[5] > math.MaxUint32 || numbers[0] == math.MaxUint64 {
 			return nil, errWords
 		}
-		w.Boot, w.Beat, w.Age, w.List = numbers[0], numbers[1], float64(numbers[2]), numbers[3]
-		w.Waiting, w.Links, w.Order = uint32(numbers[4]), uint32(numbers[5]), numbers[6]
-		w.Placed = numbers[7]
+		w.Boot, w.Heartbeat, w.AgeMillis, w.EndpointsVersion = numbers[0], numbers[1], float64(numbers[2]), numbers[3]
+		w.WaitingClients, w.Sessions, w.OrderNumber = uint32(numbers[4]), uint32(numbers[5]), numbers[6]
+		w.PlacedLoad = numbers[7]
 		words = append(words, w)
 	}
 	if len(data) > 0 {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -20,7 +20,7 @@
 	chance  *rand.Rand
 	queue   events
 	seq     int
-	relays  map[string]*Peers // by address
+	relays  map[string]*View // by address
 	stopped map[string]bool
 	loss    float64
 	double  float64
@@ -48,7 +48,7 @@
 }
 
 func newNet(seed int64) *net {
-	return &net{now: 1e6, chance: rand.New(rand.NewSource(seed)), relays: map[string]*Peers{},
+	return &net{now: 1e6, chance: rand.New(rand.NewSource(seed)), relays: map[string]*View{},
 		stopped: map[string]bool{}, cut: func(string, string) bool { return false }}
 }
 
@@ -72,7 +72,7 @@
 func address(i int) string { return fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250) }
 
 // start begins a life; all know the first three relays as seeds.
-func (n *net) start(i int, boot uint64) *Peers {
+func (n *net) start(i int, boot uint64) *View {
 	at := address(i)
 	var seeds []string
 	for s := range 3 {
@@ -80,16 +80,16 @@
 			seeds = append(seeds, address(s))
 		}
 	}
-	p := New(n.now, Word{Name: fmt.Sprintf("r%d", i), Zone: "a", Address: at, Boot: boot,
-		Life: n.chance.Uint64()},
+	p := New(n.now, MemberState{Name: fmt.Sprintf("r%d", i), Zone: "a", Address: at, Boot: boot,
+		Incarnation: n.chance.Uint64()},
 		seeds, key, rand.New(rand.NewSource(n.chance.Int63())))
 	n.relays[at] = p
 	n.tick(at, p)
 	return p
 }
 
-func (n *net) tick(at string, p *Peers) {
-	n.after(max(p.Next()-n.now, 1), func() {
+func (n *net) tick(at string, p *View) {
+	n.after(max(p.NextTick()-n.now, 1), func() {
 		if n.relays[at] != p {
 			return
 		}
@@ -111,16 +111,16 @@
 		for range times {
 			n.after(0.2+5*n.chance.Float64(), func() {
 				if to := n.relays[d.To]; to != nil && !n.stopped[d.To] && !n.cut(from, d.To) {
-					n.send(d.To, to.Take(n.now, from, d.Data))
+					n.send(d.To, to.Receive(n.now, from, d.Data))
 				}
 			})
 		}
 	}
 }
 
-func states(p *Peers, now float64) (all [3]int) {
+func states(p *View, now float64) (all [3]int) {
 	for _, m := range p.Members(now) {
-		all[m.State]++
+		all[m.Liveness]++
 	}
 	return all
 }
@@ -153,7 +153,7 @@
 		n.run(c.detected)
 		for at, p := range n.relays {
 			assert.Equal(t, 1, states(p, n.now)[Gone], "%s of %d", at, c.relays)
-			assert.Equal(t, Gone, find(p, n.now, fmt.Sprintf("r%d", c.relays-1)).State)
+			assert.Equal(t, Gone, find(p, n.now, fmt.Sprintf("r%d", c.relays-1)).Liveness)
 		}
 	}
 }
@@ -167,21 +167,21 @@
 	n.run(3000)
 	n.stopped[address(4)] = true
 	n.run(8000)
-	assert.Equal(t, Gone, find(n.relays[address(0)], n.now, "r4").State)
+	assert.Equal(t, Gone, find(n.relays[address(0)], n.now, "r4").Liveness)
 	n.stopped[address(4)] = false
 	n.run(300)
 	assert.Equal(t, [3]int{8, 0, 0}, states(n.relays[address(4)], n.now))
 	n.run(1500)
-	assert.Equal(t, Alive, find(n.relays[address(0)], n.now, "r4").State)
+	assert.Equal(t, Alive, find(n.relays[address(0)], n.now, "r4").Liveness)
 }
 
-func find(p *Peers, now float64, name string) Member {
+func find(p *View, now float64, name string) Member {
 	for _, m := range p.Members(now) {
 		if m.Name == name {
 			return m
 		}
 	}
-	return Member{State: Gone}
+	return Member{Liveness: Gone}
 }
 
 // Two islands hold each other for gone, and find each other again without a seed's help.
@@ -209,30 +209,30 @@
 		n.start(i, 1)
 	}
 	p := n.relays[address(4)]
-	w := p.Own()
-	w.Order, w.Lame = 7, true
-	p.Say(w)
+	w := p.LocalState()
+	w.OrderNumber, w.Draining = 7, true
+	p.SetLocalState(w)
 	n.run(3000)
 	for range 3 {
-		old := n.relays[address(4)].Own().Boot
+		old := n.relays[address(4)].LocalState().Boot
 		delete(n.relays, address(4))
 		n.run(1000)
 		p = n.start(4, 1) // a wiped disk
 		n.run(1000)
-		assert.Greater(t, p.Own().Boot, old)
-		assert.Equal(t, uint64(7), p.Own().Order)
-		assert.True(t, p.Own().Lame)
+		assert.Greater(t, p.LocalState().Boot, old)
+		assert.Equal(t, uint64(7), p.LocalState().OrderNumber)
+		assert.True(t, p.LocalState().Draining)
 	}
-	w = p.Own()
-	w.Order, w.Lame = 8, false // taken back
-	p.Say(w)
+	w = p.LocalState()
+	w.OrderNumber, w.Draining = 8, false // taken back
+	p.SetLocalState(w)
 	n.run(1000)
 	delete(n.relays, address(4))
 	p = n.start(4, 1)
-	p.own.Order, p.own.Lame = 7, true // from an older copy of the disk
+	p.own.OrderNumber, p.own.Draining = 7, true // from an older copy of the disk
 	n.run(2000)
-	assert.Equal(t, uint64(8), p.Own().Order)
-	assert.False(t, p.Own().Lame)
+	assert.Equal(t, uint64(8), p.LocalState().OrderNumber)
+	assert.False(t, p.LocalState().Draining)
 }
 
 // Two processes under one name see each other, and neither is taken for the other by its later word alone.
@@ -241,22 +241,22 @@
 	for i := range 5 {
 		n.start(i, 1)
 	}
-	twin := New(n.now, Word{Name: "r4", Address: address(9), Boot: 1, Life: 99}, []string{address(0),
+	twin := New(n.now, MemberState{Name: "r4", Address: address(9), Boot: 1, Incarnation: 99}, []string{address(0),
 		address(4)}, key,
 		rand.New(rand.NewSource(1)))
 	n.relays[address(9)] = twin
 	n.tick(address(9), twin)
 	n.run(4000)
-	assert.NotZero(t, twin.Twin)
-	assert.NotZero(t, n.relays[address(4)].Twin)
-	assert.Zero(t, n.relays[address(1)].Twin)
+	assert.NotZero(t, twin.DuplicateSeenAt)
+	assert.NotZero(t, n.relays[address(4)].DuplicateSeenAt)
+	assert.Zero(t, n.relays[address(1)].DuplicateSeenAt)
 }
 
 func TestRefused(t *testing.T) {
 	n := newNet(7)
 	p := n.start(0, 1)
-	other := New(n.now, Word{Name: "x", Address: address(1), Life: 5}, nil, []byte("another key"), n.chance)
-	good := New(n.now, Word{Name: "y", Address: address(2), Life: 6}, nil, key, n.chance)
+	other := New(n.now, MemberState{Name: "x", Address: address(1), Incarnation: 5}, nil, []byte("another key"), n.chance)
+	good := New(n.now, MemberState{Name: "y", Address: address(2), Incarnation: 6}, nil, key, n.chance)
 	frame := good.frame(n.now, address(0), true).Data
 	spoil := func(at int, to byte) []byte {
 		data := slices.Clone(frame)
@@ -266,13 +266,13 @@
 	for name, data := range map[string][]byte{"another key": other.frame(n.now, "", true).Data, "nothing": nil,
 		"another version": spoil(3, 9), "a bit": spoil(30, frame[30]^1), "too long": make([]byte, 3000),
 		"cut": frame[:len(frame)-1]} {
-		assert.Empty(t, p.Take(n.now, address(1), data), name)
+		assert.Empty(t, p.Receive(n.now, address(1), data), name)
 		assert.Empty(t, p.Members(n.now), name)
 	}
-	assert.NotEmpty(t, p.Take(n.now, address(2), frame))
+	assert.NotEmpty(t, p.Receive(n.now, address(2), frame))
 	answers := 0
 	for range 1000 { // a flood of good ones is answered no more often than a bound has it
-		answers += len(p.Take(n.now, address(2), frame))
+		answers += len(p.Receive(n.now, address(2), frame))
 	}
 	assert.Less(t, answers, mostBack)
 }
@@ -280,19 +280,19 @@
 // Words in any order, doubled or lost, come to the same as in order: the last of each relay.
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		words := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Word {
+		words := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) MemberState {
 			life := rapid.Uint64Range(1, 3).Draw(t, "life")
-			return Word{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"), Boot: life, Life: life,
-				Beat: rapid.Uint64Range(1, 5).Draw(t, "beat")}
+			return MemberState{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"), Boot: life, Incarnation: life,
+				Heartbeat: rapid.Uint64Range(1, 5).Draw(t, "beat")}
 		}), 1, 20).Draw(t, "words")
 		shuffled := rapid.Permutation(append(slices.Clone(words), words...)).Draw(t, "order")
-		last := func(all []Word) (out []Word) {
-			p := New(0, Word{Name: "self", Life: 1}, nil, key, rand.New(rand.NewSource(1)))
+		last := func(all []MemberState) (out []MemberState) {
+			p := New(0, MemberState{Name: "self", Incarnation: 1}, nil, key, rand.New(rand.NewSource(1)))
 			for _, w := range all {
 				p.hear(0, w, false)
 			}
 			for _, m := range p.Members(0) {
-				out = append(out, m.Word)
+				out = append(out, m.MemberState)
 			}
 			return out
 		}
@@ -301,7 +301,7 @@
 }
 
 func FuzzTake(f *testing.F) {
-	p := New(0, Word{Name: "a", Address: "1.1.1.1:1", Life: 3}, nil, key, rand.New(rand.NewSource(1)))
+	p := New(0, MemberState{Name: "a", Address: "1.1.1.1:1", Incarnation: 3}, nil, key, rand.New(rand.NewSource(1)))
 	f.Add(p.frame(0, "", true).Data[header:])
 	f.Add([]byte{1, 'x'})
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -314,7 +314,7 @@
 			}
 		}
 		sealed := p.seal(append(append(append([]byte{}, magic[:]...), 1, 1, 0), data...))
-		p.Take(1, "x", sealed)
+		p.Receive(1, "x", sealed)
 	})
 }
 
@@ -346,7 +346,7 @@
 				}
 				after := n.relays[address(9)].Counts
 				b.ReportMetric(float64(after.SentBytes-before.SentBytes)/10000, "kB/s")
-				b.ReportMetric(float64(after.Heard-before.Heard)/10, "heard/s")
+				b.ReportMetric(float64(after.Received-before.Received)/10, "heard/s")
 				b.ReportMetric(float64(bad), "false")
 				b.ReportMetric(joined/1000, "s/join")
 				delete(n.relays, address(5))
@@ -355,7 +355,7 @@
 					n.run(200)
 					known = true
 					for _, p := range n.relays {
-						known = known && find(p, n.now, "r5").State == Gone
+						known = known && find(p, n.now, "r5").Liveness == Gone
 					}
 				}
 				b.ReportMetric(took/1000, "s/death")
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -1,4 +1,4 @@
-// Package lines parses the text protocol that clients and backends speak: lines ended by CRLF. It reads heads
+// Package protocol parses the text protocol that clients and backends speak: lines ended by CRLF. It reads heads
 // in place and keeps no copy of what it is given, except the part of a line whose end has not come. It knows
 // no socket, no link and no module.
 package protocol
--- a/internal/replication/replication.go
+++ b/internal/replication/replication.go
@@ -1,4 +1,4 @@
-// Package holdings has what a relay holds for others lie at several of them. A record is promised once it is
+// Package replication has what a relay holds for others lie at several of them. A record is promised once it is
 // on the disks of all its holders, which were drawn for it when it was made and never change; so many of them
 // may be lost then, with their disks, as are fewer than half. What may be used once is taken by agreement of
 // over half of its holders (Paxos with one decree a record), so that nobody has to know who is gone, in a
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -17,23 +17,23 @@
 // goldenRecords are one of each kind, with no field left zero.
 func goldenRecords() []Record {
 	return []Record{
-		{Kind: Boot, Key: "boot", Boot: 7, At: 1700000000000.5, Body: []byte{7}},
-		{Kind: Order, Key: "order", Boot: 8, At: 1700000000001, Body: []byte(`{"Number":5,"Lame":true}`)},
-		{Kind: Knowing, Key: "list", Boot: 300, At: 1700000000002.25, Body: []byte("what the relay knew")},
-		{Kind: Mark, Key: "attempt-é", Boot: 70000, At: 1700000000003, Body: []byte{0, 255, 10, 13}},
-		{Kind: Council, Key: "voter", Boot: 9, At: 1700000000004, Body: make([]byte, 300)},
-		{Kind: Decision, Key: "decision", Boot: 10, At: 1700000000005, Body: []byte("12")},
-		{Kind: Holding, Key: "holding", Boot: 1 << 40, At: -1, Body: []byte("held for another")},
+		{Kind: KindBoot, Key: "boot", Boot: 7, UnixMillis: 1700000000000.5, Body: []byte{7}},
+		{Kind: KindOrder, Key: "order", Boot: 8, UnixMillis: 1700000000001, Body: []byte(`{"Number":5,"Lame":true}`)},
+		{Kind: KindSnapshot, Key: "list", Boot: 300, UnixMillis: 1700000000002.25, Body: []byte("what the relay knew")},
+		{Kind: KindAttemptMarker, Key: "attempt-é", Boot: 70000, UnixMillis: 1700000000003, Body: []byte{0, 255, 10, 13}},
+		{Kind: KindConsensus, Key: "voter", Boot: 9, UnixMillis: 1700000000004, Body: make([]byte, 300)},
+		{Kind: KindDecision, Key: "decision", Boot: 10, UnixMillis: 1700000000005, Body: []byte("12")},
+		{Kind: KindReplica, Key: "holding", Boot: 1 << 40, UnixMillis: -1, Body: []byte("held for another")},
 	}
 }
 
 // writeGolden writes the records to a folder as a relay does: each durable before the next, one replaced and
 // one deleted.
-func writeGolden(t *testing.T, folder Folder) {
+func writeGolden(t *testing.T, folder DirFS) {
 	t.Helper()
 	s, found, err := Open(folder, "relay-1", plenty)
 	require.NoError(t, err)
-	require.True(t, found.Fresh)
+	require.True(t, found.IsNew)
 	put := func(r Record) {
 		s.Put(r, nil)
 		require.NoError(t, s.Flush())
@@ -44,19 +44,19 @@
 		put(first)
 		put(r)
 	}
-	put(Record{Kind: Mark, Key: "deleted", Boot: 11, At: 1, Body: []byte("x")})
-	put(Record{Kind: Mark, Key: "deleted", Boot: 12, At: 2})
+	put(Record{Kind: KindAttemptMarker, Key: "deleted", Boot: 11, UnixMillis: 1, Body: []byte("x")})
+	put(Record{Kind: KindAttemptMarker, Key: "deleted", Boot: 12, UnixMillis: 2})
 	require.NoError(t, s.Close())
 }
 
 // Today's code writes the folder byte by byte as the golden one.
 func TestGoldenFolderIsWritten(t *testing.T) {
-	folder := Folder(t.TempDir())
+	folder := DirFS(t.TempDir())
 	writeGolden(t, folder)
-	names, err := folder.Names()
+	names, err := folder.ListFiles()
 	require.NoError(t, err)
 	assert.Equal(t, []string{lockName, "log-00000001"}, names)
-	written, err := folder.Read("log-00000001")
+	written, err := folder.ReadFile("log-00000001")
 	require.NoError(t, err)
 	path := filepath.Join(goldenFolder, "log-00000001")
 	if *update {
@@ -71,17 +71,17 @@
 func TestGoldenFolderIsRead(t *testing.T) {
 	want, err := os.ReadFile(filepath.Join(goldenFolder, "log-00000001"))
 	require.NoError(t, err)
-	folder := Folder(t.TempDir())
+	folder := DirFS(t.TempDir())
 	require.NoError(t, os.WriteFile(filepath.Join(string(folder), "log-00000001"), want, 0o600))
 	s, found, err := Open(folder, "relay-1", plenty)
 	require.NoError(t, err)
 	defer s.Close()
-	assert.Equal(t, Found{Records: len(goldenRecords()), LastBoot: 1 << 40}, found)
+	assert.Equal(t, Recovery{Records: len(goldenRecords()), LastBoot: 1 << 40}, found)
 	for _, r := range goldenRecords() {
 		got, isThere := s.Get(r.Kind, r.Key)
 		assert.True(t, isThere, r.Key)
 		assert.Equal(t, r, got)
 	}
-	_, isThere := s.Get(Mark, "deleted")
+	_, isThere := s.Get(KindAttemptMarker, "deleted")
 	assert.False(t, isThere)
 }
--- a/internal/store/memory.go
+++ b/internal/store/memory.go
@@ -7,17 +7,17 @@
 	"sync"
 )
 
-// Memory is a disk in memory with the faults of real ones: what was not synced is gone at a power loss, but
+// MemoryFS is a disk in memory with the faults of real ones: what was not synced is gone at a power loss, but
 // for a part of it, and writes and syncs can fail. Tests and the simulation use it.
-type Memory struct {
-	mutex  sync.Mutex
-	files  map[string]*memoryFile
-	synced map[string]*memoryFile // names as they are durable
-	held   bool
-	Lying  bool // its syncs of files do nothing
+type MemoryFS struct {
+	mutex       sync.Mutex
+	files       map[string]*memoryFile
+	synced      map[string]*memoryFile // names as they are durable
+	held        bool
+	IgnoresSync bool // its syncs of files do nothing
 
-	// Fails, where set, is asked before each of those, and its error is given; a write is then done by half.
-	Fails func(call string) error
+	// InjectFault, where set, is asked before each of those, and its error is given; a write is then done by half.
+	InjectFault func(call string) error
 }
 
 type memoryFile struct {
@@ -28,20 +28,20 @@
 // ErrNoSpace is what a full disk says.
 var ErrNoSpace = errors.New("no space left on device")
 
-// NewMemory is an empty one.
-func NewMemory() *Memory {
-	return &Memory{files: map[string]*memoryFile{}, synced: map[string]*memoryFile{}}
+// NewMemoryFS is an empty one.
+func NewMemoryFS() *MemoryFS {
+	return &MemoryFS{files: map[string]*memoryFile{}, synced: map[string]*memoryFile{}}
 }
 
-func (m *Memory) fails(call string) error {
-	if m.Fails != nil {
-		return m.Fails(call)
+func (m *MemoryFS) fails(call string) error {
+	if m.InjectFault != nil {
+		return m.InjectFault(call)
 	}
 	return nil
 }
 
-// PowerLoss leaves what was durable, and of what was written since so many bytes more of each file.
-func (m *Memory) PowerLoss(more func(unsynced int) int) {
+// LosePower leaves what was durable, and of what was written since so many bytes more of each file.
+func (m *MemoryFS) LosePower(more func(unsynced int) int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.files = map[string]*memoryFile{}
@@ -53,8 +53,8 @@
 	m.held = false
 }
 
-// Change does something to the bytes of each file, as wear or a careless hand would.
-func (m *Memory) Change(change func(name string, data []byte) []byte) {
+// MutateFiles does something to the bytes of each file, as wear or a careless hand would.
+func (m *MemoryFS) MutateFiles(change func(name string, data []byte) []byte) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for n, f := range m.files {
@@ -63,11 +63,11 @@
 	}
 }
 
-// Copy is the same disk as it is now, durable or not.
-func (m *Memory) Copy() *Memory {
+// Clone is the same disk as it is now, durable or not.
+func (m *MemoryFS) Clone() *MemoryFS {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	c := NewMemory()
+	c := NewMemoryFS()
 	for n, f := range m.files {
 		c.files[n] = &memoryFile{slices.Clone(f.data), len(f.data)}
 		c.synced[n] = c.files[n]
@@ -75,8 +75,8 @@
 	return c
 }
 
-// Names are the files that are there.
-func (m *Memory) Names() (names []string, err error) {
+// ListFiles are the files that are there.
+func (m *MemoryFS) ListFiles() (names []string, err error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for n := range m.files {
@@ -86,8 +86,8 @@
 	return names, nil
 }
 
-// Read reads a file whole.
-func (m *Memory) Read(name string) ([]byte, error) {
+// ReadFile reads a file whole.
+func (m *MemoryFS) ReadFile(name string) ([]byte, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if f := m.files[name]; f != nil {
@@ -96,8 +96,8 @@
 	return nil, fs.ErrNotExist
 }
 
-// Append opens a file to write at its end.
-func (m *Memory) Append(name string) (File, error) {
+// OpenAppend opens a file to write at its end.
+func (m *MemoryFS) OpenAppend(name string) (File, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if err := m.fails("append"); err != nil {
@@ -112,7 +112,7 @@
 }
 
 // Rename gives a file another name.
-func (m *Memory) Rename(from, to string) error {
+func (m *MemoryFS) Rename(from, to string) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if err := m.fails("rename"); err != nil {
@@ -128,7 +128,7 @@
 }
 
 // Remove takes a file away.
-func (m *Memory) Remove(name string) error {
+func (m *MemoryFS) Remove(name string) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if err := m.fails("remove"); err != nil {
@@ -141,8 +141,8 @@
 	return nil
 }
 
-// Sync has the names last.
-func (m *Memory) Sync() error {
+// SyncNames has the names last.
+func (m *MemoryFS) SyncNames() error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if err := m.fails("sync names"); err != nil {
@@ -156,11 +156,11 @@
 }
 
 // Lock holds the folder.
-func (m *Memory) Lock() (func() error, error) {
+func (m *MemoryFS) Lock() (func() error, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.held {
-		return nil, ErrHeld
+		return nil, ErrLocked
 	}
 	m.held = true
 	return func() error {
@@ -172,7 +172,7 @@
 }
 
 type memoryHandle struct {
-	m *Memory
+	m *MemoryFS
 	f *memoryFile
 }
 
@@ -193,7 +193,7 @@
 	if err := h.m.fails("sync"); err != nil {
 		return err
 	}
-	if !h.m.Lying {
+	if !h.m.IgnoresSync {
 		h.f.durable = len(h.f.data)
 	}
 	return nil
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -21,23 +21,23 @@
 
 // The kinds. Their numbers are on disks: none is ever given another meaning.
 const (
-	Header   Kind = iota // of a file
-	Boot                 // the number of the last start
-	Order                // of an operator
-	Knowing              // the list, what was learnt, who was told to come again
-	Mark                 // of a link whose effect may have happened
-	Council              // all that a voter of the council keeps
-	Decision             // number of the highest that this relay has followed
-	Holding              // what this relay holds for another
+	KindHeader        Kind = iota // of a file
+	KindBoot                      // the number of the last start
+	KindOrder                     // of an operator
+	KindSnapshot                  // the list, what was learnt, who was told to come again
+	KindAttemptMarker             // of a link whose effect may have happened
+	KindConsensus                 // all that a voter of the council keeps
+	KindDecision                  // number of the highest that this relay has followed
+	KindReplica                   // what this relay holds for another
 )
 
 // Record is one thing kept; the latest of a kind and key is what holds. One without a body takes it back.
 type Record struct {
-	Kind Kind
-	Key  string
-	Boot uint64
-	At   float64 // clock time
-	Body []byte
+	Kind       Kind
+	Key        string
+	Boot       uint64
+	UnixMillis float64 // clock time
+	Body       []byte
 }
 
 type name struct {
@@ -47,12 +47,12 @@
 
 // FS is a folder of its own on some disk.
 type FS interface {
-	Names() ([]string, error)
-	Read(name string) ([]byte, error)
-	Append(name string) (File, error) // made where there is none
+	ListFiles() ([]string, error)
+	ReadFile(name string) ([]byte, error)
+	OpenAppend(name string) (File, error) // made where there is none
 	Rename(from, to string) error
 	Remove(name string) error
-	Sync() error                             // of the folder's names
+	SyncNames() error                        // of the folder's names
 	Lock() (release func() error, err error) // against a second process; that is told at once
 }
 
@@ -63,20 +63,20 @@
 	Close() error
 }
 
-// Found is what was read at the start.
-type Found struct {
-	Records  int
-	Damaged  int  // records or pieces that could not be read and were passed over
-	Torn     int  // bytes cut off at the end
-	Fresh    bool // nothing was there
-	LastBoot uint64
+// Recovery is what was read at the start.
+type Recovery struct {
+	Records   int
+	Damaged   int  // records or pieces that could not be read and were passed over
+	TornBytes int  // bytes cut off at the end
+	IsNew     bool // nothing was there
+	LastBoot  uint64
 }
 
 // The errors that name why a folder can't be used. All others are the disk's own.
 var (
-	ErrForeign = errors.New("store: the folder is another relay's")
-	ErrFull    = errors.New("store: more than it may hold")
-	ErrClosed  = errors.New("store: closed")
+	ErrOtherOwner = errors.New("store: the folder is another relay's")
+	ErrFull       = errors.New("store: more than it may hold")
+	ErrClosed     = errors.New("store: closed")
 )
 
 const (
@@ -118,10 +118,10 @@
 }
 
 // Open locks the folder and reads it. Most bounds the bytes of all that holds.
-func Open(fs FS, owner string, most int) (*Store, Found, error) {
+func Open(fs FS, owner string, most int) (*Store, Recovery, error) {
 	release, err := fs.Lock()
 	if err != nil {
-		return nil, Found{}, err
+		return nil, Recovery{}, err
 	}
 	s := &Store{fs: fs, owner: owner, most: most, release: release, live: map[name]Record{}}
 	found, err := s.read()
@@ -132,8 +132,8 @@
 	return s, found, nil
 }
 
-func (s *Store) read() (found Found, err error) {
-	names, err := s.fs.Names()
+func (s *Store) read() (found Recovery, err error) {
+	names, err := s.fs.ListFiles()
 	if err != nil {
 		return found, err
 	}
@@ -152,9 +152,9 @@
 		}
 	}
 	slices.Sort(files)
-	found.Fresh = len(files) == 0
+	found.IsNew = len(files) == 0
 	for _, number := range files {
-		data, err := s.fs.Read(fileName(number))
+		data, err := s.fs.ReadFile(fileName(number))
 		if err != nil {
 			return found, err
 		}
@@ -176,14 +176,14 @@
 
 // readFile takes one file's records over what was read before it. A whole copy voids that, unless it is
 // damaged itself: then the former files, where they are still there, have what it lacks.
-func (s *Store) readFile(data []byte, found *Found) error {
+func (s *Store) readFile(data []byte, found *Recovery) error {
 	damaged, copied := 0, false
 	all := make([]Record, 0, len(data)/64)
 	for at := 0; at < len(data); {
 		body, next := cut(data, at)
 		if body == nil {
 			if rest := find(data, at+1); rest < 0 {
-				found.Torn += len(data) - at
+				found.TornBytes += len(data) - at
 				break
 			} else {
 				at = rest
@@ -197,8 +197,8 @@
 		case !ok:
 			damaged++
 		case owner != s.owner:
-			return fmt.Errorf("%w: %q", ErrForeign, owner)
-		case r.Kind == Header:
+			return fmt.Errorf("%w: %q", ErrOtherOwner, owner)
+		case r.Kind == KindHeader:
 			copied = r.Key == "copy"
 		default:
 			all = append(all, r)
@@ -250,7 +250,7 @@
 	to = append(to, make([]byte, frame)...)
 	to = append(to, version, byte(r.Kind))
 	to = binary.AppendUvarint(to, r.Boot)
-	to = binary.LittleEndian.AppendUint64(to, math.Float64bits(r.At))
+	to = binary.LittleEndian.AppendUint64(to, math.Float64bits(r.UnixMillis))
 	for _, text := range []string{owner, r.Key} {
 		to = binary.AppendUvarint(to, uint64(len(text)))
 		to = append(to, text...)
@@ -274,7 +274,7 @@
 		return r, "", false
 	}
 	r.Boot = boot
-	r.At = math.Float64frombits(binary.LittleEndian.Uint64(body[n:]))
+	r.UnixMillis = math.Float64frombits(binary.LittleEndian.Uint64(body[n:]))
 	body = body[n+8:]
 	for i := range 2 {
 		length, n := binary.Uvarint(body)
@@ -302,8 +302,8 @@
 	return r, there
 }
 
-// All are the records of a kind, by key.
-func (s *Store) All(kind Kind) (all []Record) {
+// Records are the records of a kind, by key.
+func (s *Store) Records(kind Kind) (all []Record) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for n, r := range s.live {
@@ -427,11 +427,11 @@
 	number := s.number + 1
 	to := fileName(number)
 	s.fs.Remove(to + partial)
-	file, err := s.fs.Append(to + partial)
+	file, err := s.fs.OpenAppend(to + partial)
 	if err != nil {
 		return err
 	}
-	length, out := 0, encode(nil, s.owner, Record{Kind: Header, Key: "copy"})
+	length, out := 0, encode(nil, s.owner, Record{Kind: KindHeader, Key: "copy"})
 	flush := func() error {
 		n, err := file.Write(out)
 		length, out = length+n, out[:0]
@@ -454,7 +454,7 @@
 		err = s.fs.Rename(to+partial, to)
 	}
 	if err == nil {
-		err = s.fs.Sync()
+		err = s.fs.SyncNames()
 	}
 	if err != nil {
 		file.Close()
@@ -465,7 +465,7 @@
 		s.file.Close()
 	}
 	s.file, s.number, s.length, s.failed = file, number, length, false
-	names, err := s.fs.Names()
+	names, err := s.fs.ListFiles()
 	for _, n := range names {
 		if err == nil && strings.HasPrefix(n, prefix) && n != to {
 			s.fs.Remove(n) // one that stays is read before this one, and voided by it
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -15,7 +15,7 @@
 
 const plenty = 64 << 20
 
-func open(t *testing.T, fs FS) (*Store, Found) {
+func open(t *testing.T, fs FS) (*Store, Recovery) {
 	t.Helper()
 	s, found, err := Open(fs, "relay-1", plenty)
 	require.NoError(t, err)
@@ -23,12 +23,12 @@
 }
 
 func put(s *Store, key, value string) {
-	s.Put(Record{Kind: Order, Key: key, Boot: 1, Body: []byte(value)}, nil)
+	s.Put(Record{Kind: KindOrder, Key: key, Boot: 1, Body: []byte(value)}, nil)
 }
 
 func holds(s *Store) map[string]string {
 	all := map[string]string{}
-	for _, r := range s.All(Order) {
+	for _, r := range s.Records(KindOrder) {
 		all[r.Key] = string(r.Body)
 	}
 	return all
@@ -62,11 +62,11 @@
 
 // lossAt plays one history up to that call of the disk; false where the history has fewer.
 func lossAt(t *testing.T, stop int, fails, lying bool) (reached bool, wrong []string) {
-	disk := NewMemory()
-	disk.Lying = lying
+	disk := NewMemoryFS()
+	disk.IgnoresSync = lying
 	chance := rand.New(rand.NewSource(int64(stop)))
 	calls := 0
-	disk.Fails = func(string) error {
+	disk.InjectFault = func(string) error {
 		if calls++; calls != stop+1 {
 			return nil
 		}
@@ -92,7 +92,7 @@
 			}
 			since[key] = append(since[key], value)
 			said := false
-			s.Put(Record{Kind: Order, Key: key, Body: []byte(value)}, func(err error) {
+			s.Put(Record{Kind: KindOrder, Key: key, Body: []byte(value)}, func(err error) {
 				if err == nil && !said {
 					promised[key], since[key], said = value, nil, true
 				}
@@ -107,8 +107,8 @@
 	}()
 	disk.mutex.TryLock() // a panic under the disk's lock leaves it held
 	disk.mutex.Unlock()
-	disk.Fails = nil
-	disk.PowerLoss(func(unsynced int) int { return chance.Intn(unsynced + 1) })
+	disk.InjectFault = nil
+	disk.LosePower(func(unsynced int) int { return chance.Intn(unsynced + 1) })
 	s, found := open(t, disk)
 	got := holds(s)
 	for key := range since {
@@ -130,8 +130,8 @@
 }
 
 func TestDamage(t *testing.T) {
-	build := func() *Memory {
-		disk := NewMemory()
+	build := func() *MemoryFS {
+		disk := NewMemoryFS()
 		s, _ := open(t, disk)
 		for i := range 20 {
 			put(s, fmt.Sprint(i), fmt.Sprint("value ", i))
@@ -158,7 +158,7 @@
 			false},
 	} {
 		disk := build()
-		disk.Change(c.change)
+		disk.MutateFiles(c.change)
 		s, found := open(t, disk)
 		assert.LessOrEqual(t, c.least, found.Records, c.name)
 		assert.GreaterOrEqual(t, c.most, found.Records, c.name)
@@ -170,16 +170,16 @@
 }
 
 func TestFolderKeptApart(t *testing.T) {
-	disk := NewMemory()
+	disk := NewMemoryFS()
 	s, found := open(t, disk)
-	assert.True(t, found.Fresh)
+	assert.True(t, found.IsNew)
 	_, _, err := Open(disk, "relay-1", plenty)
-	assert.ErrorIs(t, err, ErrHeld)
+	assert.ErrorIs(t, err, ErrLocked)
 	put(s, "a", "1")
 	require.NoError(t, s.Close())
-	before := disk.Copy()
+	before := disk.Clone()
 	_, _, err = Open(disk, "relay-2", plenty)
-	assert.ErrorIs(t, err, ErrForeign)
+	assert.ErrorIs(t, err, ErrOtherOwner)
 	assert.ErrorContains(t, err, `"relay-1"`)
 	assert.Equal(t, before.files, disk.files)
 	_, found = open(t, disk)
@@ -188,12 +188,12 @@
 }
 
 func TestBounded(t *testing.T) {
-	disk := NewMemory()
+	disk := NewMemoryFS()
 	s, _, err := Open(disk, "relay-1", 10000)
 	require.NoError(t, err)
 	var full error
 	for i := range 1000 {
-		s.Put(Record{Kind: Mark, Key: fmt.Sprint(i), Body: make([]byte, 20)}, func(err error) {
+		s.Put(Record{Kind: KindAttemptMarker, Key: fmt.Sprint(i), Body: make([]byte, 20)}, func(err error) {
 			if err != nil {
 				full = err
 			}
@@ -202,7 +202,7 @@
 	require.NoError(t, s.Flush())
 	assert.ErrorIs(t, full, ErrFull)
 	for i := range 40000 { // one record put over and over does not make the files grow without end
-		s.Put(Record{Kind: Mark, Key: "1", Body: make([]byte, 20), Boot: uint64(i)}, nil)
+		s.Put(Record{Kind: KindAttemptMarker, Key: "1", Body: make([]byte, 20), Boot: uint64(i)}, nil)
 		if i%500 == 0 {
 			require.NoError(t, s.Flush())
 		}
@@ -217,8 +217,8 @@
 
 // A disk that is full, or slow, stops nobody: Put returns at once, and what holds is written once it can be.
 func TestFullThenWell(t *testing.T) {
-	disk := NewMemory()
-	disk.Fails = func(call string) error {
+	disk := NewMemoryFS()
+	disk.InjectFault = func(call string) error {
 		if call == "write" || call == "append" {
 			return ErrNoSpace
 		}
@@ -226,9 +226,9 @@
 	}
 	s, _ := open(t, disk)
 	var said []error
-	s.Put(Record{Kind: Order, Key: "a", Body: []byte("1")}, func(err error) { said = append(said, err) })
+	s.Put(Record{Kind: KindOrder, Key: "a", Body: []byte("1")}, func(err error) { said = append(said, err) })
 	assert.Error(t, s.Flush())
-	disk.Fails = nil
+	disk.InjectFault = nil
 	require.NoError(t, s.Flush())
 	assert.Equal(t, []error{ErrNoSpace}, said)
 	require.NoError(t, s.Close())
@@ -238,7 +238,7 @@
 
 // A process that is killed lets go of its folder; one that lives keeps others out.
 func TestFolder(t *testing.T) {
-	dir := Folder(t.TempDir())
+	dir := DirFS(t.TempDir())
 	s, _ := open(t, dir)
 	put(s, "a", "1")
 	require.NoError(t, s.Flush())
@@ -250,7 +250,7 @@
 	require.NoError(t, s.Close())
 	s, found := open(t, dir)
 	assert.Equal(t, map[string]string{"a": "1"}, holds(s))
-	assert.Zero(t, found.Damaged+found.Torn)
+	assert.Zero(t, found.Damaged+found.TornBytes)
 }
 
 func TestHelperOpens(t *testing.T) {
@@ -258,14 +258,14 @@
 	if dir == "" {
 		t.Skip("is run by another test, as a process of its own")
 	}
-	_, _, err := Open(Folder(dir), "relay-1", plenty)
+	_, _, err := Open(DirFS(dir), "relay-1", plenty)
 	fmt.Println(err)
 }
 
 // Against a plain map, over random orders with reopening.
 func TestAgainstMap(t *testing.T) {
 	chance := rand.New(rand.NewSource(7))
-	disk, want := NewMemory(), map[string]string{}
+	disk, want := NewMemoryFS(), map[string]string{}
 	s, _ := open(t, disk)
 	for i := range 3000 {
 		switch key := fmt.Sprint(chance.Intn(50)); chance.Intn(12) {
@@ -274,7 +274,7 @@
 			put(s, key, "")
 		case 1:
 			require.NoError(t, s.Close())
-			disk.PowerLoss(func(int) int { return 0 })
+			disk.LosePower(func(int) int { return 0 })
 			s, _ = open(t, disk)
 		default:
 			want[key] = fmt.Sprint(i)
@@ -285,12 +285,12 @@
 }
 
 func FuzzRead(f *testing.F) {
-	whole := encode(encode(nil, "relay-1", Record{Kind: Header, Key: "copy"}), "relay-1",
-		Record{Kind: Order, Key: "a", Body: []byte("1")})
+	whole := encode(encode(nil, "relay-1", Record{Kind: KindHeader, Key: "copy"}), "relay-1",
+		Record{Kind: KindOrder, Key: "a", Body: []byte("1")})
 	f.Add(whole)
 	f.Add(whole[:len(whole)-3])
 	f.Fuzz(func(t *testing.T, data []byte) {
-		disk := NewMemory()
+		disk := NewMemoryFS()
 		disk.files[fileName(1)] = &memoryFile{data, len(data)}
 		s, _, err := Open(disk, "relay-1", plenty)
 		if err == nil {
@@ -304,10 +304,10 @@
 
 // A million records back: the figure is in docs/design/recovery.md.
 func BenchmarkMillion(b *testing.B) {
-	disk := NewMemory()
+	disk := NewMemoryFS()
 	s, _, _ := Open(disk, "relay-1", 1<<30)
 	for i := range 1000000 {
-		s.Put(Record{Kind: Mark, Key: fmt.Sprintf("%016x", i), Boot: 3, Body: make([]byte, 24)}, nil)
+		s.Put(Record{Kind: KindAttemptMarker, Key: fmt.Sprintf("%016x", i), Boot: 3, Body: make([]byte, 24)}, nil)
 	}
 	s.Close()
 	for b.Loop() {
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -16,11 +16,11 @@
 
 // The rules.
 const (
-	FinalAnswer Rule = iota // exactly one, before the hard limit
-	Twice                   // no effect twice, one setup try out at a time
-	Drain                   // nothing new to a server that is said to leave or to be gone
-	Cold                    // no cold server pushed over
-	Lines                   // passed on once, in order, at once; no link cut off without a word
+	FinalAnswer  Rule = iota // exactly one, before the hard limit
+	AtMostOnce               // no effect twice, one setup try out at a time
+	Drain                    // nothing new to a server that is said to leave or to be gone
+	SlowStart                // no cold server pushed over
+	LineDelivery             // passed on once, in order, at once; no link cut off without a word
 	rules
 )
 
@@ -28,16 +28,16 @@
 
 func (r Rule) String() string { return ruleNames[r] }
 
-// Break is one broken rule.
-type Break struct {
-	Rule Rule
-	At   float64
-	Link string
-	What string
+// Violation is one broken rule.
+type Violation struct {
+	Rule      Rule
+	At        float64
+	SessionID string
+	Detail    string
 }
 
-func (b Break) String() string {
-	return fmt.Sprintf("%.1f %s: %s (link %s)", b.At, b.Rule, b.What, b.Link)
+func (b Violation) String() string {
+	return fmt.Sprintf("%.1f %s: %s (link %s)", b.At, b.Rule, b.Detail, b.SessionID)
 }
 
 const (
@@ -88,36 +88,36 @@
 // Auditor is a model.Witness. It is not safe for calls side by side.
 type Auditor struct {
 	slack float64
-	// Near, where set, tells whether a relay and a server are of one zone; Nears counts such setup tries from
+	// IsSameZone, where set, tells whether a relay and a server are of one zone; Nears counts such setup tries from
 	// then on, of Ways.
-	Near        func(relay int, server string) bool
-	NearFrom    float64
-	Nears, Ways int
-
-	multiple float64
-	window   float64
-	links    map[string]*link
-	errands  map[string]*errand
-	stood    map[string]*string
-	lives    map[int]int
-	died     map[int]float64
-	told     map[int]map[string]told
-	dark     map[string]bool
-	frozen   map[int]bool
-	lit      map[string]float64 // when it was dark last
-	pushes   map[string][]push
-	started  map[string]float64 // each server's last start
-	pushedAt map[string]float64
-	swept    float64
-	Breaks   []Break
-	Counts   [rules]int
-	Asks     int
-	Tries    int
-	Lines    int
-	Repeated int // single-use effects begun again by a client's further try: no rule, but what marks are for
-	Returns  int // clients whose link was over before they were, and that stand again
-	There    int // of those, at the server where they stood
-	Turned   int // clients that a relay did not let in while it was replaced
+	IsSameZone                     func(relay int, server string) bool
+	LocalityFrom                   float64
+	LocalAttempts, LocatedAttempts int
+
+	multiple              float64
+	window                float64
+	links                 map[string]*link
+	errands               map[string]*errand
+	stood                 map[string]*string
+	lives                 map[int]int
+	died                  map[int]float64
+	told                  map[int]map[string]told
+	dark                  map[string]bool
+	frozen                map[int]bool
+	lit                   map[string]float64 // when it was dark last
+	pushes                map[string][]push
+	started               map[string]float64 // each server's last start
+	pushedAt              map[string]float64
+	swept                 float64
+	Violations            []Violation
+	Counts                [rules]int
+	Requests              int
+	Attempts              int
+	Lines                 int
+	RepeatedEffects       int // single-use effects begun again by a client's further try: no rule, but what marks are for
+	Reconnects            int // clients whose link was over before they were, and that stand again
+	AffineReconnects      int // of those, at the server where they stood
+	ReplacementRejections int // clients that a relay did not let in while it was replaced
 }
 
 // New takes how much later than it was said a thing may be seen, and the multiple of its present capacity
@@ -132,13 +132,13 @@
 
 func (a *Auditor) breaks(rule Rule, now float64, id, format string, args ...any) {
 	a.Counts[rule]++
-	if len(a.Breaks) < mostKept {
-		a.Breaks = append(a.Breaks, Break{rule, now, id, fmt.Sprintf(format, args...)})
+	if len(a.Violations) < mostKept {
+		a.Violations = append(a.Violations, Violation{rule, now, id, fmt.Sprintf(format, args...)})
 	}
 }
 
-// Broken counts all breaks.
-func (a *Auditor) Broken() (n int) {
+// ViolationCount counts all breaks.
+func (a *Auditor) ViolationCount() (n int) {
 	for _, c := range a.Counts {
 		n += c
 	}
@@ -151,10 +151,10 @@
 	return l.onFrozen || a.lives[l.relay] != l.life || (l.life > 0 && l.asked < a.died[l.relay]+a.slack)
 }
 
-// Asked takes that a link was asked for.
-func (a *Auditor) Asked(now float64, id, name string, relay int, effect string, wait float64) {
+// RequestSent takes that a link was asked for.
+func (a *Auditor) RequestSent(now float64, id, name string, relay int, effect string, wait float64) {
 	a.sweep(now)
-	a.Asks++
+	a.Requests++
 	if a.links[id] != nil {
 		a.breaks(FinalAnswer, now, id, "a client used one id twice: the lab is at fault")
 	}
@@ -170,8 +170,8 @@
 		due: now + wait, onFrozen: a.frozen[relay]}
 }
 
-// Answered takes the first line that the client heard.
-func (a *Auditor) Answered(now float64, id, verb string) {
+// ResponseReceived takes the first line that the client heard.
+func (a *Auditor) ResponseReceived(now float64, id, verb string) {
 	l := a.links[id]
 	if l == nil {
 		return
@@ -185,12 +185,12 @@
 	case verb == "UP" && l.took == 0:
 		a.breaks(FinalAnswer, now, id, "UP that no server said")
 	case verb == "BUSY" && l.effect == "single-use" && l.took > 0:
-		a.breaks(Twice, now, id, "told that trying again is harmless, and it was done already")
+		a.breaks(AtMostOnce, now, id, "told that trying again is harmless, and it was done already")
 	}
 }
 
-// Heard takes a line that is none of the server's numbered ones.
-func (a *Auditor) Heard(now float64, id, verb string) {
+// NoticeReceived takes a line that is none of the server's numbered ones.
+func (a *Auditor) NoticeReceived(now float64, id, verb string) {
 	l := a.links[id]
 	if l == nil {
 		return
@@ -202,8 +202,8 @@
 	a.breaks(FinalAnswer, now, id, "%s after %s", verb, l.answered)
 }
 
-// Ended takes that the relay's side ended the client's connection.
-func (a *Auditor) Ended(now float64, id string, broken bool) {
+// ClosedByRelay takes that the relay's side ended the client's connection.
+func (a *Auditor) ClosedByRelay(now float64, id string, broken bool) {
 	l := a.links[id]
 	if l == nil || l.over {
 		return
@@ -214,12 +214,12 @@
 	case l.answered == "":
 		a.breaks(FinalAnswer, now, id, "ended without an answer")
 	case l.answered == "UP" && !l.moved && !l.closed && !l.onDark:
-		a.breaks(Lines, now, id, "cut off without MOVE while its server serves (broken %t)", broken)
+		a.breaks(LineDelivery, now, id, "cut off without MOVE while its server serves (broken %t)", broken)
 	}
 }
 
-// Left takes that the client ended its connection.
-func (a *Auditor) Left(now float64, id string) {
+// ClosedByClient takes that the client ended its connection.
+func (a *Auditor) ClosedByClient(now float64, id string) {
 	l := a.links[id]
 	if l == nil || l.over {
 		return
@@ -230,12 +230,12 @@
 	}
 }
 
-// TryCame takes a setup try.
-func (a *Auditor) TryCame(now float64, id, server string, cold bool, capacity, load float64) {
-	a.Tries++
+// AttemptReceived takes a setup try.
+func (a *Auditor) AttemptReceived(now float64, id, server string, cold bool, capacity, load float64) {
+	a.Attempts++
 	l := a.links[id]
 	if l == nil {
-		a.breaks(Twice, now, id, "a try on %s of a link that nobody asked for", server)
+		a.breaks(AtMostOnce, now, id, "a try on %s of a link that nobody asked for", server)
 		return
 	}
 	news := a.told[l.relay][server]
@@ -244,9 +244,9 @@
 		a.breaks(Drain, now, id, "to %s, %s for %.0f ms by what its relay was told", server, news.status,
 			now-news.at)
 	}
-	if a.Near != nil && now >= a.NearFrom {
-		if a.Ways++; a.Near(l.relay, server) {
-			a.Nears++
+	if a.IsSameZone != nil && now >= a.LocalityFrom {
+		if a.LocatedAttempts++; a.IsSameZone(l.relay, server) {
+			a.LocalAttempts++
 		}
 	}
 	if cold && news.since > 0 && news.since >= a.started[server] { // told of this start, not of a former one
@@ -267,19 +267,19 @@
 	a.pushes[server] = append(kept, push{now, load})
 	if sum-heaviest > a.multiple*capacity && now > a.pushedAt[server]+a.window {
 		a.pushedAt[server] = now
-		a.breaks(Cold, now, id, "%s was sent %.2f cores within %.0f ms, and has %.2f", server, sum, a.window,
+		a.breaks(SlowStart, now, id, "%s was sent %.2f cores within %.0f ms, and has %.2f", server, sum, a.window,
 			capacity)
 	}
 }
 
-// Started takes that a server has begun another life, which discovery tells of by that time.
-func (a *Auditor) Started(now float64, server string) {
+// BackendStarted takes that a server has begun another life, which discovery tells of by that time.
+func (a *Auditor) BackendStarted(now float64, server string) {
 	a.started[server] = now
 	delete(a.pushes, server)
 }
 
-// TryOver takes that a try is over for its server.
-func (a *Auditor) TryOver(now float64, id, server string) {
+// AttemptFinished takes that a try is over for its server.
+func (a *Auditor) AttemptFinished(now float64, id, server string) {
 	l := a.links[id]
 	if l == nil {
 		return
@@ -308,43 +308,43 @@
 			}
 		}
 		if both := end - max(t.at, other.at); both > a.slack {
-			a.breaks(Twice, t.end, id, "tries on %s and %s out at once for %.1f ms", t.server, other.server, both)
+			a.breaks(AtMostOnce, t.end, id, "tries on %s and %s out at once for %.1f ms", t.server, other.server, both)
 		}
 	}
 }
 
-// Took takes that a server has done what the link asks for.
-func (a *Auditor) Took(now float64, id, server string) {
+// EffectApplied takes that a server has done what the link asks for.
+func (a *Auditor) EffectApplied(now float64, id, server string) {
 	l := a.links[id]
 	if l == nil {
 		return
 	}
 	if l.took++; l.took > 1 && l.effect == "single-use" {
-		a.breaks(Twice, now, id, "single-use, and done again on %s", server)
+		a.breaks(AtMostOnce, now, id, "single-use, and done again on %s", server)
 	}
 	if at := l.errand.client; *at != "" && l.errand.took == 0 {
-		if a.Returns++; *at == server {
-			a.There++
+		if a.Reconnects++; *at == server {
+			a.AffineReconnects++
 		}
 	}
 	*l.errand.client = server
 	if l.errand.took++; l.errand.took > 1 && l.took == 1 && l.effect == "single-use" {
-		a.Repeated++
+		a.RepeatedEffects++
 	}
 }
 
-// Closed takes that the server ended a link that stood.
-func (a *Auditor) Closed(_ float64, id, _ string) {
+// ClosedByBackend takes that the server ended a link that stood.
+func (a *Auditor) ClosedByBackend(_ float64, id, _ string) {
 	if l := a.links[id]; l != nil {
 		l.closed = true
 	}
 }
 
-// Said takes nothing: what is got is held against its numbers.
-func (a *Auditor) Said(float64, string, bool, int) {}
+// LineSent takes nothing: what is got is held against its numbers.
+func (a *Auditor) LineSent(float64, string, bool, int) {}
 
-// Got takes a numbered line.
-func (a *Auditor) Got(now float64, id string, down bool, n int, saidAt float64) {
+// LineReceived takes a numbered line.
+func (a *Auditor) LineReceived(now float64, id string, down bool, n int, saidAt float64) {
 	a.Lines++
 	l := a.links[id]
 	if l == nil {
@@ -356,17 +356,17 @@
 	}
 	switch want := l.got[way] + 1; {
 	case n > want:
-		a.breaks(Lines, now, id, "%d lines lost before number %d (down %t)", n-want, n, down)
+		a.breaks(LineDelivery, now, id, "%d lines lost before number %d (down %t)", n-want, n, down)
 	case n < want:
-		a.breaks(Lines, now, id, "line %d came again (down %t)", n, down)
+		a.breaks(LineDelivery, now, id, "line %d came again (down %t)", n, down)
 	case now > saidAt+holdLimit+grace+a.slack && !l.onDark && !l.onFrozen:
-		a.breaks(Lines, now, id, "line %d held for %.0f ms (down %t)", n, now-saidAt, down)
+		a.breaks(LineDelivery, now, id, "line %d held for %.0f ms (down %t)", n, now-saidAt, down)
 	}
 	l.got[way] = max(l.got[way], n)
 }
 
-// Told takes that news has reached a relay.
-func (a *Auditor) Told(now float64, relay int, server, status string, since float64) {
+// EndpointUpdated takes that news has reached a relay.
+func (a *Auditor) EndpointUpdated(now float64, relay int, server, status string, since float64) {
 	if a.told[relay] == nil {
 		a.told[relay] = map[string]told{}
 	}
@@ -377,8 +377,8 @@
 	a.told[relay][server] = told{status, now, since}
 }
 
-// Relay takes that one has ended, or serves.
-func (a *Auditor) Relay(now float64, relay int, up bool) {
+// RelayChanged takes that one has ended, or serves.
+func (a *Auditor) RelayChanged(now float64, relay int, up bool) {
 	if !up {
 		a.lives[relay]++
 		a.died[relay] = now
@@ -387,9 +387,9 @@
 	}
 }
 
-// Frozen takes that the machine has stopped a relay, or has it go on: what it owed meanwhile is excused for
+// RelayFrozen takes that the machine has stopped a relay, or has it go on: what it owed meanwhile is excused for
 // good, and what it was told counts from when it can read it. Nothing else is: what it does twice counts.
-func (a *Auditor) Frozen(now float64, relay int, frozen bool) {
+func (a *Auditor) RelayFrozen(now float64, relay int, frozen bool) {
 	a.frozen[relay] = frozen
 	for _, l := range a.links {
 		if l.relay == relay && l.life == a.lives[relay] && !l.over {
@@ -401,24 +401,24 @@
 	}
 }
 
-// Emptied takes that a relay that operators empty may hold nobody any more.
-func (a *Auditor) Emptied(now float64, relay int) {
+// RelayDrained takes that a relay that operators empty may hold nobody any more.
+func (a *Auditor) RelayDrained(now float64, relay int) {
 	for _, id := range slices.Sorted(maps.Keys(a.links)) {
 		l := a.links[id]
 		if l.relay == relay && l.life == a.lives[relay] && l.answered == "UP" && !l.over && !l.moved && !l.closed {
-			a.breaks(Lines, now, id, "still held by a relay that was to empty itself")
+			a.breaks(LineDelivery, now, id, "still held by a relay that was to empty itself")
 		}
 	}
 }
 
-// Door takes that a relay that is being replaced has let a client down at the door.
-func (a *Auditor) Door(now float64, relay int) {
-	a.Turned++
+// ReplacementRejected takes that a relay that is being replaced has let a client down at the door.
+func (a *Auditor) ReplacementRejected(now float64, relay int) {
+	a.ReplacementRejections++
 	a.breaks(FinalAnswer, now, "-", "relay %d, being replaced, did not let a client in", relay)
 }
 
-// Dark takes that nothing passes to a server, or again. What stood on it is marked for good.
-func (a *Auditor) Dark(now float64, server string, dark bool) {
+// BackendUnreachable takes that nothing passes to a server, or again. What stood on it is marked for good.
+func (a *Auditor) BackendUnreachable(now float64, server string, dark bool) {
 	a.dark[server] = dark
 	if !dark {
 		a.lit[server] = now
--- a/internal/testbed/cost/cost.go
+++ b/internal/testbed/cost/cost.go
@@ -345,7 +345,7 @@
 }
 
 func startForwarder(ctx context.Context, p Plan, s *servers) (*way, error) {
-	address, err := procstat.Free()
+	address, err := procstat.FreeAddress()
 	if err != nil {
 		return nil, err
 	}
@@ -355,13 +355,13 @@
 }
 
 func startRelay(ctx context.Context, p Plan, s *servers) (*way, error) {
-	address, err := procstat.Free()
+	address, err := procstat.FreeAddress()
 	if err != nil {
 		return nil, err
 	}
 	x := experiment.Default()
 	x.Relays.Count = 1
-	x.Traffic = []experiment.Traffic{{Category: "chat", Party: "all", HardLimit: 3000, Load: 0.1, Rate: 1}}
+	x.Traffic = []experiment.Traffic{{Class: "chat", Tenant: "all", HardLimit: 3000, Load: 0.1, Rate: 1}}
 	if err := x.Complete(); err != nil {
 		return nil, err
 	}
@@ -393,7 +393,7 @@
 	go discovery.Serve(l)
 	context.AfterFunc(ctx, func() { discovery.Close() })
 	text, err := json.Marshal(map[string]any{"name": "cost", "listen": address, "discovery": l.Addr().String(),
-		"seed": "5", "limits": map[string]any{"cores": 1}, "known": json.RawMessage(list), "settings": x.Told(0)})
+		"seed": "5", "limits": map[string]any{"cores": 1}, "known": json.RawMessage(list), "settings": x.RelaySettings(0)})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/experiment/experiment.go
+++ b/internal/testbed/experiment/experiment.go
@@ -15,21 +15,21 @@
 	"valeshift/internal/config"
 )
 
-// Span is a length of time in milliseconds, written like "1.5s".
-type Span float64
+// Millis is a length of time in milliseconds, written like "1.5s".
+type Millis float64
 
 // UnmarshalText reads a length such as "250ms".
-func (s *Span) UnmarshalText(text []byte) error {
+func (s *Millis) UnmarshalText(text []byte) error {
 	ms, ok := config.ParseMilliseconds(text, 24*time.Hour)
 	if !ok {
 		return fmt.Errorf("a length from 0 to 24h expected, such as \"250ms\", got %q", text)
 	}
-	*s = Span(ms)
+	*s = Millis(ms)
 	return nil
 }
 
 // MarshalText writes the length as it is read.
-func (s Span) MarshalText() ([]byte, error) {
+func (s Millis) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(math.Round(float64(s) * float64(time.Millisecond))).String()), nil
 }
 
@@ -37,8 +37,8 @@
 type Experiment struct {
 	Name     string    `toml:"name"`
 	Seed     uint64    `toml:"seed"`
-	Length   Span      `toml:"length"`   // arrivals and faults end here
-	Warm     Span      `toml:"warm"`     // of it, the start that service isn't counted in
+	Length   Millis    `toml:"length"`   // arrivals and faults end here
+	Warmup   Millis    `toml:"warm"`     // of it, the start that service isn't counted in
 	Variants []string  `toml:"variants"` // policies to compare; the first is the one that rules are checked on
 	Relays   Relays    `toml:"relays"`
 	Network  Network   `toml:"network"`
@@ -49,116 +49,116 @@
 
 // Relays says how many there are and how they come back.
 type Relays struct {
-	Count       int  `toml:"count"`
-	Back        Span `toml:"back"`         // from a relay's end to its next start
-	FrontNotice Span `toml:"front-notice"` // until the clients' front sees that one has died
-	Sockets     int  `toml:"sockets"`      // limit on descriptors; 0: none
-	Tries       int  `toml:"most-setup-tries"`
-	MaxBack     Span `toml:"max-retry-after"` // the longest time to come back that is told; 0: none
-	Probes      bool `toml:"probes"`
-	Peers       bool `toml:"peers"`      // whether relays know of each other
-	Disk        bool `toml:"disk"`       // whether each has a disk
-	ReportAge   bool `toml:"report-age"` // whether operators say how old servers' reports may be
-	Council     int  `toml:"council"`    // voters that decide on zones, on the first machines; 0: none
-	Holdings    int  `toml:"holdings"`   // machines that what a relay tells a client lies on; 0: its own alone
-	Remember    Span `toml:"remember"`   // beyond a link's hard limit, that marks of its tries are held; 0: none are
-	Stood       bool `toml:"stood"`      // whether others hold where clients and groups stand
-	Known       bool `toml:"known"`      // whether the platform gives a relay the list as it last had it
+	Count              int    `toml:"count"`
+	RestartDelay       Millis `toml:"back"`         // from a relay's end to its next start
+	DetectionDelay     Millis `toml:"front-notice"` // until the clients' front sees that one has died
+	MaxDescriptors     int    `toml:"sockets"`      // limit on descriptors; 0: none
+	MaxAttempts        int    `toml:"most-setup-tries"`
+	MaxRetryAfter      Millis `toml:"max-retry-after"` // the longest time to come back that is told; 0: none
+	LoadPolling        bool   `toml:"probes"`
+	Membership         bool   `toml:"peers"`      // whether relays know of each other
+	Disk               bool   `toml:"disk"`       // whether each has a disk
+	AnnouncesReportAge bool   `toml:"report-age"` // whether operators say how old servers' reports may be
+	Coordinators       int    `toml:"council"`    // voters that decide on zones, on the first machines; 0: none
+	Replicas           int    `toml:"holdings"`   // machines that what a relay tells a client lies on; 0: its own alone
+	MarkerRetention    Millis `toml:"remember"`   // beyond a link's hard limit, that marks of its tries are held; 0: none are
+	ReplicatesAffinity bool   `toml:"stood"`      // whether others hold where clients and groups stand
+	KnowsEndpoints     bool   `toml:"known"`      // whether the platform gives a relay the list as it last had it
 }
 
 // Network is what lies between any two ends; two connections don't wait for one another.
 type Network struct {
-	Delay  Span    `toml:"delay"`  // one way, at the least
-	Jitter Span    `toml:"jitter"` // mean of what comes on top of it
-	Split  float64 `toml:"split"`  // chance that a piece arrives in two
+	Delay            Millis  `toml:"delay"`  // one way, at the least
+	Jitter           Millis  `toml:"jitter"` // mean of what comes on top of it
+	SplitProbability float64 `toml:"split"`  // chance that a piece arrives in two
 }
 
 // Fleet is the servers as they are at the start. Shares and factors are parts of one.
 type Fleet struct {
-	Servers     int     `toml:"servers"`
-	Zones       int     `toml:"zones"`
-	Regions     int     `toml:"regions"` // that the zones lie in, the first ones in the first; 0: one
-	Cores       float64 `toml:"cores"`
-	SpeedSpread float64 `toml:"speed-spread"` // of one, either way, between servers
-	SetupWork   Span    `toml:"setup-work"`   // of one core, for each setup try
-	StoreRate   float64 `toml:"store-rate"`   // set-ups a second that the shared session store takes; 0: no store
-	Reports     Span    `toml:"reports"`      // age that load reports may reach
-	Noise       float64 `toml:"noise"`        // of a reported load, standard deviation
-	ColdFrom    float64 `toml:"cold-from"`    // part of its capacity that a server starts with
-	Cold        Span    `toml:"cold"`         // until it has all of it
-	TipMultiple float64 `toml:"tip-multiple"` // of its present capacity: pushed beyond it within Fall, it falls over
-	Fall        Span    `toml:"fall"`
-	Down        Span    `toml:"down"` // how long it lies there
+	Backends         int     `toml:"servers"`
+	Zones            int     `toml:"zones"`
+	Regions          int     `toml:"regions"` // that the zones lie in, the first ones in the first; 0: one
+	Cores            float64 `toml:"cores"`
+	SpeedSpread      float64 `toml:"speed-spread"` // of one, either way, between servers
+	SetupWork        Millis  `toml:"setup-work"`   // of one core, for each setup try
+	StoreRate        float64 `toml:"store-rate"`   // set-ups a second that the shared session store takes; 0: no store
+	MaxReportAge     Millis  `toml:"reports"`      // age that load reports may reach
+	ReportNoise      float64 `toml:"noise"`        // of a reported load, standard deviation
+	SlowStartFrom    float64 `toml:"cold-from"`    // part of its capacity that a server starts with
+	SlowStart        Millis  `toml:"cold"`         // until it has all of it
+	OverloadMultiple float64 `toml:"tip-multiple"` // of its present capacity: pushed beyond it within Fall, it falls over
+	OverloadWindow   Millis  `toml:"fall"`
+	OverloadDowntime Millis  `toml:"down"` // how long it lies there
 }
 
 // Traffic is links of one kind. They come whether or not those before were answered.
 type Traffic struct {
-	Category   string  `toml:"category"`
-	Party      string  `toml:"party"`
-	Gain       float64 `toml:"gain"`
-	Effect     string  `toml:"effect"` // replayable, referenced or single-use
-	Promised   Span    `toml:"promised"`
-	HardLimit  Span    `toml:"hard-limit"`
-	Rate       float64 `toml:"rate"`     // new clients a second
-	Standing   int     `toml:"standing"` // clients that come over the first two seconds
-	Life       Span    `toml:"life"`     // mean
-	Load       float64 `toml:"load"`     // mean, in thousandths of a core
-	LoadSpread float64 `toml:"load-spread"`
-	Every      Span    `toml:"every"` // between a client's lines
-	Groups     int     `toml:"groups"`
-	HonoursMS  float64 `toml:"honours-busy"` // share of clients that come back when told and not before
-	Retry      Span    `toml:"retry"`        // after which the others do
+	Class            string  `toml:"category"`
+	Tenant           string  `toml:"party"`
+	PriorityWeight   float64 `toml:"gain"`
+	Effect           string  `toml:"effect"` // replayable, referenced or single-use
+	LatencyObjective Millis  `toml:"promised"`
+	HardLimit        Millis  `toml:"hard-limit"`
+	Rate             float64 `toml:"rate"`     // new clients a second
+	InitialClients   int     `toml:"standing"` // clients that come over the first two seconds
+	Lifetime         Millis  `toml:"life"`     // mean
+	Load             float64 `toml:"load"`     // mean, in thousandths of a core
+	LoadSpread       float64 `toml:"load-spread"`
+	LineInterval     Millis  `toml:"every"` // between a client's lines
+	Groups           int     `toml:"groups"`
+	HonorsRetryAfter float64 `toml:"honours-busy"` // share of clients that come back when told and not before
+	RetryDelay       Millis  `toml:"retry"`        // after which the others do
 }
 
 // Fault is something that goes wrong, or is done to the fleet, from At on for a time.
 type Fault struct {
-	Kind   string  `toml:"kind"`
-	At     Span    `toml:"at"`
-	For    Span    `toml:"for"`
-	Share  float64 `toml:"share"`  // of the servers, relays or clients, one at the least
-	Factor float64 `toml:"factor"` // what it means goes by the kind
-	Spread Span    `toml:"spread"` // power-loss: over which what went returns, after For
-	Never  int     `toml:"never"`  // power-loss: so many relays do not return
-	Disk   string  `toml:"disk"`   // power-loss, relay-kill: what becomes of the relays' disks meanwhile
-	From   string  `toml:"from"`   // way-...: relays, discovery, relay-N, zone-X, half or rest
-	To     string  `toml:"to"`
-	Both   bool    `toml:"both"` // way-...: and back
+	Kind          string  `toml:"kind"`
+	At            Millis  `toml:"at"`
+	Duration      Millis  `toml:"for"`
+	Share         float64 `toml:"share"`  // of the servers, relays or clients, one at the least
+	Factor        float64 `toml:"factor"` // what it means goes by the kind
+	ReturnSpread  Millis  `toml:"spread"` // power-loss: over which what went returns, after For
+	NeverReturn   int     `toml:"never"`  // power-loss: so many relays do not return
+	Disk          string  `toml:"disk"`   // power-loss, relay-kill: what becomes of the relays' disks meanwhile
+	From          string  `toml:"from"`   // way-...: relays, discovery, relay-N, zone-X, half or rest
+	To            string  `toml:"to"`
+	Bidirectional bool    `toml:"both"` // way-...: and back
 }
 
-// Way is what one direction between two machines does to what passes. The zero one passes all at once.
-type Way struct {
-	Cut     bool    // nothing passes: bytes wait, datagrams are lost
-	Delay   Span    // of each piece
-	Jitter  Span    // up to which comes on top
-	Loss    float64 // of datagrams, the part that is lost
-	Double  float64 // the part that arrives twice
-	Reorder float64 // the part that is overtaken
-	Reset   bool    // connections are reset as soon as anything would pass
-	Trickle int     // bytes a second of a connection; 0: any
-	Pieces  int     // bytes of a piece at the most; 0: any
+// Impairment is what one direction between two machines does to what passes. The zero one passes all at once.
+type Impairment struct {
+	Cut            bool    // nothing passes: bytes wait, datagrams are lost
+	Delay          Millis  // of each piece
+	Jitter         Millis  // up to which comes on top
+	Loss           float64 // of datagrams, the part that is lost
+	Duplicate      float64 // the part that arrives twice
+	Reorder        float64 // the part that is overtaken
+	Reset          bool    // connections are reset as soon as anything would pass
+	BytesPerSecond int     // bytes a second of a connection; 0: any
+	MaxPiece       int     // bytes of a piece at the most; 0: any
 }
 
 // Discovery is its number where machines are numbered; relays have theirs from 0 on.
 const Discovery = -1
 
 // ways are the kinds that change what lies between machines, by what they do to it.
-var ways = map[string]func(factor float64) Way{
-	"way-cut":     func(float64) Way { return Way{Cut: true} },
-	"way-delay":   func(f float64) Way { return Way{Delay: Span(f * 1000), Jitter: Span(f * 500)} },
-	"way-loss":    func(f float64) Way { return Way{Loss: f} },
-	"way-double":  func(f float64) Way { return Way{Double: f} },
-	"way-reorder": func(f float64) Way { return Way{Reorder: f} },
-	"way-reset":   func(float64) Way { return Way{Reset: true} },
-	"way-trickle": func(f float64) Way { return Way{Trickle: int(f)} },
-	"way-pieces":  func(f float64) Way { return Way{Pieces: int(f)} },
+var ways = map[string]func(factor float64) Impairment{
+	"way-cut":     func(float64) Impairment { return Impairment{Cut: true} },
+	"way-delay":   func(f float64) Impairment { return Impairment{Delay: Millis(f * 1000), Jitter: Millis(f * 500)} },
+	"way-loss":    func(f float64) Impairment { return Impairment{Loss: f} },
+	"way-double":  func(f float64) Impairment { return Impairment{Duplicate: f} },
+	"way-reorder": func(f float64) Impairment { return Impairment{Reorder: f} },
+	"way-reset":   func(float64) Impairment { return Impairment{Reset: true} },
+	"way-trickle": func(f float64) Impairment { return Impairment{BytesPerSecond: int(f)} },
+	"way-pieces":  func(f float64) Impairment { return Impairment{MaxPiece: int(f)} },
 }
 
-// Way is what a fault does to the ways that it is about; false where it is about none.
-func (f *Fault) Way() (Way, bool) {
+// Impairment is what a fault does to the ways that it is about; false where it is about none.
+func (f *Fault) Impairment() (Impairment, bool) {
 	if way := ways[f.Kind]; way != nil {
 		return way(f.Factor), true
 	}
-	return Way{}, false
+	return Impairment{}, false
 }
 
 // place tells whether a machine belongs to what a fault names: "relays", "discovery", "relay-3", "zone-b"
@@ -175,14 +175,14 @@
 	return named == fmt.Sprintf("relay-%d", machine) || named == "zone-"+Zone(machine%zones)
 }
 
-// Between tells whether the fault is about the way from one machine to another.
-func (x *Experiment) Between(f *Fault, from, to int) bool {
+// AffectsLink tells whether the fault is about the way from one machine to another.
+func (x *Experiment) AffectsLink(f *Fault, from, to int) bool {
 	at := func(named string, machine int) bool { return place(named, machine, x.Fleet.Zones) }
-	return from != to && ((at(f.From, from) && at(f.To, to)) || (f.Both && at(f.From, to) && at(f.To, from)))
+	return from != to && ((at(f.From, from) && at(f.To, to)) || (f.Bidirectional && at(f.From, to) && at(f.To, from)))
 }
 
-// Kinds tells each kind of fault and what its factor means.
-var Kinds = map[string]string{
+// FaultKinds tells each kind of fault and what its factor means.
+var FaultKinds = map[string]string{
 	"silent":          "servers say nothing and take nothing in; their connections stay open",
 	"reset":           "servers break all their connections, once, at the start",
 	"refuse":          "servers refuse new connections",
@@ -225,8 +225,8 @@
 	"burst":           "new clients come at that multiple of the rate (factor)",
 }
 
-// Known are the names of the policies.
-var Known = []string{"module", "random", "round-robin", "least", "two", "near", "sight", "sight-kept"}
+// Policies are the names of the policies.
+var Policies = []string{"module", "random", "round-robin", "least", "two", "near", "sight", "sight-kept"}
 
 // Bounds on an experiment's size, against a slip that takes the machine down.
 const (
@@ -235,8 +235,8 @@
 	mostClients = 5e6
 )
 
-// Read reads an experiment file.
-func Read(path string) (*Experiment, error) {
+// ReadFile reads an experiment file.
+func ReadFile(path string) (*Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("experiment: %w", err)
@@ -262,67 +262,67 @@
 
 // Default is what holds where a file is silent.
 func Default() *Experiment {
-	return &Experiment{Name: "unnamed", Seed: 1, Length: 30000, Warm: 3000,
-		Relays: Relays{Count: 2, Back: 1000, FrontNotice: 2000, Tries: 3, MaxBack: 1000, Probes: true,
-			Known: true},
-		Network: Network{Delay: 0.2, Jitter: 0.2, Split: 0.01},
-		Fleet: Fleet{Servers: 10, Zones: 1, Cores: 4, SpeedSpread: 0.1, SetupWork: 4, Reports: 200, Noise: 0.02,
-			ColdFrom: 0.2, Cold: 9000, TipMultiple: 3, Fall: 2000, Down: 5000}}
+	return &Experiment{Name: "unnamed", Seed: 1, Length: 30000, Warmup: 3000,
+		Relays: Relays{Count: 2, RestartDelay: 1000, DetectionDelay: 2000, MaxAttempts: 3, MaxRetryAfter: 1000, LoadPolling: true,
+			KnowsEndpoints: true},
+		Network: Network{Delay: 0.2, Jitter: 0.2, SplitProbability: 0.01},
+		Fleet: Fleet{Backends: 10, Zones: 1, Cores: 4, SpeedSpread: 0.1, SetupWork: 4, MaxReportAge: 200, ReportNoise: 0.02,
+			SlowStartFrom: 0.2, SlowStart: 9000, OverloadMultiple: 3, OverloadWindow: 2000, OverloadDowntime: 5000}}
 }
 
 // Complete fills in each traffic and fault, and names the first field that is out of bounds.
 func (x *Experiment) Complete() error {
 	if len(x.Variants) == 0 {
-		x.Variants = []string{Known[0]}
+		x.Variants = []string{Policies[0]}
 	}
 	for _, v := range x.Variants {
-		if !slices.Contains(Known, v) {
-			return fmt.Errorf("variants: one of %s expected, got %q", strings.Join(Known, ", "), v)
+		if !slices.Contains(Policies, v) {
+			return fmt.Errorf("variants: one of %s expected, got %q", strings.Join(Policies, ", "), v)
 		}
 	}
 	f := &x.Fleet
 	checks := []check{
-		{"length", float64(x.Length), 1000, 3.6e6}, {"warm", float64(x.Warm), 0, float64(x.Length) - 1000},
+		{"length", float64(x.Length), 1000, 3.6e6}, {"warm", float64(x.Warmup), 0, float64(x.Length) - 1000},
 		{"relays.count", float64(x.Relays.Count), 1, mostRelays},
-		{"relays.back", float64(x.Relays.Back), 1, 3.6e6},
-		{"relays.front-notice", float64(x.Relays.FrontNotice), 0, 3.6e6},
-		{"relays.sockets", float64(x.Relays.Sockets), 0, 1e6},
-		{"relays.council", float64(x.Relays.Council), 0, float64(min(x.Relays.Count, 7))},
+		{"relays.back", float64(x.Relays.RestartDelay), 1, 3.6e6},
+		{"relays.front-notice", float64(x.Relays.DetectionDelay), 0, 3.6e6},
+		{"relays.sockets", float64(x.Relays.MaxDescriptors), 0, 1e6},
+		{"relays.council", float64(x.Relays.Coordinators), 0, float64(min(x.Relays.Count, 7))},
 		{"fleet.regions", float64(f.Regions), 0, float64(f.Zones)},
-		{"relays.most-setup-tries", float64(x.Relays.Tries), 1, 100},
-		{"relays.max-retry-after", float64(x.Relays.MaxBack), 0, 60000},
+		{"relays.most-setup-tries", float64(x.Relays.MaxAttempts), 1, 100},
+		{"relays.max-retry-after", float64(x.Relays.MaxRetryAfter), 0, 60000},
 		{"network.delay", float64(x.Network.Delay), 0.01, 1000},
-		{"network.jitter", float64(x.Network.Jitter), 0, 1000}, {"network.split", x.Network.Split, 0, 1},
-		{"fleet.servers", float64(f.Servers), 1, mostServers},
-		{"fleet.zones", float64(f.Zones), 1, float64(min(f.Servers, 26))}, {"fleet.cores", f.Cores, 0.01, 1024},
+		{"network.jitter", float64(x.Network.Jitter), 0, 1000}, {"network.split", x.Network.SplitProbability, 0, 1},
+		{"fleet.servers", float64(f.Backends), 1, mostServers},
+		{"fleet.zones", float64(f.Zones), 1, float64(min(f.Backends, 26))}, {"fleet.cores", f.Cores, 0.01, 1024},
 		{"fleet.speed-spread", f.SpeedSpread, 0, 0.9}, {"fleet.setup-work", float64(f.SetupWork), 0, 10000},
-		{"fleet.store-rate", f.StoreRate, 0, 1e6}, {"fleet.reports", float64(f.Reports), 0, 60000},
-		{"fleet.noise", f.Noise, 0, 1}, {"fleet.cold-from", f.ColdFrom, 0.01, 1},
-		{"fleet.cold", float64(f.Cold), 0, 3.6e6}, {"fleet.tip-multiple", f.TipMultiple, 0.1, 1000},
-		{"fleet.fall", float64(f.Fall), 100, 60000}, {"fleet.down", float64(f.Down), 100, 3.6e6},
+		{"fleet.store-rate", f.StoreRate, 0, 1e6}, {"fleet.reports", float64(f.MaxReportAge), 0, 60000},
+		{"fleet.noise", f.ReportNoise, 0, 1}, {"fleet.cold-from", f.SlowStartFrom, 0.01, 1},
+		{"fleet.cold", float64(f.SlowStart), 0, 3.6e6}, {"fleet.tip-multiple", f.OverloadMultiple, 0.1, 1000},
+		{"fleet.fall", float64(f.OverloadWindow), 100, 60000}, {"fleet.down", float64(f.OverloadDowntime), 100, 3.6e6},
 	}
-	if n := x.Relays.Council; n > 0 && (n%2 == 0 || !x.Relays.Peers) {
+	if n := x.Relays.Coordinators; n > 0 && (n%2 == 0 || !x.Relays.Membership) {
 		return fmt.Errorf("relays.council: an odd number, and relays.peers, expected, got %d", n)
 	}
-	if n := x.Relays.Holdings; n > 0 && (n%2 == 0 || n > 7 || !x.Relays.Peers || !x.Relays.Disk) {
+	if n := x.Relays.Replicas; n > 0 && (n%2 == 0 || n > 7 || !x.Relays.Membership || !x.Relays.Disk) {
 		return fmt.Errorf("relays.holdings: 1, 3, 5 or 7, and relays.peers and .disk, expected, got %d", n)
 	}
-	if m := x.Relays.Remember; m < 0 || m > 60000 || (m > 0 && x.Relays.Holdings == 0) {
+	if m := x.Relays.MarkerRetention; m < 0 || m > 60000 || (m > 0 && x.Relays.Replicas == 0) {
 		return fmt.Errorf("relays.remember: 0 to 60 s, and relays.holdings, expected, got %.0f ms", float64(m))
 	}
-	if x.Relays.Stood && x.Relays.Holdings == 0 {
+	if x.Relays.ReplicatesAffinity && x.Relays.Replicas == 0 {
 		return fmt.Errorf("relays.stood: relays.holdings expected beside it, got nothing")
 	}
 	clients := 0.0
 	for i := range x.Traffic {
 		t := &x.Traffic[i]
 		t.fill(i)
-		clients += float64(t.Standing) + t.Rate*float64(x.Length)/1000
+		clients += float64(t.InitialClients) + t.Rate*float64(x.Length)/1000
 		at := fmt.Sprintf("traffic.%d.", i)
 		if !slices.Contains([]string{"replayable", "referenced", "single-use"}, t.Effect) {
 			return fmt.Errorf("%seffect: replayable, referenced or single-use expected, got %q", at, t.Effect)
 		}
-		for _, name := range []struct{ field, value string }{{"category", t.Category}, {"party", t.Party}} {
+		for _, name := range []struct{ field, value string }{{"category", t.Class}, {"party", t.Tenant}} {
 			if strings.ContainsFunc(name.value, func(r rune) bool {
 				return r <= ' ' || r > '~' || r == ',' ||
 					r == '='
@@ -330,28 +330,28 @@
 				return fmt.Errorf("%s%s: a name of plain letters expected, got %q", at, name.field, name.value)
 			}
 		}
-		checks = append(checks, check{at + "gain", t.Gain, 0.001, 1e6},
-			check{at + "promised", float64(t.Promised), 1, 60000},
-			check{at + "hard-limit", float64(t.HardLimit), float64(t.Promised), 60000},
-			check{at + "rate", t.Rate, 0, 1e6}, check{at + "standing", float64(t.Standing), 0, 1e6},
-			check{at + "life", float64(t.Life), 100, 3.6e6}, check{at + "load", t.Load, 0, 1e6},
-			check{at + "load-spread", t.LoadSpread, 0, 3}, check{at + "every", float64(t.Every), 10, 60000},
-			check{at + "groups", float64(t.Groups), 0, 1e6}, check{at + "honours-busy", t.HonoursMS, 0, 1},
-			check{at + "retry", float64(t.Retry), 1, 60000})
+		checks = append(checks, check{at + "gain", t.PriorityWeight, 0.001, 1e6},
+			check{at + "promised", float64(t.LatencyObjective), 1, 60000},
+			check{at + "hard-limit", float64(t.HardLimit), float64(t.LatencyObjective), 60000},
+			check{at + "rate", t.Rate, 0, 1e6}, check{at + "standing", float64(t.InitialClients), 0, 1e6},
+			check{at + "life", float64(t.Lifetime), 100, 3.6e6}, check{at + "load", t.Load, 0, 1e6},
+			check{at + "load-spread", t.LoadSpread, 0, 3}, check{at + "every", float64(t.LineInterval), 10, 60000},
+			check{at + "groups", float64(t.Groups), 0, 1e6}, check{at + "honours-busy", t.HonorsRetryAfter, 0, 1},
+			check{at + "retry", float64(t.RetryDelay), 1, 60000})
 	}
 	checks = append(checks, check{"traffic: clients in all", clients, 1, mostClients})
 	for i := range x.Faults {
 		t := &x.Faults[i]
 		t.fill()
 		at := fmt.Sprintf("fault.%d.", i)
-		if Kinds[t.Kind] == "" {
+		if FaultKinds[t.Kind] == "" {
 			return fmt.Errorf("%skind: no such kind: %q", at, t.Kind)
 		}
 		checks = append(checks, check{at + "at", float64(t.At), 0, float64(x.Length)},
-			check{at + "for", float64(t.For), 0, float64(x.Length)}, check{at + "share", t.Share, 0, 1},
+			check{at + "for", float64(t.Duration), 0, float64(x.Length)}, check{at + "share", t.Share, 0, 1},
 			check{at + "factor", t.Factor, t.leastFactor(), 1e6},
-			check{at + "spread", float64(t.Spread), 0, float64(x.Length)},
-			check{at + "never", float64(t.Never), 0, float64(x.Relays.Count - 1)})
+			check{at + "spread", float64(t.ReturnSpread), 0, float64(x.Length)},
+			check{at + "never", float64(t.NeverReturn), 0, float64(x.Relays.Count - 1)})
 		if err := t.names(at, x); err != nil {
 			return err
 		}
@@ -371,27 +371,27 @@
 }
 
 func (t *Traffic) fill(i int) {
-	t.Category = cmp.Or(t.Category, fmt.Sprintf("kind%d", i))
-	t.Party = cmp.Or(t.Party, "all")
+	t.Class = cmp.Or(t.Class, fmt.Sprintf("kind%d", i))
+	t.Tenant = cmp.Or(t.Tenant, "all")
 	t.Effect = cmp.Or(t.Effect, "replayable")
-	t.Gain = cmp.Or(t.Gain, 1)
-	t.Promised = cmp.Or(t.Promised, 500)
-	t.HardLimit = cmp.Or(t.HardLimit, max(2000, t.Promised))
-	t.Life = cmp.Or(t.Life, 20000)
+	t.PriorityWeight = cmp.Or(t.PriorityWeight, 1)
+	t.LatencyObjective = cmp.Or(t.LatencyObjective, 500)
+	t.HardLimit = cmp.Or(t.HardLimit, max(2000, t.LatencyObjective))
+	t.Lifetime = cmp.Or(t.Lifetime, 20000)
 	t.Load = cmp.Or(t.Load, 10)
-	t.Every = cmp.Or(t.Every, 2000)
-	t.Retry = cmp.Or(t.Retry, 200)
+	t.LineInterval = cmp.Or(t.LineInterval, 2000)
+	t.RetryDelay = cmp.Or(t.RetryDelay, 200)
 }
 
-// Disks are what can become of the disks of relays that are down.
-var Disks = []string{"", "wiped", "torn", "flipped", "older", "another's", "full", "read-only", "slow"}
+// DiskFaults are what can become of the disks of relays that are down.
+var DiskFaults = []string{"", "wiped", "torn", "flipped", "older", "another's", "full", "read-only", "slow"}
 
 // names checks what a fault names.
 func (f *Fault) names(at string, x *Experiment) error {
-	if !slices.Contains(Disks, f.Disk) {
-		return fmt.Errorf("%sdisk: one of %s expected, got %q", at, strings.Join(Disks[1:], ", "), f.Disk)
+	if !slices.Contains(DiskFaults, f.Disk) {
+		return fmt.Errorf("%sdisk: one of %s expected, got %q", at, strings.Join(DiskFaults[1:], ", "), f.Disk)
 	}
-	if _, way := f.Way(); !way {
+	if _, way := f.Impairment(); !way {
 		return nil
 	}
 	for _, end := range []struct{ field, value string }{{"from", f.From}, {"to", f.To}} {
@@ -416,8 +416,8 @@
 
 func (f *Fault) fill() {
 	f.Share = cmp.Or(f.Share, 0.2)
-	f.For = cmp.Or(f.For, 5000)
-	if _, way := f.Way(); way {
+	f.Duration = cmp.Or(f.Duration, 5000)
+	if _, way := f.Impairment(); way {
 		f.From, f.To = cmp.Or(f.From, "relays"), cmp.Or(f.To, "discovery")
 	}
 	if f.Factor == 0 {
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -12,9 +12,9 @@
 func TestParse(t *testing.T) {
 	x, err := Parse([]byte("length = \"5s\"\n[fleet]\nservers = 3\n" + traffic + "[[fault]]\nkind = \"slow\"\n"))
 	require.NoError(t, err)
-	assert.Equal(t, Span(5000), x.Length)
+	assert.Equal(t, Millis(5000), x.Length)
 	assert.Equal(t, []string{"module"}, x.Variants)
-	assert.Equal(t, "kind0", x.Traffic[0].Category)
+	assert.Equal(t, "kind0", x.Traffic[0].Class)
 	assert.Equal(t, 0.4, x.Faults[0].Factor)
 	for _, c := range []struct{ text, want string }{
 		{"", "traffic: clients in all: from 1 to 5e+06 expected, got 0"},
@@ -37,11 +37,11 @@
 // What one part draws moves no other, and is the same every time.
 func TestChance(t *testing.T) {
 	x, y := Default(), Default()
-	x.Chance("crowd", 0).Float64()
-	assert.Equal(t, x.Chance("world", 1).Float64(), y.Chance("world", 1).Float64())
-	assert.NotEqual(t, x.Chance("world", 1).Float64(), x.Chance("world", 2).Float64())
+	x.Rand("crowd", 0).Float64()
+	assert.Equal(t, x.Rand("world", 1).Float64(), y.Rand("world", 1).Float64())
+	assert.NotEqual(t, x.Rand("world", 1).Float64(), x.Rand("world", 2).Float64())
 	y.Seed++
-	assert.NotEqual(t, x.Chance("world", 1).Float64(), y.Chance("world", 1).Float64())
+	assert.NotEqual(t, x.Rand("world", 1).Float64(), y.Rand("world", 1).Float64())
 }
 
 // Whatever is read can be used: a relay's settings come of it.
@@ -55,7 +55,7 @@
 		if (x == nil) == (err == nil) {
 			t.Fatal("one of experiment and error expected")
 		}
-		if x != nil && len(x.Told(0)) == 0 {
+		if x != nil && len(x.RelaySettings(0)) == 0 {
 			t.Fatal("no settings")
 		}
 	})
--- a/internal/testbed/explore/explore_test.go
+++ b/internal/testbed/explore/explore_test.go
@@ -28,8 +28,8 @@
 	assert.Contains(t, string(said), "0 break a rule")
 
 	n := 0
-	Hunt(context.Background(), 1, 13, func(f *Found) {
-		t.Errorf("seed %d: %v %s %v", f.Seed, f.Counts, f.Panic, f.Breaks[:min(len(f.Breaks), 3)])
+	Explore(context.Background(), 1, 13, func(f *Finding) {
+		t.Errorf("seed %d: %v %s %v", f.Seed, f.Counts, f.Panic, f.Violations[:min(len(f.Violations), 3)])
 	}, func(played int) { n = played })
 	assert.Equal(t, 12, n)
 }
@@ -37,12 +37,12 @@
 // What was found at first is written as a file that is read as the same experiment.
 func TestDrawnExperimentsAreFiles(t *testing.T) {
 	for seed := range uint64(200) {
-		x := Draw(seed)
-		text, err := (&Found{Experiment: x}).Text()
+		x := Generate(seed)
+		text, err := (&Finding{Experiment: x}).Text()
 		require.NoError(t, err)
 		y, err := experiment.Parse(text)
 		require.NoError(t, err, "%s", text)
-		again, err := (&Found{Experiment: y}).Text()
+		again, err := (&Finding{Experiment: y}).Text()
 		require.NoError(t, err)
 		require.Equal(t, string(text), string(again))
 	}
@@ -51,16 +51,16 @@
 // Shrinking takes away what does not matter: here by a fleet whose cold servers are pushed over by the first
 // links, whatever else goes wrong.
 func TestShrink(t *testing.T) {
-	x := Draw(3)
+	x := Generate(3)
 	x.Variants = []string{"random"} // which knows nothing of cold servers
-	x.Fleet.ColdFrom, x.Fleet.Cold, x.Fleet.TipMultiple = 0.05, 12000, 0.2
-	x.Faults = append(x.Faults, experiment.Fault{Kind: "growth", At: 2000, For: 1, Share: 1})
+	x.Fleet.SlowStartFrom, x.Fleet.SlowStart, x.Fleet.OverloadMultiple = 0.05, 12000, 0.2
+	x.Faults = append(x.Faults, experiment.Fault{Kind: "growth", At: 2000, Duration: 1, Share: 1})
 	require.NoError(t, x.Complete())
 	f := Play(x)
 	require.NotNil(t, f)
-	require.NotZero(t, f.Counts[audit.Cold], f.Counts)
+	require.NotZero(t, f.Counts[audit.SlowStart], f.Counts)
 	g := Shrink(f, 120)
-	assert.NotZero(t, g.Counts[audit.Cold])
+	assert.NotZero(t, g.Counts[audit.SlowStart])
 	assert.Len(t, g.Experiment.Faults, 1)
 	assert.Equal(t, "growth", g.Experiment.Faults[0].Kind)
 	assert.Less(t, g.Experiment.Length, x.Length)
--- a/internal/testbed/faultdisk/faultdisk.go
+++ b/internal/testbed/faultdisk/faultdisk.go
@@ -1,4 +1,4 @@
-// Package spoiled is a disk for the lab's build of the relay: what was not synced is gone when the process is
+// Package faultdisk is a disk for the lab's build of the relay: what was not synced is gone when the process is
 // killed, as at a power loss, and a file beside the store's, named faults, has it be full, read-only or slow.
 package faultdisk
 
@@ -13,29 +13,29 @@
 	"valeshift/internal/store"
 )
 
-// Faults is the file that says what is wrong with the disk, in words: full, read-only, slow.
-const Faults = "faults"
+// FaultsFile is the file that says what is wrong with the disk, in words: full, read-only, slow.
+const FaultsFile = "faults"
 
 const slow = 10 * time.Second
 
-type folder struct{ store.Folder }
+type folder struct{ store.DirFS }
 
 // Folder is a folder with these faults.
-func Folder(path string) store.FS { return folder{store.Folder(path)} }
+func Folder(path string) store.FS { return folder{store.DirFS(path)} }
 
 func (f folder) faulty(what string) bool {
-	text, err := os.ReadFile(filepath.Join(string(f.Folder), Faults))
+	text, err := os.ReadFile(filepath.Join(string(f.DirFS), FaultsFile))
 	return err == nil && strings.Contains(string(text), what)
 }
 
-// Names leaves the lab's own file out, and takes its time on a slow disk.
-func (f folder) Names() (names []string, err error) {
+// ListFiles leaves the lab's own file out, and takes its time on a slow disk.
+func (f folder) ListFiles() (names []string, err error) {
 	if f.faulty("slow") {
 		time.Sleep(slow)
 	}
-	all, err := f.Folder.Names()
+	all, err := f.DirFS.ListFiles()
 	for _, n := range all {
-		if n != Faults {
+		if n != FaultsFile {
 			names = append(names, n)
 		}
 	}
@@ -52,11 +52,11 @@
 	return nil
 }
 
-func (f folder) Append(name string) (store.File, error) {
+func (f folder) OpenAppend(name string) (store.File, error) {
 	if err := f.writes(); err != nil {
 		return nil, err
 	}
-	inner, err := f.Folder.Append(name)
+	inner, err := f.DirFS.OpenAppend(name)
 	return &file{f, inner, nil}, err
 }
 
@@ -64,7 +64,7 @@
 	if err := f.writes(); err != nil {
 		return err
 	}
-	return f.Folder.Rename(from, to)
+	return f.DirFS.Rename(from, to)
 }
 
 // file holds what is written back until it is synced.
--- a/internal/testbed/live/council.go
+++ b/internal/testbed/live/council.go
@@ -22,7 +22,7 @@
 // council makes the voters' files, with a way of its own to each other, and gives where each relay reaches
 // them.
 func (r *Run) council() (voters [][]string, err error) {
-	n := r.x.Relays.Council
+	n := r.x.Relays.Coordinators
 	hears := make([]string, n)
 	for k := range hears {
 		if hears[k], err = r.free(k); err != nil {
@@ -33,7 +33,7 @@
 		if from == to {
 			return hears[to], nil
 		}
-		w, err := netem.New(r.road(from), hears[to], r.x.Chance("way", 100000*(from+1)+to))
+		w, err := netem.New(r.road(from), hears[to], r.x.Rand("way", 100000*(from+1)+to))
 		if err != nil {
 			return "", err
 		}
--- a/internal/testbed/live/ground.go
+++ b/internal/testbed/live/ground.go
@@ -102,7 +102,7 @@
 		}
 		p.last++
 		k := p.add(p.last)
-		p.actor.Opened(k.number)
+		p.actor.OnAccept(k.number)
 		k.begin(c.(*net.TCPConn))
 		p.g.mutex.Unlock()
 	}
@@ -150,11 +150,11 @@
 			return
 		}
 		if n > 0 {
-			k.place.actor.Came(k.number, buffer[:n])
+			k.place.actor.OnData(k.number, buffer[:n])
 		}
 		if err != nil && !k.over {
 			k.gone()
-			k.place.actor.Over(k.number, isReset(err))
+			k.place.actor.OnClose(k.number, isReset(err))
 		}
 		over := k.over
 		g.mutex.Unlock()
@@ -238,10 +238,10 @@
 			}
 		case err != nil:
 			k.gone()
-			h.actor.Over(k.number, true)
+			h.actor.OnClose(k.number, true)
 		default:
 			k.begin(c.(*net.TCPConn))
-			h.actor.Up(k.number)
+			h.actor.OnConnect(k.number)
 		}
 	}()
 	return k.number
@@ -254,13 +254,13 @@
 	}
 }
 
-func (h host) End(number uint64) {
+func (h host) Close(number uint64) {
 	if k := h.conns[number]; k != nil {
 		k.end()
 	}
 }
 
-func (h host) Break(number uint64) {
+func (h host) Reset(number uint64) {
 	if k := h.conns[number]; k != nil {
 		k.reset()
 	}
--- a/internal/testbed/live/live.go
+++ b/internal/testbed/live/live.go
@@ -43,8 +43,8 @@
 
 // Result is what a run came to.
 type Result struct {
-	Tally  *model.Tally
-	Marks  []model.Mark
+	Tally  *model.Metrics
+	Marks  []model.FaultSpan
 	Audit  *audit.Auditor
 	Fallen int
 	Late   bool // the machine was too slow to keep the schedule: the figures don't count
@@ -58,7 +58,7 @@
 type Run struct {
 	*ground
 	x      *experiment.Experiment
-	world  *model.World
+	world  *model.Environment
 	audit  *audit.Auditor
 	relays []*process
 	dir    string
@@ -67,8 +67,8 @@
 	seats  []*seat // of voters, on the first machines
 	given  map[string]bool
 
-	ways     map[[2]int]experiment.Way // as they are, by who sends and who is sent to
-	forwards map[[2]int][]*netem.Way   // by who dials and who is dialed
+	ways     map[[2]int]experiment.Impairment // as they are, by who sends and who is sent to
+	forwards map[[2]int][]*netem.Proxy        // by who dials and who is dialed
 }
 
 // process is one relay, in all its lives.
@@ -95,16 +95,16 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	r := &Run{ground: newGround(ctx), x: x, dir: dir, binary: binary, number: runs.Add(1),
-		ways: map[[2]int]experiment.Way{}, forwards: map[[2]int][]*netem.Way{}, given: map[string]bool{},
-		audit: audit.New(slack, x.Fleet.TipMultiple, float64(x.Fleet.Fall))}
+		ways: map[[2]int]experiment.Impairment{}, forwards: map[[2]int][]*netem.Proxy{}, given: map[string]bool{},
+		audit: audit.New(slack, x.Fleet.OverloadMultiple, float64(x.Fleet.OverloadWindow))}
 	defer r.close()
 	home, err := r.place(-1)
 	if err != nil {
 		return nil, err
 	}
 	r.mutex.Lock()
-	r.world = model.NewWorld(x, r, host{home}, r.audit)
-	r.audit.Near, r.audit.NearFrom = r.world.Near, r.now()+float64(x.Warm)
+	r.world = model.NewEnvironment(x, r, host{home}, r.audit)
+	r.audit.IsSameZone, r.audit.LocalityFrom = r.world.IsSameZone, r.now()+float64(x.Warmup)
 	r.mutex.Unlock()
 	var addresses []string
 	for i := range x.Relays.Count {
@@ -129,9 +129,9 @@
 		}
 	}
 	r.mutex.Lock()
-	r.world.Tally.Start = r.now()
-	r.world.Begin(addresses)
-	r.after(float64(x.Warm)/2, r.early)
+	r.world.Metrics.Start = r.now()
+	r.world.Start(addresses)
+	r.after(float64(x.Warmup)/2, r.early)
 	r.mutex.Unlock()
 	if err := sleep(ctx, time.Duration(float64(x.Length)*float64(time.Millisecond))); err != nil {
 		return nil, err
@@ -144,7 +144,7 @@
 	}
 	result.Fleet = r.fleets()
 	r.mutex.Lock()
-	r.world.Crowd.Close()
+	r.world.Workload.Close()
 	r.mutex.Unlock()
 	if err := sleep(ctx, settle); err != nil {
 		return nil, err
@@ -152,8 +152,8 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.audit.Finish(r.now())
-	result.Tally, result.Marks, result.Audit = r.world.Tally, r.world.Marks, r.audit
-	result.Fallen, result.Late = r.world.Fallen(), r.world.Tally.Behind > late
+	result.Tally, result.Marks, result.Audit = r.world.Metrics, r.world.FaultSpans, r.audit
+	result.Fallen, result.Late = r.world.ColdOverloads(), r.world.Metrics.MaxLag > late
 	return result, nil
 }
 
@@ -188,7 +188,7 @@
 		if err != nil {
 			return err
 		}
-		w, err := netem.New(r.road(p.number), l.Addr().String(), r.x.Chance("way", 10*p.number+i))
+		w, err := netem.New(r.road(p.number), l.Addr().String(), r.x.Rand("way", 10*p.number+i))
 		if err != nil {
 			return err
 		}
@@ -220,7 +220,7 @@
 // listened on later being given twice.
 func (r *Run) free(machine int) (string, error) {
 	for {
-		address, err := procstat.FreeOn(r.home(machine))
+		address, err := procstat.FreeAddressOn(r.home(machine))
 		if err != nil || !r.given[address] {
 			r.given[address] = true
 			return address, err
@@ -233,8 +233,8 @@
 	return fmt.Sprintf("127.%d.%d.%d", 1+r.number%250, 101+machine/200, 1+machine%200)
 }
 
-// Freeze stops a relay's process, or has it go on.
-func (r *Run) Freeze(i int, on bool) {
+// FreezeRelay stops a relay's process, or has it go on.
+func (r *Run) FreezeRelay(i int, on bool) {
 	signal := syscall.SIGCONT
 	if on {
 		signal = syscall.SIGSTOP
@@ -249,26 +249,26 @@
 
 func (r *Run) clock(i int) string { return filepath.Join(r.dir, fmt.Sprintf("clock-%d", i)) }
 
-// Clock has a relay's machine have a clock that is so many milliseconds ahead.
-func (r *Run) Clock(i int, ahead float64) {
+// SetClockOffset has a relay's machine have a clock that is so many milliseconds ahead.
+func (r *Run) SetClockOffset(i int, ahead float64) {
 	os.WriteFile(r.clock(i)+".new", fmt.Append(nil, ahead), 0o600)
 	os.Rename(r.clock(i)+".new", r.clock(i)) // so that nobody reads half of it
 }
 
-// Way sets what lies between two machines in that direction.
-func (r *Run) Way(from, to int, way experiment.Way) {
+// SetImpairment sets what lies between two machines in that direction.
+func (r *Run) SetImpairment(from, to int, way experiment.Impairment) {
 	r.ways[[2]int{from, to}] = way
 	for _, pair := range [][2]int{{from, to}, {to, from}} {
 		for _, w := range r.forwards[pair] {
-			w.Set(r.ways[pair], r.ways[[2]int{pair[1], pair[0]}])
+			w.SetImpairments(r.ways[pair], r.ways[[2]int{pair[1], pair[0]}])
 		}
 	}
 }
 
 // keep has the platform keep the list as it is now for a relay, where the experiment has it do so.
 func (r *Run) keep(p *process) {
-	if r.x.Relays.Known {
-		p.known = encode(r.world.List.Whole())
+	if r.x.Relays.KnowsEndpoints {
+		p.known = encode(r.world.Discovery.FullUpdate())
 	}
 }
 
@@ -276,9 +276,9 @@
 func (r *Run) configure(p *process) error {
 	told := map[string]any{"name": fmt.Sprintf("relay-%d", p.number), "listen": p.address,
 		"discovery": p.lists[p.using], "ops": p.ops,
-		"seed":     strconv.FormatUint(r.x.Chance("relay", p.number*1000+p.turn).Uint64(), 16),
-		"limits":   map[string]any{"cores": 1, "memory_mb": 0, "sockets": r.x.Relays.Sockets},
-		"settings": r.x.Told(p.number % r.x.Fleet.Zones)}
+		"seed":     strconv.FormatUint(r.x.Rand("relay", p.number*1000+p.turn).Uint64(), 16),
+		"limits":   map[string]any{"cores": 1, "memory_mb": 0, "sockets": r.x.Relays.MaxDescriptors},
+		"settings": r.x.RelaySettings(p.number % r.x.Fleet.Zones)}
 	if p.known != nil {
 		told["known"] = json.RawMessage(p.known)
 	}
@@ -334,12 +334,12 @@
 			return
 		}
 		p.alive = false
-		if r.world.Crowd == nil { // the run has not begun: it is over before it does
+		if r.world.Workload == nil { // the run has not begun: it is over before it does
 			p.early = fmt.Sprint(cmp.Or(err, errors.New("exit status 0")))
 			return
 		}
 		r.keep(p)
-		r.world.Exited(p.number) // it ended by itself: planned, or a crash
+		r.world.RelayExited(p.number) // it ended by itself: planned, or a crash
 	}()
 	return nil
 }
@@ -401,8 +401,8 @@
 	r.mutex.Unlock()
 }
 
-// Place opens an address for an actor.
-func (r *Run) Place(zone int) (model.Host, string) {
+// NewHost opens an address for an actor.
+func (r *Run) NewHost(zone int) (model.Host, string) {
 	p, err := r.place(zone)
 	if err != nil {
 		panic(fmt.Sprintf("no port on loopback: %v", err)) // no experiment can go on
@@ -413,14 +413,14 @@
 // Bind says who stands there.
 func (r *Run) Bind(address string, who model.Actor) { r.places[address].actor = who }
 
-// Dark has nothing pass to or from an address.
-func (r *Run) Dark(address string, dark bool) { r.places[address].setDark(dark) }
+// SetUnreachable has nothing pass to or from an address.
+func (r *Run) SetUnreachable(address string, dark bool) { r.places[address].setDark(dark) }
 
-// Refuse closes an address for new connections.
-func (r *Run) Refuse(address string, refuse bool) { r.places[address].refuse(refuse) }
+// SetRefusing closes an address for new connections.
+func (r *Run) SetRefusing(address string, refuse bool) { r.places[address].refuse(refuse) }
 
-// Cut has nothing pass to or from a zone's servers; on loopback its own relays lose them too.
-func (r *Run) Cut(zone int, cut bool) {
+// IsolateZone has nothing pass to or from a zone's servers; on loopback its own relays lose them too.
+func (r *Run) IsolateZone(zone int, cut bool) {
 	for _, p := range r.places {
 		if p.zone == zone {
 			p.setDark(cut)
@@ -428,8 +428,8 @@
 	}
 }
 
-// Kill ends a relay at once.
-func (r *Run) Kill(i int) {
+// KillRelay ends a relay at once.
+func (r *Run) KillRelay(i int) {
 	p := r.relays[i]
 	p.alive = false
 	r.keep(p)
@@ -461,8 +461,8 @@
 	}()
 }
 
-// LameDuck has operators empty a relay, or take it back to work.
-func (r *Run) LameDuck(i int, on bool) {
+// DrainRelay has operators empty a relay, or take it back to work.
+func (r *Run) DrainRelay(i int, on bool) {
 	path := "/_lameduck/off"
 	if on {
 		path = "/_lameduck/on"
@@ -470,8 +470,8 @@
 	r.call(r.relays[i].ops, http.MethodPost, path, func(bool) {})
 }
 
-// Replace starts another process beside a relay's; once that says that it is ready, the elder is stopped.
-func (r *Run) Replace(i int, done func()) {
+// ReplaceRelay starts another process beside a relay's; once that says that it is ready, the elder is stopped.
+func (r *Run) ReplaceRelay(i int, done func()) {
 	p := r.relays[i]
 	elder := p.cmd
 	if err := r.launch(p); err != nil {
@@ -501,8 +501,8 @@
 	ask()
 }
 
-// Stop has a relay stop as planned, and kills it when the platform would.
-func (r *Run) Stop(i int) {
+// StopRelay has a relay stop as planned, and kills it when the platform would.
+func (r *Run) StopRelay(i int) {
 	p := r.relays[i]
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	r.killLater(p, p.cmd, p.turn)
@@ -517,15 +517,15 @@
 	})
 }
 
-// Start has a relay start again.
-func (r *Run) Start(i int) {
+// StartRelay has a relay start again.
+func (r *Run) StartRelay(i int) {
 	if err := r.launch(r.relays[i]); err != nil {
 		panic(err)
 	}
 }
 
-// Reload gives a relay the other address of discovery.
-func (r *Run) Reload(i int) {
+// ReloadRelay gives a relay the other address of discovery.
+func (r *Run) ReloadRelay(i int) {
 	p := r.relays[i]
 	p.using = 1 - p.using
 	if r.configure(p) == nil && p.alive {
@@ -558,9 +558,9 @@
 	}
 }
 
-func (w *watcher) News(n *relay.EndpointUpdate) { w.add(encode(n), n, false) }
-func (w *watcher) Heard()                       { w.add([]byte("\n"), nil, false) }
-func (w *watcher) Failed(error)                 { w.add(nil, nil, true) }
+func (w *watcher) OnUpdate(n *relay.EndpointUpdate) { w.add(encode(n), n, false) }
+func (w *watcher) OnHeartbeat()                     { w.add([]byte("\n"), nil, false) }
+func (w *watcher) OnFailure(error)                  { w.add(nil, nil, true) }
 
 func encode(n *relay.EndpointUpdate) []byte {
 	type entry struct {
@@ -590,11 +590,11 @@
 	watch := &watcher{wake: make(chan struct{}, 1)}
 	r := l.r
 	r.mutex.Lock()
-	id := r.world.List.Watch(after, watch)
+	id := r.world.Discovery.Watch(after, watch)
 	r.mutex.Unlock()
 	defer func() {
 		r.mutex.Lock()
-		r.world.List.Unwatch(id)
+		r.world.Discovery.Unwatch(id)
 		r.mutex.Unlock()
 	}()
 	told := map[string]bool{}
@@ -645,8 +645,8 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	there, back := r.ways[[2]int{experiment.Discovery, number}], r.ways[[2]int{number, experiment.Discovery}]
-	there.Pieces, back.Pieces = 0, 0 // they come at once all the same
-	return there == experiment.Way{} && back == experiment.Way{}
+	there.MaxPiece, back.MaxPiece = 0, 0 // they come at once all the same
+	return there == experiment.Impairment{} && back == experiment.Impairment{}
 }
 
 // active is the part of news that allows more.
@@ -680,11 +680,11 @@
 	seen := map[string]bool{}
 	for _, e := range n.Endpoints {
 		told[e.Name], seen[e.Name] = true, true
-		r.audit.Told(r.now(), number, e.Name, e.Status, e.StartedAt)
+		r.audit.EndpointUpdated(r.now(), number, e.Name, e.Status, e.StartedAt)
 	}
 	for name := range told {
 		if n.Complete && !seen[name] {
-			r.audit.Told(r.now(), number, name, "left", 0)
+			r.audit.EndpointUpdated(r.now(), number, name, "left", 0)
 		}
 	}
 }
--- a/internal/testbed/live/live_test.go
+++ b/internal/testbed/live/live_test.go
@@ -177,11 +177,11 @@
 	defer stop()
 	r, err := Play(ctx, x, binary, t.TempDir())
 	require.NoError(t, err)
-	for _, b := range r.Audit.Breaks {
+	for _, b := range r.Audit.Violations {
 		t.Log(b)
 	}
 	if r.Late {
-		t.Logf("%.0f ms behind the schedule: the machine is too slow for this run to count", r.Tally.Behind)
+		t.Logf("%.0f ms behind the schedule: the machine is too slow for this run to count", r.Tally.MaxLag)
 		return nil
 	}
 	return r
@@ -192,9 +192,9 @@
 	if r == nil {
 		return
 	}
-	assert.Zero(t, r.Audit.Broken())
+	assert.Zero(t, r.Audit.ViolationCount())
 	assert.Greater(t, r.Tally.Answers["UP"], 100)
-	assert.Greater(t, r.Tally.Service(3000, 15000), least)
+	assert.Greater(t, r.Tally.ServedShare(3000, 15000), least)
 	var kinds []string
 	for _, m := range r.Marks {
 		kinds = append(kinds, m.Text)
--- a/internal/testbed/live/machines_test.go
+++ b/internal/testbed/live/machines_test.go
@@ -95,9 +95,9 @@
 			if r == nil {
 				return
 			}
-			assert.Zero(t, r.Audit.Broken(), "%v", r.Audit.Breaks)
+			assert.Zero(t, r.Audit.ViolationCount(), "%v", r.Audit.Violations)
 			assert.Zero(t, r.Fallen, "servers pushed over")
-			assert.Greater(t, r.Tally.Service(17000, 20000), 0.8)
+			assert.Greater(t, r.Tally.ServedShare(17000, 20000), 0.8)
 			for i, text := range r.Fleet {
 				var s fleet.Status
 				require.NoError(t, json.Unmarshal(text, &s))
@@ -138,7 +138,7 @@
 			if r == nil {
 				return
 			}
-			assert.Zero(t, r.Audit.Broken(), "%v", r.Audit.Breaks)
+			assert.Zero(t, r.Audit.ViolationCount(), "%v", r.Audit.Violations)
 			assert.Zero(t, r.Fallen, "servers pushed over")
 			var promised, took, again, missed uint64
 			for _, text := range r.Fleet {
@@ -185,11 +185,11 @@
 			if r == nil {
 				return
 			}
-			assert.Zero(t, r.Audit.Broken(), "%v", r.Audit.Breaks)
+			assert.Zero(t, r.Audit.ViolationCount(), "%v", r.Audit.Violations)
 			if c.stood {
-				t.Logf("returned to where they stood %d of %d", r.Audit.There, r.Audit.Returns)
-				assert.Greater(t, r.Audit.Returns, 5)
-				assert.GreaterOrEqual(t, float64(r.Audit.There), 0.3*float64(r.Audit.Returns))
+				t.Logf("returned to where they stood %d of %d", r.Audit.AffineReconnects, r.Audit.Reconnects)
+				assert.Greater(t, r.Audit.Reconnects, 5)
+				assert.GreaterOrEqual(t, float64(r.Audit.AffineReconnects), 0.3*float64(r.Audit.Reconnects))
 			}
 			met := 0
 			for _, text := range r.Fleet {
@@ -199,9 +199,9 @@
 				t.Logf("relay: marks %+v, held after %.1f ms, p99 %.1f", n, s.Replication.P50Millis, s.Replication.P99Millis)
 				met += int(n.Found)
 			}
-			t.Logf("further tries that met a mark %d, begun again %d", met, r.Audit.Repeated)
+			t.Logf("further tries that met a mark %d, begun again %d", met, r.Audit.RepeatedEffects)
 			assert.Greater(t, met, 10)
-			assert.LessOrEqual(t, float64(r.Audit.Repeated), 1+c.repeated*float64(met))
+			assert.LessOrEqual(t, float64(r.Audit.RepeatedEffects), 1+c.repeated*float64(met))
 		})
 	}
 }
--- a/internal/testbed/live/mates.go
+++ b/internal/testbed/live/mates.go
@@ -21,7 +21,7 @@
 // way of its own to every other.
 func (r *Run) mates() error {
 	x := r.x
-	if !x.Relays.Peers && !x.Relays.Disk && !x.Relays.ReportAge {
+	if !x.Relays.Membership && !x.Relays.Disk && !x.Relays.AnnouncesReportAge {
 		return nil
 	}
 	key := filepath.Join(r.dir, "key")
@@ -40,14 +40,14 @@
 		return err
 	}
 	for i, p := range r.relays {
-		text := fmt.Sprintf("[log]\nlevel = \"info\"\n[servers]\nreport-age = \"%.0fms\"\n", x.ReportAge())
-		if x.Relays.Peers {
+		text := fmt.Sprintf("[log]\nlevel = \"info\"\n[servers]\nreport-age = \"%.0fms\"\n", x.MaxReportAge())
+		if x.Relays.Membership {
 			var seeds []string
 			for j, to := range hears {
 				if j == i {
 					continue
 				}
-				w, err := netem.New(r.road(i), to, x.Chance("way", 1000*(i+1)+j))
+				w, err := netem.New(r.road(i), to, x.Rand("way", 1000*(i+1)+j))
 				if err != nil {
 					return err
 				}
@@ -58,12 +58,12 @@
 			text += fmt.Sprintf("[peers]\nlisten = %q\nkey-file = %q\nzone = %q\nseeds = [%s]\nseeds-only = true\n",
 				hears[i], key, experiment.Zone(i%x.Fleet.Zones), strings.Join(seeds, ", "))
 		}
-		if x.Relays.Council > 0 {
+		if x.Relays.Coordinators > 0 {
 			text += fmt.Sprintf("[council]\nvoters = [%s]\n", strings.Join(voters[i], ", "))
 		}
-		if x.Relays.Holdings > 0 {
-			text += fmt.Sprintf("[holdings]\ncopies = %d\nremember = \"%.0fms\"\nstood = %t\n", x.Relays.Holdings,
-				float64(x.Relays.Remember), x.Relays.Stood)
+		if x.Relays.Replicas > 0 {
+			text += fmt.Sprintf("[holdings]\ncopies = %d\nremember = \"%.0fms\"\nstood = %t\n", x.Relays.Replicas,
+				float64(x.Relays.MarkerRetention), x.Relays.ReplicatesAffinity)
 		}
 		if x.Relays.Disk {
 			p.disk = filepath.Join(r.dir, fmt.Sprintf("disk-%d", i))
@@ -103,21 +103,21 @@
 func files(disk string) (names []string) {
 	all, _ := os.ReadDir(disk)
 	for _, e := range all {
-		if e.Name() != lockFile && e.Name() != faultdisk.Faults {
+		if e.Name() != lockFile && e.Name() != faultdisk.FaultsFile {
 			names = append(names, e.Name())
 		}
 	}
 	return names
 }
 
-// Disk does something to the disk of a relay that is down.
-func (r *Run) Disk(i int, what string) {
+// DamageDisk does something to the disk of a relay that is down.
+func (r *Run) DamageDisk(i int, what string) {
 	p := r.relays[i]
 	if p.disk == "" {
 		return
 	}
-	chance := rand.New(rand.NewSource(r.x.Chance("disk", 1000*i+p.turn).Int63()))
-	os.WriteFile(filepath.Join(p.disk, faultdisk.Faults), []byte(what), 0o600)
+	chance := rand.New(rand.NewSource(r.x.Rand("disk", 1000*i+p.turn).Int63()))
+	os.WriteFile(filepath.Join(p.disk, faultdisk.FaultsFile), []byte(what), 0o600)
 	each := func(change func(data []byte) []byte) {
 		for _, name := range files(p.disk) {
 			path := filepath.Join(p.disk, name)
--- a/internal/testbed/live/zones_test.go
+++ b/internal/testbed/live/zones_test.go
@@ -149,9 +149,9 @@
 			if r == nil {
 				return
 			}
-			assert.Zero(t, r.Audit.Broken(), "%v", r.Audit.Breaks)
+			assert.Zero(t, r.Audit.ViolationCount(), "%v", r.Audit.Violations)
 			assert.Zero(t, r.Fallen, "servers pushed over")
-			assert.Greater(t, r.Tally.Service(19000, 24000), c.service)
+			assert.Greater(t, r.Tally.ServedShare(19000, 24000), c.service)
 			pictures := map[uint64]string{}
 			emptied := false
 			for i := range 9 {
--- a/internal/testbed/model/catalogue.go
+++ b/internal/testbed/model/catalogue.go
@@ -6,27 +6,27 @@
 	"valeshift/internal/relay"
 )
 
-// Listener is a relay's watch on the list.
-type Listener interface {
-	News(n *relay.EndpointUpdate)
-	Heard()
-	Failed(err error)
+// EndpointWatcher is a relay's watch on the list.
+type EndpointWatcher interface {
+	OnUpdate(n *relay.EndpointUpdate)
+	OnHeartbeat()
+	OnFailure(err error)
 }
 
-// Catalogue is discovery: the list of servers, its versions and who watches it.
-type Catalogue struct {
-	host     Host
-	entries  map[string]relay.Endpoint
-	versions map[string]uint64 // of each entry's last change
-	index    uint64
-	watches  map[uint64]*watch
-	last     uint64 // watch
-	Late     float64
-	downs    int // faults that hold it down
+// Discovery is discovery: the list of servers, its versions and who watches it.
+type Discovery struct {
+	host        Host
+	entries     map[string]relay.Endpoint
+	versions    map[string]uint64 // of each entry's last change
+	index       uint64
+	watches     map[uint64]*watch
+	last        uint64 // watch
+	DelayMillis float64
+	downs       int // faults that hold it down
 }
 
 type watch struct {
-	to   Listener
+	to   EndpointWatcher
 	has  uint64
 	told bool // the whole list
 }
@@ -35,21 +35,21 @@
 
 var errDown = errors.New("watch: discovery is down")
 
-// NewCatalogue starts with an empty list.
-func NewCatalogue(host Host) *Catalogue {
-	return &Catalogue{host: host, entries: map[string]relay.Endpoint{}, versions: map[string]uint64{},
+// NewDiscovery starts with an empty list.
+func NewDiscovery(host Host) *Discovery {
+	return &Discovery{host: host, entries: map[string]relay.Endpoint{}, versions: map[string]uint64{},
 		index: 1, watches: map[uint64]*watch{}}
 }
 
-// Set takes an entry in, or changes it; all watches are told once the list's delay is over.
-func (c *Catalogue) Set(e relay.Endpoint) {
+// SetEndpoint takes an entry in, or changes it; all watches are told once the list's delay is over.
+func (c *Discovery) SetEndpoint(e relay.Endpoint) {
 	c.index++
 	c.entries[e.Name], c.versions[e.Name] = e, c.index
-	c.host.After(c.Late, c.tell)
+	c.host.After(c.DelayMillis, c.tell)
 }
 
-// Whole is the list as it is now.
-func (c *Catalogue) Whole() *relay.EndpointUpdate {
+// FullUpdate is the list as it is now.
+func (c *Discovery) FullUpdate() *relay.EndpointUpdate {
 	n := &relay.EndpointUpdate{Index: c.index, Complete: true}
 	for _, name := range sorted(c.entries) {
 		if e := c.entries[name]; e.Status != "left" {
@@ -59,18 +59,18 @@
 	return n
 }
 
-func (c *Catalogue) tell() {
+func (c *Discovery) tell() {
 	for _, id := range sorted(c.watches) {
 		c.bring(c.watches[id])
 	}
 }
 
 // bring tells one watch what it has not.
-func (c *Catalogue) bring(w *watch) {
+func (c *Discovery) bring(w *watch) {
 	if w.told && w.has == c.index {
 		return
 	}
-	n := c.Whole()
+	n := c.FullUpdate()
 	if w.told {
 		n = &relay.EndpointUpdate{Index: c.index}
 		for _, name := range sorted(c.entries) {
@@ -80,20 +80,20 @@
 		}
 	}
 	w.told, w.has = true, c.index
-	w.to.News(n)
+	w.to.OnUpdate(n)
 }
 
 // Watch opens a watch from that version on.
-func (c *Catalogue) Watch(after uint64, to Listener) (id uint64) {
+func (c *Discovery) Watch(after uint64, to EndpointWatcher) (id uint64) {
 	c.last++
 	id = c.last
 	if c.downs > 0 {
-		c.host.After(0, func() { to.Failed(errDown) })
+		c.host.After(0, func() { to.OnFailure(errDown) })
 		return id
 	}
 	w := &watch{to: to, has: after, told: after > 0 && after <= c.index}
 	c.watches[id] = w
-	c.host.After(c.Late, func() {
+	c.host.After(c.DelayMillis, func() {
 		if c.watches[id] == w {
 			c.bring(w)
 		}
@@ -102,20 +102,20 @@
 	return id
 }
 
-func (c *Catalogue) beat(id uint64, w *watch) {
+func (c *Discovery) beat(id uint64, w *watch) {
 	c.host.After(beat, func() {
 		if c.watches[id] == w {
-			w.to.Heard()
+			w.to.OnHeartbeat()
 			c.beat(id, w)
 		}
 	})
 }
 
 // Unwatch ends a watch from the relay's side.
-func (c *Catalogue) Unwatch(id uint64) { delete(c.watches, id) }
+func (c *Discovery) Unwatch(id uint64) { delete(c.watches, id) }
 
-// Down ends all watches and lets none be opened until it is up again, as often as it was taken down.
-func (c *Catalogue) Down(down bool) {
+// SetDown ends all watches and lets none be opened until it is up again, as often as it was taken down.
+func (c *Discovery) SetDown(down bool) {
 	if down {
 		c.downs++
 		c.endAll()
@@ -124,16 +124,16 @@
 	}
 }
 
-func (c *Catalogue) endAll() {
+func (c *Discovery) endAll() {
 	all := c.watches
 	c.watches = map[uint64]*watch{}
 	for _, id := range sorted(all) {
-		all[id].to.Failed(errDown)
+		all[id].to.OnFailure(errDown)
 	}
 }
 
-// Anew starts the list's versions again from one, as a discovery does that has lost what it kept.
-func (c *Catalogue) Anew() {
+// ResetVersions starts the list's versions again from one, as a discovery does that has lost what it kept.
+func (c *Discovery) ResetVersions() {
 	c.index = 1
 	for _, name := range sorted(c.entries) {
 		c.versions[name] = 1
--- a/internal/testbed/model/crowd.go
+++ b/internal/testbed/model/crowd.go
@@ -22,22 +22,22 @@
 	lastWord = 200.0 // for the answer to a client's last line
 )
 
-// Crowd is all clients, and the front that deals them out among the relays.
-type Crowd struct {
-	*Tally
-	host   Host
-	watch  Witness
-	x      *experiment.Experiment
-	chance *rand.Rand
-	fronts []front
-	conns  map[uint64]*client
-	pings  map[uint64]int // connections by which the front asks a relay whether it serves
-	ids    uint64
-	ends   float64 // of arrivals
-	burst  float64
-	known  []*client // that are not over
-	over   bool
-	Stands int
+// Workload is all clients, and the front that deals them out among the relays.
+type Workload struct {
+	*Metrics
+	host        Host
+	watch       Observer
+	x           *experiment.Experiment
+	chance      *rand.Rand
+	fronts      []front
+	conns       map[uint64]*client
+	pings       map[uint64]int // connections by which the front asks a relay whether it serves
+	ids         uint64
+	ends        float64 // of arrivals
+	burst       float64
+	known       []*client // that are not over
+	over        bool
+	Established int
 }
 
 type front struct {
@@ -80,10 +80,10 @@
 	gone
 )
 
-// NewCrowd takes the relays' addresses and zones.
-func NewCrowd(x *experiment.Experiment, host Host, watch Witness, tally *Tally, addresses []string,
-	zones []int) *Crowd {
-	c := &Crowd{Tally: tally, host: host, watch: watch, x: x, chance: x.Chance("crowd", 0),
+// NewWorkload takes the relays' addresses and zones.
+func NewWorkload(x *experiment.Experiment, host Host, watch Observer, tally *Metrics, addresses []string,
+	zones []int) *Workload {
+	c := &Workload{Metrics: tally, host: host, watch: watch, x: x, chance: x.Rand("crowd", 0),
 		conns: map[uint64]*client{}, pings: map[uint64]int{}, burst: 1, ends: host.Now() + float64(x.Length)}
 	for i, a := range addresses {
 		c.fronts = append(c.fronts, front{address: a, zone: zones[i], up: true})
@@ -91,12 +91,12 @@
 	return c
 }
 
-// Begin has the clients come.
-func (c *Crowd) Begin() {
+// Start has the clients come.
+func (c *Workload) Start() {
 	now := c.host.Now()
 	for i := range c.x.Traffic {
 		t := &c.x.Traffic[i]
-		for range t.Standing {
+		for range t.InitialClients {
 			c.come(t, now+c.chance.Float64()*2000)
 		}
 		if t.Rate > 0 {
@@ -106,7 +106,7 @@
 }
 
 // next has the next client come. Arrivals go by the time they were meant for, however late the lab is.
-func (c *Crowd) next(t *experiment.Traffic, meant float64) {
+func (c *Workload) next(t *experiment.Traffic, meant float64) {
 	meant += c.chance.ExpFloat64() * 1000 / (t.Rate * c.burst)
 	if meant >= c.ends {
 		return
@@ -117,12 +117,12 @@
 	})
 }
 
-// Burst has new clients come at that multiple of the rate from the next arrival on.
-func (c *Crowd) Burst(factor float64) { c.burst = factor }
+// SetRateFactor has new clients come at that multiple of the rate from the next arrival on.
+func (c *Workload) SetRateFactor(factor float64) { c.burst = factor }
 
-func (c *Crowd) come(t *experiment.Traffic, meant float64) {
+func (c *Workload) come(t *experiment.Traffic, meant float64) {
 	l := &client{kind: t, zone: c.chance.Intn(c.x.Fleet.Zones), load: t.Load, since: meant,
-		until: meant + c.chance.ExpFloat64()*float64(t.Life), honours: c.chance.Float64() < t.HonoursMS,
+		until: meant + c.chance.ExpFloat64()*float64(t.Lifetime), honours: c.chance.Float64() < t.HonorsRetryAfter,
 		key: strconv.FormatUint(c.chance.Uint64(), 16)}
 	if t.LoadSpread > 0 {
 		l.load *= math.Exp(c.chance.NormFloat64()*t.LoadSpread - t.LoadSpread*t.LoadSpread/2)
@@ -133,14 +133,14 @@
 	c.host.After(meant-c.host.Now(), func() {
 		l.place = len(c.known)
 		c.known = append(c.known, l)
-		c.Behind = max(c.Behind, c.host.Now()-meant)
+		c.MaxLag = max(c.MaxLag, c.host.Now()-meant)
 		c.connect(l)
-		c.slot(l, meant+float64(t.Promised))
+		c.slot(l, meant+float64(t.LatencyObjective))
 	})
 }
 
 // slot is the time of one line: it counts as wanted whether or not the link stands.
-func (c *Crowd) slot(l *client, meant float64) {
+func (c *Workload) slot(l *client, meant float64) {
 	if meant >= l.until || meant >= c.ends {
 		c.host.After(min(l.until, c.ends)+lastWord-c.host.Now(), func() { c.done(l) })
 		return
@@ -149,11 +149,11 @@
 		if l.stage == gone {
 			return
 		}
-		every := float64(l.kind.Every)
+		every := float64(l.kind.LineInterval)
 		now := c.host.Now()
-		c.at(meant).Wanted += l.kind.Gain * every / 1000
+		c.at(meant).Offered += l.kind.PriorityWeight * every / 1000
 		if l.stage == stands {
-			c.Behind = max(c.Behind, now-meant)
+			c.MaxLag = max(c.MaxLag, now-meant)
 			if now-l.lastHeard > tired {
 				c.leave(l)
 				c.lost(l)
@@ -165,17 +165,17 @@
 	})
 }
 
-func (c *Crowd) line(l *client, meant float64) {
+func (c *Workload) line(l *client, meant float64) {
 	l.said++
 	l.sent = append(l.sent, meant)
 	text := strconv.AppendInt(append(make([]byte, 0, 32), "M "...), int64(l.said), 10)
 	text = strconv.AppendFloat(append(text, ' '), c.host.Now(), 'f', 3, 64)
-	c.watch.Said(c.host.Now(), l.id, false, l.said)
+	c.watch.LineSent(c.host.Now(), l.id, false, l.said)
 	c.host.Write(l.conn, append(text, "\r\n"...))
 }
 
 // connect has the client dial the relay that the front deals it to: one of its zone, where one is up.
-func (c *Crowd) connect(l *client) {
+func (c *Workload) connect(l *client) {
 	if l.stage == gone || c.over {
 		return
 	}
@@ -212,7 +212,7 @@
 }
 
 // limit has the client give up what it is at after that time.
-func (c *Crowd) limit(l *client, wait float64) {
+func (c *Workload) limit(l *client, wait float64) {
 	l.turn++
 	turn := l.turn
 	c.host.After(wait, func() {
@@ -230,7 +230,7 @@
 }
 
 // again has the client come again after a while.
-func (c *Crowd) again(l *client, wait float64) {
+func (c *Workload) again(l *client, wait float64) {
 	l.stage = away
 	l.turn++
 	turn := l.turn
@@ -242,28 +242,28 @@
 }
 
 // leave ends the client's connection from its own side.
-func (c *Crowd) leave(l *client) {
+func (c *Workload) leave(l *client) {
 	if l.conn == 0 {
 		return
 	}
 	if l.stage == waiting || l.stage == stands {
-		c.watch.Left(c.host.Now(), l.id)
+		c.watch.ClosedByClient(c.host.Now(), l.id)
 	}
 	if l.stage == stands {
-		c.Stands--
+		c.Established--
 	}
 	delete(c.conns, l.conn)
-	c.host.End(l.conn)
+	c.host.Close(l.conn)
 	l.conn = 0
 }
 
 // lost has a client come again whose link is over before its life is.
-func (c *Crowd) lost(l *client) {
+func (c *Workload) lost(l *client) {
 	l.again, l.since = true, c.host.Now()
 	c.again(l, 150)
 }
 
-func (c *Crowd) done(l *client) {
+func (c *Workload) done(l *client) {
 	if l.stage == gone {
 		return
 	}
@@ -275,30 +275,30 @@
 }
 
 // Close ends the crowd: what is still open is ended, and nobody comes any more.
-func (c *Crowd) Close() {
+func (c *Workload) Close() {
 	c.over = true
 	for _, l := range append([]*client(nil), c.known...) {
 		c.done(l)
 	}
 }
 
-// Wave breaks the connections of that share of the clients that stand.
-func (c *Crowd) Wave(share float64) {
+// ResetConnections breaks the connections of that share of the clients that stand.
+func (c *Workload) ResetConnections(share float64) {
 	for _, l := range append([]*client(nil), c.known...) {
 		if l.stage == stands && c.chance.Float64() < share {
-			c.watch.Left(c.host.Now(), l.id)
-			c.Stands--
+			c.watch.ClosedByClient(c.host.Now(), l.id)
+			c.Established--
 			delete(c.conns, l.conn)
-			c.host.Break(l.conn)
+			c.host.Reset(l.conn)
 			l.conn = 0
 			c.lost(l)
 		}
 	}
 }
 
-// RelayGone has the front deal nobody to that relay any more, after a while.
-func (c *Crowd) RelayGone(i int, planned bool) {
-	wait := float64(c.x.Relays.FrontNotice)
+// RemoveRelay has the front deal nobody to that relay any more, after a while.
+func (c *Workload) RemoveRelay(i int, planned bool) {
+	wait := float64(c.x.Relays.DetectionDelay)
 	if planned {
 		wait = leaving
 	}
@@ -311,23 +311,23 @@
 	})
 }
 
-// Door says that a relay is being replaced, and must let everybody in, or no longer.
-func (c *Crowd) Door(i int, watched bool) { c.fronts[i].door = watched }
+// SetReplacing says that a relay is being replaced, and must let everybody in, or no longer.
+func (c *Workload) SetReplacing(i int, watched bool) { c.fronts[i].door = watched }
 
-func (c *Crowd) atDoor(l *client) {
+func (c *Workload) atDoor(l *client) {
 	if c.fronts[l.relay].door {
-		c.watch.Door(c.host.Now(), l.relay)
+		c.watch.ReplacementRejected(c.host.Now(), l.relay)
 	}
 }
 
-// RelayBack has the front ask the relay until it serves.
-func (c *Crowd) RelayBack(i int) {
+// RestoreRelay has the front ask the relay until it serves.
+func (c *Workload) RestoreRelay(i int) {
 	c.fronts[i].turn++
 	c.fronts[i].up = false
 	c.ask(i, c.fronts[i].turn)
 }
 
-func (c *Crowd) ask(i, turn int) {
+func (c *Workload) ask(i, turn int) {
 	if c.fronts[i].turn != turn || c.fronts[i].up || c.over {
 		return
 	}
@@ -336,17 +336,17 @@
 	c.host.After(asking, func() {
 		if _, open := c.pings[conn]; open {
 			delete(c.pings, conn)
-			c.host.End(conn)
+			c.host.Close(conn)
 		}
 		c.ask(i, turn)
 	})
 }
 
-// Opened is not called: nobody dials clients.
-func (c *Crowd) Opened(uint64) {}
+// OnAccept is not called: nobody dials clients.
+func (c *Workload) OnAccept(uint64) {}
 
-// Up has the client say its head.
-func (c *Crowd) Up(conn uint64) {
+// OnConnect has the client say its head.
+func (c *Workload) OnConnect(conn uint64) {
 	if _, ping := c.pings[conn]; ping {
 		c.host.Write(conn, []byte("PING\r\n"))
 		return
@@ -359,8 +359,8 @@
 	l.id = strconv.FormatUint(c.ids*0x9e3779b97f4a7c15, 16)
 	l.stage, l.said, l.heard, l.sent, l.first = waiting, 0, 0, nil, 1
 	wait := float64(l.kind.HardLimit)
-	head := fmt.Sprintf("OPEN %s %s c=%s,t=%s,d=%.0f,w=%.3f,e=%.0f", l.id, l.key, l.kind.Category, l.kind.Party,
-		wait, l.load, float64(l.kind.Every))
+	head := fmt.Sprintf("OPEN %s %s c=%s,t=%s,d=%.0f,w=%.3f,e=%.0f", l.id, l.key, l.kind.Class, l.kind.Tenant,
+		wait, l.load, float64(l.kind.LineInterval))
 	if l.group != "" {
 		head += ",g=" + l.group
 	}
@@ -370,14 +370,14 @@
 	if l.again {
 		head += ",again=1"
 	}
-	c.Heads++
-	c.watch.Asked(c.host.Now(), l.id, l.key+"/"+strconv.Itoa(l.errands), l.relay, l.kind.Effect, wait)
+	c.Requests++
+	c.watch.RequestSent(c.host.Now(), l.id, l.key+"/"+strconv.Itoa(l.errands), l.relay, l.kind.Effect, wait)
 	c.host.Write(conn, []byte(head+"\r\n"))
 	c.limit(l, wait+slack+4*float64(c.x.Network.Delay+c.x.Network.Jitter))
 }
 
-// Over takes that the relay has ended a connection.
-func (c *Crowd) Over(conn uint64, broken bool) {
+// OnClose takes that the relay has ended a connection.
+func (c *Workload) OnClose(conn uint64, broken bool) {
 	if _, ping := c.pings[conn]; ping {
 		delete(c.pings, conn)
 		return
@@ -396,25 +396,25 @@
 		c.again(l, redial)
 	case waiting:
 		c.atDoor(l)
-		c.watch.Ended(now, l.id, broken)
+		c.watch.ClosedByRelay(now, l.id, broken)
 		c.Answers["cut"]++
-		c.at(now).Cut++
+		c.at(now).Disconnected++
 		l.retry = true
 		c.again(l, redial)
 	case stands:
-		c.watch.Ended(now, l.id, broken)
-		c.Stands--
+		c.watch.ClosedByRelay(now, l.id, broken)
+		c.Established--
 		c.lost(l)
 	}
 }
 
-// Came takes what the relay says.
-func (c *Crowd) Came(conn uint64, data []byte) {
+// OnData takes what the relay says.
+func (c *Workload) OnData(conn uint64, data []byte) {
 	if i, ping := c.pings[conn]; ping {
 		if bytes.HasPrefix(data, []byte("PONG")) {
 			c.fronts[i].up = true
 			delete(c.pings, conn)
-			c.host.End(conn)
+			c.host.Close(conn)
 		}
 		return
 	}
@@ -437,20 +437,20 @@
 	}
 }
 
-func (c *Crowd) answer(l *client, verb string, said []byte) {
+func (c *Workload) answer(l *client, verb string, said []byte) {
 	now := c.host.Now()
-	c.watch.Answered(now, l.id, verb)
+	c.watch.ResponseReceived(now, l.id, verb)
 	c.Answers[verb]++
 	if verb == "UP" {
-		c.at(now).Setups++
-		c.Stands++
-		record(c.Setup[l.kind.Category], now-l.since)
+		c.at(now).Established++
+		c.Established++
+		record(c.SetupLatency[l.kind.Class], now-l.since)
 		l.stage, l.retry, l.lastHeard = stands, false, now
 		l.errands++
 		return
 	}
 	// What more the relay says, it says to nobody: a first answer is final.
-	wait := float64(l.kind.Retry)
+	wait := float64(l.kind.RetryDelay)
 	switch verb {
 	case "BUSY":
 		c.at(now).Rejected++
@@ -469,7 +469,7 @@
 }
 
 // after looks at what else came behind a final answer, for a moment, before the client ends its connection.
-func (c *Crowd) after(l *client) {
+func (c *Workload) after(l *client) {
 	conn, id := l.conn, l.id
 	l.conn = 0
 	delete(c.conns, conn)
@@ -478,12 +478,12 @@
 	c.host.After(20, func() {
 		if c.conns[conn] == rest {
 			delete(c.conns, conn)
-			c.host.End(conn)
+			c.host.Close(conn)
 		}
 	})
 }
 
-func (c *Crowd) heard(l *client, verb string, said []byte) {
+func (c *Workload) heard(l *client, verb string, said []byte) {
 	now := c.host.Now()
 	l.lastHeard = now
 	switch verb {
@@ -492,25 +492,25 @@
 		at, of, _ := bytes.Cut(rest, []byte(" "))
 		n, _ := strconv.Atoi(string(number))
 		saidAt, _ := strconv.ParseFloat(string(at), 64)
-		c.watch.Got(now, l.id, true, n, saidAt)
+		c.watch.LineReceived(now, l.id, true, n, saidAt)
 		if k, err := strconv.Atoi(string(of)); err == nil && k >= l.first && k < l.first+len(l.sent) {
 			meant := l.sent[k-l.first]
 			l.sent, l.first = l.sent[k-l.first+1:], k+1
 			if took := now - meant; l.stage != gone {
-				record(c.Line[l.kind.Category], took)
+				record(c.LineLatency[l.kind.Class], took)
 				if took <= inTime {
-					c.at(meant).Served += l.kind.Gain * float64(l.kind.Every) / 1000
+					c.at(meant).Served += l.kind.PriorityWeight * float64(l.kind.LineInterval) / 1000
 				}
 			}
 		}
 	case "LOAD":
 	case "MOVE":
-		c.watch.Heard(now, l.id, verb)
+		c.watch.NoticeReceived(now, l.id, verb)
 		if l.stage == stands {
 			c.leave(l)
 			c.lost(l)
 		}
 	default:
-		c.watch.Heard(now, l.id, verb)
+		c.watch.NoticeReceived(now, l.id, verb)
 	}
 }
--- a/internal/testbed/model/server.go
+++ b/internal/testbed/model/server.go
@@ -11,21 +11,21 @@
 	"valeshift/internal/protocol"
 )
 
-// Store is the session store that all servers share: set-ups go through it one after the other.
-type Store struct {
+// SessionStore is the session store that all servers share: set-ups go through it one after the other.
+type SessionStore struct {
 	rate   float64 // a second; 0: takes no time
 	factor float64
 	free   float64 // when it is done with all that was given to it
 }
 
-// NewStore takes how many set-ups a second it bears; 0: any.
-func NewStore(rate float64) *Store { return &Store{rate: rate, factor: 1} }
+// NewSessionStore takes how many set-ups a second it bears; 0: any.
+func NewSessionStore(rate float64) *SessionStore { return &SessionStore{rate: rate, factor: 1} }
 
 // Slow has it work at that part of its rate from now on; what was given to it before is not done later.
-func (s *Store) Slow(factor float64) { s.factor = factor }
+func (s *SessionStore) Slow(factor float64) { s.factor = factor }
 
 // take gives it one set-up and tells when that is done.
-func (s *Store) take(now float64) float64 {
+func (s *SessionStore) take(now float64) float64 {
 	if s.rate <= 0 {
 		return now
 	}
@@ -33,23 +33,23 @@
 	return s.free
 }
 
-// Make is what a server is made of.
-type Make struct {
-	Name, Address, Zone string
-	Cores, Speed        float64
-	SetupWork           float64 // of one core, in milliseconds
-	Reports, Noise      float64 // age a report may reach; relative deviation
-	ColdFrom, Cold      float64
-	TipMultiple, Fall   float64
-	Down                float64
+// BackendSpec is what a server is made of.
+type BackendSpec struct {
+	Name, Address, Zone              string
+	Cores, Speed                     float64
+	SetupWork                        float64 // of one core, in milliseconds
+	MaxReportAge, ReportNoise        float64 // age a report may reach; relative deviation
+	SlowStartFrom, SlowStart         float64
+	OverloadMultiple, OverloadWindow float64
+	OverloadDowntime                 float64
 }
 
-// Server is one server: its links' lines and set-ups share its cores evenly, each on one core at most.
-type Server struct {
-	Make
+// Backend is one server: its links' lines and set-ups share its cores evenly, each on one core at most.
+type Backend struct {
+	BackendSpec
 	host   Host
-	watch  Witness
-	store  *Store
+	watch  Observer
+	store  *SessionStore
 	chance *rand.Rand
 	// Changed, where set, is called when the server has died or is back by itself.
 	Changed func()
@@ -73,9 +73,9 @@
 	report          [3]float64
 	reportAt        float64
 	pushed          []push  // loads sent while cold
-	Links           int     // that stand
+	Sessions        int     // that stand
 	Demand          float64 // of those, in cores
-	Fallen          int     // times it was pushed over while cold
+	ColdOverloads   int     // times it was pushed over while cold
 }
 
 type push struct{ at, load float64 }
@@ -119,27 +119,27 @@
 	return x
 }
 
-// NewServer starts a server that has run for long.
-func NewServer(m Make, host Host, watch Witness, store *Store, chance *rand.Rand) *Server {
-	return &Server{Make: m, host: host, watch: watch, store: store, chance: chance, slow: 1,
+// NewBackend starts a server that has run for long.
+func NewBackend(m BackendSpec, host Host, watch Observer, store *SessionStore, chance *rand.Rand) *Backend {
+	return &Backend{BackendSpec: m, host: host, watch: watch, store: store, chance: chance, slow: 1,
 		conns: map[uint64]*session{}, last: host.Now(), busyAt: host.Now(), reportAt: math.Inf(-1)}
 }
 
 // warm is the part of its capacity that the server has by now.
-func (s *Server) warm(now float64) float64 {
-	if s.Since <= 0 || s.Cold <= 0 {
+func (s *Backend) warm(now float64) float64 {
+	if s.Since <= 0 || s.SlowStart <= 0 {
 		return 1
 	}
-	return min(1, s.ColdFrom+(1-s.ColdFrom)*max(0, now-s.Since)/s.Cold)
+	return min(1, s.SlowStartFrom+(1-s.SlowStartFrom)*max(0, now-s.Since)/s.SlowStart)
 }
 
 // Capacity is what the server can do now, in cores of speed one.
-func (s *Server) Capacity(now float64) float64 {
+func (s *Backend) Capacity(now float64) float64 {
 	return s.Cores * (1 - s.stolen) * s.Speed * s.slow * s.warm(now)
 }
 
 // rate is how much work one job gets in a millisecond.
-func (s *Server) rate(now float64) float64 {
+func (s *Backend) rate(now float64) float64 {
 	n := float64(len(s.jobs.all))
 	if n == 0 || s.still {
 		return 0
@@ -148,14 +148,14 @@
 }
 
 // advance reckons the work done since the last look.
-func (s *Server) advance() {
+func (s *Backend) advance() {
 	now := s.host.Now()
 	s.served += (now - s.last) * s.rate(now)
 	s.last = now
 }
 
 // plan looks again when the first job is done.
-func (s *Server) plan() {
+func (s *Backend) plan() {
 	s.turn++
 	if len(s.jobs.all) == 0 || s.still {
 		return
@@ -172,7 +172,7 @@
 }
 
 // settle ends the jobs that are done.
-func (s *Server) settle() {
+func (s *Backend) settle() {
 	s.advance()
 	for len(s.jobs.all) > 0 && s.jobs.all[0].ends <= s.served+1e-9 {
 		heap.Pop(&s.jobs).(job).done()
@@ -180,7 +180,7 @@
 	s.plan()
 }
 
-func (s *Server) work(amount float64, done func()) {
+func (s *Backend) work(amount float64, done func()) {
 	s.advance()
 	s.jobs.seq++
 	heap.Push(&s.jobs, job{s.served + amount, s.jobs.seq, done})
@@ -189,42 +189,42 @@
 }
 
 // offer takes demand into the smoothed figure.
-func (s *Server) offer(amount float64) {
+func (s *Backend) offer(amount float64) {
 	now := s.host.Now()
 	s.offered = s.offered*math.Exp((s.busyAt-now)/1000) + amount/1000
 	s.busyAt = now
 }
 
-// Util is the demand of about the last second, as a part of the server's full capacity at its present speed.
-func (s *Server) Util(now float64) float64 {
+// Utilization is the demand of about the last second, as a part of the server's full capacity at its present speed.
+func (s *Backend) Utilization(now float64) float64 {
 	capacity := max(s.Capacity(now), 1e-6)
 	return s.offered * math.Exp((s.busyAt-now)/1000) / capacity
 }
 
 // Slowed sets the part of its speed, Stolen the part of its cores that others take, Still whether it works.
-func (s *Server) Slowed(part float64) { s.advance(); s.slow = part; s.plan() }
+func (s *Backend) Slowed(part float64) { s.advance(); s.slow = part; s.plan() }
 
 // Grey has the server break that part of the setup tries.
-func (s *Server) Grey(part float64) { s.grey = part }
+func (s *Backend) Grey(part float64) { s.grey = part }
 
 // Unsaid has the server do what that part of the setup tries ask for, and break before it says so.
-func (s *Server) Unsaid(part float64) { s.unsaid = part }
+func (s *Backend) Unsaid(part float64) { s.unsaid = part }
 
 // Stolen sets the part of its cores that somebody else takes.
-func (s *Server) Stolen(part float64) { s.advance(); s.stolen = part; s.plan() }
+func (s *Backend) Stolen(part float64) { s.advance(); s.stolen = part; s.plan() }
 
 // Still has it stand still, or work again.
-func (s *Server) Still(still bool) { s.advance(); s.still = still; s.plan() }
+func (s *Backend) Still(still bool) { s.advance(); s.still = still; s.plan() }
 
 // Reset breaks all connections.
-func (s *Server) Reset() {
+func (s *Backend) Reset() {
 	for _, conn := range sorted(s.conns) {
 		s.drop(s.conns[conn], true)
 	}
 }
 
 // Die ends all that the server has and does.
-func (s *Server) Die() {
+func (s *Backend) Die() {
 	s.advance()
 	s.Reset()
 	s.jobs.all, s.Dead = nil, true
@@ -233,54 +233,54 @@
 }
 
 // Start has a server that died serve again, cold.
-func (s *Server) Start() {
+func (s *Backend) Start() {
 	now := s.host.Now()
 	s.Dead, s.Since, s.last, s.pushed, s.still = false, now, now, nil, false
 	s.reportAt = math.Inf(-1)
-	s.watch.Started(now, s.Name)
+	s.watch.BackendStarted(now, s.Name)
 }
 
 // drop ends a connection from this side.
-func (s *Server) drop(c *session, broken bool) {
+func (s *Backend) drop(c *session, broken bool) {
 	if broken {
-		s.host.Break(c.conn)
+		s.host.Reset(c.conn)
 	} else {
-		s.host.End(c.conn)
+		s.host.Close(c.conn)
 	}
 	if c.stands {
-		s.watch.Closed(s.host.Now(), c.id, s.Name)
+		s.watch.ClosedByBackend(s.host.Now(), c.id, s.Name)
 	}
 	s.forget(c)
 }
 
-func (s *Server) forget(c *session) {
+func (s *Backend) forget(c *session) {
 	delete(s.conns, c.conn)
 	if c.trying {
 		c.trying = false
-		s.watch.TryOver(s.host.Now(), c.id, s.Name)
+		s.watch.AttemptFinished(s.host.Now(), c.id, s.Name)
 	}
 	if c.stands {
-		s.Links--
+		s.Sessions--
 		s.Demand -= c.load / 1000
 	}
 	c.stands, c.mayServe = false, false
 }
 
-// Opened takes a connection in.
-func (s *Server) Opened(conn uint64) { s.conns[conn] = &session{conn: conn} }
+// OnAccept takes a connection in.
+func (s *Backend) OnAccept(conn uint64) { s.conns[conn] = &session{conn: conn} }
 
-// Up is not called: servers dial nobody.
-func (s *Server) Up(uint64) {}
+// OnConnect is not called: servers dial nobody.
+func (s *Backend) OnConnect(uint64) {}
 
-// Over takes that the relay has ended a connection.
-func (s *Server) Over(conn uint64, _ bool) {
+// OnClose takes that the relay has ended a connection.
+func (s *Backend) OnClose(conn uint64, _ bool) {
 	if c := s.conns[conn]; c != nil {
 		s.forget(c)
 	}
 }
 
-// Came takes bytes.
-func (s *Server) Came(conn uint64, data []byte) {
+// OnData takes bytes.
+func (s *Backend) OnData(conn uint64, data []byte) {
 	for {
 		c := s.conns[conn]
 		if c == nil {
@@ -299,7 +299,7 @@
 	}
 }
 
-func (s *Server) line(c *session, line []byte) {
+func (s *Backend) line(c *session, line []byte) {
 	verb, rest := protocol.CutVerb(line)
 	switch {
 	case c.id != "" && c.stands:
@@ -314,15 +314,15 @@
 	}
 }
 
-func (s *Server) say(c *session, text string) { s.host.Write(c.conn, []byte(text)) }
+func (s *Backend) say(c *session, text string) { s.host.Write(c.conn, []byte(text)) }
 
 // probe answers with the figures of the last report, which is made anew when it is too old.
-func (s *Server) probe(c *session) {
+func (s *Backend) probe(c *session) {
 	now := s.host.Now()
-	if now >= s.reportAt+s.Reports {
+	if now >= s.reportAt+s.MaxReportAge {
 		s.reportAt = now
-		util := max(s.Util(now)*(1+s.Noise*s.chance.NormFloat64()), 0)
-		s.report = [3]float64{min(util, 1), float64(s.Links), util}
+		util := max(s.Utilization(now)*(1+s.ReportNoise*s.chance.NormFloat64()), 0)
+		s.report = [3]float64{min(util, 1), float64(s.Sessions), util}
 	}
 	answer := func() {
 		if s.conns[c.conn] == c {
@@ -337,7 +337,7 @@
 }
 
 // open takes a link's head.
-func (s *Server) open(c *session, line []byte) {
+func (s *Backend) open(c *session, line []byte) {
 	now := s.host.Now()
 	head, err := protocol.ParseRequest(line)
 	if err != nil {
@@ -349,7 +349,7 @@
 	c.load, c.every = weight(line)
 	c.trying, c.mayServe = true, true
 	capacity, cold := s.Capacity(now), s.warm(now) < 1
-	s.watch.TryCame(now, c.id, s.Name, cold, capacity, c.load/1000)
+	s.watch.AttemptReceived(now, c.id, s.Name, cold, capacity, c.load/1000)
 	if s.grey > 0 && s.chance.Float64() < s.grey {
 		s.drop(c, true)
 		return
@@ -371,22 +371,22 @@
 
 // push counts what a cold server is sent; pushed over, it falls. A link is whole: the heaviest may come on
 // top.
-func (s *Server) push(now, load, capacity float64) bool {
+func (s *Backend) push(now, load, capacity float64) bool {
 	s.pushed = append(s.pushed, push{now, load})
 	sum, heaviest := 0.0, 0.0
 	kept := s.pushed[:0]
 	for _, p := range s.pushed {
-		if p.at > now-s.Fall {
+		if p.at > now-s.OverloadWindow {
 			kept, sum, heaviest = append(kept, p), sum+p.load, max(heaviest, p.load)
 		}
 	}
 	s.pushed = kept
-	if sum-heaviest <= s.TipMultiple*capacity {
+	if sum-heaviest <= s.OverloadMultiple*capacity {
 		return false
 	}
 	s.Die()
-	s.Fallen++
-	s.host.After(s.Down, func() {
+	s.ColdOverloads++
+	s.host.After(s.OverloadDowntime, func() {
 		if s.Dead {
 			s.Start()
 			s.Changed()
@@ -397,9 +397,9 @@
 }
 
 // pushedNow is what the cold server was sent within its span, and the heaviest of it.
-func (s *Server) pushedNow(now float64) (sum float64) {
+func (s *Backend) pushedNow(now float64) (sum float64) {
 	for _, p := range s.pushed {
-		if p.at > now-s.Fall {
+		if p.at > now-s.OverloadWindow {
 			sum += p.load
 		}
 	}
@@ -412,8 +412,8 @@
 	storeAt  = 200.0 // ms of work that waits at the store
 )
 
-// Bears tells whether one more link can be sent to the server with all rules kept and in good time.
-func (w *World) Bears(s *Server) bool {
+// HasCapacity tells whether one more link can be sent to the server with all rules kept and in good time.
+func (w *Environment) HasCapacity(s *Backend) bool {
 	now := w.host.Now()
 	capacity, sum := s.Capacity(now), s.pushedNow(now)
 	if s.Dead || s.Draining || w.store.free > now+storeAt {
@@ -425,7 +425,7 @@
 			coming += c.load / 1000
 		}
 	}
-	return s.Demand+coming < fullAt*capacity && (s.warm(now) >= 1 || sum < keptPart*s.TipMultiple*capacity)
+	return s.Demand+coming < fullAt*capacity && (s.warm(now) >= 1 || sum < keptPart*s.OverloadMultiple*capacity)
 }
 
 // weight reads what a link weighs, in thousandths of a core, and after how many milliseconds its lines come:
@@ -444,20 +444,20 @@
 	return load, every
 }
 
-func (s *Server) stand(c *session) {
+func (s *Backend) stand(c *session) {
 	if !c.mayServe || c.stands {
 		return
 	}
 	now := s.host.Now()
-	s.watch.Took(now, c.id, s.Name)
+	s.watch.EffectApplied(now, c.id, s.Name)
 	if s.unsaid > 0 && s.chance.Float64() < s.unsaid {
 		s.drop(c, true)
 		return
 	}
 	c.trying = false
-	s.watch.TryOver(now, c.id, s.Name)
+	s.watch.AttemptFinished(now, c.id, s.Name)
 	c.stands = true
-	s.Links++
+	s.Sessions++
 	s.Demand += c.load / 1000
 	s.host.Write(c.conn, strconv.AppendFloat([]byte("UP receipt\r\nLOAD "), math.Round(c.load*1000), 'f', 0, 64))
 	s.say(c, "\r\n")
@@ -465,13 +465,13 @@
 
 // served1 takes a client's line, and answers once its work is done. Against work without end, lines that come
 // while several of the link wait cost nothing more.
-func (s *Server) served1(c *session, rest []byte) {
+func (s *Backend) served1(c *session, rest []byte) {
 	now := s.host.Now()
 	number, said, _ := bytes.Cut(rest, []byte(" "))
 	n, _ := strconv.Atoi(string(number))
 	at, _ := strconv.ParseFloat(string(said), 64)
 	c.got++
-	s.watch.Got(now, c.id, false, n, at)
+	s.watch.LineReceived(now, c.id, false, n, at)
 	amount := c.load / 1000 * c.every
 	if c.lines >= 3 {
 		amount = 0
@@ -487,7 +487,7 @@
 		text = strconv.AppendInt(text, int64(c.said), 10)
 		text = strconv.AppendFloat(append(text, ' '), s.host.Now(), 'f', 3, 64)
 		text = strconv.AppendInt(append(text, ' '), int64(n), 10)
-		s.watch.Said(s.host.Now(), c.id, true, c.said)
+		s.watch.LineSent(s.host.Now(), c.id, true, c.said)
 		s.host.Write(c.conn, append(text, "\r\n"...))
 	})
 }
