--- a/internal/testbed/netem/netem.go
+++ b/internal/testbed/netem/netem.go
@@ -1,4 +1,4 @@
-// Package way is what lies between two machines of the lab, by ordered pair: a forwarder for TCP and UDP
+// Package netem is what lies between two machines of the lab, by ordered pair: a forwarder for TCP and UDP
 // whose two directions can be cut, slowed, doubled and so on while it runs. What it does to a direction is a
 // State; the package never knows what passes.
 package netem
@@ -14,8 +14,8 @@
 	"valeshift/internal/testbed/experiment"
 )
 
-// State is what a direction does to what passes.
-type State = experiment.Way
+// Impairment is what a direction does to what passes.
+type Impairment = experiment.Impairment
 
 const (
 	piece    = 16 << 10
@@ -26,16 +26,16 @@
 	idle     = 30 * time.Second // after which a datagram's way back is forgotten
 )
 
-// Way is one forwarder.
-type Way struct {
+// Proxy is one forwarder.
+type Proxy struct {
 	Address string // where it listens, TCP and UDP
 
 	to       string
 	tcp      net.Listener
 	udp      *net.UDPConn
 	mutex    sync.Mutex
-	there    State
-	back     State
+	there    Impairment
+	back     Impairment
 	chance   *rand.Rand
 	open     map[net.Conn]bool
 	ended    chan struct{}
@@ -43,7 +43,7 @@
 }
 
 // New listens on a free port of that loopback address, for both kinds, and forwards to the address given.
-func New(host, to string, chance *rand.Rand) (*Way, error) {
+func New(host, to string, chance *rand.Rand) (*Proxy, error) {
 	for range 50 { // a port that is free for one kind need not be for the other
 		l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 		if err != nil {
@@ -54,7 +54,7 @@
 			l.Close()
 			continue
 		}
-		w := &Way{Address: l.Addr().String(), to: to, tcp: l, udp: u, chance: chance, open: map[net.Conn]bool{},
+		w := &Proxy{Address: l.Addr().String(), to: to, tcp: l, udp: u, chance: chance, open: map[net.Conn]bool{},
 			ended: make(chan struct{}), sessions: map[string]*net.UDPConn{}}
 		go w.accept()
 		go w.datagrams()
@@ -63,15 +63,15 @@
 	return nil, errors.New("way: no port is free for both kinds")
 }
 
-// Set changes what the two directions do from now on: there, towards the address forwarded to, and back.
-func (w *Way) Set(there, back State) {
+// SetImpairments changes what the two directions do from now on: there, towards the address forwarded to, and back.
+func (w *Proxy) SetImpairments(there, back Impairment) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.there, w.back = there, back
 }
 
 // Close ends it, and all that passes.
-func (w *Way) Close() {
+func (w *Proxy) Close() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	select {
@@ -90,7 +90,7 @@
 	}
 }
 
-func (w *Way) state(there bool) State {
+func (w *Proxy) state(there bool) Impairment {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if there {
@@ -99,7 +99,7 @@
 	return w.back
 }
 
-func (w *Way) hold(c net.Conn, on bool) {
+func (w *Proxy) hold(c net.Conn, on bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	select {
@@ -116,7 +116,7 @@
 }
 
 // wait sleeps, and tells whether the way is still there.
-func (w *Way) wait(d time.Duration) bool {
+func (w *Proxy) wait(d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -128,7 +128,7 @@
 	}
 }
 
-func (w *Way) accept() {
+func (w *Proxy) accept() {
 	for {
 		c, err := w.tcp.Accept()
 		if err != nil {
@@ -140,7 +140,7 @@
 
 // join connects on and passes both directions. A cut way takes the connection in and says nothing, as a
 // machine that is out of reach behind a router does.
-func (w *Way) join(c net.Conn) {
+func (w *Proxy) join(c net.Conn) {
 	w.hold(c, true)
 	defer func() { c.Close(); w.hold(c, false) }()
 	for w.state(true).Cut || w.state(false).Cut {
@@ -170,7 +170,7 @@
 }
 
 // pass copies one direction, piece by piece, each in the state that holds when it comes.
-func (w *Way) pass(from, to net.Conn, there bool) {
+func (w *Proxy) pass(from, to net.Conn, there bool) {
 	buffer := make([]byte, piece)
 	for {
 		n, err := from.Read(buffer)
@@ -188,13 +188,13 @@
 				continue
 			}
 			size := n - at
-			if s.Pieces > 0 {
-				size = min(size, s.Pieces)
+			if s.MaxPiece > 0 {
+				size = min(size, s.MaxPiece)
 			}
 			pause := w.pause(s)
-			if s.Trickle > 0 {
-				size = min(size, max(s.Trickle/20, 1))
-				pause += time.Duration(size) * time.Second / time.Duration(s.Trickle)
+			if s.BytesPerSecond > 0 {
+				size = min(size, max(s.BytesPerSecond/20, 1))
+				pause += time.Duration(size) * time.Second / time.Duration(s.BytesPerSecond)
 			}
 			if !w.wait(pause) {
 				return
@@ -220,18 +220,18 @@
 	}
 }
 
-func (w *Way) pause(s State) time.Duration {
+func (w *Proxy) pause(s Impairment) time.Duration {
 	return time.Duration((float64(s.Delay) + float64(s.Jitter)*w.lot()) * float64(time.Millisecond))
 }
 
-func (w *Way) lot() float64 {
+func (w *Proxy) lot() float64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.chance.Float64()
 }
 
 // datagrams passes what comes, by a socket of its own for each sender, and what comes back by that.
-func (w *Way) datagrams() {
+func (w *Proxy) datagrams() {
 	buffer := make([]byte, datagram)
 	for {
 		n, from, err := w.udp.ReadFromUDP(buffer)
@@ -250,7 +250,7 @@
 	}
 }
 
-func (w *Way) session(from *net.UDPAddr) *net.UDPConn {
+func (w *Proxy) session(from *net.UDPAddr) *net.UDPConn {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if u := w.sessions[from.String()]; u != nil {
@@ -269,7 +269,7 @@
 	return u
 }
 
-func (w *Way) answers(u *net.UDPConn, from *net.UDPAddr) {
+func (w *Proxy) answers(u *net.UDPConn, from *net.UDPAddr) {
 	buffer := make([]byte, datagram)
 	for {
 		u.SetReadDeadline(time.Now().Add(idle))
@@ -297,13 +297,13 @@
 }
 
 // send has a datagram arrive as the direction's state has it: never, later, twice or out of turn.
-func (w *Way) send(there bool, do func()) {
+func (w *Proxy) send(there bool, do func()) {
 	s := w.state(there)
 	if s.Cut || w.lot() < s.Loss {
 		return
 	}
 	times := 1
-	if w.lot() < s.Double {
+	if w.lot() < s.Duplicate {
 		times = 2
 	}
 	for range times {
--- a/internal/testbed/netem/netem_test.go
+++ b/internal/testbed/netem/netem_test.go
@@ -45,24 +45,24 @@
 	const size = 4000
 	for _, c := range []struct {
 		name        string
-		there, back State
+		there, back Impairment
 		least, most time.Duration
 		fails       bool
 	}{
 		{name: "open", most: 900 * time.Millisecond},
-		{name: "pieces", there: State{Pieces: 100}, most: 2 * time.Second},
-		{name: "delay both ways", there: State{Delay: 60}, back: State{Delay: 60},
+		{name: "pieces", there: Impairment{MaxPiece: 100}, most: 2 * time.Second},
+		{name: "delay both ways", there: Impairment{Delay: 60}, back: Impairment{Delay: 60},
 			least: 110 * time.Millisecond, most: 2 * time.Second},
-		{name: "trickle", back: State{Trickle: 10000}, least: 300 * time.Millisecond, most: 2 * time.Second},
-		{name: "cut there", there: State{Cut: true}, fails: true},
-		{name: "cut back", back: State{Cut: true}, fails: true},
-		{name: "reset", there: State{Reset: true}, fails: true},
+		{name: "trickle", back: Impairment{BytesPerSecond: 10000}, least: 300 * time.Millisecond, most: 2 * time.Second},
+		{name: "cut there", there: Impairment{Cut: true}, fails: true},
+		{name: "cut back", back: Impairment{Cut: true}, fails: true},
+		{name: "reset", there: Impairment{Reset: true}, fails: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w, err := New("127.0.0.1", echo(t), rand.New(rand.NewSource(1)))
 			require.NoError(t, err)
 			defer w.Close()
-			w.Set(c.there, c.back)
+			w.SetImpairments(c.there, c.back)
 			began := time.Now()
 			conn, err := net.Dial("tcp", w.Address)
 			require.NoError(t, err)
@@ -99,12 +99,12 @@
 	conn.Write([]byte("a"))
 	_, err = io.ReadFull(conn, one)
 	require.NoError(t, err)
-	w.Set(State{Cut: true}, State{})
+	w.SetImpairments(Impairment{Cut: true}, Impairment{})
 	conn.Write([]byte("b"))
 	conn.SetReadDeadline(time.Now().Add(60 * time.Millisecond))
 	_, err = conn.Read(one)
 	assert.Error(t, err)
-	w.Set(State{}, State{})
+	w.SetImpairments(Impairment{}, Impairment{})
 	conn.SetReadDeadline(time.Now().Add(2 * time.Second))
 	_, err = io.ReadFull(conn, one)
 	require.NoError(t, err)
@@ -114,20 +114,20 @@
 func TestDatagrams(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		there       State
+		there       Impairment
 		least, most int // answers to a hundred
 	}{
-		{"open", State{}, 100, 100},
-		{"half lost", State{Loss: 0.5}, 20, 80},
-		{"doubled", State{Double: 1}, 200, 200},
-		{"cut", State{Cut: true}, 0, 0},
-		{"overtaken", State{Reorder: 0.5}, 100, 100},
+		{"open", Impairment{}, 100, 100},
+		{"half lost", Impairment{Loss: 0.5}, 20, 80},
+		{"doubled", Impairment{Duplicate: 1}, 200, 200},
+		{"cut", Impairment{Cut: true}, 0, 0},
+		{"overtaken", Impairment{Reorder: 0.5}, 100, 100},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w, err := New("127.0.0.1", echo(t), rand.New(rand.NewSource(1)))
 			require.NoError(t, err)
 			defer w.Close()
-			w.Set(c.there, State{})
+			w.SetImpairments(c.there, Impairment{})
 			conn, err := net.Dial("udp", w.Address)
 			require.NoError(t, err)
 			defer conn.Close()
--- a/internal/testbed/procstat/procstat.go
+++ b/internal/testbed/procstat/procstat.go
@@ -1,4 +1,4 @@
-// Package proc has what the lab needs of the machine to run programs beside itself: a free port, and what a
+// Package procstat has what the lab needs of the machine to run programs beside itself: a free port, and what a
 // process has used.
 package procstat
 
@@ -10,11 +10,11 @@
 	"strconv"
 )
 
-// Free gives an address on loopback whose port is free; it is given back to whoever listens there next.
-func Free() (string, error) { return FreeOn("127.0.0.1") }
+// FreeAddress gives an address on loopback whose port is free; it is given back to whoever listens there next.
+func FreeAddress() (string, error) { return FreeAddressOn("127.0.0.1") }
 
-// FreeOn does so at that address of loopback.
-func FreeOn(host string) (string, error) {
+// FreeAddressOn does so at that address of loopback.
+func FreeAddressOn(host string) (string, error) {
 	l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return "", err
--- a/internal/testbed/report/golden_test.go
+++ b/internal/testbed/report/golden_test.go
@@ -20,7 +20,7 @@
 func goldenReport() *Report {
 	recovered := 1250.5
 	return &Report{Name: "golden", Seed: 7, Warm: 1000,
-		Marks: []model.Mark{{From: 2000, To: 3500.5, Text: "slow"}, {From: 4000, To: 9000, Text: "relay-kill"}},
+		Marks: []model.FaultSpan{{From: 2000, To: 3500.5, Text: "slow"}, {From: 4000, To: 9000, Text: "relay-kill"}},
 		Runs: []Run{{Variant: "module", How: "simulated", Service: 0.9875, Worst: 0.75,
 			Answers: map[string]int{"UP": 12, "BUSY": 3, "ERR": 1, "none": 2, "cut": 4},
 			Rules:   map[string]int{"final answer": 1, "twice": 2, "drain": 3, "cold": 4, "lines": 5},
@@ -28,8 +28,8 @@
 			Categories: map[string]map[string]Quantile{"chat": {
 				"setup": {Count: 12, P50: 1.5, P99: 2.5, P999: 3.5},
 				"line":  {Count: 13, P50: 4.5, P99: 5.5, P999: 6.5}}},
-			Seconds: []model.Second{{Wanted: 1.5, Served: 2.5, Setups: 3, Rejected: 4, Errored: 5, Unanswered: 6,
-				Cut: 7, Standing: 8, Spread: 9.5, MeanUtil: 10.5, WorstUtil: 11.5}},
+			Seconds: []model.Second{{Offered: 1.5, Served: 2.5, Established: 3, Rejected: 4, Errored: 5, Unanswered: 6,
+				Disconnected: 7, Sessions: 8, UtilizationStdDev: 9.5, MeanUtilization: 10.5, MaxUtilization: 11.5}},
 			Late: true, Memory: map[int]int64{0: 1 << 20}, CPU: map[int]float64{1: 2.25}}}}
 }
 
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -52,45 +52,45 @@
 
 // Report is an experiment with its runs.
 type Report struct {
-	Name  string       `json:"name"`
-	Seed  uint64       `json:"seed"`
-	Warm  float64      `json:"warm"`
-	Marks []model.Mark `json:"faults"`
-	Runs  []Run        `json:"runs"`
+	Name  string            `json:"name"`
+	Seed  uint64            `json:"seed"`
+	Warm  float64           `json:"warm"`
+	Marks []model.FaultSpan `json:"faults"`
+	Runs  []Run             `json:"runs"`
 }
 
 // New starts a report.
 func New(x *experiment.Experiment) *Report {
-	return &Report{Name: x.Name, Seed: x.Seed, Warm: float64(x.Warm)}
+	return &Report{Name: x.Name, Seed: x.Seed, Warm: float64(x.Warmup)}
 }
 
-// Add takes one run.
-func (r *Report) Add(x *experiment.Experiment, variant, how string, t *model.Tally, marks []model.Mark,
+// AddRun takes one run.
+func (r *Report) AddRun(x *experiment.Experiment, variant, how string, t *model.Metrics, marks []model.FaultSpan,
 	a *audit.Auditor, fallen int) *Run {
-	from, to := float64(x.Warm), float64(x.Length)
-	run := Run{Variant: variant, How: how, Service: t.Service(from, to), Worst: 1, Answers: t.Answers,
+	from, to := float64(x.Warmup), float64(x.Length)
+	run := Run{Variant: variant, How: how, Service: t.ServedShare(from, to), Worst: 1, Answers: t.Answers,
 		Rules: map[string]int{}, Fallen: fallen, Categories: map[string]map[string]Quantile{},
 		Seconds: t.Seconds[:min(len(t.Seconds), int(math.Ceil(to/1000)))]}
 	for i := int(from / 1000); i < int(to/1000); i++ {
-		run.Worst = min(run.Worst, t.Service(float64(i)*1000, float64(i)*1000+1))
+		run.Worst = min(run.Worst, t.ServedShare(float64(i)*1000, float64(i)*1000+1))
 	}
 	for rule, n := range a.Counts {
 		if n > 0 {
 			run.Rules[audit.Rule(rule).String()] = n
 		}
 	}
-	for _, b := range a.Breaks[:min(len(a.Breaks), 20)] {
+	for _, b := range a.Violations[:min(len(a.Violations), 20)] {
 		run.Breaks = append(run.Breaks, b.String())
 	}
-	for c := range t.Setup {
-		run.Categories[c] = map[string]Quantile{"setup": quantile(t.Setup[c]), "line": quantile(t.Line[c])}
+	for c := range t.SetupLatency {
+		run.Categories[c] = map[string]Quantile{"setup": quantile(t.SetupLatency[c]), "line": quantile(t.LineLatency[c])}
 	}
 	first, last := math.Inf(1), 0.0
 	for _, m := range marks {
 		first, last = min(first, m.From), max(last, min(m.To, to))
 	}
 	if len(marks) > 0 && last < to-1000 {
-		if after := t.Recovered(first, last, 0.05); !math.IsInf(after, 1) {
+		if after := t.RecoveryTime(first, last, 0.05); !math.IsInf(after, 1) {
 			run.Recovered = &after
 		}
 	}
@@ -124,22 +124,22 @@
 		of          func(s model.Second) float64
 	}{
 		{"Service: gain answered in time, of that wanted", "part", func(s model.Second) float64 {
-			if s.Wanted == 0 {
+			if s.Offered == 0 {
 				return math.NaN()
 			}
-			return s.Served / s.Wanted
+			return s.Served / s.Offered
 		}},
-		{"Load of the servers: mean", "part of capacity", func(s model.Second) float64 { return s.MeanUtil }},
+		{"Load of the servers: mean", "part of capacity", func(s model.Second) float64 { return s.MeanUtilization }},
 		{"Load of the servers: the fullest", "part of capacity",
-			func(s model.Second) float64 { return s.WorstUtil }},
+			func(s model.Second) float64 { return s.MaxUtilization }},
 		{"Load of the servers: standard deviation", "part of capacity", func(s model.Second) float64 {
-			return s.Spread
+			return s.UtilizationStdDev
 		}},
-		{"Links standing", "links", func(s model.Second) float64 { return float64(s.Standing) }},
-		{"Answered UP", "a second", func(s model.Second) float64 { return float64(s.Setups) }},
+		{"Links standing", "links", func(s model.Second) float64 { return float64(s.Sessions) }},
+		{"Answered UP", "a second", func(s model.Second) float64 { return float64(s.Established) }},
 		{"Rejected (BUSY)", "a second", func(s model.Second) float64 { return float64(s.Rejected) }},
 		{"Errored, cut off or without an answer", "a second", func(s model.Second) float64 {
-			return float64(s.Errored + s.Cut + s.Unanswered)
+			return float64(s.Errored + s.Disconnected + s.Unanswered)
 		}},
 	} {
 		svg, err := r.chart(c.unit, c.of)
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -36,7 +36,7 @@
 	for _, variant := range x.Variants {
 		s, err := sim.Run(x, variant, nil)
 		require.NoError(t, err)
-		r.Add(x, variant, "simulated", s.Tally, s.Marks, s.Audit, s.Fallen)
+		r.AddRun(x, variant, "simulated", s.Tally, s.Marks, s.Audit, s.Fallen)
 	}
 	text, err := r.JSON()
 	require.NoError(t, err)
--- a/internal/testbed/sim/council.go
+++ b/internal/testbed/sim/council.go
@@ -26,7 +26,7 @@
 func voterAddress(k int) string { return fmt.Sprintf("voter-%d", k) }
 
 func (s *Sim) voters() (all []consensus.Member, addresses []string) {
-	for k := range s.x.Relays.Council {
+	for k := range s.x.Relays.Coordinators {
 		all = append(all, consensus.Member{Name: fmt.Sprint("v", k), Address: voterAddress(k)})
 		addresses = append(addresses, voterAddress(k))
 	}
@@ -44,7 +44,7 @@
 	for z := range s.x.Fleet.Zones {
 		zones = append(zones, failover.Zone{Name: experiment.Zone(z), Region: s.x.Region(z)})
 	}
-	core, err := coordinator.New(p.clock(), all[k], all, zones, disk, s.x.Chance("voter", 1000*k+s.lives[k]))
+	core, err := coordinator.New(p.clock(), all[k], all, zones, disk, s.x.Rand("voter", 1000*k+s.lives[k]))
 	if err != nil {
 		panic(err) // of a disk that it wrote itself
 	}
--- a/internal/testbed/sim/holdings_test.go
+++ b/internal/testbed/sim/holdings_test.go
@@ -16,7 +16,7 @@
 	s := New(parse(t, text), "module", nil)
 	r, err := s.Run()
 	require.NoError(t, err)
-	assert.Zero(t, r.Audit.Broken(), "%v", r.Audit.Breaks)
+	assert.Zero(t, r.Audit.ViolationCount(), "%v", r.Audit.Violations)
 	assert.Zero(t, r.Fallen, "servers pushed over")
 	sum, left := replication.Counts{}, map[string]int{}
 	for _, p := range s.relays {
@@ -30,7 +30,7 @@
 			}
 		}
 	}
-	t.Logf("%+v, held at the end %v, service %.4f", sum, left, r.Tally.Service(12000, 24000))
+	t.Logf("%+v, held at the end %v, service %.4f", sum, left, r.Tally.ServedShare(12000, 24000))
 	return r, sum, left
 }
 
@@ -88,16 +88,16 @@
 			s := New(parse(t, c.text), "module", nil)
 			r, err := s.Run()
 			require.NoError(t, err)
-			assert.Zero(t, r.Audit.Broken(), "%v", r.Audit.Breaks)
-			assert.LessOrEqual(t, r.Audit.Repeated, c.repeated)
-			assert.GreaterOrEqual(t, r.Audit.Repeated, c.least)
+			assert.Zero(t, r.Audit.ViolationCount(), "%v", r.Audit.Violations)
+			assert.LessOrEqual(t, r.Audit.RepeatedEffects, c.repeated)
+			assert.GreaterOrEqual(t, r.Audit.RepeatedEffects, c.least)
 			sum := replication.Counts{}
 			for _, p := range s.relays {
 				if h := p.mates.core.Status(p.clock()).Replication; h != nil && !p.over {
 					sum.Add(h.Counts["marks"])
 				}
 			}
-			t.Logf("repeated %d, %+v, service %.4f", r.Audit.Repeated, sum, r.Tally.Service(6000, 20000))
+			t.Logf("repeated %d, %+v, service %.4f", r.Audit.RepeatedEffects, sum, r.Tally.ServedShare(6000, 20000))
 			if c.least == 0 {
 				assert.Greater(t, sum.Found, uint64(20), "further tries that met a mark")
 			}
@@ -127,11 +127,11 @@
 			s := New(parse(t, c.text), "module", nil)
 			r, err := s.Run()
 			require.NoError(t, err)
-			assert.Zero(t, r.Audit.Broken(), "%v", r.Audit.Breaks)
+			assert.Zero(t, r.Audit.ViolationCount(), "%v", r.Audit.Violations)
 			assert.Zero(t, r.Fallen, "servers pushed over")
-			share := float64(r.Audit.There) / float64(r.Audit.Returns)
-			t.Logf("%d of %d, service %.4f", r.Audit.There, r.Audit.Returns, r.Tally.Service(12000, 20000))
-			assert.Greater(t, r.Audit.Returns, 60)
+			share := float64(r.Audit.AffineReconnects) / float64(r.Audit.Reconnects)
+			t.Logf("%d of %d, service %.4f", r.Audit.AffineReconnects, r.Audit.Reconnects, r.Tally.ServedShare(12000, 20000))
+			assert.Greater(t, r.Audit.Reconnects, 60)
 			assert.GreaterOrEqual(t, share, c.least)
 			assert.LessOrEqual(t, share, c.most)
 		})
@@ -153,7 +153,7 @@
 	s := New(parse(t, text), "module", nil)
 	r, err := s.Run()
 	require.NoError(t, err)
-	assert.Zero(t, r.Audit.Broken(), "%v", r.Audit.Breaks)
+	assert.Zero(t, r.Audit.ViolationCount(), "%v", r.Audit.Violations)
 	assert.Zero(t, r.Fallen, "servers pushed over")
 	sums := map[string]replication.Counts{}
 	for _, p := range s.relays {
@@ -165,10 +165,10 @@
 			}
 		}
 	}
-	t.Logf("%+v; begun again %d; %d of %d back where they stood; service %.4f", sums, r.Audit.Repeated, r.Audit.There,
-		r.Audit.Returns, r.Tally.Service(4500, 8000))
+	t.Logf("%+v; begun again %d; %d of %d back where they stood; service %.4f", sums, r.Audit.RepeatedEffects, r.Audit.AffineReconnects,
+		r.Audit.Reconnects, r.Tally.ServedShare(4500, 8000))
 	assert.Greater(t, sums["marks"].Found, uint64(20))
-	assert.LessOrEqual(t, float64(r.Audit.Repeated), 2+0.1*float64(sums["marks"].Found))
-	assert.Greater(t, r.Audit.Returns, 40)
-	assert.GreaterOrEqual(t, float64(r.Audit.There), 0.8*float64(r.Audit.Returns))
+	assert.LessOrEqual(t, float64(r.Audit.RepeatedEffects), 2+0.1*float64(sums["marks"].Found))
+	assert.Greater(t, r.Audit.Reconnects, 40)
+	assert.GreaterOrEqual(t, float64(r.Audit.AffineReconnects), 0.8*float64(r.Audit.Reconnects))
 }
--- a/internal/testbed/sim/mates.go
+++ b/internal/testbed/sim/mates.go
@@ -29,8 +29,8 @@
 
 // disk is one relay's, and what becomes of it.
 type disk struct {
-	memory *store.Memory
-	older  *store.Memory // as it was early in the run
+	memory *store.MemoryFS
+	older  *store.MemoryFS // as it was early in the run
 	fault  string
 }
 
@@ -50,14 +50,14 @@
 // others.
 func (s *Sim) join(i int, p *process) {
 	x := s.x
-	if !x.Relays.Peers && !x.Relays.Disk {
+	if !x.Relays.Membership && !x.Relays.Disk {
 		return
 	}
-	chance := x.Chance("mates", i*1000+s.lives[i])
-	own := membership.Word{Name: fmt.Sprintf("relay-%d", i), Zone: experiment.Zone(i % x.Fleet.Zones),
-		Life: chance.Uint64()}
+	chance := x.Rand("mates", i*1000+s.lives[i])
+	own := membership.MemberState{Name: fmt.Sprintf("relay-%d", i), Zone: experiment.Zone(i % x.Fleet.Zones),
+		Incarnation: chance.Uint64()}
 	var seeds []string
-	if x.Relays.Peers {
+	if x.Relays.Membership {
 		own.Address = peerAddress(i)
 		for j := range x.Relays.Count {
 			if j != i && len(seeds) < mostSeeds {
@@ -66,7 +66,7 @@
 		}
 	}
 	m := &mates{s: s, i: i, p: p, core: fleet.New(p.clock(), own, seeds, fleetKey, x.Relays.Disk, chance)}
-	if x.Relays.Council > 0 {
+	if x.Relays.Coordinators > 0 {
 		_, voters := s.voters()
 		m.core.FollowCoordinators(own.Name, own.Zone, voters, fleetKey, chance)
 		if i < len(voters) {
@@ -75,8 +75,8 @@
 	}
 	p.mates = m
 	p.take(relay.Event{Kind: relay.IncarnationChanged})
-	if x.Relays.Holdings > 0 {
-		m.do(m.core.EnableReplication(own.Name, own.Life, x.Relays.Holdings, float64(x.Relays.Remember), x.Relays.Stood,
+	if x.Relays.Replicas > 0 {
+		m.do(m.core.EnableReplication(own.Name, own.Incarnation, x.Relays.Replicas, float64(x.Relays.MarkerRetention), x.Relays.ReplicatesAffinity,
 			fleetKey, chance))
 	}
 	if x.Relays.Disk {
@@ -212,7 +212,7 @@
 	switch {
 	case way.Cut || s.lot() < way.Loss:
 		return
-	case s.lot() < way.Double:
+	case s.lot() < way.Duplicate:
 		times = 2
 	}
 	for range times {
@@ -266,21 +266,21 @@
 
 // lose takes what was not synced from a relay's disk, as its machine has lost power.
 func (s *Sim) lose(i int) {
-	s.disks[i].memory.PowerLoss(func(unsynced int) int { return s.net.chance.Intn(unsynced + 1) })
+	s.disks[i].memory.LosePower(func(unsynced int) int { return s.net.chance.Intn(unsynced + 1) })
 }
 
-// Disk does something to the disk of a relay that is down.
-func (s *Sim) Disk(i int, what string) {
+// DamageDisk does something to the disk of a relay that is down.
+func (s *Sim) DamageDisk(i int, what string) {
 	d := s.disks[i]
 	d.fault = what
 	chance := rand.New(rand.NewSource(s.net.chance.Int63()))
 	switch what {
 	case "wiped":
-		d.memory = store.NewMemory()
+		d.memory = store.NewMemoryFS()
 	case "torn":
-		d.memory.Change(func(_ string, data []byte) []byte { return data[:chance.Intn(len(data)+1)] })
+		d.memory.MutateFiles(func(_ string, data []byte) []byte { return data[:chance.Intn(len(data)+1)] })
 	case "flipped":
-		d.memory.Change(func(_ string, data []byte) []byte {
+		d.memory.MutateFiles(func(_ string, data []byte) []byte {
 			for range 8 {
 				if len(data) > 0 {
 					data[chance.Intn(len(data))] ^= 1 << chance.Intn(8)
@@ -290,12 +290,12 @@
 		})
 	case "older":
 		if d.older != nil {
-			d.memory = d.older.Copy()
+			d.memory = d.older.Clone()
 		}
 	case "another's":
-		d.memory = s.disks[(i+1)%len(s.disks)].memory.Copy()
+		d.memory = s.disks[(i+1)%len(s.disks)].memory.Clone()
 	case "full", "read-only":
-		d.memory.Fails = func(call string) error {
+		d.memory.InjectFault = func(call string) error {
 			if call == "write" || call == "append" {
 				return store.ErrNoSpace
 			}
--- a/internal/testbed/sim/net.go
+++ b/internal/testbed/sim/net.go
@@ -176,7 +176,7 @@
 			own.open = false
 			delete(d.ends, conn)
 			n.tell("%s %d never up", d.address, conn)
-			d.actor.Over(conn, true)
+			d.actor.OnClose(conn, true)
 		}
 	}
 	n.after(dialTime, func() {
@@ -208,7 +208,7 @@
 					if own.open && !own.taken {
 						own.taken = true
 						n.tell("%s %d up", d.address, conn)
-						d.actor.Up(conn)
+						d.actor.OnConnect(conn)
 						own.flush()
 					} else if !own.open { // given up meanwhile
 						n.sever(there, false)
@@ -222,7 +222,7 @@
 func (s *side) accept() {
 	s.taken = true
 	s.node.net.tell("%s %d opened", s.node.address, s.conn)
-	s.node.actor.Opened(s.conn)
+	s.node.actor.OnAccept(s.conn)
 	s.flush()
 }
 
@@ -241,7 +241,7 @@
 		s.open = false
 		delete(s.node.ends, s.conn)
 		n.tell("%s %d over %t", s.node.address, s.conn, broken)
-		s.node.actor.Over(s.conn, broken)
+		s.node.actor.OnClose(s.conn, broken)
 	})
 }
 
@@ -267,7 +267,7 @@
 		if n.trace != nil {
 			n.tell("%s %d came %q", to.node.address, to.conn, copied)
 		}
-		to.node.actor.Came(to.conn, copied)
+		to.node.actor.OnData(to.conn, copied)
 	})
 }
 
@@ -289,8 +289,8 @@
 
 func (h host) Now() float64                   { return h.net.now }
 func (h host) Write(conn uint64, data []byte) { h.write(conn, data) }
-func (h host) End(conn uint64)                { h.end(conn, false) }
-func (h host) Break(conn uint64)              { h.end(conn, true) }
+func (h host) Close(conn uint64)              { h.end(conn, false) }
+func (h host) Reset(conn uint64)              { h.end(conn, true) }
 func (h host) After(wait float64, do func())  { h.net.after(wait, do) }
 func (h host) Dial(address string) (conn uint64) {
 	h.last++
--- a/internal/testbed/sim/recovery_test.go
+++ b/internal/testbed/sim/recovery_test.go
@@ -105,13 +105,13 @@
 			s := New(parse(t, text), "module", nil)
 			r, err := s.Run()
 			require.NoError(t, err)
-			assert.Zero(t, r.Audit.Broken(), "%v", r.Audit.Breaks)
+			assert.Zero(t, r.Audit.ViolationCount(), "%v", r.Audit.Violations)
 			assert.Zero(t, r.Fallen, "servers pushed over")
 			least := 0.9
 			if strings.Contains(c.faults, "wiped") || strings.Contains(c.faults, "another's") {
 				least = 0.85 // nothing is known of what servers bear: 0.86 to 1 over six seeds
 			}
-			assert.Greater(t, r.Tally.Service(30000, 33000), least)
+			assert.Greater(t, r.Tally.ServedShare(30000, 33000), least)
 			phases, live := s.Phases(), 0
 			for _, p := range s.relays {
 				if !p.over {
@@ -128,10 +128,10 @@
 	service := map[bool]float64{}
 	for _, knowing := range []bool{false, true} {
 		x := parse(t, machines+fault("power-loss", "10s", "for = \"2s\"\nspread = \"1s\"\nshare = 1.0"))
-		x.Relays.Peers, x.Relays.Disk = knowing, knowing
+		x.Relays.Membership, x.Relays.Disk = knowing, knowing
 		r, err := Run(x, "module", nil)
 		require.NoError(t, err)
-		service[knowing] = r.Tally.Service(13000, 20000)
+		service[knowing] = r.Tally.ServedShare(13000, 20000)
 	}
 	assert.Greater(t, service[true], 2*service[false])
 }
@@ -176,7 +176,7 @@
 				}
 				r, err := s.Run()
 				require.NoError(t, err)
-				assert.Equal(t, planted, r.Audit.Broken()+r.Fallen > 0, "%v", r.Audit.Breaks)
+				assert.Equal(t, planted, r.Audit.ViolationCount()+r.Fallen > 0, "%v", r.Audit.Violations)
 			})
 		}
 	}
--- a/internal/testbed/sim/relay.go
+++ b/internal/testbed/sim/relay.go
@@ -25,9 +25,9 @@
 	*node
 	number int
 	brain  Brain
-	list   *model.Catalogue
-	ways   map[[2]int]experiment.Way
-	watch  model.Witness
+	list   *model.Discovery
+	ways   map[[2]int]experiment.Impairment
+	watch  model.Observer
 	exit   func()
 	conns  map[uint64]uint64 // the node's own numbers by the reducer's, and back
 	back   map[uint64]uint64
@@ -50,8 +50,8 @@
 	ready  func()
 }
 
-func newProcess(d *node, number int, brain Brain, list *model.Catalogue,
-	ways map[[2]int]experiment.Way, watch model.Witness, exit func()) *process {
+func newProcess(d *node, number int, brain Brain, list *model.Discovery,
+	ways map[[2]int]experiment.Impairment, watch model.Observer, exit func()) *process {
 	return &process{node: d, number: number, brain: brain, list: list, ways: ways, watch: watch, exit: exit,
 		conns: map[uint64]uint64{}, back: map[uint64]uint64{}, told: map[string]bool{}}
 }
@@ -252,8 +252,8 @@
 	}
 }
 
-// Opened, Up, Came and Over are what the network tells.
-func (p *process) Opened(conn uint64) {
+// OnAccept, Up, Came and Over are what the network tells.
+func (p *process) OnAccept(conn uint64) {
 	p.count++
 	p.conns[p.count], p.back[conn] = conn, p.count
 	p.take(relay.Event{Kind: relay.ConnAccepted, Conn: p.count})
@@ -267,20 +267,20 @@
 	return p
 }
 
-// Up tells that a dial is up.
-func (p *process) Up(conn uint64) {
+// OnConnect tells that a dial is up.
+func (p *process) OnConnect(conn uint64) {
 	p = p.of(conn)
 	p.take(relay.Event{Kind: relay.ConnEstablished, Conn: p.back[conn]})
 }
 
-// Came tells bytes.
-func (p *process) Came(conn uint64, data []byte) {
+// OnData tells bytes.
+func (p *process) OnData(conn uint64, data []byte) {
 	p = p.of(conn)
 	p.take(relay.Event{Kind: relay.DataReceived, Conn: p.back[conn], Data: data})
 }
 
-// Over tells an end from the other side.
-func (p *process) Over(conn uint64, broken bool) {
+// OnClose tells an end from the other side.
+func (p *process) OnClose(conn uint64, broken bool) {
 	p = p.of(conn)
 	of := p.back[conn]
 	delete(p.back, conn)
@@ -319,8 +319,8 @@
 		p.reset()
 	case way.Delay > 0 || way.Jitter > 0:
 		p.net.after(float64(way.Delay)+float64(way.Jitter)*p.net.chance.Float64(), do)
-	case way.Trickle > 0: // a list is some kilobytes
-		p.net.after(4096*1000/float64(way.Trickle), do)
+	case way.BytesPerSecond > 0: // a list is some kilobytes
+		p.net.after(4096*1000/float64(way.BytesPerSecond), do)
 	default:
 		p.net.after(p.net.way(), do)
 	}
@@ -336,19 +336,19 @@
 
 var errReset = errors.New("watch: connection reset")
 
-// News brings the list or its changes.
-func (w *follower) News(n *relay.EndpointUpdate) {
+// OnUpdate brings the list or its changes.
+func (w *follower) OnUpdate(n *relay.EndpointUpdate) {
 	w.tell(func() {
 		p := w.p
 		seen := map[string]bool{}
 		for _, e := range n.Endpoints {
 			p.told[e.Name], seen[e.Name] = true, true
-			p.watch.Told(p.net.now, p.number, e.Name, e.Status, e.StartedAt)
+			p.watch.EndpointUpdated(p.net.now, p.number, e.Name, e.Status, e.StartedAt)
 		}
 		if n.Complete {
 			for _, name := range sorted(p.told) {
 				if !seen[name] {
-					p.watch.Told(p.net.now, p.number, name, "left", 0)
+					p.watch.EndpointUpdated(p.net.now, p.number, name, "left", 0)
 				}
 			}
 		}
@@ -359,13 +359,13 @@
 	})
 }
 
-// Heard brings an empty line.
-func (w *follower) Heard() {
+// OnHeartbeat brings an empty line.
+func (w *follower) OnHeartbeat() {
 	w.tell(func() { w.p.take(relay.Event{Kind: relay.WatchHeartbeat, Conn: w.number}) })
 }
 
-// Failed brings the watch's end.
-func (w *follower) Failed(err error) {
+// OnFailure brings the watch's end.
+func (w *follower) OnFailure(err error) {
 	w.tell(func() {
 		w.p.follow = nil
 		w.p.take(relay.Event{Kind: relay.WatchFailed, Conn: w.number, Err: err})
--- a/internal/testbed/sim/sim.go
+++ b/internal/testbed/sim/sim.go
@@ -20,8 +20,8 @@
 // Result is what one run came to.
 type Result struct {
 	Variant string
-	Tally   *model.Tally
-	Marks   []model.Mark
+	Tally   *model.Metrics
+	Marks   []model.FaultSpan
 	Audit   *audit.Auditor
 	Fallen  int
 	Events  int
@@ -35,14 +35,14 @@
 	x       *experiment.Experiment
 	variant string
 	net     *network
-	world   *model.World
+	world   *model.Environment
 	audit   *audit.Auditor
 	relays  []*process
 	reducer []*relay.StateMachine
 	lives   []int
 	known   []*relay.EndpointUpdate
 	past    []relay.Counters // of lives that are over
-	ways    map[[2]int]experiment.Way
+	ways    map[[2]int]experiment.Impairment
 	disks   []*disk
 	seats   map[int]*seat // voters, by their machines
 	clocks  []float64     // of relays' machines, ahead of the true time
@@ -54,11 +54,11 @@
 
 // New makes a run of one variant.
 func New(x *experiment.Experiment, variant string, trace io.Writer) *Sim {
-	n := newNetwork(x.Chance("network", 0), float64(x.Network.Delay), float64(x.Network.Jitter), x.Network.Split)
+	n := newNetwork(x.Rand("network", 0), float64(x.Network.Delay), float64(x.Network.Jitter), x.Network.SplitProbability)
 	n.trace = trace
 	slack := 4*float64(x.Network.Delay+4*x.Network.Jitter) + 1
-	return &Sim{x: x, variant: variant, net: n, ways: map[[2]int]experiment.Way{},
-		seats: map[int]*seat{}, audit: audit.New(slack, x.Fleet.TipMultiple, float64(x.Fleet.Fall))}
+	return &Sim{x: x, variant: variant, net: n, ways: map[[2]int]experiment.Impairment{},
+		seats: map[int]*seat{}, audit: audit.New(slack, x.Fleet.OverloadMultiple, float64(x.Fleet.OverloadWindow))}
 }
 
 // Run plays an experiment under one variant.
@@ -70,8 +70,8 @@
 func (s *Sim) Run() (*Result, error) {
 	began := time.Now()
 	x := s.x
-	s.world = model.NewWorld(x, s, host{s.net.node("world", -1)}, s.audit)
-	s.audit.Near, s.audit.NearFrom = s.world.Near, start+float64(x.Warm)
+	s.world = model.NewEnvironment(x, s, host{s.net.node("world", -1)}, s.audit)
+	s.audit.IsSameZone, s.audit.LocalityFrom = s.world.IsSameZone, start+float64(x.Warmup)
 	var addresses []string
 	for i := range x.Relays.Count {
 		zone := i % x.Fleet.Zones
@@ -80,25 +80,25 @@
 		addresses = append(addresses, d.address)
 		s.relays = append(s.relays, &process{node: d, over: true})
 		s.reducer, s.lives = append(s.reducer, nil), append(s.lives, 0)
-		s.disks = append(s.disks, &disk{memory: store.NewMemory()})
+		s.disks = append(s.disks, &disk{memory: store.NewMemoryFS()})
 		s.clocks = append(s.clocks, 0)
 		s.known, s.past = append(s.known, s.keeps()), append(s.past, relay.Counters{})
 		if err := s.start(i); err != nil {
 			return nil, err
 		}
 	}
-	s.world.Begin(addresses)
-	s.net.after(float64(x.Warm)/2, func() {
+	s.world.Start(addresses)
+	s.net.after(float64(x.Warmup)/2, func() {
 		for _, d := range s.disks {
-			d.older = d.memory.Copy()
+			d.older = d.memory.Clone()
 		}
 	})
 	s.net.run(start + float64(x.Length))
-	s.world.Crowd.Close()
+	s.world.Workload.Close()
 	s.net.run(start + float64(x.Length) + settle)
 	s.audit.Finish(s.net.now)
-	r := &Result{Variant: s.variant, Tally: s.world.Tally, Marks: s.world.Marks, Audit: s.audit,
-		Fallen: s.world.Fallen(), Events: s.net.events, Bytes: s.net.bytes, Took: time.Since(began)}
+	r := &Result{Variant: s.variant, Tally: s.world.Metrics, Marks: s.world.FaultSpans, Audit: s.audit,
+		Fallen: s.world.ColdOverloads(), Events: s.net.events, Bytes: s.net.bytes, Took: time.Since(began)}
 	for i, d := range s.reducer {
 		r.Relays = append(r.Relays, d.Counters)
 		if d.Counters.Succeeded == 0 {
@@ -125,9 +125,9 @@
 func (s *Sim) process(i int, elder *process, left *relay.Handoff) (*process, error) {
 	x := s.x
 	s.lives[i]++
-	told := &relay.Config{Name: fmt.Sprintf("relay-%d", i), Discovery: "10.0.0.1:1", MaxSockets: x.Relays.Sockets,
-		Seed: x.Chance("relay", i*1000+s.lives[i]).Uint64(), InitialEndpoints: s.known[i],
-		Settings: x.Told(i % x.Fleet.Zones), MaxReportAgeMillis: x.ReportAge(), HasParent: elder != nil, Handoff: left}
+	told := &relay.Config{Name: fmt.Sprintf("relay-%d", i), Discovery: "10.0.0.1:1", MaxSockets: x.Relays.MaxDescriptors,
+		Seed: x.Rand("relay", i*1000+s.lives[i]).Uint64(), InitialEndpoints: s.known[i],
+		Settings: x.RelaySettings(i % x.Fleet.Zones), MaxReportAgeMillis: x.MaxReportAge(), HasParent: elder != nil, Handoff: left}
 	module, err := Policy(x, s.variant, i%x.Fleet.Zones, told, s.truth, s.bears)
 	if err != nil {
 		return nil, err
@@ -141,7 +141,7 @@
 	if s.Spoil != nil {
 		brain = s.Spoil(i, brain)
 	}
-	p := newProcess(s.relays[i].node, i, brain, s.world.List, s.ways, s.audit, func() { s.ended(i) })
+	p := newProcess(s.relays[i].node, i, brain, s.world.Discovery, s.ways, s.audit, func() { s.ended(i) })
 	p.beside, p.ahead = elder, s.clocks[i]
 	return p, nil
 }
@@ -151,8 +151,8 @@
 	noticed = 20.0 // until the platform sees that the younger is ready
 )
 
-// Replace starts another process beside a relay's; once that is ready, the elder is stopped as planned.
-func (s *Sim) Replace(i int, done func()) {
+// ReplaceRelay starts another process beside a relay's; once that is ready, the elder is stopped as planned.
+func (s *Sim) ReplaceRelay(i int, done func()) {
 	s.net.tell("relay %d is replaced", i)
 	elder := s.relays[i]
 	elder.take(relay.Event{Kind: relay.SiblingProcessesChanged, HasChild: true, WantsHandoff: true})
@@ -207,8 +207,8 @@
 	})
 }
 
-// LameDuck has operators empty a relay, or take it back to work.
-func (s *Sim) LameDuck(i int, on bool) {
+// DrainRelay has operators empty a relay, or take it back to work.
+func (s *Sim) DrainRelay(i int, on bool) {
 	s.net.tell("relay %d lame duck %t", i, on)
 	p := s.relays[i]
 	p.take(relay.Event{Kind: relay.DrainRequested, Off: !on})
@@ -222,37 +222,37 @@
 func (s *Sim) ended(i int) {
 	s.past[i] = s.reducer[i].Counters
 	s.known[i] = s.keeps()
-	s.world.Exited(i)
+	s.world.RelayExited(i)
 }
 
 // keeps is what the platform keeps of the list for a relay that ends now.
 func (s *Sim) keeps() *relay.EndpointUpdate {
-	if !s.x.Relays.Known {
+	if !s.x.Relays.KnowsEndpoints {
 		return &relay.EndpointUpdate{Complete: true}
 	}
-	return s.world.List.Whole()
+	return s.world.Discovery.FullUpdate()
 }
 
 // Policy makes the module of one relay for a variant.
 func Policy(x *experiment.Experiment, variant string, zone int, told *relay.Config,
 	truth func(uint32) float64, bears func(uint32) bool) (dispatch.Balancer, error) {
-	if variant == experiment.Known[0] {
+	if variant == experiment.Policies[0] {
 		return settings.NewReader(told.Settings).BuildBalancer(told.Seed)
 	}
 	var categories []balancer.Class
-	for _, t := range x.Categories() {
+	for _, t := range x.Classes() {
 		effect := map[string]balancer.Idempotency{"replayable": balancer.Idempotent, "referenced": balancer.IdempotentByKey,
 			"single-use": balancer.NonIdempotent}[t.Effect]
-		categories = append(categories, balancer.Class{LatencyObjective: float64(t.Promised), PriorityWeight: t.Gain,
+		categories = append(categories, balancer.Class{LatencyObjective: float64(t.LatencyObjective), PriorityWeight: t.PriorityWeight,
 			Idempotency: effect})
 	}
-	return baseline.New(variant, zone, told.Seed, categories, x.Relays.Tries, float64(x.Relays.MaxBack), truth,
+	return baseline.New(variant, zone, told.Seed, categories, x.Relays.MaxAttempts, float64(x.Relays.MaxRetryAfter), truth,
 		bears)
 }
 
 // truth is a server's true load, for perfect sight; one that is dead or dark is full.
 func (s *Sim) truth(id uint32) float64 {
-	for _, v := range s.world.Servers {
+	for _, v := range s.world.Backends {
 		if relay.BackendID(v.Name) == id && !v.Dead {
 			return v.Demand / max(v.Capacity(s.net.now), 1e-6)
 		}
@@ -262,16 +262,16 @@
 
 // bears tells whether a server has room for one more link: perfect sight that keeps the rules.
 func (s *Sim) bears(id uint32) bool {
-	for _, v := range s.world.Servers {
+	for _, v := range s.world.Backends {
 		if relay.BackendID(v.Name) == id {
-			return s.world.Bears(v)
+			return s.world.HasCapacity(v)
 		}
 	}
 	return false
 }
 
-// Place gives a place on the network.
-func (s *Sim) Place(zone int) (model.Host, string) {
+// NewHost gives a place on the network.
+func (s *Sim) NewHost(zone int) (model.Host, string) {
 	d := s.net.node(fmt.Sprintf("10.1.%d.%d:9000", len(s.net.order)/250, len(s.net.order)%250), zone)
 	return host{d}, d.address
 }
@@ -279,28 +279,28 @@
 // Bind says who stands at a place.
 func (s *Sim) Bind(address string, who model.Actor) { s.net.nodes[address].actor = who }
 
-// Dark has nothing pass to or from a place, or again.
-func (s *Sim) Dark(address string, dark bool) {
+// SetUnreachable has nothing pass to or from a place, or again.
+func (s *Sim) SetUnreachable(address string, dark bool) {
 	s.net.tell("%s dark %t", address, dark)
 	s.net.nodes[address].dark = dark
 	s.net.reopened()
 }
 
-// Refuse has a place refuse new connections, or again take them.
-func (s *Sim) Refuse(address string, refuse bool) {
+// SetRefusing has a place refuse new connections, or again take them.
+func (s *Sim) SetRefusing(address string, refuse bool) {
 	s.net.tell("%s refuse %t", address, refuse)
 	s.net.nodes[address].refuse = refuse
 }
 
-// Cut parts a zone from the others, or joins it again.
-func (s *Sim) Cut(zone int, cut bool) {
+// IsolateZone parts a zone from the others, or joins it again.
+func (s *Sim) IsolateZone(zone int, cut bool) {
 	s.net.tell("zone %d cut %t", zone, cut)
 	s.net.cut[zone] = cut
 	s.net.reopened()
 }
 
-// Kill ends a relay at once.
-func (s *Sim) Kill(i int) {
+// KillRelay ends a relay at once.
+func (s *Sim) KillRelay(i int) {
 	s.net.tell("relay %d killed", i)
 	s.past[i], s.known[i] = s.reducer[i].Counters, s.keeps()
 	p := s.relays[i]
@@ -311,8 +311,8 @@
 	}
 }
 
-// Freeze stops a relay's process, or has it go on.
-func (s *Sim) Freeze(i int, on bool) {
+// FreezeRelay stops a relay's process, or has it go on.
+func (s *Sim) FreezeRelay(i int, on bool) {
 	s.net.tell("relay %d frozen %t", i, on)
 	if p := s.relays[i]; !p.over {
 		p.freeze(on)
@@ -322,22 +322,22 @@
 // wall is what a relay's machine has for the time.
 func (s *Sim) wall(i int) float64 { return s.net.now + s.clocks[i] }
 
-// Clock has a relay's machine have a clock that is so far ahead. A process keeps the time that it began by.
-func (s *Sim) Clock(i int, ahead float64) {
+// SetClockOffset has a relay's machine have a clock that is so far ahead. A process keeps the time that it began by.
+func (s *Sim) SetClockOffset(i int, ahead float64) {
 	s.net.tell("relay %d clock %v ms ahead", i, ahead)
 	s.clocks[i] = ahead
 }
 
-// Way sets what lies between two machines in that direction.
-func (s *Sim) Way(from, to int, way experiment.Way) {
+// SetImpairment sets what lies between two machines in that direction.
+func (s *Sim) SetImpairment(from, to int, way experiment.Impairment) {
 	s.ways[[2]int{from, to}] = way
 	if way.Reset && from == experiment.Discovery && !s.relays[to].over {
 		s.relays[to].reset()
 	}
 }
 
-// Stop has a relay stop as planned; if it has not by the time that the platform gives, it is killed.
-func (s *Sim) Stop(i int) {
+// StopRelay has a relay stop as planned; if it has not by the time that the platform gives, it is killed.
+func (s *Sim) StopRelay(i int) {
 	s.net.tell("relay %d stops", i)
 	p := s.relays[i]
 	p.take(relay.Event{Kind: relay.ShutdownRequested})
@@ -349,16 +349,16 @@
 	})
 }
 
-// Start has a relay start again.
-func (s *Sim) Start(i int) {
+// StartRelay has a relay start again.
+func (s *Sim) StartRelay(i int) {
 	s.net.tell("relay %d starts", i)
 	if err := s.start(i); err != nil {
 		panic(err) // it was built from the same before
 	}
 }
 
-// Reload gives a relay the other address of discovery.
-func (s *Sim) Reload(i int) {
+// ReloadRelay gives a relay the other address of discovery.
+func (s *Sim) ReloadRelay(i int) {
 	s.net.tell("relay %d reloads", i)
 	if p := s.relays[i]; !p.over {
 		p.take(relay.Event{Kind: relay.ConfigReloaded, Address: fmt.Sprintf("10.0.0.%d:1", 2+s.net.seq%200)})
--- a/internal/testbed/sim/sim_test.go
+++ b/internal/testbed/sim/sim_test.go
@@ -55,14 +55,14 @@
 // On a calm day every policy serves nearly all and keeps the rules; those that see loads spread them better.
 func TestCalm(t *testing.T) {
 	spread := map[string]float64{}
-	for _, variant := range experiment.Known {
+	for _, variant := range experiment.Policies {
 		r := play(t, calm, variant)
-		assert.Zero(t, r.Audit.Broken(), "%s: %v", variant, r.Audit.Breaks)
-		assert.Greater(t, r.Tally.Service(3000, 20000), 0.98, variant)
+		assert.Zero(t, r.Audit.ViolationCount(), "%s: %v", variant, r.Audit.Violations)
+		assert.Greater(t, r.Tally.ServedShare(3000, 20000), 0.98, variant)
 		assert.Greater(t, r.Tally.Answers["UP"], 800, variant)
-		assert.Equal(t, r.Tally.Answers["UP"], r.Tally.Heads, variant)
+		assert.Equal(t, r.Tally.Answers["UP"], r.Tally.Requests, variant)
 		for _, s := range r.Tally.Seconds[5:20] {
-			spread[variant] += s.Spread / 15
+			spread[variant] += s.UtilizationStdDev / 15
 		}
 	}
 	assert.Less(t, spread["module"], spread["random"])
@@ -71,13 +71,13 @@
 
 // Each kind of fault, alone, on one seed: the run comes to its end with the rules kept.
 func TestEachFault(t *testing.T) {
-	for kind := range experiment.Kinds {
+	for kind := range experiment.FaultKinds {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			r := play(t, calm+"[[fault]]\nkind = \""+kind+"\"\nat = \"6s\"\nfor = \"4s\"\nshare = 0.3\n", "module")
-			assert.Zero(t, r.Audit.Broken(), "%v", r.Audit.Breaks)
+			assert.Zero(t, r.Audit.ViolationCount(), "%v", r.Audit.Violations)
 			require.Len(t, r.Marks, 1)
-			assert.Greater(t, r.Tally.Service(14000, 20000), 0.7)
+			assert.Greater(t, r.Tally.ServedShare(14000, 20000), 0.7)
 		})
 	}
 }
@@ -89,12 +89,12 @@
 	for _, known := range []bool{false, true} {
 		x := parse(t, calm+"[[fault]]\nkind = \"relay-kill\"\nat = \"6s\"\nshare = 1\n"+
 			"[[fault]]\nkind = \"discovery-down\"\nat = \"6s\"\nfor = \"6s\"\n")
-		x.Relays.Known = known
+		x.Relays.KnowsEndpoints = known
 		r, err := Run(x, "module", nil)
 		require.NoError(t, err)
-		assert.Zero(t, r.Audit.Broken())
+		assert.Zero(t, r.Audit.ViolationCount())
 		for _, s := range r.Tally.Seconds[8:11] {
-			setups[known] += s.Setups
+			setups[known] += s.Established
 		}
 	}
 	assert.Zero(t, setups[false])
--- a/internal/testbed/sim/spoil_test.go
+++ b/internal/testbed/sim/spoil_test.go
@@ -108,7 +108,7 @@
 		{"makes answers up", audit.FinalAnswer, "UP that no server said", func() *spoiled {
 			return &spoiled{}
 		}},
-		{"sends two tries", audit.Twice, "out at once", func() *spoiled {
+		{"sends two tries", audit.AtMostOnce, "out at once", func() *spoiled {
 			var dialed []string
 			second := map[uint64]uint64{}
 			next := uint64(twoFree)
@@ -127,7 +127,7 @@
 			})
 			return s
 		}},
-		{"keeps its clients though it is to be empty", audit.Lines, "still held", func() *spoiled {
+		{"keeps its clients though it is to be empty", audit.LineDelivery, "still held", func() *spoiled {
 			return &spoiled{before: func(e relay.Event) relay.Event {
 				if e.Kind == relay.DrainRequested {
 					e = relay.Event{Kind: relay.TimerFired}
@@ -160,7 +160,7 @@
 				return e
 			}}
 		}},
-		{"takes cold servers for warm", audit.Cold, "was sent", func() *spoiled {
+		{"takes cold servers for warm", audit.SlowStart, "was sent", func() *spoiled {
 			only := ""
 			return &spoiled{before: func(e relay.Event) relay.Event {
 				if e.Kind == relay.EndpointsUpdated {
@@ -181,7 +181,7 @@
 				return []relay.Effect{f}
 			})}
 		}},
-		{"loses lines", audit.Lines, "lost before", func() *spoiled {
+		{"loses lines", audit.LineDelivery, "lost before", func() *spoiled {
 			n := 0
 			return &spoiled{after: each(func(f relay.Effect) []relay.Effect {
 				if toClient(f) && strings.HasPrefix(text(f), "R ") {
@@ -192,7 +192,7 @@
 				return []relay.Effect{f}
 			})}
 		}},
-		{"doubles lines", audit.Lines, "came again", func() *spoiled {
+		{"doubles lines", audit.LineDelivery, "came again", func() *spoiled {
 			n := 0
 			return &spoiled{after: each(func(f relay.Effect) []relay.Effect {
 				if f.Kind == relay.Write && strings.HasPrefix(text(f), "M ") {
@@ -203,7 +203,7 @@
 				return []relay.Effect{f}
 			})}
 		}},
-		{"cuts links off", audit.Lines, "cut off without MOVE", func() *spoiled {
+		{"cuts links off", audit.LineDelivery, "cut off without MOVE", func() *spoiled {
 			n := 0
 			return &spoiled{after: each(func(f relay.Effect) []relay.Effect {
 				if toClient(f) && strings.HasPrefix(text(f), "R ") {
@@ -229,13 +229,13 @@
 			r, err := s.Run()
 			require.NoError(t, err)
 			require.NotZero(t, r.Audit.Counts[c.rule], "not caught: %v", r.Audit.Counts)
-			assert.True(t, slices.ContainsFunc(r.Audit.Breaks, func(b audit.Break) bool {
-				return b.Rule == c.rule && strings.Contains(b.What, c.says)
-			}), "%v", r.Audit.Breaks[:min(len(r.Audit.Breaks), 5)])
+			assert.True(t, slices.ContainsFunc(r.Audit.Violations, func(b audit.Violation) bool {
+				return b.Rule == c.rule && strings.Contains(b.Detail, c.says)
+			}), "%v", r.Audit.Violations[:min(len(r.Audit.Violations), 5)])
 		})
 	}
 	whole := play(t, trouble, "module")
-	assert.Zero(t, whole.Audit.Broken(), "%v", whole.Audit.Breaks)
+	assert.Zero(t, whole.Audit.ViolationCount(), "%v", whole.Audit.Violations)
 }
 
 // madeUp answers each head by itself as soon as it comes.
