--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -67,7 +67,7 @@
 	next.RestoreReservations(1200, 1000, a.Reservations(1200, 1000))
 	next.SetRecovering(true, 0.5, 2)
 	assert.InDelta(t, 1, next.OfferedShare(1, 7, 1000+waits[6]), 1e-9)
-	assert.InDelta(t, newPart, next.OfferedShare(1, 999, 1000+waits[6]+1), 1e-9)
+	assert.InDelta(t, newcomerShare, next.OfferedShare(1, 999, 1000+waits[6]+1), 1e-9)
 	next = New()
 	next.RestoreReservations(1200, 1000, map[uint64]float64{7: 1200 + 3.6e6, 8: 5}) // of a clock that was wrong
 	assert.Empty(t, next.Reservations(1200, 1000))
--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -19,18 +19,18 @@
 )
 
 const (
-	keepEvery = 1000.0 // between two writings of what is known
-	rateOver  = 500.0  // over which clients turned away are counted
-	smooth    = 0.3    // of the way, that their rate moves in it
-
-	settled     = 5000.0 // in the normal phase, from which figures hold what was placed
-	beyondEvery = 200.0  // between two tellings of what the others placed: news takes as long
-	clockEvery  = 1000.0 // between two looks at everybody's clocks
-	leastOff    = 1500.0 // that a clock is off, for anything to follow: more than ways take and dates are off
-
-	mostVoice    = 3.0 // middle ones, that one relay's word on what it placed counts for
-	leastLinks   = 5   // of this relay, that a measure of the fleet stands on
-	leastFigures = 0.5 // and servers' worth of load
+	snapshotInterval      = 1000.0 // between two writings of what is known
+	rejectionRateInterval = 500.0  // over which clients turned away are counted
+	smoothing             = 0.3    // of the way, that their rate moves in it
+
+	settledAfter       = 5000.0 // in the normal phase, from which figures hold what was placed
+	remoteLoadInterval = 200.0  // between two tellings of what the others placed: news takes as long
+	clockInterval      = 1000.0 // between two looks at everybody's clocks
+	minClockOffset     = 1500.0 // that a clock is off, for anything to follow: more than ways take and dates are off
+
+	maxMedianMultiple   = 3.0 // middle ones, that one relay's word on what it placed counts for
+	minMeasuredSessions = 5   // of this relay, that a measure of the fleet stands on
+	minMeasuredLoad     = 0.5 // and servers' worth of load
 )
 
 // Action is something that Core asks for, one field at a time.
@@ -51,37 +51,37 @@
 
 // Core is one relay's side of the fleet.
 type Core struct {
-	membership       *membership.View // nil: none are named
-	plan             *recovery.Plan
-	phase            recovery.Phase
-	boot             uint64 // as it was saved
-	orderNumber      uint64
-	draining         bool
-	kept             *relay.Snapshot // the latest that is worth keeping
-	diskWhy          string
-	hasDisk          bool
-	seen             relay.Status
-	turned           int // at the beginning of the second that is counted
-	turnedAt         float64
-	waiting          float64
-	measured         float64 // what a server bears; 0: not yet in this life
-	keepAt           float64
-	fleetClockOffset float64 // what the fleet's clock is ahead of the times that come in, as the relay was told
-	clockAt          float64
-	beyondAt         float64
-	beyondSaid       float64 // what others have placed, as the relay was told
-	diskRead         bool
-	coordinators     *council // nil: no voters are named
-	replication      *held    // nil: nothing is held for others
+	membership          *membership.View // nil: none are named
+	plan                *recovery.Plan
+	phase               recovery.Phase
+	boot                uint64 // as it was saved
+	orderNumber         uint64
+	draining            bool
+	lastSnapshot        *relay.Snapshot // the latest that is worth keeping
+	diskFault           string
+	hasDisk             bool
+	relayStatus         relay.Status
+	rejectedBefore      int // at the beginning of the second that is counted
+	rejectionsCountedAt float64
+	rejectionRate       float64
+	measuredCapacity    float64 // what a server bears; 0: not yet in this life
+	snapshotDueAt       float64
+	fleetClockOffset    float64 // what the fleet's clock is ahead of the times that come in, as the relay was told
+	clockDueAt          float64
+	remoteLoadDueAt     float64
+	notifiedRemoteLoad  float64 // what others have placed, as the relay was told
+	diskRead            bool
+	coordinators        *council // nil: no voters are named
+	replication         *held    // nil: nothing is held for others
 }
 
 // New starts the relay's side: with others, where an own word is given that says where it hears them, and
 // with a disk, which is told of by Disk.
 func New(now float64, own membership.MemberState, seeds []string, key []byte, disk bool, chance *rand.Rand) *Core {
-	c := &Core{plan: recovery.New(now, disk, own.Address != ""), hasDisk: disk, turnedAt: now,
-		keepAt: now + keepEvery, kept: &relay.Snapshot{}, beyondSaid: -1, diskWhy: "being read"}
+	c := &Core{plan: recovery.New(now, disk, own.Address != ""), hasDisk: disk, rejectionsCountedAt: now,
+		snapshotDueAt: now + snapshotInterval, lastSnapshot: &relay.Snapshot{}, notifiedRemoteLoad: -1, diskFault: "being read"}
 	if !disk {
-		c.diskWhy = "none is named"
+		c.diskFault = "none is named"
 	}
 	if own.Address != "" {
 		c.membership = membership.New(now, own, seeds, key, chance)
@@ -99,20 +99,20 @@
 func (c *Core) Restore(now float64, s *store.Store, found store.Recovery, err error) (acts []Action) {
 	d := recovery.DiskResult{}
 	if err != nil {
-		c.diskWhy, c.hasDisk, d.Fault = err.Error(), false, err.Error()
-		return c.acts(c.plan.ReceiveDisk(now, d))
+		c.diskFault, c.hasDisk, d.Fault = err.Error(), false, err.Error()
+		return c.planActions(c.plan.ReceiveDisk(now, d))
 	}
-	c.diskWhy, c.diskRead = "", true
+	c.diskFault, c.diskRead = "", true
 	if found.Damaged > 0 || found.TornBytes > 0 {
-		c.diskWhy = fmt.Sprintf("%d damaged pieces passed over, %d bytes cut off", found.Damaged, found.TornBytes)
-		acts = append(acts, Action{Log: "disk: " + c.diskWhy})
+		c.diskFault = fmt.Sprintf("%d damaged pieces passed over, %d bytes cut off", found.Damaged, found.TornBytes)
+		acts = append(acts, Action{Log: "disk: " + c.diskFault})
 	}
 	c.boot = found.LastBoot + 1
 	if c.membership != nil {
 		c.membership.RestoreBoot(found.LastBoot)
 		c.boot = c.membership.LocalState().Boot
 	}
-	acts = append(acts, c.saveBoot(now))
+	acts = append(acts, c.persistBoot(now))
 	if r, there := s.Get(store.KindOrder, ""); there {
 		var o storedOrder
 		if json.Unmarshal(r.Body, &o) == nil && o.Number >= c.orderNumber {
@@ -126,14 +126,14 @@
 	if r, there := s.Get(store.KindSnapshot, ""); there {
 		if d.Snapshot, err = relay.ParseSnapshot(r.Body); err != nil {
 			d.Snapshot, d.Fault = nil, err.Error()
-		} else if c.kept.Endpoints == nil && c.kept.Capacity == 0 {
-			c.kept = d.Snapshot
+		} else if c.lastSnapshot.Endpoints == nil && c.lastSnapshot.Capacity == 0 {
+			c.lastSnapshot = d.Snapshot
 		}
 	}
-	return append(acts, c.acts(c.plan.ReceiveDisk(now, d))...)
+	return append(acts, c.planActions(c.plan.ReceiveDisk(now, d))...)
 }
 
-func (c *Core) saveBoot(now float64) Action {
+func (c *Core) persistBoot(now float64) Action {
 	return Action{Persist: &store.Record{Kind: store.KindBoot, Boot: c.boot, UnixMillis: now, Body: []byte("x")}}
 }
 
@@ -177,17 +177,17 @@
 	for _, d := range c.membership.Receive(now, from, data) {
 		acts = append(acts, Action{Send: &d})
 	}
-	return append(acts, c.own(now)...)
+	return append(acts, c.adoptOwnState(now)...)
 }
 
-// own follows what others know of this relay: a boot above its own, an order later than its own.
-func (c *Core) own(now float64) (acts []Action) {
+// adoptOwnState follows what others know of this relay: a boot above its own, an order later than its own.
+func (c *Core) adoptOwnState(now float64) (acts []Action) {
 	w := c.membership.LocalState()
 	if w.Boot > c.boot && c.diskRead {
 		if c.boot = w.Boot; c.replication != nil {
 			c.replication.older = true
 		}
-		acts = append(acts, c.saveBoot(now))
+		acts = append(acts, c.persistBoot(now))
 	}
 	return append(acts, c.adoptOrder(now, w.OrderNumber, w.Draining)...)
 }
@@ -211,8 +211,8 @@
 	return slices.DeleteFunc(c.membership.Members(now), func(m membership.Member) bool { return m.Liveness != membership.Alive })
 }
 
-// others are those as the plan sees them.
-func (c *Core) others(now float64) (all []recovery.Peer) {
+// recoveryPeers are those as the plan sees them.
+func (c *Core) recoveryPeers(now float64) (all []recovery.Peer) {
 	for _, m := range c.aliveMembers(now) {
 		all = append(all, recovery.Peer{Name: m.Name, AgeMillis: m.AgeMillis, Phase: recovery.Phase(m.Phase),
 			RejectedLastSecond: m.WaitingClients, Sessions: m.Sessions, Unreachable: c.membership.Address(m) == ""})
@@ -220,16 +220,16 @@
 	return all
 }
 
-// clock has the relay told what its time is ahead of the clock by which servers' starts are told:
+// measureClock has the relay told what its time is ahead of the clock by which servers' starts are told:
 // discovery's, where that says its own. Else it is the clock in the middle of this machine's and those of the
 // relays that are heard: one that is wrong or lies moves it by a place; of two in the middle it is the
 // earlier, by which servers are younger and so colder.
-func (c *Core) clock(now, wall, dated float64) []Action {
-	if now < c.clockAt {
+func (c *Core) measureClock(now, wall, dated float64) []Action {
+	if now < c.clockDueAt {
 		return nil
 	}
 	if c.plan.Phase() >= recovery.Admitting { // before that, at each look: cold servers wait for it
-		c.clockAt = now + clockEvery
+		c.clockDueAt = now + clockInterval
 	}
 	all := []float64{wall - now}
 	if c.membership != nil {
@@ -245,7 +245,7 @@
 	if !math.IsNaN(dated) {
 		off = dated
 	}
-	if math.Abs(off-c.fleetClockOffset) < leastOff {
+	if math.Abs(off-c.fleetClockOffset) < minClockOffset {
 		return nil
 	}
 	c.fleetClockOffset = off
@@ -254,8 +254,8 @@
 			!math.IsNaN(dated))}}
 }
 
-// shifted has the promised times of what is kept be by another clock: the disk's are by the fleet's.
-func shifted(k *relay.Snapshot, by float64) *relay.Snapshot {
+// shiftRetryTimes has the promised times of what is kept be by another clock: the disk's are by the fleet's.
+func shiftRetryTimes(k *relay.Snapshot, by float64) *relay.Snapshot {
 	if by == 0 || len(k.RetryAt) == 0 {
 		return k
 	}
@@ -269,18 +269,18 @@
 
 // Tick goes on, by what the relay itself sees and its machine's clock says.
 func (c *Core) Tick(now, wall float64, seen relay.Status) (acts []Action) {
-	if now >= c.turnedAt+rateOver {
-		rate := float64(seen.Rejected-c.turned) * 1000 / (now - c.turnedAt)
-		c.waiting += (rate - c.waiting) * smooth
-		c.turned, c.turnedAt = seen.Rejected, now
+	if now >= c.rejectionsCountedAt+rejectionRateInterval {
+		rate := float64(seen.Rejected-c.rejectedBefore) * 1000 / (now - c.rejectionsCountedAt)
+		c.rejectionRate += (rate - c.rejectionRate) * smoothing
+		c.rejectedBefore, c.rejectionsCountedAt = seen.Rejected, now
 	}
-	seen.RejectedLastSecond = int(c.waiting)
-	c.seen = seen
+	seen.RejectedLastSecond = int(c.rejectionRate)
+	c.relayStatus = seen
 	var others []recovery.Peer
 	if c.plan.Phase() != recovery.Normal { // nobody looks at them else
-		others = c.others(now)
+		others = c.recoveryPeers(now)
 	}
-	acts = append(c.clock(now, wall, seen.DiscoveryClockOffset), c.acts(c.plan.Advance(now, others, seen))...)
+	acts = append(c.measureClock(now, wall, seen.DiscoveryClockOffset), c.planActions(c.plan.Advance(now, others, seen))...)
 	acts = append(append(acts, c.updateZoneWeights(now)...), c.maintainReplication(now)...)
 	if c.membership != nil {
 		w := c.membership.LocalState()
@@ -288,7 +288,7 @@
 		w.WaitingClients, w.Sessions = uint32(max(seen.RejectedLastSecond, 0)), uint32(max(seen.Sessions, 0))
 		w.OrderNumber, w.Draining, w.PlacedLoad = c.orderNumber, c.draining, uint64(max(seen.UnreportedLoad, 0))
 		c.membership.SetLocalState(w)
-		acts = append(acts, c.beyond(now, max(seen.UnreportedLoad, 0))...)
+		acts = append(acts, c.updateRemoteLoad(now, max(seen.UnreportedLoad, 0))...)
 		for _, d := range c.membership.Tick(now) {
 			acts = append(acts, Action{Send: &d})
 		}
@@ -296,13 +296,13 @@
 	return acts
 }
 
-// beyond tells what the others have placed that figures may not hold yet, by their own words. One voice
+// updateRemoteLoad tells what the others have placed that figures may not hold yet, by their own words. One voice
 // counts for some times the middle one at the most: against one that is wrong having all servers look full.
-func (c *Core) beyond(now, own float64) []Action {
-	if now < c.beyondAt {
+func (c *Core) updateRemoteLoad(now, own float64) []Action {
+	if now < c.remoteLoadDueAt {
 		return nil
 	}
-	c.beyondAt = now + beyondEvery
+	c.remoteLoadDueAt = now + remoteLoadInterval
 	others, all, sum := c.aliveMembers(now), []float64{own}, -1.0
 	for _, m := range others {
 		all = append(all, float64(m.PlacedLoad))
@@ -311,22 +311,22 @@
 		slices.Sort(all)
 		sum = 0
 		for _, m := range others {
-			sum += min(float64(m.PlacedLoad), mostVoice*all[len(all)/2])
+			sum += min(float64(m.PlacedLoad), maxMedianMultiple*all[len(all)/2])
 		}
 	}
-	if sum == c.beyondSaid {
+	if sum == c.notifiedRemoteLoad {
 		return nil
 	}
-	c.beyondSaid = sum
+	c.notifiedRemoteLoad = sum
 	return []Action{{Event: &relay.Event{Kind: relay.RemoteLoadChanged, Load: sum}}}
 }
 
 // IsSnapshotDue tells whether what is known is to be written now.
 func (c *Core) IsSnapshotDue(now float64) bool {
-	if now < c.keepAt || c.plan.Phase() < recovery.Admitting {
+	if now < c.snapshotDueAt || c.plan.Phase() < recovery.Admitting {
 		return false
 	}
-	c.keepAt = now + keepEvery
+	c.snapshotDueAt = now + snapshotInterval
 	return true
 }
 
@@ -334,65 +334,65 @@
 // was: against a relay that dies young leaving less than it was left.
 func (c *Core) RecordSnapshot(now float64, k *relay.Snapshot) store.Record {
 	if k.Endpoints == nil || len(k.Endpoints.Endpoints) == 0 {
-		k.Endpoints, k.ConfirmedAt = c.kept.Endpoints, c.kept.ConfirmedAt
+		k.Endpoints, k.ConfirmedAt = c.lastSnapshot.Endpoints, c.lastSnapshot.ConfirmedAt
 	}
-	c.learnt(now, k)
-	c.kept = k
-	text, _ := shifted(k, c.fleetClockOffset).Encode() // of plain values
+	c.completeEstimates(now, k)
+	c.lastSnapshot = k
+	text, _ := shiftRetryTimes(k, c.fleetClockOffset).Encode() // of plain values
 	return store.Record{Kind: store.KindSnapshot, Boot: c.boot, UnixMillis: now, Body: text}
 }
 
-// learnt fills in what this life has not learnt yet.
-func (c *Core) learnt(now float64, k *relay.Snapshot) {
+// completeEstimates fills in what this life has not learnt yet.
+func (c *Core) completeEstimates(now float64, k *relay.Snapshot) {
 	if k.Capacity == 0 {
-		k.Capacity, k.MeanLoad, k.Classes = c.kept.Capacity, c.kept.MeanLoad, c.kept.Classes
+		k.Capacity, k.MeanLoad, k.Classes = c.lastSnapshot.Capacity, c.lastSnapshot.MeanLoad, c.lastSnapshot.Classes
 	}
-	k.Capacity = c.bears(now, k)
+	k.Capacity = c.measureCapacity(now, k)
 }
 
-// bears is what a server bears, by what all relays together hold and what the servers say: this relay's own
+// measureCapacity is what a server bears, by what all relays together hold and what the servers say: this relay's own
 // load times all links over its own. Against a relay's guess from its part alone, which it takes for an even
 // one: with some relays gone it came to six times the truth. Alone, or with too little to go by, that is all
 // there is.
-func (c *Core) bears(now float64, k *relay.Snapshot) float64 {
+func (c *Core) measureCapacity(now float64, k *relay.Snapshot) float64 {
 	if c.membership == nil {
 		return k.Capacity
 	}
-	links := float64(c.seen.Sessions)
+	links := float64(c.relayStatus.Sessions)
 	s := c.plan.Status(now)
-	usual := c.plan.Phase() == recovery.Normal && s.PhaseMillis >= settled
-	if usual && links >= leastLinks && k.EstimatedLoad > leastFigures {
+	usual := c.plan.Phase() == recovery.Normal && s.PhaseMillis >= settledAfter
+	if usual && links >= minMeasuredSessions && k.EstimatedLoad > minMeasuredLoad {
 		sum := links
 		for _, m := range c.aliveMembers(now) {
 			sum += float64(m.Sessions)
 		}
 		measured := k.OwnLoad * sum / links / k.EstimatedLoad
-		if c.measured == 0 {
-			c.measured = measured
+		if c.measuredCapacity == 0 {
+			c.measuredCapacity = measured
 		}
-		c.measured += (measured - c.measured) * smooth / 3
+		c.measuredCapacity += (measured - c.measuredCapacity) * smoothing / 3
 	}
-	if c.measured > 0 {
-		return c.measured
+	if c.measuredCapacity > 0 {
+		return c.measuredCapacity
 	}
-	return c.kept.Capacity // or nothing: the figures of the first seconds hold few of the links there are
+	return c.lastSnapshot.Capacity // or nothing: the figures of the first seconds hold few of the links there are
 }
 
-// answer is what one relay says to another that asks.
-type answer struct {
+// queryAnswer is what one relay says to another that asks.
+type queryAnswer struct {
 	Kept    *relay.Snapshot `json:"Kept"`
 	ToldAgo float64         `json:"ToldAgo"`
 }
 
 // AnswerQuery is what this relay has kept, for another; k is what it knows now.
 func (c *Core) AnswerQuery(now float64, k *relay.Snapshot) []byte {
-	a := answer{Kept: k, ToldAgo: -1}
+	a := queryAnswer{Kept: k, ToldAgo: -1}
 	if k.Endpoints != nil {
 		a.ToldAgo = max(now-k.ConfirmedAt, 0)
 	} else {
-		k.Endpoints = c.kept.Endpoints
+		k.Endpoints = c.lastSnapshot.Endpoints
 	}
-	c.learnt(now, k)
+	c.completeEstimates(now, k)
 	k.RetryAt = nil
 	text, _ := json.Marshal(a)
 	return text
@@ -418,17 +418,17 @@
 	c.plan.ReceiveAnswer(recovery.Source{Name: from, Snapshot: k, ConfirmedAgoMillis: a.ToldAgo}, "")
 }
 
-// acts turns the plan's acts into those of the whole.
-func (c *Core) acts(all []recovery.Action) (acts []Action) {
+// planActions turns the plan's acts into those of the whole.
+func (c *Core) planActions(all []recovery.Action) (acts []Action) {
 	for _, a := range all {
 		switch {
 		case a.Query != "":
-			if m, there := c.member(a.Query); there {
+			if m, there := c.findMember(a.Query); there {
 				acts = append(acts, Action{Query: &Query{a.Query, c.membership.Address(m)}})
 			}
 		case a.Event != nil:
 			if a.Event.Snapshot != nil {
-				a.Event.Snapshot = shifted(a.Event.Snapshot, -c.fleetClockOffset)
+				a.Event.Snapshot = shiftRetryTimes(a.Event.Snapshot, -c.fleetClockOffset)
 			}
 			acts = append(acts, Action{Event: a.Event})
 		case a.Log != "":
@@ -438,8 +438,8 @@
 	return acts
 }
 
-func (c *Core) member(name string) (membership.Member, bool) {
-	members := c.membership.Members(c.seen.Now) // of some is asked only where there are others
+func (c *Core) findMember(name string) (membership.Member, bool) {
+	members := c.membership.Members(c.relayStatus.Now) // of some is asked only where there are others
 	i := slices.IndexFunc(members, func(m membership.Member) bool { return m.Name == name })
 	if i < 0 {
 		return membership.Member{}, false
@@ -487,8 +487,8 @@
 
 // Status is how things stand.
 func (c *Core) Status(now float64) Status {
-	s := Status{Recovery: c.plan.Status(now), Boot: c.boot, Order: c.orderNumber, Draining: c.draining, DiskFault: c.diskWhy,
-		RejectedLastSecond: c.seen.RejectedLastSecond, Sessions: c.seen.Sessions, WarmingUp: c.seen.WarmingUp, Usable: c.seen.Usable,
+	s := Status{Recovery: c.plan.Status(now), Boot: c.boot, Order: c.orderNumber, Draining: c.draining, DiskFault: c.diskFault,
+		RejectedLastSecond: c.relayStatus.RejectedLastSecond, Sessions: c.relayStatus.Sessions, WarmingUp: c.relayStatus.WarmingUp, Usable: c.relayStatus.Usable,
 		AheadMillis: -c.fleetClockOffset, Coordinators: c.coordinatorStatus(now), Replication: c.replicationStatus(now)}
 	if c.membership == nil {
 		return s
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -154,7 +154,7 @@
 // One relay's question to another and its answer, as they pass over TCP: nonce, text and seal.
 func TestGoldenConversation(t *testing.T) {
 	key := []byte("a key that all share")
-	var asked [nonce]byte
+	var asked [nonceBytes]byte
 	copy(asked[:], "a nonce, sixteen")
 	question := golden(t, "question.bin", membership.Seal(key, asked[:]))
 	assert.Equal(t, membership.Seal(key, asked[:]), question)
@@ -162,7 +162,7 @@
 	k := fullKept()
 	k.Endpoints = nil // how long ago it was told would depend on the time of the test
 	core := alone()
-	r := &Node{key: key, core: core, ms: now, base: time.Now(), kept: func() *relay.Snapshot {
+	r := &Node{key: key, core: core, startMillis: now, startedAt: time.Now(), snapshot: func() *relay.Snapshot {
 		copied := *k
 		return &copied
 	}}
@@ -174,7 +174,7 @@
 		defer close(answered)
 		conn, err := listener.Accept()
 		if err == nil {
-			r.answers(conn)
+			r.answerQuery(conn)
 			conn.Close()
 		}
 	}()
@@ -288,7 +288,7 @@
 	word := []byte(`w{"Number":21,"Zones":[{"Name":"a","State":"home","Share":1,"Why":""}],"Age":10,"Leads":true}`)
 	n.do(at, "r1", n.cores["r1"].ReceiveDatagram(at, "v1", membership.Seal(key, word)))
 	at = n.run(at, folderNow)
-	n.cores["r1"].measured = fullKept().Capacity // as after some time with enough links
+	n.cores["r1"].measuredCapacity = fullKept().Capacity // as after some time with enough links
 	n.stores["r1"].Put(n.cores["r1"].RecordSnapshot(at, fullKept()), nil)
 	for _, name := range n.order {
 		require.NoError(t, n.stores[name].Flush())
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -21,18 +21,18 @@
 )
 
 const (
-	tickEvery              = 50 * time.Millisecond
-	askTime                = 500 * time.Millisecond // for another relay's whole answer
-	mostAnswer             = 8 << 20
-	mostAskers             = 8 // at once
-	orderTime              = time.Second
-	diskRetry              = 2 * time.Second
-	leastKey               = 16
-	nonce                  = 16
+	tickInterval           = 50 * time.Millisecond
+	queryTimeout           = 500 * time.Millisecond // for another relay's whole answer
+	maxAnswerBytes         = 8 << 20
+	maxConcurrentQueries   = 8 // at once
+	orderTimeout           = time.Second
+	diskRetryInterval      = 2 * time.Second
+	minKeyBytes            = 16
+	nonceBytes             = 16
 	maxPendingReplications = 4096
-	mostHeard              = 32 << 10 // of a datagram: a voter's word on many zones
+	maxDatagramBytes       = 32 << 10 // of a datagram: a voter's word on many zones
 	// MaxDescriptors is how many descriptors all of it may hold.
-	MaxDescriptors = 2 + mostAskers + 4 + 4 // both sockets, those who ask, those asked, the disk's
+	MaxDescriptors = 2 + maxConcurrentQueries + 4 + 4 // both sockets, those who ask, those asked, the disk's
 )
 
 // Config is where others are, as the operators' file says.
@@ -49,46 +49,46 @@
 
 // Node is one relay's side of the fleet, on sockets and a disk.
 type Node struct {
-	log   *slog.Logger
-	name  string
-	peers Config
-	key   []byte
-	fs    store.FS // nil: no disk
-	most  int
-	base  time.Time
-	ms    float64
-	clock func() time.Time // the machine's
-
-	tell func(relay.Event)
-	seen func() relay.Status
-	kept func() *relay.Snapshot
-	look func() (map[string]balancer.ZoneObservation, float64)
+	log          *slog.Logger
+	name         string
+	config       Config
+	key          []byte
+	fs           store.FS // nil: no disk
+	maxDiskBytes int
+	startedAt    time.Time
+	startMillis  float64
+	machineClock func() time.Time // the machine's
+
+	notify           func(relay.Event)
+	relayStatus      func() relay.Status
+	snapshot         func() *relay.Snapshot
+	zoneObservations func() (map[string]balancer.ZoneObservation, float64)
 
 	mutex sync.Mutex // over core; never held while the relay, a peer or the disk is waited for
 	core  *Core
 	udp   *net.UDPConn
 	tcp   net.Listener
 
-	wants chan relay.Effect // what the relay asks of holdings
-	poked chan struct{}     // holdings' time is nearer than it was
-	dueAt float64           // under mutex: when they are looked at next
-	waits sync.Map          // chan bool by token: who waits for an order to be held
+	replicationEffects    chan relay.Effect // what the relay asks of holdings
+	replicationDueChanged chan struct{}     // holdings' time is nearer than it was
+	replicationDueAt      float64           // under mutex: when they are looked at next
+	orderWaiters          sync.Map          // chan bool by token: who waits for an order to be held
 
-	disk  sync.Mutex // over store
-	store *store.Store
-	dirty chan struct{}
-	ended chan struct{}
-	done  sync.WaitGroup
+	storeMutex sync.Mutex // over store
+	store      *store.Store
+	dirty      chan struct{}
+	ended      chan struct{}
+	done       sync.WaitGroup
 }
 
 // NewNode takes the relay's name, where others are (nil: none) and the folder that it may keep up to most
 // bytes in (nil: none), and the machine's clock.
 func NewNode(name string, others *Config, fs store.FS, most int, clock func() time.Time,
 	log *slog.Logger) (*Node, error) {
-	r := &Node{log: log, name: name, clock: clock, fs: fs, most: most, dirty: make(chan struct{}, 1),
+	r := &Node{log: log, name: name, machineClock: clock, fs: fs, maxDiskBytes: most, dirty: make(chan struct{}, 1),
 		ended: make(chan struct{})}
 	if others != nil {
-		r.peers = *others
+		r.config = *others
 		key, err := ReadKey(others.KeyFile)
 		if err != nil {
 			return nil, err
@@ -104,26 +104,26 @@
 	if err != nil {
 		return nil, fmt.Errorf("peers.key-file: %w", err)
 	}
-	if len(key) < leastKey {
-		return nil, fmt.Errorf("peers.key-file: %d bytes or more expected, got %d", leastKey, len(key))
+	if len(key) < minKeyBytes {
+		return nil, fmt.Errorf("peers.key-file: %d bytes or more expected, got %d", minKeyBytes, len(key))
 	}
 	return key, nil
 }
 
 func (r *Node) now() float64 {
-	return r.ms + float64(time.Since(r.base))/float64(time.Millisecond)
+	return r.startMillis + float64(time.Since(r.startedAt))/float64(time.Millisecond)
 }
 
 // Start begins: tell gives the relay an event; seen, kept and looked ask it how it fares, what it knows and
 // what it has seen of zones.
 func (r *Node) Start(now float64, tell func(relay.Event), seen func() relay.Status, kept func() *relay.Snapshot,
 	looked func() (map[string]balancer.ZoneObservation, float64)) error {
-	r.base, r.ms, r.tell, r.seen, r.kept, r.look = time.Now(), now, tell, seen, kept, looked
+	r.startedAt, r.startMillis, r.notify, r.relayStatus, r.snapshot, r.zoneObservations = time.Now(), now, tell, seen, kept, looked
 	var lot [16]byte
 	if _, err := rand.Read(lot[:]); err != nil {
 		return err
 	}
-	own := membership.MemberState{Name: r.name, Zone: r.peers.Zone, Region: r.peers.Region, Address: r.peers.Listen,
+	own := membership.MemberState{Name: r.name, Zone: r.config.Zone, Region: r.config.Region, Address: r.config.Listen,
 		Incarnation: binary.LittleEndian.Uint64(lot[:])}
 	chance := mathrand.New(mathrand.NewSource(int64(binary.LittleEndian.Uint64(lot[8:]))))
 	if own.Address != "" {
@@ -139,35 +139,35 @@
 			return fmt.Errorf("peers.listen: %w", err)
 		}
 	}
-	r.core = New(now, own, r.peers.Seeds, r.key, r.fs != nil, chance)
+	r.core = New(now, own, r.config.Seeds, r.key, r.fs != nil, chance)
 	if r.core.membership != nil {
-		r.core.membership.SeedsOnly = r.peers.SeedsOnly
+		r.core.membership.SeedsOnly = r.config.SeedsOnly
 	}
-	if len(r.peers.Voters) > 0 {
-		r.core.FollowCoordinators(r.name, r.peers.Zone, r.peers.Voters, r.key, chance)
+	if len(r.config.Voters) > 0 {
+		r.core.FollowCoordinators(r.name, r.config.Zone, r.config.Voters, r.key, chance)
 	}
 	tell(relay.Event{Kind: relay.IncarnationChanged})
-	if r.peers.Copies > 0 {
-		r.wants = make(chan relay.Effect, maxPendingReplications)
-		r.poked, r.dueAt = make(chan struct{}, 1), math.Inf(1)
-		for _, a := range r.core.EnableReplication(r.name, own.Incarnation, r.peers.Copies, r.peers.MarkerRetentionMillis, r.peers.ReplicateAffinity, r.key,
+	if r.config.Copies > 0 {
+		r.replicationEffects = make(chan relay.Effect, maxPendingReplications)
+		r.replicationDueChanged, r.replicationDueAt = make(chan struct{}, 1), math.Inf(1)
+		for _, a := range r.core.EnableReplication(r.name, own.Incarnation, r.config.Copies, r.config.MarkerRetentionMillis, r.config.ReplicateAffinity, r.key,
 			chance) {
 			tell(*a.Event)
 		}
-		r.goes(r.holds)
+		r.startTask(r.runReplication)
 	}
-	r.goes(r.ticks)
+	r.startTask(r.runTicks)
 	if r.udp != nil {
-		r.goes(r.hears)
-		r.goes(r.isAsked)
+		r.startTask(r.receiveDatagrams)
+		r.startTask(r.acceptQueries)
 	}
 	if r.fs != nil {
-		r.goes(r.keeps)
+		r.startTask(r.runDisk)
 	}
 	return nil
 }
 
-func (r *Node) goes(do func()) {
+func (r *Node) startTask(do func()) {
 	r.done.Add(1)
 	go func() { defer r.done.Done(); do() }()
 }
@@ -182,15 +182,15 @@
 	r.done.Wait()
 }
 
-// with has the core take something and does what follows.
-func (r *Node) with(do func(c *Core) []Action) {
+// update has the core take something and does what follows.
+func (r *Node) update(do func(c *Core) []Action) {
 	r.mutex.Lock()
 	acts := do(r.core)
-	if r.wants != nil {
-		if due := r.now() + r.core.ReplicationDelay(r.now()); due < r.dueAt {
-			r.dueAt = due
+	if r.replicationEffects != nil {
+		if due := r.now() + r.core.ReplicationDelay(r.now()); due < r.replicationDueAt {
+			r.replicationDueAt = due
 			select {
-			case r.poked <- struct{}{}:
+			case r.replicationDueChanged <- struct{}{}:
 			default:
 			}
 		}
@@ -204,90 +204,90 @@
 			}
 		case a.Query != nil:
 			question := *a.Query
-			r.goes(func() { r.asks(question) })
+			r.startTask(func() { r.query(question) })
 		case a.Persist != nil:
 			var done func(error)
 			if number := a.ConfirmDecision; number > 0 {
 				done = func(error) {
-					r.with(func(c *Core) []Action { c.ConfirmDecisionPersisted(r.now(), number); return nil })
+					r.update(func(c *Core) []Action { c.ConfirmDecisionPersisted(r.now(), number); return nil })
 				}
 			} else if then := a.ReplicationWrite; then != nil {
 				done = func(err error) {
 					if err == nil {
-						r.with(func(c *Core) []Action { return c.CompleteReplicationWrite(r.now(), then) })
+						r.update(func(c *Core) []Action { return c.CompleteReplicationWrite(r.now(), then) })
 					}
 				}
 			}
-			r.save(*a.Persist, done)
+			r.persist(*a.Persist, done)
 		case a.OrderReplicated != nil:
-			r.settled(*a.OrderReplicated)
+			r.completeOrder(*a.OrderReplicated)
 		case a.Event != nil:
-			r.tell(*a.Event)
+			r.notify(*a.Event)
 		case a.Log != "":
 			r.log.Info("fleet", "what", a.Log)
 		}
 	}
 }
 
-func (r *Node) ticks() {
-	tick := time.NewTicker(tickEvery)
+func (r *Node) runTicks() {
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-r.ended:
 			return
 		case <-tick.C:
-			seen := r.seen()
-			r.with(func(c *Core) []Action {
-				return c.Tick(r.now(), float64(r.clock().UnixMicro())/1000, seen)
+			seen := r.relayStatus()
+			r.update(func(c *Core) []Action {
+				return c.Tick(r.now(), float64(r.machineClock().UnixMicro())/1000, seen)
 			})
-			r.shows()
+			r.sendObservations()
 		}
 	}
 }
 
-// shows tells voters what is seen of zones, where that is due.
-func (r *Node) shows() {
+// sendObservations tells voters what is seen of zones, where that is due.
+func (r *Node) sendObservations() {
 	r.mutex.Lock()
 	due := r.core.IsObservationDue(r.now())
 	r.mutex.Unlock()
 	if due {
-		zones, demand := r.look()
-		r.with(func(c *Core) []Action { return c.SendObservations(r.now(), zones, demand) })
+		zones, demand := r.zoneObservations()
+		r.update(func(c *Core) []Action { return c.SendObservations(r.now(), zones, demand) })
 	}
 }
 
-func (r *Node) hears() {
-	buffer := make([]byte, mostHeard)
+func (r *Node) receiveDatagrams() {
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := r.udp.ReadFromUDP(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err == nil {
-			r.with(func(c *Core) []Action { return c.ReceiveDatagram(r.now(), from.String(), buffer[:n]) })
+			r.update(func(c *Core) []Action { return c.ReceiveDatagram(r.now(), from.String(), buffer[:n]) })
 		}
 	}
 }
 
-// isAsked answers others with what is kept. Against some that hang: so many at once, each for a bounded time.
-func (r *Node) isAsked() {
-	room := make(chan struct{}, mostAskers)
+// acceptQueries answers others with what is kept. Against some that hang: so many at once, each for a bounded time.
+func (r *Node) acceptQueries() {
+	room := make(chan struct{}, maxConcurrentQueries)
 	for {
 		conn, err := r.tcp.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(tickEvery)
+			time.Sleep(tickInterval)
 			continue
 		}
 		select {
 		case room <- struct{}{}:
-			r.goes(func() {
+			r.startTask(func() {
 				defer func() { conn.Close(); <-room }()
-				conn.SetDeadline(time.Now().Add(askTime))
-				r.answers(conn)
+				conn.SetDeadline(time.Now().Add(queryTimeout))
+				r.answerQuery(conn)
 			})
 		default:
 			conn.Close()
@@ -295,9 +295,9 @@
 	}
 }
 
-// answers reads a sealed nonce and writes what is kept, sealed behind it: an answer is to one question only.
-func (r *Node) answers(conn net.Conn) {
-	question := make([]byte, nonce+32)
+// answerQuery reads a sealed nonce and writes what is kept, sealed behind it: an answer is to one question only.
+func (r *Node) answerQuery(conn net.Conn) {
+	question := make([]byte, nonceBytes+32)
 	if _, err := io.ReadFull(conn, question); err != nil {
 		return
 	}
@@ -305,7 +305,7 @@
 	if err != nil {
 		return
 	}
-	k := r.kept()
+	k := r.snapshot()
 	r.mutex.Lock()
 	text := r.core.AnswerQuery(r.now(), k)
 	r.mutex.Unlock()
@@ -313,26 +313,26 @@
 	conn.(*net.TCPConn).CloseWrite()
 }
 
-func (r *Node) asks(q Query) {
-	text, err := r.ask(q.Address)
-	r.with(func(c *Core) []Action { c.ReceiveAnswer(q.Name, text, err); return nil })
+func (r *Node) query(q Query) {
+	text, err := r.exchange(q.Address)
+	r.update(func(c *Core) []Action { c.ReceiveAnswer(q.Name, text, err); return nil })
 }
 
-func (r *Node) ask(address string) ([]byte, error) {
-	conn, err := net.DialTimeout("tcp", address, askTime)
+func (r *Node) exchange(address string) ([]byte, error) {
+	conn, err := net.DialTimeout("tcp", address, queryTimeout)
 	if err != nil {
 		return nil, err
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(askTime))
-	var own [nonce]byte
+	conn.SetDeadline(time.Now().Add(queryTimeout))
+	var own [nonceBytes]byte
 	if _, err := rand.Read(own[:]); err != nil {
 		return nil, err
 	}
 	if _, err := conn.Write(membership.Seal(r.key, own[:])); err != nil {
 		return nil, err
 	}
-	sealed, err := io.ReadAll(io.LimitReader(conn, mostAnswer))
+	sealed, err := io.ReadAll(io.LimitReader(conn, maxAnswerBytes))
 	if err != nil {
 		return nil, err
 	}
@@ -340,17 +340,17 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(body) < nonce || [nonce]byte(body) != own {
+	if len(body) < nonceBytes || [nonceBytes]byte(body) != own {
 		return nil, errors.New("an answer to another question")
 	}
-	return body[nonce:], nil
+	return body[nonceBytes:], nil
 }
 
-// save has a record written; done is told once it is durable, or why it is not.
-func (r *Node) save(record store.Record, done func(error)) {
-	r.disk.Lock()
+// persist has a record written; done is told once it is durable, or why it is not.
+func (r *Node) persist(record store.Record, done func(error)) {
+	r.storeMutex.Lock()
 	s := r.store
-	r.disk.Unlock()
+	r.storeMutex.Unlock()
 	if s == nil {
 		if done != nil {
 			done(errors.New("there is no disk to keep it on"))
@@ -364,27 +364,27 @@
 	}
 }
 
-// keeps reads the disk, however long that takes, and writes what is put from then on.
-func (r *Node) keeps() {
-	s, found, err := store.Open(r.fs, r.name, r.most)
+// runDisk reads the disk, however long that takes, and writes what is put from then on.
+func (r *Node) runDisk() {
+	s, found, err := store.Open(r.fs, r.name, r.maxDiskBytes)
 	if err == nil {
-		r.disk.Lock()
+		r.storeMutex.Lock()
 		r.store = s
-		r.disk.Unlock()
+		r.storeMutex.Unlock()
 	} else {
 		r.log.Error("the disk can't be used, and nothing is kept", "err", err)
 	}
-	r.with(func(c *Core) []Action { return c.Restore(r.now(), s, found, err) })
+	r.update(func(c *Core) []Action { return c.Restore(r.now(), s, found, err) })
 	if err != nil {
 		return
 	}
 	defer func() {
-		r.keep(s)
+		r.persistSnapshot(s)
 		if err := s.Close(); err != nil {
 			r.log.Warn("disk", "err", err)
 		}
 	}()
-	look := time.NewTicker(10 * tickEvery)
+	look := time.NewTicker(10 * tickInterval)
 	defer look.Stop()
 	var failed time.Time
 	for {
@@ -397,10 +397,10 @@
 			due := r.core.IsSnapshotDue(r.now())
 			r.mutex.Unlock()
 			if due {
-				r.keep(s)
+				r.persistSnapshot(s)
 			}
 		}
-		if time.Since(failed) < diskRetry {
+		if time.Since(failed) < diskRetryInterval {
 			continue
 		}
 		if err := s.Flush(); err != nil {
@@ -410,8 +410,8 @@
 	}
 }
 
-func (r *Node) keep(s *store.Store) {
-	k := r.kept()
+func (r *Node) persistSnapshot(s *store.Store) {
+	k := r.snapshot()
 	r.mutex.Lock()
 	record := r.core.RecordSnapshot(r.now(), k)
 	r.mutex.Unlock()
@@ -428,32 +428,32 @@
 	r.mutex.Lock()
 	record, acts := r.core.SetDraining(r.now(), lame)
 	r.mutex.Unlock()
-	r.with(func(*Core) []Action { return acts })
+	r.update(func(*Core) []Action { return acts })
 	if r.fs == nil {
 		return nil
 	}
 	durable := make(chan error, 1)
-	r.save(record, func(err error) { durable <- err })
+	r.persist(record, func(err error) { durable <- err })
 	select {
 	case err := <-durable:
 		if err != nil {
 			return fmt.Errorf("it holds until the next start, as the disk did not keep it: %w", err)
 		}
-	case <-time.After(orderTime):
+	case <-time.After(orderTimeout):
 		return errors.New("it holds, and the disk has not kept it yet")
 	}
-	if r.wants == nil {
+	if r.replicationEffects == nil {
 		return nil
 	}
-	return r.heldByOthers()
+	return r.replicateOrder()
 }
 
-// heldByOthers waits until the order is on the disks of as many machines as copies are made.
-func (r *Node) heldByOthers() error {
+// replicateOrder waits until the order is on the disks of as many machines as copies are made.
+func (r *Node) replicateOrder() error {
 	held := make(chan bool, 1)
-	r.with(func(c *Core) []Action {
+	r.update(func(c *Core) []Action {
 		token, acts := c.ReplicateOrder(r.now())
-		r.waits.Store(token, held)
+		r.orderWaiters.Store(token, held)
 		return acts
 	})
 	select {
@@ -461,13 +461,13 @@
 		if ok {
 			return nil
 		}
-	case <-time.After(orderTime):
+	case <-time.After(orderTimeout):
 	}
 	return errors.New("it holds, and is on this machine's disk alone for now")
 }
 
-func (r *Node) settled(s OrderReplicated) {
-	if held, there := r.waits.LoadAndDelete(s.Token); there {
+func (r *Node) completeOrder(s OrderReplicated) {
+	if held, there := r.orderWaiters.LoadAndDelete(s.Token); there {
 		held.(chan bool) <- s.OK
 	}
 }
@@ -476,30 +476,30 @@
 // where too much waits already, it is not done, and the relay goes on alone.
 func (r *Node) Replicate(f relay.Effect) {
 	select {
-	case r.wants <- f:
+	case r.replicationEffects <- f:
 	default:
 	}
 }
 
-// holds does what the relay asks for, and has holdings go on when they are due: ticks of the whole are too
+// runReplication does what the relay asks for, and has holdings go on when they are due: ticks of the whole are too
 // far apart for what is to be held in some milliseconds.
-func (r *Node) holds() {
+func (r *Node) runReplication() {
 	due := time.NewTimer(time.Hour)
 	defer due.Stop()
 	for {
 		select {
 		case <-r.ended:
 			return
-		case f := <-r.wants:
-			r.with(func(c *Core) []Action { return c.HandleReplicationEffect(r.now(), f) })
+		case f := <-r.replicationEffects:
+			r.update(func(c *Core) []Action { return c.HandleReplicationEffect(r.now(), f) })
 		case <-due.C:
 			r.mutex.Lock()
-			r.dueAt = math.Inf(1)
+			r.replicationDueAt = math.Inf(1)
 			r.mutex.Unlock()
-			r.with(func(c *Core) []Action { return c.TickReplication(r.now()) })
-		case <-r.poked:
+			r.update(func(c *Core) []Action { return c.TickReplication(r.now()) })
+		case <-r.replicationDueChanged:
 			r.mutex.Lock()
-			wait := r.dueAt - r.now()
+			wait := r.replicationDueAt - r.now()
 			r.mutex.Unlock()
 			due.Reset(time.Duration(min(max(wait, 0), 1e6) * float64(time.Millisecond)))
 		}
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -26,18 +26,18 @@
 func (p Phase) String() string { return [...]string{"reading", "asking", "admitting", "normal"}[p] }
 
 const (
-	readTime  = 400.0   // for the disk; what comes later still counts as a hint, and its orders as orders
-	hearTime  = 700.0   // from the start, for the first other relay to be heard
-	askTime   = 1000.0  // from the start, for answers
-	mostAsked = 4       // relays
-	youngAge  = 15000.0 // a relay whose life is shorter was started in the same trouble
-	freshList = 15000.0 // a list that discovery told so lately, in the life that tells of it, is no hearsay
+	diskTimeout         = 400.0   // for the disk; what comes later still counts as a hint, and its orders as orders
+	firstPeerTimeout    = 700.0   // from the start, for the first other relay to be heard
+	queryTimeout        = 1000.0  // from the start, for answers
+	maxQueriedPeers     = 4       // relays
+	youngAgeLimit       = 15000.0 // a relay whose life is shorter was started in the same trouble
+	freshEndpointsLimit = 15000.0 // a list that discovery told so lately, in the life that tells of it, is no hearsay
 	// times the middle of what all say a server bears, beyond which one voice is not followed
-	farOff = 2.0
+	maxCapacityRatio = 2.0
 	// of the budget of cold servers, that goes to all relays alike; the rest by who waits there
-	byNumber   = 0.75
-	leastAdmit = 2000.0
-	mostAdmit  = 60000.0 // after which the fleet is held to have recovered, whatever is seen
+	evenShare    = 0.75
+	minAdmitting = 2000.0
+	maxAdmitting = 60000.0 // after which the fleet is held to have recovered, whatever is seen
 )
 
 // Source is what one source has kept: this relay's disk, or another relay.
@@ -71,26 +71,26 @@
 
 // Plan is one relay's way from its start to normal.
 type Plan struct {
-	began  float64
-	phase  Phase
-	since  float64
-	disk   *DiskResult
-	alone  bool            // no other relay is named
-	asked  map[string]bool // and no answer yet
-	tried  map[string]bool // and answered, or failed
-	voices []Source
-	whole  bool
-	why    string
-	took   []string // what was believed, and from whom
-	left   []string // what was not, and why
-	part   float64
-	told   bool
+	startedAt          float64
+	phase              Phase
+	phaseSince         float64
+	disk               *DiskResult
+	hasNoPeers         bool            // no other relay is named
+	pending            map[string]bool // and no answer yet
+	answered           map[string]bool // and answered, or failed
+	sources            []Source
+	fullOutage         bool
+	reason             string
+	accepted           []string // what was believed, and from whom
+	discarded          []string // what was not, and why
+	capacityShare      float64
+	endpointsConfirmed bool
 }
 
 // New starts at that time; with no others named, and no disk, it is over at once.
 func New(now float64, disk, others bool) *Plan {
-	p := &Plan{began: now, since: now, alone: !others, asked: map[string]bool{}, tried: map[string]bool{},
-		why: "just started"}
+	p := &Plan{startedAt: now, phaseSince: now, hasNoPeers: !others, pending: map[string]bool{}, answered: map[string]bool{},
+		reason: "just started"}
 	if !disk {
 		p.disk = &DiskResult{Fault: "none is named"}
 	}
@@ -101,7 +101,7 @@
 func (p *Plan) Phase() Phase { return p.phase }
 
 func (p *Plan) enter(now float64, phase Phase, why string) Action {
-	p.phase, p.since, p.why = phase, now, why
+	p.phase, p.phaseSince, p.reason = phase, now, why
 	return Action{Log: fmt.Sprintf("phase %s: %s", phase, why)}
 }
 
@@ -110,12 +110,12 @@
 	late := p.phase > QueryingPeers
 	p.disk = &d
 	if d.Fault != "" {
-		p.left = append(p.left, "disk: "+d.Fault)
+		p.discarded = append(p.discarded, "disk: "+d.Fault)
 	}
 	if late && d.Snapshot != nil { // a hint is one however late it comes; its list is not
 		k := *d.Snapshot
 		k.Endpoints = nil
-		p.took = append(p.took, "what was learnt, from the disk, late")
+		p.accepted = append(p.accepted, "what was learnt, from the disk, late")
 		return []Action{{Event: &relay.Event{Kind: relay.StateRestored, Snapshot: &k}}}
 	}
 	return nil
@@ -123,19 +123,19 @@
 
 // ReceiveAnswer takes what another relay has kept, or why it does not say.
 func (p *Plan) ReceiveAnswer(v Source, why string) {
-	delete(p.asked, v.Name)
-	p.tried[v.Name] = true
+	delete(p.pending, v.Name)
+	p.answered[v.Name] = true
 	if why != "" {
-		p.left = append(p.left, v.Name+": "+why)
+		p.discarded = append(p.discarded, v.Name+": "+why)
 		return
 	}
-	p.voices = append(p.voices, v)
+	p.sources = append(p.sources, v)
 }
 
 // Advance goes on, by the relays that are heard now and what this one sees itself.
 func (p *Plan) Advance(now float64, others []Peer, seen relay.Status) (acts []Action) {
-	p.told = seen.EndpointsConfirmed
-	if p.phase == ReadingDisk && (p.disk != nil || now >= p.began+readTime) {
+	p.endpointsConfirmed = seen.EndpointsConfirmed
+	if p.phase == ReadingDisk && (p.disk != nil || now >= p.startedAt+diskTimeout) {
 		why := "the disk has been read"
 		if p.disk == nil {
 			why = "the disk takes too long"
@@ -143,9 +143,9 @@
 		acts = append(acts, p.enter(now, QueryingPeers, why))
 	}
 	if p.phase == QueryingPeers {
-		acts = append(acts, p.ask(now, others)...)
-		if p.enough(now, others) {
-			acts = append(acts, p.believe(now, others)...)
+		acts = append(acts, p.queryPeers(now, others)...)
+		if p.hasEnoughAnswers(now, others) {
+			acts = append(acts, p.reconcile(now, others)...)
 		}
 	}
 	if p.phase == Admitting {
@@ -154,46 +154,46 @@
 	return acts
 }
 
-// ask asks those that have run for longest, as they know most.
-func (p *Plan) ask(now float64, others []Peer) (acts []Action) {
+// queryPeers asks those that have run for longest, as they know most.
+func (p *Plan) queryPeers(now float64, others []Peer) (acts []Action) {
 	old := slices.Clone(others)
 	slices.SortFunc(old, func(a, b Peer) int {
 		return cmp.Or(cmp.Compare(b.AgeMillis, a.AgeMillis), cmp.Compare(a.Name, b.Name))
 	})
 	for _, o := range old {
-		if !o.Unreachable && !p.asked[o.Name] && !p.tried[o.Name] && len(p.asked)+len(p.voices) < mostAsked {
-			p.asked[o.Name] = true
+		if !o.Unreachable && !p.pending[o.Name] && !p.answered[o.Name] && len(p.pending)+len(p.sources) < maxQueriedPeers {
+			p.pending[o.Name] = true
 			acts = append(acts, Action{Query: o.Name})
 		}
 	}
 	return acts
 }
 
-// enough tells whether nothing more is waited for: the bound of all waiting is here.
-func (p *Plan) enough(now float64, others []Peer) bool {
+// hasEnoughAnswers tells whether nothing more is waited for: the bound of all waiting is here.
+func (p *Plan) hasEnoughAnswers(now float64, others []Peer) bool {
 	switch {
-	case now >= p.began+askTime, p.alone:
+	case now >= p.startedAt+queryTimeout, p.hasNoPeers:
 		return true
 	case len(others) == 0:
-		return now >= p.began+hearTime
+		return now >= p.startedAt+firstPeerTimeout
 	}
-	return len(p.asked) == 0 && len(p.tried) >= min(len(others), mostAsked)
+	return len(p.pending) == 0 && len(p.answered) >= min(len(others), maxQueriedPeers)
 }
 
-// believe decides what was a loss of all and what holds, and ends the asking.
-func (p *Plan) believe(now float64, others []Peer) []Action {
-	p.whole, p.why = DetectFullOutage(others)
+// reconcile decides what was a loss of all and what holds, and ends the asking.
+func (p *Plan) reconcile(now float64, others []Peer) []Action {
+	p.fullOutage, p.reason = DetectFullOutage(others)
 	own := Source{ConfirmedAgoMillis: -1}
 	if p.disk != nil {
 		own.Snapshot = p.disk.Snapshot
 	}
-	kept, took, left := Reconcile(own, p.voices, p.whole)
-	p.took, p.left = append(p.took, took...), append(p.left, left...)
+	kept, took, left := Reconcile(own, p.sources, p.fullOutage)
+	p.accepted, p.discarded = append(p.accepted, took...), append(p.discarded, left...)
 	next := Normal
-	if p.whole {
+	if p.fullOutage {
 		next = Admitting
 	}
-	acts := []Action{p.enter(now, next, p.why)}
+	acts := []Action{p.enter(now, next, p.reason)}
 	if kept != nil {
 		acts = append(acts, Action{Event: &relay.Event{Kind: relay.StateRestored, Snapshot: kept}})
 	}
@@ -205,7 +205,7 @@
 func DetectFullOutage(others []Peer) (whole bool, why string) {
 	young := 0
 	for _, o := range others {
-		if o.AgeMillis < youngAge || o.Phase != Normal {
+		if o.AgeMillis < youngAgeLimit || o.Phase != Normal {
 			young++
 		}
 	}
@@ -231,10 +231,10 @@
 	}
 	kept = &relay.Snapshot{Classes: map[string]relay.ClassLoad{}}
 	var from string
-	if kept.Endpoints, kept.EndpointsAssumed, from, left = list(all, whole); kept.Endpoints != nil {
+	if kept.Endpoints, kept.EndpointsAssumed, from, left = reconcileEndpoints(all, whole); kept.Endpoints != nil {
 		took = append(took, fmt.Sprintf("%d servers, from %s", len(kept.Endpoints.Endpoints), from))
 	}
-	if v, more := middle(all); v != nil {
+	if v, more := medianSource(all); v != nil {
 		kept.Capacity, kept.MeanLoad, kept.Classes = v.Snapshot.Capacity, v.Snapshot.MeanLoad, v.Snapshot.Classes
 		took, left = append(took, "what servers bear, from "+named(*v)), append(left, more...)
 	}
@@ -246,13 +246,13 @@
 
 func named(v Source) string { return cmp.Or(v.Name, "the disk") }
 
-// list takes the list that discovery told latest. One told in the life of who tells it, just now, is as good
+// reconcileEndpoints takes the list that discovery told latest. One told in the life of who tells it, just now, is as good
 // as discovery's own; any other only says where servers were. Of what several say of a server the strictest
 // holds: one that any of them has as leaving gets nothing new until discovery tells.
-func list(all []Source, whole bool) (n *relay.EndpointUpdate, supposed bool, from string, left []string) {
+func reconcileEndpoints(all []Source, whole bool) (n *relay.EndpointUpdate, supposed bool, from string, left []string) {
 	var best *Source
 	better := func(a, b *Source) bool {
-		af, bf := a.ConfirmedAgoMillis >= 0 && a.ConfirmedAgoMillis < freshList, b.ConfirmedAgoMillis >= 0 && b.ConfirmedAgoMillis < freshList
+		af, bf := a.ConfirmedAgoMillis >= 0 && a.ConfirmedAgoMillis < freshEndpointsLimit, b.ConfirmedAgoMillis >= 0 && b.ConfirmedAgoMillis < freshEndpointsLimit
 		switch {
 		case af != bf:
 			return af
@@ -269,7 +269,7 @@
 	if best == nil {
 		return nil, false, "", nil
 	}
-	fresh := best.ConfirmedAgoMillis >= 0 && best.ConfirmedAgoMillis < freshList
+	fresh := best.ConfirmedAgoMillis >= 0 && best.ConfirmedAgoMillis < freshEndpointsLimit
 	strict := map[string]bool{}
 	for _, v := range all {
 		if v.Snapshot.Endpoints == nil || fresh {
@@ -290,9 +290,9 @@
 	return n, !fresh, named(*best), left
 }
 
-// middle is the voice in the middle by what it says a server bears; the disk's own where that is near it.
+// medianSource is the voice in the middle by what it says a server bears; the disk's own where that is near it.
 // Against one that lies, or has kept another fleet's: it moves the middle by a place.
-func middle(all []Source) (*Source, []string) {
+func medianSource(all []Source) (*Source, []string) {
 	var some []*Source
 	for i := range all {
 		if all[i].Snapshot.Capacity > 0 && all[i].Snapshot.MeanLoad > 0 {
@@ -307,7 +307,7 @@
 	var left []string
 	for _, v := range some {
 		c := v.Snapshot.Capacity
-		if c > farOff*mid.Snapshot.Capacity || c < mid.Snapshot.Capacity/farOff {
+		if c > maxCapacityRatio*mid.Snapshot.Capacity || c < mid.Snapshot.Capacity/maxCapacityRatio {
 			left = append(left, fmt.Sprintf("%s: says that a server bears %.0f, the middle is %.0f", named(*v), c,
 				mid.Snapshot.Capacity))
 		} else if v.Name == "" {
@@ -321,12 +321,12 @@
 // servers are warm.
 func (p *Plan) admit(now float64, others []Peer, seen relay.Status) []Action {
 	warm := seen.EndpointsConfirmed && seen.Usable > 0 && 2*seen.WarmingUp <= seen.Usable
-	if now >= p.since+mostAdmit || (warm && now >= p.since+leastAdmit) {
+	if now >= p.phaseSince+maxAdmitting || (warm && now >= p.phaseSince+minAdmitting) {
 		why := "the servers are warm"
 		if !warm {
 			why = "it has taken long enough"
 		}
-		p.part = 0
+		p.capacityShare = 0
 		return []Action{p.enter(now, Normal, why), {Event: &relay.Event{Kind: relay.RecoveryChanged, Off: true}}}
 	}
 	all, present := float64(seen.RejectedLastSecond)+1, 1.0
@@ -336,11 +336,11 @@
 		}
 	}
 	// Against parts that follow each wave of clients, who come back to another relay than they left.
-	part := byNumber/present + (1-byNumber)*(float64(seen.RejectedLastSecond)+1)/all
-	if part == p.part {
+	part := evenShare/present + (1-evenShare)*(float64(seen.RejectedLastSecond)+1)/all
+	if part == p.capacityShare {
 		return nil
 	}
-	p.part = part
+	p.capacityShare = part
 	return []Action{{Event: &relay.Event{Kind: relay.RecoveryChanged, CapacityShare: part}}}
 }
 
@@ -360,6 +360,6 @@
 
 // Status is how things stand.
 func (p *Plan) Status(now float64) Status {
-	return Status{Phase: p.phase.String(), Reason: p.why, PhaseMillis: now - p.since, FullOutage: p.whole, CapacityShare: p.part,
-		Accepted: p.took, Discarded: p.left, EndpointsConfirmed: p.told, PendingAnswers: len(p.asked), Answers: len(p.voices)}
+	return Status{Phase: p.phase.String(), Reason: p.reason, PhaseMillis: now - p.phaseSince, FullOutage: p.fullOutage, CapacityShare: p.capacityShare,
+		Accepted: p.accepted, Discarded: p.discarded, EndpointsConfirmed: p.endpointsConfirmed, PendingAnswers: len(p.pending), Answers: len(p.sources)}
 }
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -104,7 +104,7 @@
 		asked := map[string]bool{}
 		var heard []Peer
 		recalled := 0
-		for now := 1000.0; now < 1000+askTime+mostAdmit+1000; now += rapid.Float64Range(1, 500).Draw(t, "step") {
+		for now := 1000.0; now < 1000+queryTimeout+maxAdmitting+1000; now += rapid.Float64Range(1, 500).Draw(t, "step") {
 			if others && rapid.IntRange(0, 3).Draw(t, "comes") == 0 {
 				heard = append(heard, Peer{Name: fmt.Sprint("r", len(heard)%7), AgeMillis: rapid.Float64Range(0, 1e6).Draw(t,
 					"age"),
@@ -135,16 +135,16 @@
 				if a.Event != nil && a.Event.Kind == relay.StateRestored {
 					recalled++
 				}
-				if a.Event != nil && !(a.Event.CapacityShare >= 0 && a.Event.CapacityShare <= 1) || math.IsNaN(p.part) {
+				if a.Event != nil && !(a.Event.CapacityShare >= 0 && a.Event.CapacityShare <= 1) || math.IsNaN(p.capacityShare) {
 					t.Fatal("a part that can't be", a.Event.CapacityShare)
 				}
 			}
-			if now > 1000+askTime+500 && p.Phase() < Admitting {
+			if now > 1000+queryTimeout+500 && p.Phase() < Admitting {
 				t.Fatal("still asking")
 			}
 		}
-		if p.Phase() != Normal || recalled > 2 || len(p.voices) > mostAsked {
-			t.Fatal(p.Phase(), recalled, len(p.voices))
+		if p.Phase() != Normal || recalled > 2 || len(p.sources) > maxQueriedPeers {
+			t.Fatal(p.Phase(), recalled, len(p.sources))
 		}
 	})
 }
@@ -153,7 +153,7 @@
 func TestLateDisk(t *testing.T) {
 	p := New(0, true, false)
 	assert.Empty(t, p.Advance(100, nil, relay.Status{}))
-	acts := p.Advance(readTime, nil, relay.Status{})
+	acts := p.Advance(diskTimeout, nil, relay.Status{})
 	assert.Equal(t, Admitting, p.Phase())
 	assert.NotEmpty(t, acts)
 	acts = p.ReceiveDisk(10000, DiskResult{Snapshot: kept(5, 3, "active")})
