--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -1,505 +1,139 @@
-// Package fleet joins what one relay keeps on its disk, hears from others and decides at its start, and says
-// it to the relay as events. Core has all state and no I/O, so that the lab's simulation runs it unchanged;
-// Run drives it on sockets and a disk. Nothing of it lies on a link's path: the relay's lock is taken for one
-// event at a time, and no disk or peer is waited for under it.
+// Package fleet is one relay's part in a fleet of relays: what it stores on its disk, what it exchanges with
+// the other relays, how it recovers after a start and which operator order it is under. The relay learns of
+// all that by events.
+//
+// Core holds the state and does no I/O, so that the simulation runs it unchanged. Node drives a Core with
+// sockets, a store and timers. Neither lies on a session's path: the relay's lock is taken for one event at a
+// time, and neither a disk nor a peer is waited for under it.
+//
+// Times are milliseconds. A parameter called now is of this relay's own clock, which does not jump while the
+// relay runs; times that are stored or sent are of the fleet's clock, which is ahead of it by
+// Core.fleetClockOffset.
 package fleet
 
 import (
-	"encoding/json"
-	"fmt"
-	"math"
 	"math/rand"
-	"slices"
 
 	"valeshift/internal/membership"
 	"valeshift/internal/recovery"
 	"valeshift/internal/relay"
-	"valeshift/internal/replication"
-	"valeshift/internal/store"
 )
 
-const (
-	snapshotInterval      = 1000.0 // between two writings of what is known
-	rejectionRateInterval = 500.0  // over which clients turned away are counted
-	smoothing             = 0.3    // of the way, that their rate moves in it
-
-	settledAfter       = 5000.0 // in the normal phase, from which figures hold what was placed
-	remoteLoadInterval = 200.0  // between two tellings of what the others placed: news takes as long
-	clockInterval      = 1000.0 // between two looks at everybody's clocks
-	minClockOffset     = 1500.0 // that a clock is off, for anything to follow: more than ways take and dates are off
-
-	maxMedianMultiple   = 3.0 // middle ones, that one relay's word on what it placed counts for
-	minMeasuredSessions = 5   // of this relay, that a measure of the fleet stands on
-	minMeasuredLoad     = 0.5 // and servers' worth of load
-)
-
-// Action is something that Core asks for, one field at a time.
-type Action struct {
-	Send            *membership.Datagram
-	Query           *Query
-	Persist         *store.Record
-	ConfirmDecision uint64 // where not 0: Core's Kept is to be told of it once that is durable, or can't be
-	// where not nil: Core's Durable is to be told of it once that is durable, and only then
-	ReplicationWrite *replication.Write
-	Event            *relay.Event
-	OrderReplicated  *OrderReplicated
-	Log              string
-}
-
-// Query goes to one relay: Answered follows, whatever comes of it.
-type Query struct{ Name, Address string }
-
-// Core is one relay's side of the fleet.
+// Core is the state of one relay's part in the fleet. Its methods take what has happened and return what is to
+// be done, in that order. It is not safe for concurrent use.
 type Core struct {
-	membership          *membership.View // nil: none are named
-	plan                *recovery.Plan
-	phase               recovery.Phase
-	boot                uint64 // as it was saved
-	orderNumber         uint64
-	draining            bool
-	lastSnapshot        *relay.Snapshot // the latest that is worth keeping
-	diskFault           string
-	hasDisk             bool
-	relayStatus         relay.Status
-	rejectedBefore      int // at the beginning of the second that is counted
-	rejectionsCountedAt float64
-	rejectionRate       float64
-	measuredCapacity    float64 // what a server bears; 0: not yet in this life
-	snapshotDueAt       float64
-	fleetClockOffset    float64 // what the fleet's clock is ahead of the times that come in, as the relay was told
-	clockDueAt          float64
-	remoteLoadDueAt     float64
-	notifiedRemoteLoad  float64 // what others have placed, as the relay was told
-	diskRead            bool
-	coordinators        *council // nil: no voters are named
-	replication         *held    // nil: nothing is held for others
-}
-
-// New starts the relay's side: with others, where an own word is given that says where it hears them, and
-// with a disk, which is told of by Disk.
-func New(now float64, own membership.MemberState, seeds []string, key []byte, disk bool, chance *rand.Rand) *Core {
-	c := &Core{plan: recovery.New(now, disk, own.Address != ""), hasDisk: disk, rejectionsCountedAt: now,
-		snapshotDueAt: now + snapshotInterval, lastSnapshot: &relay.Snapshot{}, notifiedRemoteLoad: -1, diskFault: "being read"}
-	if !disk {
-		c.diskFault = "none is named"
-	}
-	if own.Address != "" {
-		c.membership = membership.New(now, own, seeds, key, chance)
+	plan        *recovery.Plan
+	membership  *membership.View // nil: no other relay is named
+	relayStatus relay.Status     // of the last tick
+
+	diskState
+	operatorOrder
+	fleetClock
+	snapshots  snapshotState
+	capacity   capacityEstimate
+	rejections rejectionRate
+	remoteLoad remoteLoad
+
+	coordinators *council // nil: no voters are named
+	replication  *held    // nil: nothing is replicated
+}
+
+// New starts a relay's part in the fleet. Without an address in own there are no other relays; without a disk,
+// nothing is stored. With a disk, Restore has to be called once it has been read.
+func New(now float64, own membership.MemberState, seeds []string, key []byte, hasDisk bool,
+	rng *rand.Rand) *Core {
+	hasPeers := own.Address != ""
+	c := &Core{
+		plan:       recovery.New(now, hasDisk, hasPeers),
+		diskState:  newDiskState(hasDisk),
+		snapshots:  snapshotState{last: &relay.Snapshot{}, dueAt: now + snapshotInterval},
+		rejections: rejectionRate{countedAt: now},
+		remoteLoad: remoteLoad{notified: noRemoteRelays},
+	}
+	if hasPeers {
+		c.membership = membership.New(now, own, seeds, key, rng)
 	}
 	return c
 }
 
-// storedOrder is an operators' order as it is kept.
-type storedOrder struct {
-	Number uint64 `json:"Number"`
-	Lame   bool   `json:"Lame"`
-}
-
-// Restore takes what the store had at the start, or why there is none. An order on it holds at once.
-func (c *Core) Restore(now float64, s *store.Store, found store.Recovery, err error) (acts []Action) {
-	d := recovery.DiskResult{}
-	if err != nil {
-		c.diskFault, c.hasDisk, d.Fault = err.Error(), false, err.Error()
-		return c.planActions(c.plan.ReceiveDisk(now, d))
-	}
-	c.diskFault, c.diskRead = "", true
-	if found.Damaged > 0 || found.TornBytes > 0 {
-		c.diskFault = fmt.Sprintf("%d damaged pieces passed over, %d bytes cut off", found.Damaged, found.TornBytes)
-		acts = append(acts, Action{Log: "disk: " + c.diskFault})
-	}
-	c.boot = found.LastBoot + 1
-	if c.membership != nil {
-		c.membership.RestoreBoot(found.LastBoot)
-		c.boot = c.membership.LocalState().Boot
-	}
-	acts = append(acts, c.persistBoot(now))
-	if r, there := s.Get(store.KindOrder, ""); there {
-		var o storedOrder
-		if json.Unmarshal(r.Body, &o) == nil && o.Number >= c.orderNumber {
-			acts = append(acts, c.applyOrder(o.Number, o.Lame)...)
-		}
-	}
-	c.restoreReplicas(now, s, found.LastBoot)
-	if r, there := s.Get(store.KindDecision, ""); there && c.coordinators != nil {
-		c.coordinators.follower.Restore(r.Body)
-	}
-	if r, there := s.Get(store.KindSnapshot, ""); there {
-		if d.Snapshot, err = relay.ParseSnapshot(r.Body); err != nil {
-			d.Snapshot, d.Fault = nil, err.Error()
-		} else if c.lastSnapshot.Endpoints == nil && c.lastSnapshot.Capacity == 0 {
-			c.lastSnapshot = d.Snapshot
-		}
-	}
-	return append(acts, c.planActions(c.plan.ReceiveDisk(now, d))...)
-}
-
-func (c *Core) persistBoot(now float64) Action {
-	return Action{Persist: &store.Record{Kind: store.KindBoot, Boot: c.boot, UnixMillis: now, Body: []byte("x")}}
-}
-
-// applyOrder has the relay be as the order of that number says.
-func (c *Core) applyOrder(number uint64, lame bool) (acts []Action) {
-	changed := lame != c.draining
-	c.orderNumber, c.draining = number, lame
-	if c.membership != nil {
-		w := c.membership.LocalState()
-		w.OrderNumber, w.Draining = number, lame
-		c.membership.SetLocalState(w)
-	}
-	if changed {
-		acts = append(acts, Action{Event: &relay.Event{Kind: relay.DrainRequested, Off: !lame}})
-	}
-	return acts
-}
-
-// SetDraining takes an operators' order, and gives its record; it is promised once that is durable.
-func (c *Core) SetDraining(now float64, lame bool) (store.Record, []Action) {
-	number := c.orderNumber + 1
-	if c.membership != nil {
-		number = max(number, c.membership.LocalState().OrderNumber+1)
-	}
-	acts := c.applyOrder(number, lame)
-	body, _ := json.Marshal(storedOrder{number, lame}) // of plain values
-	return store.Record{Kind: store.KindOrder, Boot: c.boot, UnixMillis: now, Body: body}, acts
-}
+// Tick advances all that depends on time. The wall clock is the machine's, in Unix milliseconds; status is the
+// relay's as of now.
+func (c *Core) Tick(now, wallClock float64, status relay.Status) []Action {
+	status.RejectedLastSecond = c.rejections.update(now, status.Rejected)
+	c.relayStatus = status
 
-// ReceiveDatagram takes a datagram.
-func (c *Core) ReceiveDatagram(now float64, from string, data []byte) (acts []Action) {
-	if acts, is := c.receiveAnnouncement(now, from, data); is {
-		return acts
-	}
-	if acts, is := c.receiveReplicationDatagram(now, from, data); is {
-		return acts
-	}
-	if c.membership == nil {
-		return nil
-	}
-	for _, d := range c.membership.Receive(now, from, data) {
-		acts = append(acts, Action{Send: &d})
-	}
-	return append(acts, c.adoptOwnState(now)...)
+	actions := c.updateClock(now, wallClock, status.DiscoveryClockOffset)
+	actions = append(actions, c.advanceRecovery(now)...)
+	actions = append(actions, c.updateZoneWeights(now)...)
+	actions = append(actions, c.maintainReplication(now)...)
+	return append(actions, c.gossip(now)...)
 }
 
-// adoptOwnState follows what others know of this relay: a boot above its own, an order later than its own.
-func (c *Core) adoptOwnState(now float64) (acts []Action) {
-	w := c.membership.LocalState()
-	if w.Boot > c.boot && c.diskRead {
-		if c.boot = w.Boot; c.replication != nil {
-			c.replication.older = true
-		}
-		acts = append(acts, c.persistBoot(now))
+// ReceiveDatagram takes a datagram of a coordinator or of another relay.
+func (c *Core) ReceiveDatagram(now float64, from string, data []byte) []Action {
+	if actions, isAnnouncement := c.receiveAnnouncement(now, from, data); isAnnouncement {
+		return actions
 	}
-	return append(acts, c.adoptOrder(now, w.OrderNumber, w.Draining)...)
-}
-
-// adoptOrder takes an order to this relay that others know, where it is later than its own or the stricter.
-func (c *Core) adoptOrder(now float64, number uint64, lame bool) []Action {
-	if number < c.orderNumber || (number == c.orderNumber && (c.draining || !lame)) {
-		return nil
+	if actions, isReplication := c.receiveReplicationDatagram(now, from, data); isReplication {
+		return actions
 	}
-	acts := append([]Action{{Log: fmt.Sprintf("order %d, empty %t, as other relays remember it", number, lame)}},
-		c.applyOrder(number, lame)...)
-	body, _ := json.Marshal(storedOrder{number, lame}) // of plain values
-	return append(acts, Action{Persist: &store.Record{Kind: store.KindOrder, Boot: c.boot, UnixMillis: now, Body: body}})
-}
-
-// aliveMembers are the relays that are alive now.
-func (c *Core) aliveMembers(now float64) []membership.Member {
 	if c.membership == nil {
 		return nil
 	}
-	return slices.DeleteFunc(c.membership.Members(now), func(m membership.Member) bool { return m.Liveness != membership.Alive })
-}
-
-// recoveryPeers are those as the plan sees them.
-func (c *Core) recoveryPeers(now float64) (all []recovery.Peer) {
-	for _, m := range c.aliveMembers(now) {
-		all = append(all, recovery.Peer{Name: m.Name, AgeMillis: m.AgeMillis, Phase: recovery.Phase(m.Phase),
-			RejectedLastSecond: m.WaitingClients, Sessions: m.Sessions, Unreachable: c.membership.Address(m) == ""})
-	}
-	return all
+	actions := sendActions(c.membership.Receive(now, from, data))
+	return append(actions, c.adoptRememberedState(now)...)
 }
 
-// measureClock has the relay told what its time is ahead of the clock by which servers' starts are told:
-// discovery's, where that says its own. Else it is the clock in the middle of this machine's and those of the
-// relays that are heard: one that is wrong or lies moves it by a place; of two in the middle it is the
-// earlier, by which servers are younger and so colder.
-func (c *Core) measureClock(now, wall, dated float64) []Action {
-	if now < c.clockDueAt {
-		return nil
-	}
-	if c.plan.Phase() >= recovery.Admitting { // before that, at each look: cold servers wait for it
-		c.clockDueAt = now + clockInterval
-	}
-	all := []float64{wall - now}
-	if c.membership != nil {
-		c.membership.ClockOffset = wall - now
+// advanceRecovery has the recovery plan go on.
+func (c *Core) advanceRecovery(now float64) []Action {
+	var peers []recovery.Peer
+	if c.plan.Phase() != recovery.Normal { // the plan looks at them in no other phase
+		peers = c.recoveryPeers(now)
 	}
-	for _, m := range c.aliveMembers(now) {
-		if !math.IsNaN(m.ClockOffset) {
-			all = append(all, m.ClockOffset)
-		}
-	}
-	slices.Sort(all)
-	off := all[(len(all)-1)/2]
-	if !math.IsNaN(dated) {
-		off = dated
-	}
-	if math.Abs(off-c.fleetClockOffset) < minClockOffset {
-		return nil
-	}
-	c.fleetClockOffset = off
-	return []Action{{Event: &relay.Event{Kind: relay.ClockSkewMeasured, AheadMillis: -off}},
-		{Log: fmt.Sprintf("this relay's time is ahead by %.0f ms, of %d relays and discovery %t", -off, len(all),
-			!math.IsNaN(dated))}}
+	return c.planActions(c.plan.Advance(now, peers, c.relayStatus))
 }
 
-// shiftRetryTimes has the promised times of what is kept be by another clock: the disk's are by the fleet's.
-func shiftRetryTimes(k *relay.Snapshot, by float64) *relay.Snapshot {
-	if by == 0 || len(k.RetryAt) == 0 {
-		return k
-	}
-	moved := *k
-	moved.RetryAt = make(map[uint64]float64, len(k.RetryAt))
-	for key, at := range k.RetryAt {
-		moved.RetryAt[key] = at + by
-	}
-	return &moved
-}
-
-// Tick goes on, by what the relay itself sees and its machine's clock says.
-func (c *Core) Tick(now, wall float64, seen relay.Status) (acts []Action) {
-	if now >= c.rejectionsCountedAt+rejectionRateInterval {
-		rate := float64(seen.Rejected-c.rejectedBefore) * 1000 / (now - c.rejectionsCountedAt)
-		c.rejectionRate += (rate - c.rejectionRate) * smoothing
-		c.rejectedBefore, c.rejectionsCountedAt = seen.Rejected, now
-	}
-	seen.RejectedLastSecond = int(c.rejectionRate)
-	c.relayStatus = seen
-	var others []recovery.Peer
-	if c.plan.Phase() != recovery.Normal { // nobody looks at them else
-		others = c.recoveryPeers(now)
-	}
-	acts = append(c.measureClock(now, wall, seen.DiscoveryClockOffset), c.planActions(c.plan.Advance(now, others, seen))...)
-	acts = append(append(acts, c.updateZoneWeights(now)...), c.maintainReplication(now)...)
-	if c.membership != nil {
-		w := c.membership.LocalState()
-		w.Phase, w.EndpointsVersion = uint8(c.plan.Phase()), seen.Index
-		w.WaitingClients, w.Sessions = uint32(max(seen.RejectedLastSecond, 0)), uint32(max(seen.Sessions, 0))
-		w.OrderNumber, w.Draining, w.PlacedLoad = c.orderNumber, c.draining, uint64(max(seen.UnreportedLoad, 0))
-		c.membership.SetLocalState(w)
-		acts = append(acts, c.updateRemoteLoad(now, max(seen.UnreportedLoad, 0))...)
-		for _, d := range c.membership.Tick(now) {
-			acts = append(acts, Action{Send: &d})
-		}
-	}
-	return acts
-}
-
-// updateRemoteLoad tells what the others have placed that figures may not hold yet, by their own words. One voice
-// counts for some times the middle one at the most: against one that is wrong having all servers look full.
-func (c *Core) updateRemoteLoad(now, own float64) []Action {
-	if now < c.remoteLoadDueAt {
-		return nil
-	}
-	c.remoteLoadDueAt = now + remoteLoadInterval
-	others, all, sum := c.aliveMembers(now), []float64{own}, -1.0
-	for _, m := range others {
-		all = append(all, float64(m.PlacedLoad))
-	}
-	if len(others) > 0 {
-		slices.Sort(all)
-		sum = 0
-		for _, m := range others {
-			sum += min(float64(m.PlacedLoad), maxMedianMultiple*all[len(all)/2])
-		}
-	}
-	if sum == c.notifiedRemoteLoad {
-		return nil
-	}
-	c.notifiedRemoteLoad = sum
-	return []Action{{Event: &relay.Event{Kind: relay.RemoteLoadChanged, Load: sum}}}
-}
-
-// IsSnapshotDue tells whether what is known is to be written now.
-func (c *Core) IsSnapshotDue(now float64) bool {
-	if now < c.snapshotDueAt || c.plan.Phase() < recovery.Admitting {
-		return false
-	}
-	c.snapshotDueAt = now + snapshotInterval
-	return true
-}
-
-// RecordSnapshot takes what the relay knows now, and gives its record. What this life has not learnt yet is kept as it
-// was: against a relay that dies young leaving less than it was left.
-func (c *Core) RecordSnapshot(now float64, k *relay.Snapshot) store.Record {
-	if k.Endpoints == nil || len(k.Endpoints.Endpoints) == 0 {
-		k.Endpoints, k.ConfirmedAt = c.lastSnapshot.Endpoints, c.lastSnapshot.ConfirmedAt
-	}
-	c.completeEstimates(now, k)
-	c.lastSnapshot = k
-	text, _ := shiftRetryTimes(k, c.fleetClockOffset).Encode() // of plain values
-	return store.Record{Kind: store.KindSnapshot, Boot: c.boot, UnixMillis: now, Body: text}
-}
-
-// completeEstimates fills in what this life has not learnt yet.
-func (c *Core) completeEstimates(now float64, k *relay.Snapshot) {
-	if k.Capacity == 0 {
-		k.Capacity, k.MeanLoad, k.Classes = c.lastSnapshot.Capacity, c.lastSnapshot.MeanLoad, c.lastSnapshot.Classes
-	}
-	k.Capacity = c.measureCapacity(now, k)
-}
-
-// measureCapacity is what a server bears, by what all relays together hold and what the servers say: this relay's own
-// load times all links over its own. Against a relay's guess from its part alone, which it takes for an even
-// one: with some relays gone it came to six times the truth. Alone, or with too little to go by, that is all
-// there is.
-func (c *Core) measureCapacity(now float64, k *relay.Snapshot) float64 {
-	if c.membership == nil {
-		return k.Capacity
-	}
-	links := float64(c.relayStatus.Sessions)
-	s := c.plan.Status(now)
-	usual := c.plan.Phase() == recovery.Normal && s.PhaseMillis >= settledAfter
-	if usual && links >= minMeasuredSessions && k.EstimatedLoad > minMeasuredLoad {
-		sum := links
-		for _, m := range c.aliveMembers(now) {
-			sum += float64(m.Sessions)
-		}
-		measured := k.OwnLoad * sum / links / k.EstimatedLoad
-		if c.measuredCapacity == 0 {
-			c.measuredCapacity = measured
-		}
-		c.measuredCapacity += (measured - c.measuredCapacity) * smoothing / 3
-	}
-	if c.measuredCapacity > 0 {
-		return c.measuredCapacity
-	}
-	return c.lastSnapshot.Capacity // or nothing: the figures of the first seconds hold few of the links there are
-}
-
-// queryAnswer is what one relay says to another that asks.
-type queryAnswer struct {
-	Kept    *relay.Snapshot `json:"Kept"`
-	ToldAgo float64         `json:"ToldAgo"`
-}
-
-// AnswerQuery is what this relay has kept, for another; k is what it knows now.
-func (c *Core) AnswerQuery(now float64, k *relay.Snapshot) []byte {
-	a := queryAnswer{Kept: k, ToldAgo: -1}
-	if k.Endpoints != nil {
-		a.ToldAgo = max(now-k.ConfirmedAt, 0)
-	} else {
-		k.Endpoints = c.lastSnapshot.Endpoints
-	}
-	c.completeEstimates(now, k)
-	k.RetryAt = nil
-	text, _ := json.Marshal(a)
-	return text
-}
-
-// ReceiveAnswer takes what another relay said, or why nothing.
-func (c *Core) ReceiveAnswer(from string, text []byte, err error) {
-	var a struct {
-		Kept    json.RawMessage `json:"Kept"`
-		ToldAgo float64         `json:"ToldAgo"`
-	}
-	if err == nil {
-		err = json.Unmarshal(text, &a)
-	}
-	var k *relay.Snapshot
-	if err == nil {
-		k, err = relay.ParseSnapshot(a.Kept)
-	}
-	if err != nil {
-		c.plan.ReceiveAnswer(recovery.Source{Name: from}, err.Error())
-		return
-	}
-	c.plan.ReceiveAnswer(recovery.Source{Name: from, Snapshot: k, ConfirmedAgoMillis: a.ToldAgo}, "")
-}
-
-// planActions turns the plan's acts into those of the whole.
-func (c *Core) planActions(all []recovery.Action) (acts []Action) {
-	for _, a := range all {
+// planActions turns the recovery plan's actions into Core's.
+func (c *Core) planActions(planned []recovery.Action) []Action {
+	var actions []Action
+	for _, a := range planned {
 		switch {
 		case a.Query != "":
-			if m, there := c.findMember(a.Query); there {
-				acts = append(acts, Action{Query: &Query{a.Query, c.membership.Address(m)}})
+			if m, isMember := c.findMember(a.Query); isMember {
+				query := &Query{Name: a.Query, Address: c.membership.Address(m)}
+				actions = append(actions, Action{Query: query})
 			}
 		case a.Event != nil:
 			if a.Event.Snapshot != nil {
 				a.Event.Snapshot = shiftRetryTimes(a.Event.Snapshot, -c.fleetClockOffset)
 			}
-			acts = append(acts, Action{Event: a.Event})
+			actions = append(actions, Action{Event: a.Event})
 		case a.Log != "":
-			acts = append(acts, Action{Log: a.Log})
+			actions = append(actions, Action{Log: a.Log})
 		}
 	}
-	return acts
+	return actions
 }
 
-func (c *Core) findMember(name string) (membership.Member, bool) {
-	members := c.membership.Members(c.relayStatus.Now) // of some is asked only where there are others
-	i := slices.IndexFunc(members, func(m membership.Member) bool { return m.Name == name })
-	if i < 0 {
-		return membership.Member{}, false
-	}
-	return members[i], true
-}
-
-// Status is what operators are told: `valeshift fleet` shows it.
-type Status struct {
-	Recovery           recovery.Status    `json:"Recovery"`
-	Boot               uint64             `json:"Boot"`
-	Order              uint64             `json:"Order"`
-	Draining           bool               `json:"Lame"`
-	DiskFault          string             `json:"Disk"` // what is wrong with it; empty: nothing
-	RejectedLastSecond int                `json:"Waiting"`
-	Sessions           int                `json:"Links"`
-	WarmingUp          int                `json:"Cold"` // servers, of those that can be used
-	Usable             int                `json:"Usable"`
-	AheadMillis        float64            `json:"Ahead"` // of the fleet's clock, ms
-	HasDuplicate       bool               `json:"Twin"`  // another process serves under this relay's name
-	Members            []MemberStatus     `json:"Members"`
-	Datagrams          membership.Counts  `json:"Wire"`
-	Coordinators       *CoordinatorStatus `json:"Council,omitempty"`
-
-	Replication *ReplicationStatus `json:"Holdings,omitempty"`
-}
+const (
+	rejectionInterval = 500.0 // over which rejected clients are counted
+	smoothing         = 0.3   // the weight of a new sample in a moving average
+)
 
-// MemberStatus is another relay as this one sees it.
-type MemberStatus struct {
-	Name               string  `json:"Name"`
-	Zone               string  `json:"Zone"`
-	Region             string  `json:"Region"`
-	State              string  `json:"State"`
-	Phase              string  `json:"Phase"`
-	Boot               uint64  `json:"Boot"`
-	EndpointsVersion   uint64  `json:"List"`
-	AgeMillis          float64 `json:"Age"`   // ms since its start
-	SilentMillis       float64 `json:"Quiet"` // ms since news of it
-	RejectedLastSecond uint32  `json:"Waiting"`
-	Sessions           uint32  `json:"Links"`
-	Draining           bool    `json:"Lame"`
+// rejectionRate is a moving average of how many clients the relay rejects in a second.
+type rejectionRate struct {
+	perSecond float64
+	counted   int // rejected up to countedAt
+	countedAt float64
 }
 
-const duplicateMillis = 10000.0
-
-// Status is how things stand.
-func (c *Core) Status(now float64) Status {
-	s := Status{Recovery: c.plan.Status(now), Boot: c.boot, Order: c.orderNumber, Draining: c.draining, DiskFault: c.diskFault,
-		RejectedLastSecond: c.relayStatus.RejectedLastSecond, Sessions: c.relayStatus.Sessions, WarmingUp: c.relayStatus.WarmingUp, Usable: c.relayStatus.Usable,
-		AheadMillis: -c.fleetClockOffset, Coordinators: c.coordinatorStatus(now), Replication: c.replicationStatus(now)}
-	if c.membership == nil {
-		return s
-	}
-	s.Boot, s.Datagrams = c.membership.LocalState().Boot, c.membership.Counts
-	s.HasDuplicate = c.membership.DuplicateSeenAt > 0 && now < c.membership.DuplicateSeenAt+duplicateMillis
-	for _, m := range c.membership.Members(now) {
-		s.Members = append(s.Members, MemberStatus{Name: m.Name, Zone: m.Zone, Region: m.Region,
-			State: m.Liveness.String(), Phase: recovery.Phase(min(m.Phase, uint8(recovery.Normal))).String(),
-			Boot: m.Boot, EndpointsVersion: m.EndpointsVersion, AgeMillis: m.AgeMillis, SilentMillis: now - m.HeardAt, RejectedLastSecond: m.WaitingClients, Sessions: m.Sessions,
-			Draining: m.Draining})
+// update takes how many clients were rejected since the relay's start, and returns the rate.
+func (r *rejectionRate) update(now float64, rejected int) int {
+	if now >= r.countedAt+rejectionInterval {
+		sample := float64(rejected-r.counted) * 1000 / (now - r.countedAt)
+		r.perSecond += (sample - r.perSecond) * smoothing
+		r.counted = rejected
+		r.countedAt = now
 	}
-	return s
+	return int(r.perSecond)
 }
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -162,10 +162,11 @@
 	k := fullKept()
 	k.Endpoints = nil // how long ago it was told would depend on the time of the test
 	core := alone()
-	r := &Node{key: key, core: core, startMillis: now, startedAt: time.Now(), snapshot: func() *relay.Snapshot {
-		copied := *k
-		return &copied
-	}}
+	n := &Node{key: key, core: core, clock: nodeClock{startMillis: now, startedAt: time.Now()},
+		relay: relayHooks{snapshot: func() *relay.Snapshot {
+			copied := *k
+			return &copied
+		}}}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
@@ -174,8 +175,7 @@
 		defer close(answered)
 		conn, err := listener.Accept()
 		if err == nil {
-			r.answerQuery(conn)
-			conn.Close()
+			n.answerQuery(conn)
 		}
 	}()
 	conn, err := net.Dial("tcp", listener.Addr().String())
@@ -288,7 +288,7 @@
 	word := []byte(`w{"Number":21,"Zones":[{"Name":"a","State":"home","Share":1,"Why":""}],"Age":10,"Leads":true}`)
 	n.do(at, "r1", n.cores["r1"].ReceiveDatagram(at, "v1", membership.Seal(key, word)))
 	at = n.run(at, folderNow)
-	n.cores["r1"].measuredCapacity = fullKept().Capacity // as after some time with enough links
+	n.cores["r1"].capacity.measured = fullKept().Capacity // as after some time with enough links
 	n.stores["r1"].Put(n.cores["r1"].RecordSnapshot(at, fullKept()), nil)
 	for _, name := range n.order {
 		require.NoError(t, n.stores[name].Flush())
