--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -12,13 +12,14 @@
 	"valeshift/internal/relay"
 )
 
-func TestWhole(t *testing.T) {
-	old, young, admitting := Peer{AgeMillis: 1e6, Phase: Normal}, Peer{AgeMillis: 3000, Phase: Normal}, Peer{AgeMillis: 1e6,
-		Phase: Admitting}
+func TestDetectFullOutage(t *testing.T) {
+	old := Peer{AgeMillis: 1e6, Phase: Normal}
+	young := Peer{AgeMillis: 3000, Phase: Normal}
+	admitting := Peer{AgeMillis: 1e6, Phase: Admitting}
 	for _, c := range []struct {
 		name   string
-		others []Peer
-		whole  bool
+		peers  []Peer
+		isFull bool
 	}{
 		{"nobody heard", nil, true},
 		{"all old", []Peer{old, old, old}, false},
@@ -27,137 +28,158 @@
 		{"some are back for a while and recover still", []Peer{admitting, admitting, young, old}, true},
 		{"one of a rolling restart", []Peer{old, old, old, old, young}, false},
 	} {
-		whole, why := DetectFullOutage(c.others)
-		assert.Equal(t, c.whole, whole, c.name)
-		assert.NotEmpty(t, why)
+		t.Run(c.name, func(t *testing.T) {
+			isFull, reason := DetectFullOutage(c.peers)
+			assert.Equal(t, c.isFull, isFull)
+			assert.NotEmpty(t, reason)
+		})
 	}
 }
 
-func kept(capacity float64, index uint64, status ...string) *relay.Snapshot {
-	k := &relay.Snapshot{Version: 1, Capacity: capacity, MeanLoad: 4e4}
-	if len(status) > 0 {
-		k.Endpoints = &relay.EndpointUpdate{Index: index, Complete: true}
-		for i, s := range status {
-			k.Endpoints.Endpoints = append(k.Endpoints.Endpoints, relay.Endpoint{Name: fmt.Sprint("s", i), Address: "1.1.1.1:1",
-				Status: s})
-		}
+// snapshot has that capacity, and an endpoint of each status.
+func snapshot(capacity float64, index uint64, statuses ...string) *relay.Snapshot {
+	s := &relay.Snapshot{Version: 1, Capacity: capacity, MeanLoad: 4e4}
+	if len(statuses) == 0 {
+		return s
+	}
+	s.Endpoints = &relay.EndpointUpdate{Index: index, Complete: true}
+	for i, status := range statuses {
+		endpoint := relay.Endpoint{Name: fmt.Sprint("s", i), Address: "1.1.1.1:1", Status: status}
+		s.Endpoints.Endpoints = append(s.Endpoints.Endpoints, endpoint)
 	}
-	return k
+	return s
 }
 
-func statuses(k *relay.Snapshot) (all []string) {
-	if k.Endpoints != nil {
-		for _, e := range k.Endpoints.Endpoints {
-			all = append(all, e.Status)
-		}
+// disk is a source whose endpoints were not confirmed in the life that reads it.
+func disk(s *relay.Snapshot) Source { return Source{Snapshot: s, ConfirmedAgoMillis: -1} }
+
+func statusesOf(s *relay.Snapshot) []string {
+	if s.Endpoints == nil {
+		return nil
+	}
+	var statuses []string
+	for _, e := range s.Endpoints.Endpoints {
+		statuses = append(statuses, e.Status)
 	}
-	return all
+	return statuses
 }
 
-func TestBelieve(t *testing.T) {
-	const a, l = "active", "leaving"
+func TestReconcile(t *testing.T) {
+	const active, leaving = statusActive, statusLeaving
 	for _, c := range []struct {
-		name     string
-		disk     Source
-		voices   []Source
-		capacity float64
-		statuses []string
-		supposed bool
-		left     int
+		name      string
+		disk      Source
+		others    []Source
+		capacity  float64
+		statuses  []string
+		isAssumed bool
+		discarded int
 	}{
-		{"only the disk", Source{ConfirmedAgoMillis: -1, Snapshot: kept(5, 9, a, a)}, nil, 5, []string{a, a}, true, 0},
-		{"only others", Source{ConfirmedAgoMillis: -1}, []Source{{"r1", kept(5, 9, a), -1}}, 5, []string{a}, true, 0},
-		{"another has heard discovery just now", Source{ConfirmedAgoMillis: -1, Snapshot: kept(5, 90, a, a)},
-			[]Source{{"r1", kept(5, 3, l, a, a), 100}}, 5, []string{l, a, a}, false, 0},
-		{"and counts anew, which beats any number", Source{ConfirmedAgoMillis: -1, Snapshot: kept(5, 90, a)},
-			[]Source{{"r1", kept(5, 1, a, a), 100}, {"r2", kept(5, 99, a), 60000}}, 5, []string{a, a}, false, 0},
-		{"of hearsay the strictest", Source{ConfirmedAgoMillis: -1, Snapshot: kept(5, 9, a, a)},
-			[]Source{{"r1", kept(5, 8, l, a), -1}}, 5, []string{l, a}, true, 1},
-		{"the disk's own figure, near the middle", Source{ConfirmedAgoMillis: -1, Snapshot: kept(6, 9)},
-			[]Source{{"r1", kept(5, 0), -1}, {"r2", kept(5, 0), -1}}, 6, nil, false, 0},
-		{"one that lies", Source{ConfirmedAgoMillis: -1, Snapshot: kept(5, 9)},
-			[]Source{{"r1", kept(5000, 0), -1}, {"r2", kept(6, 0), -1}}, 5, nil, false, 1},
-		{"a disk from elsewhere", Source{ConfirmedAgoMillis: -1, Snapshot: kept(500, 9)},
-			[]Source{{"r1", kept(5, 0), -1}, {"r2", kept(6, 0), -1}}, 6, nil, false, 1},
-		{"of two the one that asks less", Source{ConfirmedAgoMillis: -1, Snapshot: kept(500, 9)}, []Source{{"r1", kept(5, 0), -1}},
-			5, nil,
-			false, 1},
+		{"only the disk", disk(snapshot(5, 9, active, active)), nil, 5, []string{active, active}, true, 0},
+		{"only others", disk(nil), []Source{{"r1", snapshot(5, 9, active), -1}}, 5, []string{active}, true, 0},
+		{"another has heard discovery just now", disk(snapshot(5, 90, active, active)),
+			[]Source{{"r1", snapshot(5, 3, leaving, active, active), 100}},
+			5, []string{leaving, active, active}, false, 0},
+		{"and counts anew, which beats any number", disk(snapshot(5, 90, active)),
+			[]Source{{"r1", snapshot(5, 1, active, active), 100}, {"r2", snapshot(5, 99, active), 60000}},
+			5, []string{active, active}, false, 0},
+		{"of what is not fresh the strictest", disk(snapshot(5, 9, active, active)),
+			[]Source{{"r1", snapshot(5, 8, leaving, active), -1}}, 5, []string{leaving, active}, true, 1},
+		{"the disk's own capacity, near the median", disk(snapshot(6, 9)),
+			[]Source{{"r1", snapshot(5, 0), -1}, {"r2", snapshot(5, 0), -1}}, 6, nil, false, 0},
+		{"one that lies", disk(snapshot(5, 9)),
+			[]Source{{"r1", snapshot(5000, 0), -1}, {"r2", snapshot(6, 0), -1}}, 5, nil, false, 1},
+		{"a disk from elsewhere", disk(snapshot(500, 9)),
+			[]Source{{"r1", snapshot(5, 0), -1}, {"r2", snapshot(6, 0), -1}}, 6, nil, false, 1},
+		{"of two the one that asks less", disk(snapshot(500, 9)), []Source{{"r1", snapshot(5, 0), -1}},
+			5, nil, false, 1},
 	} {
-		k, took, left := Reconcile(c.disk, c.voices, true)
-		require.NotNil(t, k, c.name)
-		assert.Equal(t, c.capacity, k.Capacity, c.name)
-		assert.Equal(t, c.statuses, statuses(k), c.name)
-		assert.Equal(t, c.supposed, k.EndpointsAssumed, c.name)
-		assert.Len(t, left, c.left, c.name)
-		assert.NotEmpty(t, took, c.name)
+		t.Run(c.name, func(t *testing.T) {
+			r := Reconcile(c.disk, c.others)
+			require.NotNil(t, r.Snapshot)
+			assert.Equal(t, c.capacity, r.Snapshot.Capacity)
+			assert.Equal(t, c.statuses, statusesOf(r.Snapshot))
+			assert.Equal(t, c.isAssumed, r.Snapshot.EndpointsAssumed)
+			assert.Len(t, r.Discarded, c.discarded)
+			assert.NotEmpty(t, r.Accepted)
+		})
 	}
-	k, _, _ := Reconcile(Source{}, nil, true)
-	assert.Nil(t, k)
+	assert.Nil(t, Reconcile(Source{}, nil).Snapshot, "no source at all")
 }
 
-// Whatever is read, heard and answered, and when, and whatever never is: asking ends within its bound, all
-// ends within the next, and the part is none that cannot be.
-func TestNobodyWaits(t *testing.T) {
+// Whatever is read, received and answered, and when, and whatever never is: querying ends within its bound, all
+// phases end within the next, and the share is none that can't be.
+func TestAllPhasesEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		disk, others := rapid.Bool().Draw(t, "disk"), rapid.Bool().Draw(t, "others")
-		p := New(1000, disk, others)
-		asked := map[string]bool{}
-		var heard []Peer
-		recalled := 0
-		for now := 1000.0; now < 1000+queryTimeout+maxAdmitting+1000; now += rapid.Float64Range(1, 500).Draw(t, "step") {
-			if others && rapid.IntRange(0, 3).Draw(t, "comes") == 0 {
-				heard = append(heard, Peer{Name: fmt.Sprint("r", len(heard)%7), AgeMillis: rapid.Float64Range(0, 1e6).Draw(t,
-					"age"),
-					Phase: Phase(rapid.IntRange(0, 3).Draw(t, "phase")), RejectedLastSecond: rapid.Uint32().Draw(t, "waiting"),
-					Unreachable: rapid.Bool().Draw(t, "mute")})
+		isDiskUnread, hasPeers := rapid.Bool().Draw(t, "disk"), rapid.Bool().Draw(t, "others")
+		p := New(1000, isDiskUnread, hasPeers)
+		queried := map[string]bool{}
+		var peers []Peer
+		restored := 0
+		const end = 1000 + queryTimeout + maxAdmitting + 1000
+		for now := 1000.0; now < end; now += rapid.Float64Range(1, 500).Draw(t, "step") {
+			if hasPeers && rapid.IntRange(0, 3).Draw(t, "comes") == 0 {
+				peers = append(peers, Peer{
+					Name:               fmt.Sprint("r", len(peers)%7),
+					AgeMillis:          rapid.Float64Range(0, 1e6).Draw(t, "age"),
+					Phase:              Phase(rapid.IntRange(0, 3).Draw(t, "phase")),
+					RejectedLastSecond: rapid.Uint32().Draw(t, "waiting"),
+					Unreachable:        rapid.Bool().Draw(t, "mute"),
+				})
 			}
-			var acts []Action
-			if disk && rapid.IntRange(0, 9).Draw(t, "read") == 0 {
-				disk = false
-				acts = p.ReceiveDisk(now, DiskResult{Snapshot: kept(5, 1, "active")})
+			var actions []Action
+			if isDiskUnread && rapid.IntRange(0, 9).Draw(t, "read") == 0 {
+				isDiskUnread = false
+				actions = p.ReceiveDisk(now, DiskResult{Snapshot: snapshot(5, 1, statusActive)})
 			}
-			for name := range asked {
+			for name := range queried {
 				if rapid.Bool().Draw(t, "answers") {
-					delete(asked, name)
-					p.ReceiveAnswer(Source{Name: name, Snapshot: kept(rapid.Float64Range(0, 1e9).Draw(t, "capacity"), 1, "active")},
-						"")
+					delete(queried, name)
+					capacity := rapid.Float64Range(0, 1e9).Draw(t, "capacity")
+					p.ReceiveAnswer(Source{Name: name, Snapshot: snapshot(capacity, 1, statusActive)}, "")
 				}
 			}
-			acts = append(acts, p.Advance(now, heard, relay.Status{Now: now, EndpointsConfirmed: rapid.Bool().Draw(t, "told"),
-				WarmingUp: rapid.IntRange(0, 4).Draw(t, "cold"), Usable: 4, RejectedLastSecond: rapid.IntRange(0, 1000).Draw(t, "w")})...)
-			for _, a := range acts {
+			actions = append(actions, p.Advance(now, peers, relay.Status{
+				Now:                now,
+				EndpointsConfirmed: rapid.Bool().Draw(t, "told"),
+				WarmingUp:          rapid.IntRange(0, 4).Draw(t, "cold"),
+				Usable:             4,
+				RejectedLastSecond: rapid.IntRange(0, 1000).Draw(t, "w"),
+			})...)
+			for _, a := range actions {
 				if a.Query != "" {
-					if asked[a.Query] {
-						t.Fatal("asked twice")
+					if queried[a.Query] {
+						t.Fatal("queried twice")
 					}
-					asked[a.Query] = true
+					queried[a.Query] = true
 				}
 				if a.Event != nil && a.Event.Kind == relay.StateRestored {
-					recalled++
+					restored++
 				}
-				if a.Event != nil && !(a.Event.CapacityShare >= 0 && a.Event.CapacityShare <= 1) || math.IsNaN(p.capacityShare) {
-					t.Fatal("a part that can't be", a.Event.CapacityShare)
+				isShare := a.Event == nil || a.Event.CapacityShare >= 0 && a.Event.CapacityShare <= 1
+				if !isShare || math.IsNaN(p.capacityShare) {
+					t.Fatal("a share that can't be", p.capacityShare, a.Event)
 				}
 			}
 			if now > 1000+queryTimeout+500 && p.Phase() < Admitting {
-				t.Fatal("still asking")
+				t.Fatal("still querying")
 			}
 		}
-		if p.Phase() != Normal || recalled > 2 || len(p.sources) > maxQueriedPeers {
-			t.Fatal(p.Phase(), recalled, len(p.sources))
+		if p.Phase() != Normal || restored > 2 || len(p.sources) > maxQueriedPeers {
+			t.Fatal(p.Phase(), restored, len(p.sources))
 		}
 	})
 }
 
-// A disk that is read late gives hints, and no list.
+// A disk that is read late gives estimates, and no endpoints.
 func TestLateDisk(t *testing.T) {
 	p := New(0, true, false)
 	assert.Empty(t, p.Advance(100, nil, relay.Status{}))
-	acts := p.Advance(diskTimeout, nil, relay.Status{})
+	actions := p.Advance(diskTimeout, nil, relay.Status{})
 	assert.Equal(t, Admitting, p.Phase())
-	assert.NotEmpty(t, acts)
-	acts = p.ReceiveDisk(10000, DiskResult{Snapshot: kept(5, 3, "active")})
-	require.Len(t, acts, 1)
-	assert.Nil(t, acts[0].Event.Snapshot.Endpoints)
-	assert.Equal(t, 5.0, acts[0].Event.Snapshot.Capacity)
+	assert.NotEmpty(t, actions)
+	actions = p.ReceiveDisk(10000, DiskResult{Snapshot: snapshot(5, 3, statusActive)})
+	require.Len(t, actions, 1)
+	assert.Nil(t, actions[0].Event.Snapshot.Endpoints)
+	assert.Equal(t, 5.0, actions[0].Event.Snapshot.Capacity)
 }
