--- a/internal/relay/backends.go
+++ b/internal/relay/backends.go
@@ -19,20 +19,20 @@
 	// answerTimeout is for the first line. Discovery works through calls in turn, so that one given up early
 	// loses its place there. With renewGap it leaves time for a second call within the 4 s in which a discovery
 	// that a reload names has to be heard.
-	answerTimeout = 3300.0
-	renewGap      = 250.0 // before a discovery that a reload names is asked again
-	probeWaits    = 2     // times the time for a connect, for a probe's answer
+	answerTimeout     = 3300.0
+	renewInterval     = 250.0 // before a discovery that a reload names is asked again
+	pollTimeoutFactor = 2     // times the time for a connect, for a probe's answer
 )
 
 // backend is a server as this relay knows it.
 type backend struct {
 	Endpoint
-	id        uint32
-	condition balancer.EndpointState
-	links     []*link // that stand
-	heard     float64 // when one of them last brought anything
-	probe     *end
-	asking    bool // a probe is out
+	id          uint32
+	condition   balancer.EndpointState
+	sessions    []*session // that stand
+	lastDataAt  float64    // when one of them last brought anything
+	pollConn    *connection
+	pollPending bool // a probe is out
 }
 
 // BackendStatus is what is held of one backend: what passes on the sockets, and what the module goes by.
@@ -46,36 +46,41 @@
 
 // BackendStatuses are those of all backends, by name. Against a module that goes by what is no longer so: they can be
 // asked for while the relay serves.
-func (r *StateMachine) BackendStatuses(now float64) []BackendStatus {
+func (m *StateMachine) BackendStatuses(now float64) []BackendStatus {
 	tries := map[*backend]int{}
-	for _, c := range r.ends {
-		if c.backend != nil && c.link != nil && c.link.stage == trying {
-			tries[c.backend]++
+	for _, conn := range m.conns {
+		if conn.backend != nil && conn.session != nil && conn.session.state == attempting {
+			tries[conn.backend]++
 		}
 	}
 	var all []BackendStatus
-	for _, b := range r.backends {
-		links, heard, out := r.table.Balancer.BackendStatus(b.id)
-		all = append(all, BackendStatus{Name: b.Name, Established: len(b.links), Attempts: tries[b], Reserved: links,
+	for _, backend := range m.backends {
+		links, heard, out := m.table.Balancer.BackendStatus(backend.id)
+		all = append(all, BackendStatus{Name: backend.Name, Established: len(backend.sessions), Attempts: tries[backend], Reserved: links,
 			ReportAgeMillis: now - heard, Ejected: out})
 	}
 	slices.SortFunc(all, func(a, b BackendStatus) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
 
-// named finds the backend, or takes in a new one. Its number comes of its name, so that all relays draw
+// newBackend is a backend of which only the name is known.
+func newBackend(name string) *backend {
+	return &backend{Endpoint: Endpoint{Name: name}, id: BackendID(name)}
+}
+
+// findOrAddBackend finds the backend, or takes in a new one. Its number comes of its name, so that all relays draw
 // alike.
-func (r *StateMachine) named(name string) *backend {
-	b := r.backends[name]
-	if b == nil {
-		b = &backend{Endpoint: Endpoint{Name: name}, id: BackendID(name)}
-		for r.byID[b.id] != nil {
-			b.id++
+func (m *StateMachine) findOrAddBackend(name string) *backend {
+	backend := m.backends[name]
+	if backend == nil {
+		backend = newBackend(name)
+		for m.backendsByID[backend.id] != nil {
+			backend.id++
 		}
-		r.backends[name], r.byID[b.id] = b, b
-		r.order = append(r.order, b)
+		m.backends[name], m.backendsByID[backend.id] = backend, backend
+		m.backendOrder = append(m.backendOrder, backend)
 	}
-	return b
+	return backend
 }
 
 // BackendID is what the module knows a backend of that name by, unless another has the number already; then it
@@ -86,237 +91,237 @@
 	return sum.Sum32()
 }
 
-func (r *StateMachine) zone(name string) int {
-	z, known := r.zones[name]
+func (m *StateMachine) zoneNumber(name string) int {
+	z, known := m.zones[name]
 	if !known {
-		z = len(r.zones)
-		r.zones[name] = z
+		z = len(m.zones)
+		m.zones[name] = z
 	}
 	return z
 }
 
-// apply takes news of the list.
-func (r *StateMachine) apply(news *EndpointUpdate) {
-	r.index = news.Index
-	r.table.Balancer.BeginEndpointUpdate(news.Complete)
+// applyEndpoints takes news of the list.
+func (m *StateMachine) applyEndpoints(news *EndpointUpdate) {
+	m.endpointsIndex = news.Index
+	m.table.Balancer.BeginEndpointUpdate(news.Complete)
 	named := map[*backend]bool{}
 	for _, e := range news.Endpoints {
 		if e.Invalid != "" {
-			r.note("bad entry in the list", "backend", e.Name, "why", e.Invalid)
-			if r.backends[e.Name] == nil {
+			m.log("bad entry in the list", "backend", e.Name, "why", e.Invalid)
+			if m.backends[e.Name] == nil {
 				continue
 			}
-			e = r.backends[e.Name].Endpoint
+			e = m.backends[e.Name].Endpoint
 		}
-		b := r.named(e.Name)
-		moved := b.Address != e.Address || e.StartedAt > b.StartedAt
-		b.Endpoint = e
-		named[b] = true
+		backend := m.findOrAddBackend(e.Name)
+		moved := backend.Address != e.Address || e.StartedAt > backend.StartedAt
+		backend.Endpoint = e
+		named[backend] = true
 		switch e.Status {
 		case "active":
-			if b.condition = balancer.Ready; r.dismissed[e.Name] {
-				b.condition = balancer.Draining
+			if backend.condition = balancer.Ready; m.siblingDrained[e.Name] {
+				backend.condition = balancer.Draining
 			}
 		case "leaving":
-			b.condition = balancer.Draining
+			backend.condition = balancer.Draining
 		default:
-			b.condition = balancer.Gone
+			backend.condition = balancer.Gone
 		}
-		r.table.Balancer.UpdateEndpoint(b.id, r.zone(e.Zone), b.condition, e.Group, r.started(e), e.Weight)
-		if b.probe != nil && moved {
-			r.probeOver(b)
+		m.table.Balancer.UpdateEndpoint(backend.id, m.zoneNumber(e.Zone), backend.condition, e.Group, m.localStartTime(e), e.Weight)
+		if backend.pollConn != nil && moved {
+			m.failPoll(backend)
 		}
 	}
-	r.overtaken(named)
-	r.table.Balancer.EndEndpointUpdate(r.now)
-	for _, b := range r.order {
-		if news.Complete && !named[b] {
-			b.condition = balancer.Gone
+	m.removeSuperseded(named)
+	m.table.Balancer.EndEndpointUpdate(m.now)
+	for _, backend := range m.backendOrder {
+		if news.Complete && !named[backend] {
+			backend.condition = balancer.Gone
 		}
-		for i, l := range b.links {
-			r.leaves(b, l, i)
+		for i, session := range backend.sessions {
+			m.scheduleMigration(backend, session, i)
 		}
-		if b.condition == balancer.Gone && b.probe != nil {
-			r.probeOver(b)
+		if backend.condition == balancer.Gone && backend.pollConn != nil {
+			m.failPoll(backend)
 		}
-		if booked, _, _ := r.table.Balancer.BackendStatus(b.id); b.condition == balancer.Gone && booked == 0 {
+		if booked, _, _ := m.table.Balancer.BackendStatus(backend.id); backend.condition == balancer.Gone && booked == 0 {
 			// Against a fleet whose names never come again filling the memory. One with a try out stays: under
 			// the same name it may come again, and its links would be on a backend that nothing tells of.
-			delete(r.backends, b.Name)
-			delete(r.byID, b.id)
+			delete(m.backends, backend.Name)
+			delete(m.backendsByID, backend.id)
 		}
 	}
-	if len(r.order) > len(r.backends) {
-		r.order = slices.DeleteFunc(r.order, func(b *backend) bool { return r.backends[b.Name] != b })
+	if len(m.backendOrder) > len(m.backends) {
+		m.backendOrder = slices.DeleteFunc(m.backendOrder, func(backend *backend) bool { return m.backends[backend.Name] != backend })
 	}
 }
 
-// overtaken takes those for gone whose address is another's by the news. Against a discovery that lost its
+// removeSuperseded takes those for gone whose address is another's by the news. Against a discovery that lost its
 // versions and so never told their end: the address would be sent links under a name that nothing is told of.
-func (r *StateMachine) overtaken(named map[*backend]bool) {
+func (m *StateMachine) removeSuperseded(named map[*backend]bool) {
 	at := map[string]*backend{}
-	for _, b := range r.order {
-		if named[b] && b.condition != balancer.Gone {
-			at[b.Address] = b
+	for _, backend := range m.backendOrder {
+		if named[backend] && backend.condition != balancer.Gone {
+			at[backend.Address] = backend
 		}
 	}
-	for _, b := range r.order {
-		if by := at[b.Address]; by != nil && !named[b] && b.condition != balancer.Gone {
-			r.note("backend's address is another's now", "backend", b.Name, "by", by.Name)
-			b.condition = balancer.Gone
-			r.table.Balancer.UpdateEndpoint(b.id, r.zone(b.Zone), balancer.Gone, b.Group, r.started(b.Endpoint), b.Weight)
+	for _, backend := range m.backendOrder {
+		if by := at[backend.Address]; by != nil && !named[backend] && backend.condition != balancer.Gone {
+			m.log("backend's address is another's now", "backend", backend.Name, "by", by.Name)
+			backend.condition = balancer.Gone
+			m.table.Balancer.UpdateEndpoint(backend.id, m.zoneNumber(backend.Zone), balancer.Gone, backend.Group, m.localStartTime(backend.Endpoint), backend.Weight)
 		}
 	}
 }
 
-// list takes what the watch brought.
-func (r *StateMachine) list(e Event) {
+// handleWatch takes what the watch brought.
+func (m *StateMachine) handleWatch(e Event) {
 	if e.Kind == WatchFailed {
-		r.listFailed(e.Err.Error())
+		m.watchFailed(e.Err.Error())
 		return
 	}
-	r.arm(&r.watched, r.now+heartbeatTimeout)
-	r.heardAt, r.answered = r.now, true
+	m.setTimer(&m.watchTimer, m.now+heartbeatTimeout)
+	m.discoveryHeardAt, m.watchAnswered = m.now, true
 	if e.Endpoints != nil && e.Endpoints.DiscoveryTime > 0 {
-		r.dated = e.Endpoints.DiscoveryTime - r.now
+		m.discoveryClockOffset = e.Endpoints.DiscoveryTime - m.now
 	}
-	r.confirmed = r.confirmed || e.Kind == EndpointsUpdated || r.asked > 0
+	m.endpointsConfirmed = m.endpointsConfirmed || e.Kind == EndpointsUpdated || m.watchedAfter > 0
 	if e.Kind == WatchHeartbeat {
 		return
 	}
-	if e.Endpoints.Index < r.index && (r.asked > 0 || !e.Endpoints.Complete) {
+	if e.Endpoints.Index < m.endpointsIndex && (m.watchedAfter > 0 || !e.Endpoints.Complete) {
 		// Against a list older than the one held: all of it is asked for. At once, where this one began elsewhere:
 		// a discovery that counts anew may have told a drain just now.
-		r.index = 0
-		if r.asked > 0 {
-			r.note("version went back", "to", e.Endpoints.Index)
-			r.watch()
+		m.endpointsIndex = 0
+		if m.watchedAfter > 0 {
+			m.log("version went back", "to", e.Endpoints.Index)
+			m.startWatch()
 			return
 		}
-		r.do(Effect{Kind: StopWatch})
-		r.listFailed("version went back")
+		m.emit(Effect{Kind: StopWatch})
+		m.watchFailed("version went back")
 		return
 	}
-	r.untold = false
-	r.disarm(&r.renewing)
-	if e.Endpoints.Complete && !r.elder && !r.younger {
-		r.dismissed = nil
+	m.awaitsNewDiscovery = false
+	m.stopTimer(&m.renewTimer)
+	if e.Endpoints.Complete && !m.hasParent && !m.hasChild {
+		m.siblingDrained = nil
 	}
-	r.apply(e.Endpoints)
-	r.told = true
-	if r.elder || r.younger {
-		r.do(Effect{Kind: SendEndpoints, Endpoints: r.listNow()})
+	m.applyEndpoints(e.Endpoints)
+	m.endpointsReceived = true
+	if m.hasParent || m.hasChild {
+		m.emit(Effect{Kind: SendEndpoints, Endpoints: m.currentEndpoints()})
 	}
 }
 
-func (r *StateMachine) listFailed(why string) {
-	r.note("watch failed", "why", why)
-	r.watching = 0
-	r.disarm(&r.watched)
-	r.table.Balancer.WatchFailed(r.now)
+func (m *StateMachine) watchFailed(why string) {
+	m.log("watch failed", "why", why)
+	m.watchID = 0
+	m.stopTimer(&m.watchTimer)
+	m.table.Balancer.WatchFailed(m.now)
 	// The module's waits grow beyond the time in which a new discovery counts as having told, and in which
 	// another process of this relay has been told.
-	if r.untold || r.younger {
-		r.arm(&r.renewing, r.now+renewGap)
+	if m.awaitsNewDiscovery || m.hasChild {
+		m.setTimer(&m.renewTimer, m.now+renewInterval)
 	}
 }
 
-// reload takes that the file was read again. Against a discovery that counts its versions afresh, the whole
+// reloadConfig takes that the file was read again. Against a discovery that counts its versions afresh, the whole
 // list is asked for; until it comes, what was known stays.
-func (r *StateMachine) reload(e Event) {
+func (m *StateMachine) reloadConfig(e Event) {
 	if e.Err != nil {
-		r.FailedReloads++
-		r.note("reload refused, all stays as it was", "why", e.Err.Error())
+		m.FailedReloads++
+		m.log("reload refused, all stays as it was", "why", e.Err.Error())
 		return
 	}
-	r.Reloads++
-	r.note("reloaded", "discovery", e.Address, "changed", e.Address != r.source)
-	if e.Address != r.source {
-		r.source, r.untold, r.index = e.Address, true, 0
-		r.watch()
+	m.Reloads++
+	m.log("reloaded", "discovery", e.Address, "changed", e.Address != m.discoveryAddress)
+	if e.Address != m.discoveryAddress {
+		m.discoveryAddress, m.awaitsNewDiscovery, m.endpointsIndex = e.Address, true, 0
+		m.startWatch()
 	}
 }
 
-// watchQuiet takes that the watch has brought nothing for too long. One that has brought something is opened anew
+// watchTimedOut takes that the watch has brought nothing for too long. One that has brought something is opened anew
 // at once, as only that shows what it has missed since; a call that was never answered waits for its turn.
-func (r *StateMachine) watchQuiet() {
-	if r.answered {
-		r.note("watch fell silent")
-		r.watch()
+func (m *StateMachine) watchTimedOut() {
+	if m.watchAnswered {
+		m.log("watch fell silent")
+		m.startWatch()
 		return
 	}
-	r.do(Effect{Kind: StopWatch})
-	r.listFailed("silent")
+	m.emit(Effect{Kind: StopWatch})
+	m.watchFailed("silent")
 }
 
-// watch asks for what is new; for the whole list where a younger process of this relay is there. That one is
+// startWatch asks for what is new; for the whole list where a younger process of this relay is there. That one is
 // told all there is by its first call, and both are one relay to who drains a server: against changes told
 // late.
-func (r *StateMachine) watch() {
-	r.Watches++
-	r.watches++
-	r.watching, r.asked, r.answered = r.watches, r.index, false
-	if r.younger || len(r.dismissed) > 0 {
-		r.asked = 0
+func (m *StateMachine) startWatch() {
+	m.Watches++
+	m.lastWatchID++
+	m.watchID, m.watchedAfter, m.watchAnswered = m.lastWatchID, m.endpointsIndex, false
+	if m.hasChild || len(m.siblingDrained) > 0 {
+		m.watchedAfter = 0
 	}
-	r.do(Effect{Kind: StartWatch, Conn: r.watching, AfterIndex: r.asked, Text: r.source})
-	r.arm(&r.watched, r.now+answerTimeout)
+	m.emit(Effect{Kind: StartWatch, Conn: m.watchID, AfterIndex: m.watchedAfter, Text: m.discoveryAddress})
+	m.setTimer(&m.watchTimer, m.now+answerTimeout)
 }
 
 // Subscribe has the list watched. A watch that still brings its empty lines needs no other.
-func (r *StateMachine) Subscribe() {
-	if r.watching == 0 {
-		r.watch()
+func (m *StateMachine) Subscribe() {
+	if m.watchID == 0 {
+		m.startWatch()
 	}
 }
 
 // Poll asks the backend for its load, over one connection that stays open, as each new one is work for it.
-func (r *StateMachine) Poll(id uint32) {
-	r.Polls++
-	b := r.byID[id]
-	if b == nil { // gone since the module wanted it asked
-		r.table.Balancer.PollFinished(r.now, id, false, nil)
+func (m *StateMachine) Poll(id uint32) {
+	m.Polls++
+	backend := m.backendsByID[id]
+	if backend == nil { // gone since the module wanted it asked
+		m.table.Balancer.PollFinished(m.now, id, false, nil)
 		return
 	}
-	if b.probe == nil && len(r.ends)+r.mostMute() >= r.most {
+	if backend.pollConn == nil && len(m.conns)+m.maxAwaiting() >= m.ownDescriptors {
 		// Against probes taking what clients come in by: while the elder process has most descriptors, and as many
 		// servers join beside links that stand.
-		r.table.Balancer.PollNotSent(id)
+		m.table.Balancer.PollNotSent(id)
 		return
 	}
-	b.asking = true
-	if b.probe == nil {
-		b.probe = r.dial(b, nil)
-		b.probe.wait.fire = func() { r.probeOver(b) }
-	} else if b.probe.up {
-		r.ask(b)
+	backend.pollPending = true
+	if backend.pollConn == nil {
+		backend.pollConn = m.dial(backend, nil)
+		backend.pollConn.deadline.fire = func() { m.failPoll(backend) }
+	} else if backend.pollConn.isUp {
+		m.sendPoll(backend)
 	}
-	r.arm(&b.probe.wait, r.now+probeWaits*r.connectTime)
+	m.setTimer(&backend.pollConn.deadline, m.now+pollTimeoutFactor*m.connectTimeout)
 }
 
-func (r *StateMachine) ask(b *backend) {
-	if len(r.fields) > 0 {
-		r.write(b.probe, []byte("STATS\r\n"))
+func (m *StateMachine) sendPoll(backend *backend) {
+	if len(m.reportFields) > 0 {
+		m.write(backend.pollConn, []byte("STATS\r\n"))
 	} else {
-		r.write(b.probe, []byte("PING\r\n"))
+		m.write(backend.pollConn, []byte("PING\r\n"))
 	}
 }
 
-func (r *StateMachine) probeEvent(c *end, e Event) {
-	b := c.backend
+func (m *StateMachine) handlePollConn(conn *connection, e Event) {
+	backend := conn.backend
 	switch e.Kind {
 	case ConnEstablished:
-		c.up = true
-		if b.asking {
-			r.ask(b)
+		conn.isUp = true
+		if backend.pollPending {
+			m.sendPoll(backend)
 		}
 	case ConnClosed:
-		r.probeOver(b)
+		m.failPoll(backend)
 	case DataReceived:
-		for data := e.Data; b.probe == c; {
-			line, rest, err := c.in.Next(data)
+		for data := e.Data; backend.pollConn == conn; {
+			line, rest, err := conn.input.Next(data)
 			if err != nil {
-				r.probeOver(b)
+				m.failPoll(backend)
 				return
 			}
 			if line == nil {
@@ -324,38 +329,38 @@
 			}
 			data = rest
 			verb, said := protocol.CutVerb(line)
-			r.probed(b, string(verb) == "PONG", protocol.ParseReport(said, r.fields))
+			m.finishPoll(backend, string(verb) == "PONG", protocol.ParseReport(said, m.reportFields))
 		}
 	}
 }
 
-func (r *StateMachine) probed(b *backend, ok bool, report []float64) {
-	if !b.asking {
+func (m *StateMachine) finishPoll(backend *backend, ok bool, report []float64) {
+	if !backend.pollPending {
 		return
 	}
-	b.asking = false
-	r.disarm(&b.probe.wait)
-	if c := b.probe; r.short() { // against probes of a fleet that grows holding what clients come by
-		b.probe = nil
-		r.forget(c, Close)
+	backend.pollPending = false
+	m.stopTimer(&backend.pollConn.deadline)
+	if conn := backend.pollConn; m.isShortOfDescriptors() { // against probes of a fleet that grows holding what clients come by
+		backend.pollConn = nil
+		m.dropConn(conn, Close)
 	}
-	r.table.PollFinished(r.now, b.id, ok, report)
+	m.table.PollFinished(m.now, backend.id, ok, report)
 }
 
-// probeOver ends the connection for probes; a probe that was out has failed.
-func (r *StateMachine) probeOver(b *backend) {
-	c := b.probe
-	out := b.asking
-	b.probe, b.asking = nil, false
-	r.forget(c, Reset)
+// failPoll ends the connection for probes; a probe that was out has failed.
+func (m *StateMachine) failPoll(backend *backend) {
+	conn := backend.pollConn
+	out := backend.pollPending
+	backend.pollConn, backend.pollPending = nil, false
+	m.dropConn(conn, Reset)
 	if out {
-		r.table.PollFinished(r.now, b.id, false, nil)
-		r.silent(b)
+		m.table.PollFinished(m.now, backend.id, false, nil)
+		m.migrateFromSilent(backend)
 	}
 }
 
-func (r *StateMachine) reported(b *backend, said []byte) {
-	if report := protocol.ParseReport(said, r.fields); report != nil {
-		r.table.Balancer.LoadReported(r.now, b.id, report)
+func (m *StateMachine) recordReport(backend *backend, said []byte) {
+	if report := protocol.ParseReport(said, m.reportFields); report != nil {
+		m.table.Balancer.LoadReported(m.now, backend.id, report)
 	}
 }
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -29,9 +29,9 @@
 			switch {
 			case f.Kind == Dial:
 				play(Event{Kind: ConnEstablished, Conn: f.Conn})
-			case f.Kind == Write && f.Conn >= dialed && string(f.Chunks[0]) == "STATS\r\n":
+			case f.Kind == Write && f.Conn >= firstDialedID && string(f.Chunks[0]) == "STATS\r\n":
 				play(Event{Kind: DataReceived, Conn: f.Conn, Data: []byte("PONG x0=0.3\r\n")})
-			case f.Kind == Write && f.Conn >= dialed:
+			case f.Kind == Write && f.Conn >= firstDialedID:
 				server = f.Conn
 				play(Event{Kind: DataReceived, Conn: f.Conn, Data: []byte("UP receipt\r\n")})
 			}
--- a/internal/relay/closing.go
+++ b/internal/relay/closing.go
@@ -61,7 +61,7 @@
 
 // flushed takes that all was written to a closing connection.
 func (s *Sockets) flushed(c *socket) {
-	if c.conn < dialed && c.polled && c.closeForSending() {
+	if c.conn < firstDialedID && c.polled && c.closeForSending() {
 		c.nb.SetReadDeadline(time.Now().Add(lingerTimeout))
 		return
 	}
@@ -121,10 +121,10 @@
 
 // mostSockets is how many connections may hold a descriptor, closing ones among them.
 func (s *Sockets) mostSockets() int {
-	if s.reducer == nil || s.reducer.most > maxSockets {
+	if s.reducer == nil || s.reducer.ownDescriptors > maxSockets {
 		return maxSockets
 	}
-	return s.reducer.most + spareClosing
+	return s.reducer.ownDescriptors + spareClosing
 }
 
 // closeListener takes in what waits to be accepted, and then has no more come: the machine has accepted it, so that
@@ -133,7 +133,7 @@
 func (s *Sockets) closeListener() {
 	s.mutex.Lock()
 	s.ending = true
-	yielded := s.reducer.yielded
+	yielded := s.reducer.yieldedToChild
 	s.freed.Broadcast()
 	s.listener.SetDeadline(time.Unix(1, 0))
 	s.mutex.Unlock()
@@ -150,7 +150,7 @@
 // endAll answers whoever has no answer yet, and waits for the last answers to be taken.
 func (s *Sockets) endAll() {
 	s.closeListener()
-	s.waitFor(lastCloses, func() bool { return s.reducer.idle() })
+	s.waitFor(lastCloses, func() bool { return s.reducer.isIdle() })
 	s.take(Event{Kind: ProcessExiting})
 	s.waitFor(lastWrites, func() bool { return s.unsent() == 0 })
 	s.waitFor(lastCloses, func() bool { return len(s.closing) == 0 })
--- a/internal/relay/counters.go
+++ b/internal/relay/counters.go
@@ -9,7 +9,7 @@
 type Counters struct {
 	Accepted, Pings, Requests, Reestablished, AcceptPauses, SessionsReceived uint64 // taken in; Handed: by the elder process
 	Reloads, FailedReloads                                                   uint64
-	RequestErrors                                                            [len(badNames)]uint64
+	RequestErrors                                                            [len(requestErrorNames)]uint64
 	Attempts, RequestsSent, Polls, Watches                                   uint64 // sent; Written: heads
 	Succeeded, Rejected, Failed, Abandoned, Migrated                         uint64 // answered: UP, BUSY, ERR; client gone first; MOVE
 	// BUSY that other relays hold as well; or that they should
@@ -18,7 +18,7 @@
 	AttemptsMarked, AttemptsUnmarked, RepeatsDetected uint64
 	AffinityHits                                      uint64 // clients of whom others knew where they stood
 	ClientChunks, BackendLines                        uint64 // of what standing clients said; passed to them
-	EndReasons                                        [len(endingNames)]uint64
+	EndReasons                                        [len(endReasonNames)]uint64
 	OpenConns, Established, MaxOpenConns              int // now, now, and the most sockets at once
 }
 
--- a/internal/relay/figures.go
+++ b/internal/relay/figures.go
@@ -11,9 +11,9 @@
 	"valeshift/internal/admin"
 )
 
-// answers are how the links of one category were answered: by the UP that its client was passed, by BUSY, by
+// answerCounts are how the links of one category were answered: by the UP that its client was passed, by BUSY, by
 // any other line. A client that was gone first counts nowhere, and one without a category neither.
-type answers struct{ served, refused, failed uint64 }
+type answerCounts struct{ served, refused, failed uint64 }
 
 // figures appends what is published, in the order of names: each category's answers, the attempts written,
 // links from their heads to their ends, the list's backends and those of them that the module avoids.
@@ -22,12 +22,12 @@
 		to = append(to, a.served, a.refused, a.failed)
 	}
 	known, excluded := r.table.Balancer.Counts()
-	return append(to, r.RequestsSent, uint64(r.links), uint64(known), uint64(excluded))
+	return append(to, r.RequestsSent, uint64(r.sessions), uint64(known), uint64(excluded))
 }
 
 func (r *StateMachine) figureNames() []admin.Metric {
 	names := make([]admin.Metric, 3*len(r.answers))
-	for name, i := range r.categories {
+	for name, i := range r.classes {
 		for k, what := range []string{"served.", "refused.", "failed."} {
 			names[3*i+k] = admin.Metric{Name: what + name, IsCounter: true}
 		}
@@ -37,7 +37,7 @@
 }
 
 // serving tells whether the relay is fit to be sent clients.
-func (r *StateMachine) serving() bool { return r.ready && !r.stopping && !r.lame }
+func (r *StateMachine) serving() bool { return r.isReady && !r.stopping && !r.draining }
 
 // board is what was published last.
 type board struct {
--- a/internal/relay/figures_test.go
+++ b/internal/relay/figures_test.go
@@ -101,7 +101,7 @@
 	s.play("what came is served and goes at once", step{3399, "came s2 UP r|",
 		"write 3 UP r|; write 3 MOVE|; end 3; end s2"},
 		step{3400, "tick", ""}, step{9000, "heard 1", ""})
-	assert.Zero(t, s.links)
+	assert.Zero(t, s.sessions)
 	s.play("back at once", step{9001, "lame off", ""}, step{9001, "lame off", ""}, step{9002, "open 4", ""},
 		step{9002, "came 4 PING|", "write 4 PONG|"})
 	assert.True(t, s.serving())
@@ -126,10 +126,10 @@
 		step{1601, "lame on", ""})
 	assert.True(t, s.stopping)
 	assert.False(t, s.serving())
-	for now := 1700.0; now < 5000 && !s.quit; now += 50 {
+	for now := 1700.0; now < 5000 && !s.exiting; now += 50 {
 		s.at(now, "tick")
 	}
-	assert.True(t, s.quit)
+	assert.True(t, s.exiting)
 	s = open(t, nil, 0, "b1=active")
 	s.play("a reload meanwhile is taken", step{1, "lame on", ""}, step{2, "reload 10.1.0.2:85",
 		"watch 2 after 0 at 10.1.0.2:85"}, step{3, "news 2 1 whole b1=active", ""}, step{4, "lame off", ""})
@@ -160,7 +160,7 @@
 	seen := &seenAtNote{board: func() *board { return s.board }}
 	s.mutex.Lock()
 	s.log, s.board = slog.New(seen), newBoard(s.reducer)
-	s.reducer.nowReady()
+	s.reducer.becomeReady()
 	s.mutex.Unlock()
 	s.take(Event{Kind: TimerFired})
 	s.take(Event{Kind: DrainRequested})
--- a/internal/relay/random_test.go
+++ b/internal/relay/random_test.go
@@ -50,9 +50,9 @@
 				switch f[0] {
 				case "dial":
 					open[f[1]] = true
-					c := s.ends[s.conn(f[1])]
-					require.False(t, c.link != nil && c.link.client == nil, "seed %d: %s for a client that left", seed, said)
-					require.False(t, c.link != nil && s.quit, "seed %d: %s after the exit was decided", seed, said)
+					c := s.conns[s.conn(f[1])]
+					require.False(t, c.session != nil && c.session.clientConn == nil, "seed %d: %s for a client that left", seed, said)
+					require.False(t, c.session != nil && s.exiting, "seed %d: %s after the exit was decided", seed, said)
 				case "watch":
 					fmt.Sscan(f[1], &watch)
 				case "end", "break":
@@ -61,8 +61,8 @@
 				case "write":
 					require.True(t, open[f[1]], "seed %d: %s to one that is over", seed, said)
 					first := strings.SplitN(said, " ", 3)[2]
-					if c := s.ends[s.conn(f[1])]; strings.HasPrefix(first, "OPEN") && c != nil {
-						require.NotNil(t, c.link.client, "seed %d: %s for a client that left", seed, said)
+					if c := s.conns[s.conn(f[1])]; strings.HasPrefix(first, "OPEN") && c != nil {
+						require.NotNil(t, c.session.clientConn, "seed %d: %s for a client that left", seed, said)
 						require.Equal(t, balancer.Ready, c.backend.condition, "seed %d: %s to one that drains", seed, said)
 					}
 					if limit, link := due[f[1]]; link && !answered[f[1]] {
@@ -78,19 +78,19 @@
 			for _, b := range s.BackendStatuses(now) {
 				require.Equal(t, b.Established+b.Attempts, b.Reserved, "seed %d: links on %s", seed, b.Name)
 			}
-			tries := map[*link]int{}
-			for _, c := range s.ends {
-				if c.backend != nil && c.link != nil {
-					tries[c.link]++
-					require.Equal(t, 1, tries[c.link], "seed %d: two out at once", seed)
+			tries := map[*session]int{}
+			for _, c := range s.conns {
+				if c.backend != nil && c.session != nil {
+					tries[c.session]++
+					require.Equal(t, 1, tries[c.session], "seed %d: two out at once", seed)
 				}
 			}
 		}
 		for range 400 {
 			// Timers are met one by one, as the clock would.
 			until := now + chance.ExpFloat64()*30
-			for s.armed < until {
-				now = max(now, s.armed)
+			for s.timerSetFor < until {
+				now = max(now, s.timerSetFor)
 				tell("tick")
 			}
 			now = until
@@ -157,11 +157,11 @@
 			}
 		}
 		tell("stop")
-		for now < 1e6 && !s.quit {
-			now = max(now, s.armed)
+		for now < 1e6 && !s.exiting {
+			now = max(now, s.timerSetFor)
 			tell("tick")
 		}
-		require.True(t, s.quit, "seed %d", seed)
+		require.True(t, s.exiting, "seed %d", seed)
 		for c := range open {
 			if _, asked := due[c]; c[0] != 's' && !asked && chance.Intn(2) == 0 {
 				due[c] = now + 1000
@@ -172,11 +172,11 @@
 		for c := range due {
 			require.True(t, answered[c], "seed %d: %s has no answer", seed, c)
 		}
-		require.Zero(t, s.links, "seed %d", seed)
+		require.Zero(t, s.sessions, "seed %d", seed)
 		require.Zero(t, s.Established, "seed %d", seed)
-		for _, c := range s.ends {
-			require.Nil(t, c.link, "seed %d: left behind", seed)
+		for _, c := range s.conns {
+			require.Nil(t, c.session, "seed %d: left behind", seed)
 		}
-		require.LessOrEqual(t, len(s.timers), fixedTimers+len(s.ends), "seed %d: a timer of one that is over", seed)
+		require.LessOrEqual(t, len(s.timers), fixedTimers+len(s.conns), "seed %d: a timer of one that is over", seed)
 	}
 }
--- a/internal/relay/ending.go
+++ b/internal/relay/reasons.go
@@ -29,13 +29,13 @@
 	TransferredToChild                  // the younger process has it
 )
 
-var endingNames = [...]string{"not sent", "never up", "turned down", "backend error", "bad answer",
+var endReasonNames = [...]string{"not sent", "never up", "turned down", "backend error", "bad answer",
 	"broke off",
 	"no answer", "served out", "sent away", "broke up", "fell silent", "slow reader", "moved away",
 	"client done",
 	"client broke", "handed over"}
 
-func (e EndReason) String() string { return endingNames[e] }
+func (e EndReason) String() string { return endReasonNames[e] }
 
 // outcome is the one place where an ending becomes what the module knows.
 func (e EndReason) outcome() balancer.AttemptOutcome {
@@ -74,7 +74,7 @@
 	Evicted                               // it had said nothing for longest when descriptors were short
 )
 
-var badNames = [...]string{"no head", "half a head", "too long", "bad head", "unknown name", "id in use",
+var requestErrorNames = [...]string{"no head", "half a head", "too long", "bad head", "unknown name", "id in use",
 	"said more", "many pings", "pushed out"}
 
-func (b RequestError) String() string { return badNames[b] }
+func (b RequestError) String() string { return requestErrorNames[b] }
--- a/internal/relay/recall.go
+++ b/internal/relay/snapshot.go
@@ -11,7 +11,7 @@
 	"valeshift/balancer"
 )
 
-const keptVersion = 1
+const snapshotVersion = 1
 
 // Snapshot is what a relay keeps, for its next life and for others that ask: the list as discovery told it, what
 // links and servers weigh in general, and which clients it told to come again when. No load is among it, as
@@ -49,10 +49,10 @@
 }
 
 // Status is that.
-func (r *StateMachine) Status(now float64) Status {
-	cold, usable := r.table.Balancer.WarmingUp(now)
-	return Status{Now: now, EndpointsConfirmed: r.confirmed, Index: r.index, Rejected: int(r.Rejected), Sessions: r.links, WarmingUp: cold,
-		Usable: usable, DiscoveryClockOffset: r.dated, UnreportedLoad: r.table.Balancer.UnreportedLoad()}
+func (m *StateMachine) Status(now float64) Status {
+	cold, usable := m.table.Balancer.WarmingUp(now)
+	return Status{Now: now, EndpointsConfirmed: m.endpointsConfirmed, Index: m.endpointsIndex, Rejected: int(m.Rejected), Sessions: m.sessions, WarmingUp: cold,
+		Usable: usable, DiscoveryClockOffset: m.discoveryClockOffset, UnreportedLoad: m.table.Balancer.UnreportedLoad()}
 }
 
 // ClassLoad is what links of one category weigh, and how many that stands on.
@@ -71,8 +71,8 @@
 		return nil, fmt.Errorf("kept: %w", err)
 	}
 	bad := func(x float64) bool { return !(x >= 0) || math.IsInf(x, 0) }
-	if k.Version != keptVersion {
-		return nil, fmt.Errorf("kept: version %d expected, got %d", keptVersion, k.Version)
+	if k.Version != snapshotVersion {
+		return nil, fmt.Errorf("kept: version %d expected, got %d", snapshotVersion, k.Version)
 	}
 	if bad(k.Capacity) || bad(k.MeanLoad) || bad(k.ConfirmedAt) {
 		return nil, fmt.Errorf("kept: a figure is no number or negative")
@@ -93,102 +93,102 @@
 }
 
 // Snapshot is what this relay would keep now.
-func (r *StateMachine) Snapshot() *Snapshot {
-	l := r.table.Balancer.Estimates()
-	k := &Snapshot{Version: keptVersion, Capacity: l.Capacity, MeanLoad: l.MeanSessionLoad, OwnLoad: l.OwnLoad,
-		EstimatedLoad: l.ReportedLoad, Classes: map[string]ClassLoad{}, RetryAt: r.table.Balancer.Reservations(r.now)}
-	for name, i := range r.categories {
+func (m *StateMachine) Snapshot() *Snapshot {
+	l := m.table.Balancer.Estimates()
+	k := &Snapshot{Version: snapshotVersion, Capacity: l.Capacity, MeanLoad: l.MeanSessionLoad, OwnLoad: l.OwnLoad,
+		EstimatedLoad: l.ReportedLoad, Classes: map[string]ClassLoad{}, RetryAt: m.table.Balancer.Reservations(m.now)}
+	for name, i := range m.classes {
 		if i < len(l.ClassLoads) {
 			k.Classes[name] = ClassLoad{Load: l.ClassLoads[i], Weight: l.ClassSamples[i]}
 		}
 	}
-	if r.confirmed {
-		k.Endpoints, k.ConfirmedAt = r.listNow(), r.heardAt
+	if m.endpointsConfirmed {
+		k.Endpoints, k.ConfirmedAt = m.currentEndpoints(), m.discoveryHeardAt
 	}
 	return k
 }
 
-// listNow is the list as it is held.
-func (r *StateMachine) listNow() *EndpointUpdate {
-	n := &EndpointUpdate{Index: r.index, Complete: true}
-	for _, b := range r.order {
-		if b.condition != balancer.Gone {
-			n.Endpoints = append(n.Endpoints, b.Endpoint)
+// currentEndpoints is the list as it is held.
+func (m *StateMachine) currentEndpoints() *EndpointUpdate {
+	n := &EndpointUpdate{Index: m.endpointsIndex, Complete: true}
+	for _, backend := range m.backendOrder {
+		if backend.condition != balancer.Gone {
+			n.Endpoints = append(n.Endpoints, backend.Endpoint)
 		}
 	}
 	return n
 }
 
-// recall takes what is believed of what was kept. A list counts only until discovery tells one, and its
+// restore takes what is believed of what was kept. A list counts only until discovery tells one, and its
 // servers are held to have just started, as nobody knows better.
-func (r *StateMachine) recall(k *Snapshot) {
-	l := balancer.Estimates{Capacity: k.Capacity, MeanSessionLoad: k.MeanLoad, ClassLoads: make([]float64, len(r.categories)),
-		ClassSamples: make([]float64, len(r.categories))}
-	for name, i := range r.categories {
+func (m *StateMachine) restore(k *Snapshot) {
+	l := balancer.Estimates{Capacity: k.Capacity, MeanSessionLoad: k.MeanLoad, ClassLoads: make([]float64, len(m.classes)),
+		ClassSamples: make([]float64, len(m.classes))}
+	for name, i := range m.classes {
 		if c, known := k.Classes[name]; known {
 			l.ClassLoads[i], l.ClassSamples[i] = c.Load, c.Weight
 		}
 	}
-	m := r.table.Balancer
-	learnt := m.RestoreEstimates(l)
-	m.RestoreReservations(r.now, k.RetryAt)
+	decider := m.table.Balancer
+	learnt := decider.RestoreEstimates(l)
+	decider.RestoreReservations(m.now, k.RetryAt)
 	listed := 0
-	if k.Endpoints != nil && !r.confirmed && len(k.Endpoints.Endpoints) > 0 {
-		if k.Endpoints.Index > r.index { // than the platform's
+	if k.Endpoints != nil && !m.endpointsConfirmed && len(k.Endpoints.Endpoints) > 0 {
+		if k.Endpoints.Index > m.endpointsIndex { // than the platform's
 			listed = len(k.Endpoints.Endpoints)
-			index := r.index
-			r.apply(&EndpointUpdate{Complete: true, Endpoints: k.Endpoints.Endpoints})
-			r.index = index // what discovery tells from there on is asked for
+			index := m.endpointsIndex
+			m.applyEndpoints(&EndpointUpdate{Complete: true, Endpoints: k.Endpoints.Endpoints})
+			m.endpointsIndex = index // what discovery tells from there on is asked for
 		}
 		if k.EndpointsAssumed {
-			m.AssumeEndpoints(r.now)
+			decider.AssumeEndpoints(m.now)
 		}
-		if len(r.order) > 0 {
-			r.nowReady() // by hearsay at once, in place of by nothing a second after the start
+		if len(m.backendOrder) > 0 {
+			m.becomeReady() // by hearsay at once, in place of by nothing a second after the start
 		}
-		if r.watching == 0 { // as the module has just been told a list, it would ask for one late
-			r.watch()
+		if m.watchID == 0 { // as the module has just been told a list, it would ask for one late
+			m.startWatch()
 		}
 	}
-	r.note("recalled", "backends", listed, "learnt", learnt, "capacity", math.Round(k.Capacity),
+	m.log("recalled", "backends", listed, "learnt", learnt, "capacity", math.Round(k.Capacity),
 		"told to return",
 		len(k.RetryAt))
 }
 
-// recovers takes that the whole fleet lost power, or that it has recovered.
-func (r *StateMachine) recovers(on bool, part float64) {
-	r.table.Balancer.SetRecovering(on, part)
-	if on != r.recovering {
-		r.note("recovery of the fleet", "on", on)
+// setRecovering takes that the whole fleet lost power, or that it has recovered.
+func (m *StateMachine) setRecovering(on bool, part float64) {
+	m.table.Balancer.SetRecovering(on, part)
+	if on != m.recovering {
+		m.log("recovery of the fleet", "on", on)
 	}
-	r.recovering = on
+	m.recovering = on
 }
 
-// started is when a server started by this relay's own clock.
-func (r *StateMachine) started(e Endpoint) float64 {
+// localStartTime is when a server started by this relay's own clock.
+func (m *StateMachine) localStartTime(e Endpoint) float64 {
 	if e.StartedAt <= 0 {
 		return e.StartedAt
 	}
-	return e.StartedAt + r.ahead
+	return e.StartedAt + m.clockAhead
 }
 
-// clocked takes how far this relay's clock is ahead of what the fleet takes for right.
-func (r *StateMachine) clocked(ahead float64) {
-	r.table.Balancer.ShiftStartTimes(ahead - r.ahead)
-	r.note("clock", "ahead of the fleet's, ms", math.Round(ahead))
-	r.ahead = ahead
+// setClockAhead takes how far this relay's clock is ahead of what the fleet takes for right.
+func (m *StateMachine) setClockAhead(ahead float64) {
+	m.table.Balancer.ShiftStartTimes(ahead - m.clockAhead)
+	m.log("clock", "ahead of the fleet's, ms", math.Round(ahead))
+	m.clockAhead = ahead
 }
 
 const (
-	asleep   = 1000.0 // that a timer is late by: this process was stopped
-	readTime = 150.0  // for what came meanwhile to be read
+	suspendThreshold = 1000.0 // that a timer is late by: this process was stopped
+	resumeReadTime   = 150.0  // for what came meanwhile to be read
 )
 
-// woken takes that this process was stopped and goes on now. The watch gets the time to say what it has.
-func (r *StateMachine) woken(now float64) {
-	r.note("stopped for a while", "ms", math.Round(now-r.timers[0].at))
-	r.table.Balancer.Pause(now + readTime)
-	if r.watched.place > 0 && r.watched.at < now+readTime {
-		r.arm(&r.watched, now+readTime)
+// resumeAfterSuspend takes that this process was stopped and goes on now. The watch gets the time to say what it has.
+func (m *StateMachine) resumeAfterSuspend(now float64) {
+	m.log("stopped for a while", "ms", math.Round(now-m.timers[0].at))
+	m.table.Balancer.Pause(now + resumeReadTime)
+	if m.watchTimer.position > 0 && m.watchTimer.at < now+resumeReadTime {
+		m.setTimer(&m.watchTimer, now+resumeReadTime)
 	}
 }
--- a/internal/relay/sockets.go
+++ b/internal/relay/sockets.go
@@ -83,7 +83,7 @@
 	seat     *hotrestart.Slot // among the processes of this relay; nil: there can be no other
 	younger  int              // number of the one that was left to
 	other    int              // of the one that is there, and nearest; 0: none
-	passing  passing
+	passing  transferChannel
 	parted   *TransferredSession // and
 	adopted  uint64              // of the event that is carried out
 	clients  uint64              // accepted or adopted
@@ -147,7 +147,7 @@
 		s.board = newBoard(reducer)
 	}
 	if s.seat != nil {
-		s.said(s.seat.ServeSessions(s.adopt))
+		s.said(s.seat.ServeSessions(s.receiveSession))
 	}
 	s.take(Event{Kind: TimerFired})
 	if s.mates = mates; mates != nil {
@@ -365,7 +365,7 @@
 		case TransferSession:
 			client, server := e.Conn, e.Peer
 			s.passing.pending.Add(1)
-			s.work.do(func() { s.pass(client, server) })
+			s.work.do(func() { s.transferSession(client, server) })
 		case SessionDetached:
 			s.parted = e.Session
 		case SessionAccepted:
--- a/internal/relay/sockets_test.go
+++ b/internal/relay/sockets_test.go
@@ -153,7 +153,7 @@
 	_, err = in.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, os.ErrDeadlineExceeded, "nothing is written, nothing closed")
 	s.mutex.Lock()
-	s.polls([2]*socket{k, {conn: 2}})
+	s.startPolling([2]*socket{k, {conn: 2}})
 	s.mutex.Unlock()
 	in.SetDeadline(time.Now().Add(5 * time.Second))
 	all, err := io.ReadAll(in)
@@ -223,7 +223,7 @@
 func TestClosingConnectionsAreBounded(t *testing.T) {
 	s, connect := narrow(t)
 	serving(t, s)
-	s.reducer.most = 0
+	s.reducer.ownDescriptors = 0
 	var clients []net.Conn
 	for i := range 3 * spareClosing {
 		k, in := connect()
@@ -326,7 +326,7 @@
 	}
 	silent, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
-	s.reducer.quit = true
+	s.reducer.exiting = true
 	s.endAll()
 	_, err = net.Dial("tcp", listener.Addr().String())
 	assert.ErrorIs(t, err, syscall.ECONNREFUSED)
--- a/internal/relay/standing.go
+++ b/internal/relay/standing.go
@@ -13,328 +13,330 @@
 )
 
 const (
-	silence    = 4000.0  // of lines that bring nothing back; two more till the first comes, and the bound is 7 s
-	idleClient = 20000.0 // ten of a client's lines missed
-	endTime    = 500.0   // for the end of a connection after BYE or MOVE; the protocol's bound is a second
-	lastComers = 500.0   // clients still come for this long after a stop begins
-	stopWait   = 3000.0  // the longest of a hard limit that a stop waits for
-	lastWord   = 400.0   // after that, for what came last; the kill may come 0.3 s later
-	partGap    = 50.0    // before a link that may be another process's by then is looked at again
+	replyTimeout            = 4000.0  // of lines that bring nothing back; two more till the first comes, and the bound is 7 s
+	clientIdleTimeout       = 20000.0 // ten of a client's lines missed
+	announcedEndTimeout     = 500.0   // for the end of a connection after BYE or MOVE; the protocol's bound is a second
+	drainGrace              = 500.0   // clients still come for this long after a stop begins
+	maxDrainWait            = 3000.0  // the longest of a hard limit that a stop waits for
+	finalAnswerTime         = 400.0   // after that, for what came last; the kill may come 0.3 s later
+	transferRecheckInterval = 50.0    // before a link that may be another process's by then is looked at again
 )
 
-// resume asks the backend that has the link already.
-func (r *StateMachine) resume(l *link) {
-	l.stage = resuming
-	l.giveUp = r.now + resumeTime
-	r.resumeTry(l)
+// reestablish asks the backend that has the link already.
+func (m *StateMachine) reestablish(session *session) {
+	session.state = reestablishing
+	session.deadline = m.now + reestablishTimeout
+	m.tryReestablish(session)
 }
 
-func (r *StateMachine) resumeTry(l *link) {
-	b := r.backends[string(l.head.StickyBackend)]
-	if b == nil || b.Address == "" {
-		r.resumeLater(l)
+func (m *StateMachine) tryReestablish(session *session) {
+	backend := m.backends[string(session.request.StickyBackend)]
+	if backend == nil || backend.Address == "" {
+		m.retryReestablish(session)
 		return
 	}
-	r.reach(l, b, 4*r.connectTime)
+	m.dialForSession(session, backend, 4*m.connectTimeout)
 }
 
-// resumeLater tries again, as a link that stood is lost if its backend isn't found; at the end it is an
+// retryReestablish tries again, as a link that stood is lost if its backend isn't found; at the end it is an
 // error.
-func (r *StateMachine) resumeLater(l *link) {
-	if r.now+resumeGap >= l.giveUp {
-		r.Execute(l, balancer.Decision{Kind: balancer.Fail})
+func (m *StateMachine) retryReestablish(session *session) {
+	if m.now+reestablishInterval >= session.deadline {
+		m.Execute(session, balancer.Decision{Kind: balancer.Fail})
 		return
 	}
-	l.quiet.fire = func() { r.resumeTry(l) }
-	r.arm(&l.quiet, r.now+resumeGap)
+	session.stateTimer.fire = func() { m.tryReestablish(session) }
+	m.setTimer(&session.stateTimer, m.now+reestablishInterval)
 }
 
-// stand takes that the backend has the link.
-func (r *StateMachine) stand(l *link, line []byte) {
-	if l.client == nil { // gone, with a setup try that might not be called off
-		r.tryOver(l, ClientReset)
+// establish takes that the backend has the link.
+func (m *StateMachine) establish(session *session, line []byte) {
+	if session.clientConn == nil { // gone, with a setup try that might not be called off
+		m.finishAttempt(session, ClientReset)
 		return
 	}
-	c := l.server
-	r.disarm(&c.wait)
-	if l.stage == resuming {
-		r.Reestablished++
-		r.table.Balancer.SessionResumed(r.now, &l.Entry.Session, c.backend.id)
+	conn := session.backendConn
+	m.stopTimer(&conn.deadline)
+	if session.state == reestablishing {
+		m.Reestablished++
+		m.table.Balancer.SessionResumed(m.now, &session.Entry.Session, conn.backend.id)
 	} else {
-		r.Succeeded++
-		r.table.Balancer.SessionEstablished(r.now, &l.Entry.Session)
-		r.unmarks(l)
-		r.stood(l)
+		m.Succeeded++
+		m.table.Balancer.SessionEstablished(m.now, &session.Entry.Session)
+		m.releaseMarker(session)
+		m.replicateAffinity(session)
 	}
-	r.answers[l.Class].served++
-	r.write(l.client, line)
-	l.head = protocol.Request{}
-	r.stands(l)
-	if r.yielded {
-		r.pass(l)
-		r.arm(&l.leave, max(r.now+lastComers, r.leaveAt(0, 1)))
-	} else if r.stopping || r.lame {
-		r.arm(&l.leave, max(r.now, r.leaveAt(0, 1)))
-	} else if c.backend.condition != balancer.Ready {
-		r.arm(&l.leave, r.now)
+	m.answers[session.Class].served++
+	m.write(session.clientConn, line)
+	session.request = protocol.Request{}
+	m.addEstablished(session)
+	if m.yieldedToChild {
+		m.requestTransfer(session)
+		m.setTimer(&session.migrationTimer, max(m.now+drainGrace, m.migrationTime(0, 1)))
+	} else if m.stopping || m.draining {
+		m.setTimer(&session.migrationTimer, max(m.now, m.migrationTime(0, 1)))
+	} else if conn.backend.condition != balancer.Ready {
+		m.setTimer(&session.migrationTimer, m.now)
 	}
 }
 
-// stands is what holds of every link from when it stands.
-func (r *StateMachine) stands(l *link) {
-	l.stage = standing
-	r.Established++
-	b := l.server.backend
-	b.links = append(b.links, l)
-	l.quiet.fire = func() { r.move(l, BackendSilent) }
-	l.leave.fire = func() { r.move(l, RelayMovedClient) }
-	l.client.wait.fire = func() { r.move(l, RelayMovedClient) }
-	r.arm(&l.client.wait, r.now+idleClient)
+// addEstablished is what holds of every link from when it stands.
+func (m *StateMachine) addEstablished(session *session) {
+	session.state = established
+	m.Established++
+	backend := session.backendConn.backend
+	backend.sessions = append(backend.sessions, session)
+	session.stateTimer.fire = func() { m.migrate(session, BackendSilent) }
+	session.migrationTimer.fire = func() { m.migrate(session, RelayMovedClient) }
+	session.clientConn.deadline.fire = func() { m.migrate(session, RelayMovedClient) }
+	m.setTimer(&session.clientConn.deadline, m.now+clientIdleTimeout)
 }
 
-func (r *StateMachine) toServer(l *link, data []byte) {
-	r.ClientChunks++
-	r.write(l.server, data)
-	r.arm(&l.client.wait, r.now+idleClient)
-	if l.quiet.place == 0 {
-		r.arm(&l.quiet, r.now+silence)
+func (m *StateMachine) forwardToBackend(session *session, data []byte) {
+	m.ClientChunks++
+	m.write(session.backendConn, data)
+	m.setTimer(&session.clientConn.deadline, m.now+clientIdleTimeout)
+	if session.stateTimer.position == 0 {
+		m.setTimer(&session.stateTimer, m.now+replyTimeout)
 	}
 }
 
-// fromServer passes whole lines on, so that a line of the relay's own always falls between two of them.
-func (r *StateMachine) fromServer(l *link, data []byte) {
-	l.server.backend.heard = r.now
-	for len(data) > 0 && l.stage == standing && !l.ending {
-		line, rest, err := l.server.in.Next(data)
+// forwardToClient passes whole lines on, so that a line of the relay's own always falls between two of them.
+func (m *StateMachine) forwardToClient(session *session, data []byte) {
+	session.backendConn.backend.lastDataAt = m.now
+	for len(data) > 0 && session.state == established && !session.endAnnounced {
+		line, rest, err := session.backendConn.input.Next(data)
 		if err != nil {
-			r.note("line too long from a backend", "backend", l.server.backend.Name)
-			r.finish(l, MalformedAnswer, Reset)
+			m.log("line too long from a backend", "backend", session.backendConn.backend.Name)
+			m.endSession(session, MalformedAnswer, Reset)
 			return
 		}
 		if line == nil {
 			return
 		}
 		data = rest
-		r.disarm(&l.quiet)
-		r.BackendLines++
-		r.write(l.client, line)
+		m.stopTimer(&session.stateTimer)
+		m.BackendLines++
+		m.write(session.clientConn, line)
 		switch verb, said := protocol.CutVerb(line); string(verb) {
 		case "LOAD":
 			if load, ok := protocol.ParseLoad(said); ok {
-				r.table.Balancer.LoadMeasured(&l.Entry.Session, load)
+				m.table.Balancer.LoadMeasured(&session.Entry.Session, load)
 			}
 		case "BYE":
-			if r.reports {
-				r.reported(l.server.backend, said)
+			if m.reportsInAnswers {
+				m.recordReport(session.backendConn.backend, said)
 			}
-			r.endsSoon(l, BackendFinished)
+			m.announceEnd(session, BackendFinished)
 		case "MOVE":
-			r.endsSoon(l, BackendMovedClient)
+			m.announceEnd(session, BackendMovedClient)
 		}
 	}
 }
 
-// endsSoon takes the backend's word that the link is over. What it sends after that is dropped.
-func (r *StateMachine) endsSoon(l *link, how EndReason) {
-	l.last, l.ending = how, true
-	l.quiet.fire = func() { r.finish(l, how, Close) }
-	r.arm(&l.quiet, r.now+endTime)
+// announceEnd takes the backend's word that the link is over. What it sends after that is dropped.
+func (m *StateMachine) announceEnd(session *session, how EndReason) {
+	session.endReason, session.endAnnounced = how, true
+	session.stateTimer.fire = func() { m.endSession(session, how, Close) }
+	m.setTimer(&session.stateTimer, m.now+announcedEndTimeout)
 }
 
-func (r *StateMachine) serverOver(l *link, e Event) {
+func (m *StateMachine) backendClosed(session *session, e Event) {
 	switch {
-	case l.ending:
-		r.finish(l, l.last, Close)
+	case session.endAnnounced:
+		m.endSession(session, session.endReason, Close)
 	case e.SlowReader:
-		r.finish(l, SlowReader, Reset)
+		m.endSession(session, SlowReader, Reset)
 	case e.Reset:
-		r.finish(l, BackendClosed, Reset)
+		m.endSession(session, BackendClosed, Reset)
 	default:
-		r.finish(l, BackendClosed, Close)
+		m.endSession(session, BackendClosed, Close)
 	}
 }
 
-// finish ends a link that stood, on whichever sides are still open.
-func (r *StateMachine) finish(l *link, how EndReason, both EffectKind) {
-	r.EndReasons[how]++
-	r.Established--
-	r.leavesFor(l, how)
-	b := l.server.backend
-	b.links = slices.DeleteFunc(b.links, func(other *link) bool { return other == l })
-	r.leaveHand(l)
-	if l.client != nil {
-		r.forget(l.client, both)
+// endSession ends a link that stood, on whichever sides are still open.
+func (m *StateMachine) endSession(session *session, how EndReason, both EffectKind) {
+	m.EndReasons[how]++
+	m.Established--
+	m.releaseAffinity(session, how)
+	backend := session.backendConn.backend
+	backend.sessions = slices.Delete(backend.sessions, slices.Index(backend.sessions, session), slices.Index(backend.sessions, session)+1)
+	m.removeSession(session)
+	if session.clientConn != nil {
+		m.dropConn(session.clientConn, both)
 	}
-	r.forget(l.server, both)
-	r.table.AttemptFinished(r.now, l, how.outcome(), true)
+	m.dropConn(session.backendConn, both)
+	m.table.AttemptFinished(m.now, session, how.outcome(), true)
 }
 
-// silent has the clients of a backend that answers neither probes nor lines come again elsewhere, where the
+// migrateFromSilent has the clients of a backend that answers neither probes nor lines come again elsewhere, where the
 // module holds it to be lost. A line that waits for its answer must show it: a backend may tire of probes.
-func (r *StateMachine) silent(b *backend) {
+func (m *StateMachine) migrateFromSilent(backend *backend) {
 	quiet := 0.0
-	for _, l := range b.links {
-		if l.quiet.place > 0 && !l.ending {
-			quiet = max(quiet, r.now-l.quiet.at+silence)
+	for _, session := range backend.sessions {
+		if session.stateTimer.position > 0 && !session.endAnnounced {
+			quiet = max(quiet, m.now-session.stateTimer.at+replyTimeout)
 		}
 	}
-	if !r.table.Balancer.IsUnresponsive(b.id, min(quiet, r.now-b.heard)) {
+	if !m.table.Balancer.IsUnresponsive(backend.id, min(quiet, m.now-backend.lastDataAt)) {
 		return
 	}
-	r.note("backend fell silent", "backend", b.Name, "links", len(b.links))
-	for _, l := range slices.Clone(b.links) {
-		r.move(l, BackendSilent)
+	m.log("backend fell silent", "backend", backend.Name, "links", len(backend.sessions))
+	for _, session := range slices.Clone(backend.sessions) {
+		m.migrate(session, BackendSilent)
 	}
 }
 
-// move has the client come again elsewhere. One that its backend has said the last word to is only ended.
-func (r *StateMachine) move(l *link, why EndReason) {
+// migrate has the client come again elsewhere. One that its backend has said the last word to is only ended.
+func (m *StateMachine) migrate(session *session, why EndReason) {
 	switch {
-	case l.stage == parting: // its word may be another process's to say
-		r.arm(&l.leave, r.now+partGap)
+	case session.state == handingOff: // its word may be another process's to say
+		m.setTimer(&session.migrationTimer, m.now+transferRecheckInterval)
 		return
-	case l.ending:
-		r.finish(l, l.last, Close)
+	case session.endAnnounced:
+		m.endSession(session, session.endReason, Close)
 		return
 	}
-	r.Migrated++
-	r.write(l.client, []byte("MOVE\r\n"))
-	r.finish(l, why, Close)
+	m.Migrated++
+	m.write(session.clientConn, []byte("MOVE\r\n"))
+	m.endSession(session, why, Close)
 }
 
-// stop begins the relay's planned stop: what comes is served, what stands is moved once clients are dealt
+// shutDown begins the relay's planned stop: what comes is served, what stands is moved once clients are dealt
 // elsewhere, and all is answered before the kill can come. To a younger process that is ready all clients are
 // left at once: against some that this one takes last, to be moved as soon as they stand.
-func (r *StateMachine) stop(yield bool) {
-	if r.stopping {
+func (m *StateMachine) shutDown(yield bool) {
+	if m.stopping {
 		return
 	}
-	r.yielded = yield
-	r.stopping, r.lame = true, false
-	r.empty()
+	m.yieldedToChild = yield
+	m.stopping, m.draining = true, false
+	m.startDrain()
 	look := timer{fire: func() {}}
-	r.arm(&look, r.now+lastComers) // a look at whether all is done
+	m.setTimer(&look, m.now+drainGrace) // a look at whether all is done
 }
 
-// lameDuck empties the relay as a stop does, but for its end, or takes it back to work. A stop goes before
+// setDraining empties the relay as a stop does, but for its end, or takes it back to work. A stop goes before
 // it.
-func (r *StateMachine) lameDuck(on bool) {
-	if r.stopping || r.lame == on {
+func (m *StateMachine) setDraining(on bool) {
+	if m.stopping || m.draining == on {
 		return
 	}
-	r.lame = on
-	r.note("lame duck", "on", on, "standing", r.Established)
+	m.draining = on
+	m.log("lame duck", "on", on, "standing", m.Established)
 	if on {
-		r.empty()
+		m.startDrain()
 		return
 	}
-	r.disarm(&r.final)
-	for _, b := range r.order {
-		for i, l := range b.links {
-			r.disarm(&l.leave)
-			r.leaves(b, l, i)
+	m.stopTimer(&m.drainTimer)
+	for _, backend := range m.backendOrder {
+		for i, session := range backend.sessions {
+			m.stopTimer(&session.migrationTimer)
+			m.scheduleMigration(backend, session, i)
 		}
 	}
 }
 
-// leaves has a link go that stands on a backend which goes, if it is not told yet.
-func (r *StateMachine) leaves(b *backend, l *link, nth int) {
-	if b.condition != balancer.Ready && l.leave.place == 0 {
-		r.arm(&l.leave, r.now+r.table.Balancer.DrainDelay(nth, len(b.links), 0))
+// scheduleMigration has a link go that stands on a backend which goes, if it is not told yet.
+func (m *StateMachine) scheduleMigration(backend *backend, session *session, nth int) {
+	if backend.condition != balancer.Ready && session.migrationTimer.position == 0 {
+		m.setTimer(&session.migrationTimer, m.now+m.table.Balancer.DrainDelay(nth, len(backend.sessions), 0))
 	}
 }
 
-// empty has what stands moved over the time that the module gives, and whatever is left then answered.
-func (r *StateMachine) empty() {
-	r.stopAt = r.now
-	var all []*link
-	for _, c := range r.clients() {
-		if c.link.stage == standing {
-			all = append(all, c.link)
+// startDrain has what stands moved over the time that the module gives, and whatever is left then answered.
+func (m *StateMachine) startDrain() {
+	m.drainStartedAt = m.now
+	var all []*session
+	for _, conn := range m.clientConns() {
+		if conn.session.state == established {
+			all = append(all, conn.session)
 		}
 	}
-	for i, l := range all {
-		at := r.leaveAt(i, len(all))
-		if l.leave.place > 0 { // its backend goes: not later than that was to be
-			at = min(at, l.leave.at)
+	for i, session := range all {
+		at := m.migrationTime(i, len(all))
+		if session.migrationTimer.position > 0 { // its backend goes: not later than that was to be
+			at = min(at, session.migrationTimer.at)
 		}
-		r.arm(&l.leave, at)
-		if r.yielded {
-			r.pass(l)
+		m.setTimer(&session.migrationTimer, at)
+		if m.yieldedToChild {
+			m.requestTransfer(session)
 		}
 	}
-	r.final.fire = r.emptyNow
-	r.arm(&r.final, r.now+r.stopTime())
+	m.drainTimer.fire = m.finishDrain
+	m.setTimer(&m.drainTimer, m.now+m.maxDrainTime())
 }
 
-// stopTime is how long a stop takes at the most.
-func (r *StateMachine) stopTime() float64 { return min(r.longest, stopWait) + lastWord }
+// maxDrainTime is how long a stop takes at the most.
+func (m *StateMachine) maxDrainTime() float64 {
+	return min(m.longestHardLimit, maxDrainWait) + finalAnswerTime
+}
 
-// leaveAt is when the nth of so many standing links is moved at a stop.
-func (r *StateMachine) leaveAt(nth, of int) float64 {
-	return r.stopAt + lastComers + r.table.Balancer.DrainDelay(nth, of, r.stopTime()-lastComers)
+// migrationTime is when the nth of so many standing links is moved at a stop.
+func (m *StateMachine) migrationTime(nth, of int) float64 {
+	return m.drainStartedAt + drainGrace + m.table.Balancer.DrainDelay(nth, of, m.maxDrainTime()-drainGrace)
 }
 
-// emptyNow answers and moves whatever is left.
-func (r *StateMachine) emptyNow() {
-	for _, c := range r.clients() {
-		switch l := c.link; l.stage {
-		case heading:
-			r.refuse(l, RequestTimedOut, r.busy())
-		case standing:
-			r.move(l, RelayMovedClient)
-		case resuming:
-			if l.server != nil {
-				r.forget(l.server, Close)
+// finishDrain answers and moves whatever is left.
+func (m *StateMachine) finishDrain() {
+	for _, conn := range m.clientConns() {
+		switch session := conn.session; session.state {
+		case awaitingRequest:
+			m.rejectClient(session, RequestTimedOut, m.busyAnswer())
+		case established:
+			m.migrate(session, RelayMovedClient)
+		case reestablishing:
+			if session.backendConn != nil {
+				m.dropConn(session.backendConn, Close)
 			}
-			r.Execute(l, balancer.Decision{Kind: balancer.Fail})
-		case trying:
-			l.Deadline = r.now // so that the module gives it up
-			r.tryOver(l, AttemptTimedOut)
-		case entrusting:
-			r.entrusted(c.conn, false)
-		case asking:
-			l.Deadline = r.now
-			r.place(l)
-		case placing:
-			l.Deadline = r.now
-			r.table.Assign(r.now, l)
+			m.Execute(session, balancer.Decision{Kind: balancer.Fail})
+		case attempting:
+			session.Deadline = m.now // so that the module gives it up
+			m.finishAttempt(session, AttemptTimedOut)
+		case replicating:
+			m.recordReplicated(conn.id, false)
+		case lookingUp:
+			session.Deadline = m.now
+			m.assign(session)
+		case queued:
+			session.Deadline = m.now
+			m.table.Assign(m.now, session)
 		}
 	}
-	if r.stopping {
-		r.leave()
+	if m.stopping {
+		m.exit()
 	}
 }
 
-// idle tells whether nobody waits for anything: no link, and no client whose head may be on its way.
-func (r *StateMachine) idle() bool {
-	if r.links > 0 {
+// isIdle tells whether nobody waits for anything: no link, and no client whose head may be on its way.
+func (m *StateMachine) isIdle() bool {
+	if m.sessions > 0 {
 		return false
 	}
-	for _, c := range r.ends {
-		if c.backend == nil && c.pings == 0 {
+	for _, conn := range m.conns {
+		if conn.backend == nil && conn.pings == 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// leave has the program exit, once.
-func (r *StateMachine) leave() {
-	if !r.quit {
-		r.quit = true
-		r.do(Effect{Kind: Exit})
+// exit has the program exit, once.
+func (m *StateMachine) exit() {
+	if !m.exiting {
+		m.exiting = true
+		m.emit(Effect{Kind: Exit})
 	}
 }
 
-// clients are the clients' connections in the order they came.
-func (r *StateMachine) clients() []*end {
-	var all []*end
-	for _, c := range r.ends {
-		if c.backend == nil {
-			all = append(all, c)
+// clientConns are the clients' connections in the order they came.
+func (m *StateMachine) clientConns() []*connection {
+	var all []*connection
+	for _, conn := range m.conns {
+		if conn.backend == nil {
+			all = append(all, conn)
 		}
 	}
-	slices.SortFunc(all, func(a, b *end) int { return cmp.Compare(a.conn, b.conn) })
+	slices.SortFunc(all, func(a, b *connection) int { return cmp.Compare(a.id, b.id) })
 	return all
 }
--- a/internal/relay/reducer_test.go
+++ b/internal/relay/statemachine_test.go
@@ -82,7 +82,7 @@
 	n, err := strconv.ParseUint(strings.TrimPrefix(word, "s"), 10, 64)
 	require.NoError(s.t, err, word)
 	if word[0] == 's' {
-		n += dialed
+		n += firstDialedID
 	}
 	return n
 }
@@ -150,8 +150,8 @@
 	var said []string
 	for _, f := range s.Handle(now, e) {
 		name := fmt.Sprint(f.Conn)
-		if f.Conn >= dialed {
-			name = fmt.Sprint("s", f.Conn-dialed)
+		if f.Conn >= firstDialedID {
+			name = fmt.Sprint("s", f.Conn-firstDialedID)
 		}
 		switch f.Kind {
 		case Dial:
@@ -185,9 +185,9 @@
 			s.parted = f.Session
 			said = append(said, "parted "+name)
 		case SessionAccepted:
-			said = append(said, fmt.Sprint("adopted ", name, " s", f.Peer-dialed))
+			said = append(said, fmt.Sprint("adopted ", name, " s", f.Peer-firstDialedID))
 		case SendHandoff:
-			s.left = f.Handoff
+			s.handoff = f.Handoff
 			said = append(said, "bequeath")
 		case SendEndpoints:
 			s.confides = f.Endpoints
@@ -273,7 +273,7 @@
 		BackendFinished: balancer.OutcomeSucceeded, BackendMovedClient: balancer.OutcomeCanceled, BackendClosed: balancer.OutcomeConnectionLost, BackendSilent: balancer.OutcomeConnectionLost,
 		SlowReader: balancer.OutcomeCanceled, RelayMovedClient: balancer.OutcomeCanceled, ClientClosed: balancer.OutcomeSucceeded,
 		ClientReset: balancer.OutcomeCanceled, TransferredToChild: balancer.OutcomeCanceled}
-	assert.Len(t, want, len(endingNames))
+	assert.Len(t, want, len(endReasonNames))
 	for how, outcome := range want {
 		assert.Equal(t, outcome, how.outcome(), how.String())
 	}
@@ -294,7 +294,7 @@
 		s.at(now, "tick")
 	}
 	assert.Equal(t, uint64(1), s.Rejected)
-	assert.Zero(t, s.links)
+	assert.Zero(t, s.sessions)
 }
 
 func TestClientsFirstLine(t *testing.T) {
@@ -314,7 +314,7 @@
 		{"more in the same bytes", "OPEN a 1f c=feed,t=one,d=2000|OPEN b 1f c=feed,t=one,d=2000|",
 			"write 1 ERR|; end 1"},
 		{"half of more", "OPEN a 1f c=feed,t=one,d=2000|x", "write 1 ERR|; end 1"},
-		{"pings without end", strings.Repeat("PING|", mostPings+1), "write 1 ERR|; end 1"},
+		{"pings without end", strings.Repeat("PING|", maxPings+1), "write 1 ERR|; end 1"},
 		{"further figures", "OPEN a 1f c=feed,zz=1,h=2,r=1,d=2000|", "dial s1 10.0.0.1:9000"},
 	} {
 		s := open(t, nil, 0, "b1=active")
@@ -342,8 +342,8 @@
 	s.play("more before its answer", step{100, "open 1", ""},
 		step{100, "came 1 OPEN a 1f c=feed,d=2000|", "dial s1 10.0.0.1:9000"},
 		step{101, "came 1 x", "write 1 ERR|; break s1; end 1"}, step{102, "came 1 y|", ""})
-	assert.Zero(t, s.links)
-	assert.Empty(t, s.ids)
+	assert.Zero(t, s.sessions)
+	assert.Empty(t, s.sessionsByID)
 }
 
 func TestClientLeaves(t *testing.T) {
@@ -363,8 +363,8 @@
 		s.at(101, c.first)
 		s.play(c.name, step{102, "end 1", c.want})
 		s.at(103, "came s1 UP r|")
-		assert.Zero(t, s.links, c.name)
-		assert.Empty(t, s.ends, c.name)
+		assert.Zero(t, s.sessions, c.name)
+		assert.Empty(t, s.conns, c.name)
 	}
 }
 
@@ -405,9 +405,9 @@
 		s.stands()
 		s.play(c.name, c.steps...)
 		assert.Equal(t, uint64(1), s.EndReasons[c.how], c.name)
-		assert.Zero(t, s.links, c.name)
-		assert.Empty(t, s.ends, c.name)
-		assert.Empty(t, s.named("b1").links, c.name)
+		assert.Zero(t, s.sessions, c.name)
+		assert.Empty(t, s.conns, c.name)
+		assert.Empty(t, s.findOrAddBackend("b1").sessions, c.name)
 	}
 }
 
@@ -459,7 +459,7 @@
 
 // Servers that join beside links that stand are not probed by the descriptors that clients come in by.
 func TestProbesLeaveRoomAtTheDoor(t *testing.T) {
-	s := open(t, with(`"probes": false`, `"probes": true`), spareFiles+12, "b1=active")
+	s := open(t, with(`"probes": false`, `"probes": true`), spareDescriptors+12, "b1=active")
 	for i, c := range []string{"1", "2", "3"} {
 		s.at(float64(100+i), "open "+c)
 		s.at(float64(100+i), "came "+c+" OPEN "+c+" 1f c=feed,t=one,d=2000|")
@@ -473,7 +473,7 @@
 	for now := 1050.0; now < 4000; now += 50 {
 		assert.NotContains(t, s.at(now, "tick"), "hold", "%v", now)
 	}
-	assert.LessOrEqual(t, len(s.ends), s.most-s.mostMute())
+	assert.LessOrEqual(t, len(s.conns), s.ownDescriptors-s.maxAwaiting())
 	s.at(4000, "open 9")
 	assert.Contains(t, s.at(4001, "came 9 OPEN z 1f c=feed,t=one,d=2000|"), "write 9 BUSY 900|; end 9")
 }
@@ -512,11 +512,11 @@
 		step{1103, "up s3", "write s3 OPEN c 1f c=feed,d=1989|"},
 		step{1899, "tick", ""}, step{2650, "tick", "write 1 MOVE|; end 1; end s1; write 2 ERR|; end 2"},
 		step{2660, "came s2 UP r|", "write 3 UP r|; write 3 MOVE|; end 3; end s2"})
-	last := s.at(1000+2000+lastWord, "tick")
+	last := s.at(1000+2000+finalAnswerTime, "tick")
 	assert.Contains(t, last, "end s3; write 4 BUSY 900|; end 4")
 	assert.True(t, strings.HasSuffix(last, "quit"), last)
 	assert.NotContains(t, s.at(9000, "tick"), "quit", "no second exit")
-	assert.Zero(t, s.links)
+	assert.Zero(t, s.sessions)
 
 	s = open(t, nil, 0, "b1=active")
 	s.play("a head on its way", step{1000, "stop", ""}, step{1400, "open 1", ""}, step{1500, "tick", ""},
@@ -546,7 +546,7 @@
 }
 
 func TestDescriptorsRunOut(t *testing.T) {
-	s := open(t, nil, spareFiles+fewHeads+2, "b1=active")
+	s := open(t, nil, spareDescriptors+minAwaiting+2, "b1=active")
 	s.play("told to come again, never broken; silent ones let go first", step{100, "open 1", ""},
 		step{100, "came 1 OPEN a 1f c=feed,d=2000|", "dial s1 10.0.0.1:9000"},
 		step{101, "open 2", ""}, step{102, "open 3", ""}, step{102, "open 4", ""}, step{102, "open 5", "hold"},
@@ -580,12 +580,12 @@
 		step{11302, "news 5 3 whole b1=active b2=active", ""},
 		step{11303, "news 5 2 delta b1=leaving", "unwatch"}, // and not at once for ever
 		step{12900, "tick", "watch 6 after 0"}, step{12900, "news 6 3 whole b1=active b2=active", ""})
-	assert.Equal(t, uint64(3), s.index, "a list that was asked for whole may go back")
-	s.named("b1").Endpoint.Invalid = ""
+	assert.Equal(t, uint64(3), s.endpointsIndex, "a list that was asked for whole may go back")
+	s.findOrAddBackend("b1").Endpoint.Invalid = ""
 	bad := []Endpoint{{Name: "b1", Status: "odd", Invalid: "status"}, {Name: "b2", Status: "left"}}
 	s.Handle(12902, Event{Kind: EndpointsUpdated, Conn: 6, Endpoints: &EndpointUpdate{Index: 4, Complete: true, Endpoints: bad}})
-	assert.Equal(t, balancer.Ready, s.named("b1").condition, "what was known of a bad entry stays")
-	assert.Equal(t, balancer.Gone, s.named("b2").condition)
+	assert.Equal(t, balancer.Ready, s.findOrAddBackend("b1").condition, "what was known of a bad entry stays")
+	assert.Equal(t, balancer.Gone, s.findOrAddBackend("b2").condition)
 }
 
 // Against a reload that loses what is known, waits too long for a new discovery, or refuses its fresh count.
@@ -601,7 +601,7 @@
 		step{3860, "tick", "unwatch"}, step{4110, "tick", "watch 4 after 0 at 10.1.0.2:85"},
 		step{4111, "news 4 2 whole b1=active b3=active", ""}, step{6910, "tick", ""},
 		step{6911, "tick", "watch 5 after 2 at 10.1.0.2:85"})
-	assert.Equal(t, balancer.Gone, s.named("b2").condition)
+	assert.Equal(t, balancer.Gone, s.findOrAddBackend("b2").condition)
 	assert.Equal(t, []uint64{2, 1}, []uint64{s.Reloads, s.FailedReloads})
 	assert.Equal(t, 1, s.Established)
 	s = open(t, nil, 0, "b1=active")
@@ -614,7 +614,7 @@
 		step{4, "stop", ""},
 		step{5, "reload 10.1.0.1:85", "watch 4 after 0"}, step{6, "news 4 1 delta b1=leaving", ""},
 		step{504, "tick", "quit"})
-	assert.Equal(t, balancer.Draining, s.named("b1").condition)
+	assert.Equal(t, balancer.Draining, s.findOrAddBackend("b1").condition)
 }
 
 func TestNews(t *testing.T) {
@@ -720,15 +720,15 @@
 	s.at(110, "news 1 2 whole b1=active")
 	s.at(160, "tick")
 	assert.Equal(t, 5, int(s.Attempts))
-	assert.Len(t, s.ends, 10)
-	assert.False(t, s.full)
+	assert.Len(t, s.conns, 10)
+	assert.False(t, s.acceptPaused)
 	s.play("there is still room for who comes", step{170, "open 10", ""},
 		step{170, "came 10 OPEN x 1f c=feed,t=one,d=2000|", "write 10 BUSY 900|; end 10"})
 }
 
 // In a crowd that connects and idles, or stops half way, one that writes its head slowly is let go last.
 func TestCrowdLetsSlowHeadsIn(t *testing.T) {
-	s := open(t, nil, spareFiles+40, "b1=active") // five for those without a head
+	s := open(t, nil, spareDescriptors+40, "b1=active") // five for those without a head
 	s.at(100, "open 1")
 	s.at(100, "came 1 OPEN a 1f c=fe")
 	s.at(100, "open 2")
@@ -743,14 +743,14 @@
 		if now == 1000 {
 			s.at(now, "came 1 ed,")
 		}
-		assert.LessOrEqual(t, s.heads, s.mostMute()+1, now)
+		assert.LessOrEqual(t, s.awaitingCount, s.maxAwaiting()+1, now)
 	}
 	assert.NotZero(t, s.RequestErrors[Evicted])
 	assert.Contains(t, s.at(2001, "came 1 d=2000|"), "dial s1 10.0.0.1:9000")
 	s.at(2001, "came 2 ed,d=2000|")
 	assert.Equal(t, uint64(2), s.Attempts, "so is one that paused for longer, as others have begun no head at all")
 
-	s = open(t, nil, spareFiles+40, "b1=active")
+	s = open(t, nil, spareDescriptors+40, "b1=active")
 	for n := 1; n <= 5; n++ {
 		s.at(float64(n), fmt.Sprintf("open %d", n))
 		s.at(float64(n), fmt.Sprintf("came %d OPEN a", n))
--- a/internal/relay/passing.go
+++ b/internal/relay/transfer.go
@@ -17,21 +17,21 @@
 	"valeshift/internal/hotrestart"
 )
 
-const mostEpoll = 64 // descriptors among which the poller's own is looked for: it is opened at the start
+const maxEpollDescriptor = 64 // descriptors among which the poller's own is looked for: it is opened at the start
 
-// passing is the way to the younger process.
-type passing struct {
+// transferChannel is the way to the younger process.
+type transferChannel struct {
 	mutex   sync.Mutex // over the way, one link at a time
-	way     *hotrestart.Channel
+	channel *hotrestart.Channel
 	closed  bool
 	pending sync.WaitGroup
 	epoll   int // the poller's own descriptor, once found
 }
 
-// pass passes one link, and tells the reducer whether it is gone. Both sockets' reads are locked from before
+// transferSession passes one link, and tells the reducer whether it is gone. Both sockets' reads are locked from before
 // the reducer gives the link up until that is known: against bytes read here that belong to the other
 // process.
-func (s *Sockets) pass(client, server uint64) {
+func (s *Sockets) transferSession(client, server uint64) {
 	p := &s.passing
 	defer p.pending.Done()
 	p.mutex.Lock()
@@ -39,28 +39,28 @@
 	s.mutex.Lock()
 	c, b, number := s.open[client], s.open[server], s.younger
 	s.mutex.Unlock()
-	if c == nil || b == nil || !s.wayOpen(number) {
+	if c == nil || b == nil || !s.openTransferChannel(number) {
 		return
 	}
 	c.reading.Lock()
 	defer c.reading.Unlock()
 	b.reading.Lock()
 	defer b.reading.Unlock()
-	record, fds := s.part(client, c, b)
+	record, fds := s.detachSession(client, c, b)
 	if record == nil {
 		return
 	}
 	text, err := json.Marshal(record)
 	gone := false
 	if err == nil {
-		gone, err = p.way.SendSession(text, fds)
+		gone, err = p.channel.SendSession(text, fds)
 	}
 	for _, fd := range fds {
 		syscall.Close(fd)
 	}
 	if err != nil && !errors.Is(err, hotrestart.ErrRejected) {
 		s.log.Warn("can't pass a link", "err", err)
-		p.way.Close()
+		p.channel.Close()
 		p.closed = true
 	}
 	s.mutex.Lock()
@@ -69,25 +69,25 @@
 		delete(s.open, client)
 		delete(s.open, server)
 	} else {
-		s.again(c)
-		s.again(b)
+		s.resumePolling(c)
+		s.resumePolling(b)
 	}
 	s.mutex.Unlock()
 	s.take(Event{Kind: SessionTransferred, Conn: client, Off: !gone})
 	if gone { // the other process's descriptors keep them up
 		c.nb.Close()
 		b.nb.Close()
-		if err := p.way.ConfirmRelease(); err != nil && !p.closed {
+		if err := p.channel.ConfirmRelease(); err != nil && !p.closed {
 			s.log.Warn("can't say that a link was let go", "err", err)
 		}
 	}
 }
 
-func (s *Sockets) wayOpen(number int) bool {
+func (s *Sockets) openTransferChannel(number int) bool {
 	p := &s.passing
-	if p.way == nil && !p.closed {
+	if p.channel == nil && !p.closed {
 		var err error
-		if p.way, err = s.seat.OpenChannel(number); err != nil {
+		if p.channel, err = s.seat.OpenChannel(number); err != nil {
 			s.log.Warn("no way to the younger process", "err", err)
 			p.closed = true
 		}
@@ -95,16 +95,16 @@
 	return !p.closed
 }
 
-// part has the reducer give the link up, and takes its sockets out of the poller, with descriptors of their
+// detachSession has the reducer give the link up, and takes its sockets out of the poller, with descriptors of their
 // own to be sent. All under the relay's lock: no descriptor's number can come to another connection
 // meanwhile.
-func (s *Sockets) part(client uint64, c, b *socket) (*TransferredSession, [hotrestart.FilesPerSession]int) {
+func (s *Sockets) detachSession(client uint64, c, b *socket) (*TransferredSession, [hotrestart.FilesPerSession]int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var fds [hotrestart.FilesPerSession]int
 	both := [...]*socket{c, b}
 	for _, k := range both {
-		if k.unsent.Load() > 0 || k.closing.Load() || over(k.nb) {
+		if k.unsent.Load() > 0 || k.closing.Load() || isClosed(k.nb) {
 			return nil, fds
 		}
 	}
@@ -117,9 +117,9 @@
 	ok := true
 	for i, k := range both {
 		fds[i] = -1
-		if ok = ok && s.unpoll(k.nb.Hash()) == nil; ok {
+		if ok = ok && s.stopPolling(k.nb.Hash()) == nil; ok {
 			fd, err := syscall.Dup(k.nb.Hash())
-			if ok = err == nil && !over(k.nb); err == nil {
+			if ok = err == nil && !isClosed(k.nb); err == nil {
 				fds[i] = fd
 			}
 		}
@@ -131,35 +131,35 @@
 		if fds[i] >= 0 {
 			syscall.Close(fds[i])
 		}
-		s.again(k)
+		s.resumePolling(k)
 	}
 	s.tell(Event{Kind: SessionTransferred, Conn: client, Off: true})
 	return nil, fds
 }
 
-// over tells whether nbio has closed the connection; its lock orders that before.
-func over(nb *nbio.Conn) bool {
+// isClosed tells whether nbio has closed the connection; its lock orders that before.
+func isClosed(nb *nbio.Conn) bool {
 	nb.ExecuteLen()
 	closed, _ := nb.IsClosed()
 	return closed
 }
 
-// again has the poller look after the connection as before.
-func (s *Sockets) again(c *socket) {
-	if !over(c.nb) {
+// resumePolling has the poller look after the connection as before.
+func (s *Sockets) resumePolling(c *socket) {
+	if !isClosed(c.nb) {
 		s.engine.AddConn(c.nb)
 	}
 }
 
-// unpoll takes a descriptor out of the poller's set. nbio 1.6.8 leaves that to the kernel, which does so only
+// stopPolling takes a descriptor out of the poller's set. nbio 1.6.8 leaves that to the kernel, which does so only
 // once no process holds the connection; and it tells nobody its set, which is found as the one that has the
 // descriptor.
-func (s *Sockets) unpoll(fd int) error {
+func (s *Sockets) stopPolling(fd int) error {
 	p := &s.passing
 	if p.epoll > 0 {
 		return syscall.EpollCtl(p.epoll, syscall.EPOLL_CTL_DEL, fd, nil)
 	}
-	for set := 3; set < mostEpoll; set++ {
+	for set := 3; set < maxEpollDescriptor; set++ {
 		if set != fd && syscall.EpollCtl(set, syscall.EPOLL_CTL_DEL, fd, nil) == nil {
 			p.epoll = set
 			return nil
@@ -168,9 +168,9 @@
 	return syscall.ENOENT
 }
 
-// adopt takes a link that the elder process passes. Where that says when it has let go, nothing is read or
+// receiveSession takes a link that the elder process passes. Where that says when it has let go, nothing is read or
 // written before.
-func (s *Sockets) adopt(text []byte, files [hotrestart.FilesPerSession]*os.File) (bool, func()) {
+func (s *Sockets) receiveSession(text []byte, files [hotrestart.FilesPerSession]*os.File) (bool, func()) {
 	record := &TransferredSession{}
 	if json.Unmarshal(text, record) != nil {
 		return false, nil
@@ -209,15 +209,15 @@
 		return true, func() {
 			s.mutex.Lock()
 			defer s.mutex.Unlock()
-			s.polls(links)
+			s.startPolling(links)
 		}
 	}
-	s.polls(links)
+	s.startPolling(links)
 	return true, nil
 }
 
-// polls begins to read what was adopted, and writes what is to be written by now.
-func (s *Sockets) polls(links [hotrestart.FilesPerSession]*socket) {
+// startPolling begins to read what was adopted, and writes what is to be written by now.
+func (s *Sockets) startPolling(links [hotrestart.FilesPerSession]*socket) {
 	for _, c := range links {
 		if c.early = false; s.open[c.conn] != c {
 			continue
--- a/internal/relay/zones.go
+++ b/internal/relay/zones.go
@@ -13,21 +13,21 @@
 	AcceptsOverflow bool    `json:"Open"`
 }
 
-// directed takes where links are meant to go from now on; none: as this relay finds.
-func (r *StateMachine) directed(all []ZoneWeight) {
+// setZoneWeights takes where links are meant to go from now on; none: as this relay finds.
+func (m *StateMachine) setZoneWeights(all []ZoneWeight) {
 	var parts []balancer.ZoneWeight
 	for _, t := range all {
-		parts = append(parts, balancer.ZoneWeight{Zone: r.zone(t.Zone), Weight: t.Share, AcceptsOverflow: t.AcceptsOverflow})
+		parts = append(parts, balancer.ZoneWeight{Zone: m.zoneNumber(t.Zone), Weight: t.Share, AcceptsOverflow: t.AcceptsOverflow})
 	}
-	r.table.Balancer.SetZoneWeights(parts)
-	r.note("directed", "zones", len(all))
+	m.table.Balancer.SetZoneWeights(parts)
+	m.log("directed", "zones", len(all))
 }
 
 // ZoneObservations is what this relay has seen of each zone since its start, and what its links weigh.
-func (r *StateMachine) ZoneObservations(now float64) (map[string]balancer.ZoneObservation, float64) {
-	all, demand := r.table.Balancer.ZoneObservations(now)
+func (m *StateMachine) ZoneObservations(now float64) (map[string]balancer.ZoneObservation, float64) {
+	all, demand := m.table.Balancer.ZoneObservations(now)
 	named := map[string]balancer.ZoneObservation{}
-	for name, z := range r.zones {
+	for name, z := range m.zones {
 		if z < len(all) {
 			named[name] = all[z]
 		}
