--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -41,7 +41,7 @@
 	ConfirmDecision uint64 // where not 0: Core's Kept is to be told of it once that is durable, or can't be
 	// where not nil: Core's Durable is to be told of it once that is durable, and only then
 	ReplicationWrite *replication.Write
-	Event            *relay.Event
+	Event            relay.Event
 	OrderReplicated  *OrderReplicated
 	Log              string
 }
@@ -147,7 +147,7 @@
 		c.membership.SetLocalState(w)
 	}
 	if changed {
-		acts = append(acts, Action{Event: &relay.Event{Kind: relay.DrainRequested, Off: !lame}})
+		acts = append(acts, Action{Event: relay.DrainRequested{On: lame}})
 	}
 	return acts
 }
@@ -249,7 +249,7 @@
 		return nil
 	}
 	c.fleetClockOffset = off
-	return []Action{{Event: &relay.Event{Kind: relay.ClockSkewMeasured, AheadMillis: -off}},
+	return []Action{{Event: relay.ClockSkewMeasured{AheadMillis: -off}},
 		{Log: fmt.Sprintf("this relay's time is ahead by %.0f ms, of %d relays and discovery %t", -off, len(all),
 			!math.IsNaN(dated))}}
 }
@@ -318,7 +318,7 @@
 		return nil
 	}
 	c.beyondSaid = sum
-	return []Action{{Event: &relay.Event{Kind: relay.RemoteLoadChanged, Load: sum}}}
+	return []Action{{Event: relay.RemoteLoadChanged{Load: sum}}}
 }
 
 // IsSnapshotDue tells whether what is known is to be written now.
@@ -427,10 +427,11 @@
 				acts = append(acts, Action{Query: &Query{a.Query, c.membership.Address(m)}})
 			}
 		case a.Event != nil:
-			if a.Event.Snapshot != nil {
-				a.Event.Snapshot = shifted(a.Event.Snapshot, -c.fleetClockOffset)
+			event := a.Event
+			if restored, ok := event.(relay.StateRestored); ok {
+				event = relay.StateRestored{Snapshot: shifted(restored.Snapshot, -c.fleetClockOffset)}
 			}
-			acts = append(acts, Action{Event: a.Event})
+			acts = append(acts, Action{Event: event})
 		case a.Log != "":
 			acts = append(acts, Action{Log: a.Log})
 		}
--- a/internal/fleet/core_test.go
+++ b/internal/fleet/core_test.go
@@ -57,9 +57,9 @@
 		core := hearing(len(c.others), func(i int, p *membership.View) { p.ClockOffset = c.others[i] })
 		corrected := false
 		for _, a := range core.Tick(now+50, now+50+c.wall, relay.Status{DiscoveryClockOffset: c.dated}) {
-			if a.Event != nil && a.Event.Kind == relay.ClockSkewMeasured {
+			if measured, ok := a.Event.(relay.ClockSkewMeasured); ok {
 				corrected = true
-				assert.InDelta(t, c.ahead, a.Event.AheadMillis, 60, c.name)
+				assert.InDelta(t, c.ahead, measured.AheadMillis, 60, c.name)
 			}
 		}
 		assert.Equal(t, c.corrected, corrected, c.name)
@@ -79,8 +79,8 @@
 		acts = append(acts, core.Restore(own, s, found, nil)...)
 		acts = append(acts, core.Tick(own+50, own+50, relay.Status{DiscoveryClockOffset: -ahead})...)
 		for _, a := range acts {
-			if a.Event != nil && a.Event.Snapshot != nil {
-				return core, s, a.Event.Snapshot.RetryAt
+			if restored, ok := a.Event.(relay.StateRestored); ok {
+				return core, s, restored.Snapshot.RetryAt
 			}
 		}
 		return core, s, nil
@@ -111,8 +111,8 @@
 		})
 		told := -1.0
 		for _, a := range core.Tick(now+50, now+50, relay.Status{DiscoveryClockOffset: math.NaN(), UnreportedLoad: c.own}) {
-			if a.Event != nil && a.Event.Kind == relay.RemoteLoadChanged {
-				told = a.Event.Load
+			if changed, ok := a.Event.(relay.RemoteLoadChanged); ok {
+				told = changed.Load
 			}
 		}
 		assert.Equal(t, c.want, told, "%v", c)
--- a/internal/fleet/council.go
+++ b/internal/fleet/council.go
@@ -129,7 +129,7 @@
 	all := towards(zones, k.zone)
 	if text := fmt.Sprint(all); text != k.told {
 		k.told = text
-		return []Action{{Event: &relay.Event{Kind: relay.ZoneWeightsChanged, Zones: all}},
+		return []Action{{Event: relay.ZoneWeightsChanged{Weights: all}},
 			{Log: fmt.Sprintf("decision %d: %v", number, all)}}
 	}
 	return nil
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -96,8 +96,8 @@
 			want.ConfirmedAt, want.RetryAt, want.Endpoints.Endpoints[1].Status = 0, nil, "leaving"
 			var got *relay.Snapshot
 			for _, a := range told {
-				if a.Event != nil && a.Event.Snapshot != nil {
-					got = a.Event.Snapshot
+				if restored, ok := a.Event.(relay.StateRestored); ok {
+					got = restored.Snapshot
 				}
 			}
 			require.NotNil(t, got)
@@ -265,10 +265,10 @@
 		}
 	}
 	at := n.run(now, now+2000)
-	for i, f := range []relay.Effect{
-		{Kind: relay.Replicate, Record: relay.ReservationRecord, Conn: 1, Key: 77, At: at + 6e5},
-		{Kind: relay.Replicate, Record: relay.ReservationRecord, Conn: 2, Key: 78, At: at + 6e5},
-		{Kind: relay.Replicate, Record: relay.AttemptRecord, Conn: 3, Key: 79, At: at + 6e5, Text: "s1"},
+	for i, f := range []relay.ReplicationRequest{
+		{Operation: relay.Replicate, Record: relay.ReservationRecord, Conn: 1, Key: 77, At: at + 6e5},
+		{Operation: relay.Replicate, Record: relay.ReservationRecord, Conn: 2, Key: 78, At: at + 6e5},
+		{Operation: relay.Replicate, Record: relay.AttemptRecord, Conn: 3, Key: 79, At: at + 6e5, Backend: "s1"},
 	} {
 		name := n.order[i]
 		n.do(at, name, n.cores[name].HandleReplicationEffect(at, f))
@@ -340,12 +340,12 @@
 	timeout := time.After(10 * time.Second)
 	for recalled == nil || !lame {
 		select {
-		case e := <-events:
-			if e.Kind == relay.StateRestored {
+		case event := <-events:
+			switch e := event.(type) {
+			case relay.StateRestored:
 				recalled = e.Snapshot
-			}
-			if e.Kind == relay.DrainRequested {
-				lame = !e.Off
+			case relay.DrainRequested:
+				lame = e.On
 			}
 		case <-timeout:
 			t.Fatalf("recalled %v, lame %t: %s", recalled, lame, &log)
--- a/internal/fleet/holdings.go
+++ b/internal/fleet/holdings.go
@@ -67,11 +67,11 @@
 	entrust map[uint64]entrusted // by token
 	took    [latest]float64      // ms, that the latest words took to be held, in turn
 	words   int
-	claims  map[uint64]relay.Effect // by token
-	given   map[given]uint64        // tokens of what may be taken back
-	ends    []ending                // of those, as they came
-	hints   map[uint64]relay.Effect // on their way, by token
-	again   []relay.Effect          // hints that others did not hold, to be told anew
+	claims  map[uint64]relay.ReplicationRequest // by token
+	given   map[given]uint64                    // tokens of what may be taken back
+	ends    []ending                            // of those, as they came
+	hints   map[uint64]relay.ReplicationRequest // on their way, by token
+	again   []relay.ReplicationRequest          // hints that others did not hold, to be told anew
 	againAt float64
 	older   bool // this disk is not the one that the relay has spoken by
 
@@ -88,11 +88,11 @@
 func (c *Core) EnableReplication(name string, life uint64, copies int, remember float64, stood bool, key []byte,
 	chance *rand.Rand) []Action {
 	c.replication = &held{core: replication.New(name, life, copies, mostHoldings, chance), key: key, life: life,
-		entrust: map[uint64]entrusted{}, claims: map[uint64]relay.Effect{}, given: map[given]uint64{},
-		hints:  map[uint64]relay.Effect{},
+		entrust: map[uint64]entrusted{}, claims: map[uint64]relay.ReplicationRequest{}, given: map[given]uint64{},
+		hints:  map[uint64]relay.ReplicationRequest{},
 		orders: map[uint64]bool{}}
 	c.replication.core.SetSuspended(true)
-	return []Action{{Event: &relay.Event{Kind: relay.ReplicationEnabled, At: remember, Affinity: stood}}}
+	return []Action{{Event: relay.ReplicationEnabled{MarkerRetentionMillis: remember, Affinity: stood}}}
 }
 
 // fleetTime is the time that all relays mean, of this relay's.
@@ -147,7 +147,7 @@
 func placeKey(key uint64) string { return fmt.Sprintf("%016x", key) }
 
 // HandleReplicationEffect does what the reducer asks for.
-func (c *Core) HandleReplicationEffect(now float64, f relay.Effect) []Action {
+func (c *Core) HandleReplicationEffect(now float64, f relay.ReplicationRequest) []Action {
 	if c.replication == nil {
 		return nil
 	}
@@ -156,21 +156,21 @@
 	var token uint64
 	var acts []replication.Action
 	switch {
-	case f.Kind == relay.Release:
+	case f.Operation == relay.Release:
 		token = h.given[mine]
 		delete(h.given, mine)
 		return c.holds(now, h.core.Revoke(at, token))
-	case f.Kind == relay.Lookup && f.Record == relay.ReservationRecord:
+	case f.Operation == relay.Lookup && f.Record == relay.ReservationRecord:
 		token, acts = h.core.Acquire(at, replication.Reservation, key)
-	case f.Kind == relay.Lookup:
+	case f.Operation == relay.Lookup:
 		token, acts = h.core.Lookup(at, kinds[f.Record], key, max(f.At-now-wordBack, 1))
 	}
-	if f.Kind == relay.Lookup {
+	if f.Operation == relay.Lookup {
 		h.claims[token] = f
 		return c.holds(now, acts)
 	}
 	r := replication.Record{Kind: kinds[f.Record], Key: key, Version: uint64(max(at, 0)), ValidFrom: at,
-		Body: []byte(f.Text)}
+		Body: []byte(f.Backend)}
 	switch f.Record {
 	case relay.ReservationRecord:
 		r.Version, r.ValidFrom, r.ExpiresAt = 0, f.At+c.fleetClockOffset, f.At+c.fleetClockOffset+placeLate
@@ -244,7 +244,7 @@
 			h.took[h.words%latest] = now - w.at
 			h.words++
 		}
-		return []Action{{Event: &relay.Event{Kind: relay.RecordReplicated, Conn: w.conn, Off: !o.OK}}}
+		return []Action{{Event: relay.RecordReplicated{Conn: w.conn, Replicated: o.OK}}}
 	}
 	if f, there := h.hints[o.Token]; there {
 		if delete(h.hints, o.Token); !o.OK && len(h.again) < maxPendingReplications {
@@ -277,8 +277,7 @@
 	if !there || (!o.OK && f.Record == relay.ReservationRecord) {
 		return nil
 	}
-	return []Action{{Event: &relay.Event{Kind: relay.RecordFound, Record: f.Record, Conn: f.Conn, Key: f.Key, Off: !o.OK,
-		At: o.Record.ValidFrom - c.fleetClockOffset, Address: string(o.Record.Body)}}}
+	return []Action{{Event: relay.RecordFound{Record: f.Record, Conn: f.Conn, Key: f.Key, At: o.Record.ValidFrom - c.fleetClockOffset, Backend: string(o.Record.Body), Found: o.OK}}}
 }
 
 // maintainReplication goes on. Nothing is held or said of while it is not known that this disk is the latest that the
@@ -323,7 +322,7 @@
 				acts = append(acts, c.HandleReplicationEffect(now, f)...)
 			}
 		}
-		h.again = append([]relay.Effect(nil), h.again[n:]...)
+		h.again = append([]relay.ReplicationRequest(nil), h.again[n:]...)
 	}
 	if h.older {
 		h.older = false
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -69,10 +69,10 @@
 	udp   *net.UDPConn
 	tcp   net.Listener
 
-	wants chan relay.Effect // what the relay asks of holdings
-	poked chan struct{}     // holdings' time is nearer than it was
-	dueAt float64           // under mutex: when they are looked at next
-	waits sync.Map          // chan bool by token: who waits for an order to be held
+	wants chan relay.ReplicationRequest // what the relay asks of holdings
+	poked chan struct{}                 // holdings' time is nearer than it was
+	dueAt float64                       // under mutex: when they are looked at next
+	waits sync.Map                      // chan bool by token: who waits for an order to be held
 
 	disk  sync.Mutex // over store
 	store *store.Store
@@ -146,13 +146,13 @@
 	if len(r.peers.Voters) > 0 {
 		r.core.FollowCoordinators(r.name, r.peers.Zone, r.peers.Voters, r.key, chance)
 	}
-	tell(relay.Event{Kind: relay.IncarnationChanged})
+	tell(relay.IncarnationChanged{})
 	if r.peers.Copies > 0 {
-		r.wants = make(chan relay.Effect, maxPendingReplications)
+		r.wants = make(chan relay.ReplicationRequest, maxPendingReplications)
 		r.poked, r.dueAt = make(chan struct{}, 1), math.Inf(1)
 		for _, a := range r.core.EnableReplication(r.name, own.Incarnation, r.peers.Copies, r.peers.MarkerRetentionMillis, r.peers.ReplicateAffinity, r.key,
 			chance) {
-			tell(*a.Event)
+			tell(a.Event)
 		}
 		r.goes(r.holds)
 	}
@@ -222,7 +222,7 @@
 		case a.OrderReplicated != nil:
 			r.settled(*a.OrderReplicated)
 		case a.Event != nil:
-			r.tell(*a.Event)
+			r.tell(a.Event)
 		case a.Log != "":
 			r.log.Info("fleet", "what", a.Log)
 		}
@@ -474,7 +474,7 @@
 
 // Replicate has others hold something, or seeks it. It is called under the relay's lock and waits for nothing:
 // where too much waits already, it is not done, and the relay goes on alone.
-func (r *Node) Replicate(f relay.Effect) {
+func (r *Node) Replicate(f relay.ReplicationRequest) {
 	select {
 	case r.wants <- f:
 	default:
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -65,7 +65,7 @@
 // Action is something to do.
 type Action struct {
 	Query string // this relay for what it has kept
-	Event *relay.Event
+	Event relay.Event
 	Log   string
 }
 
@@ -116,7 +116,7 @@
 		k := *d.Snapshot
 		k.Endpoints = nil
 		p.took = append(p.took, "what was learnt, from the disk, late")
-		return []Action{{Event: &relay.Event{Kind: relay.StateRestored, Snapshot: &k}}}
+		return []Action{{Event: relay.StateRestored{Snapshot: &k}}}
 	}
 	return nil
 }
@@ -195,7 +195,7 @@
 	}
 	acts := []Action{p.enter(now, next, p.why)}
 	if kept != nil {
-		acts = append(acts, Action{Event: &relay.Event{Kind: relay.StateRestored, Snapshot: kept}})
+		acts = append(acts, Action{Event: relay.StateRestored{Snapshot: kept}})
 	}
 	return acts
 }
@@ -327,7 +327,7 @@
 			why = "it has taken long enough"
 		}
 		p.part = 0
-		return []Action{p.enter(now, Normal, why), {Event: &relay.Event{Kind: relay.RecoveryChanged, Off: true}}}
+		return []Action{p.enter(now, Normal, why), {Event: relay.RecoveryChanged{}}}
 	}
 	all, present := float64(seen.RejectedLastSecond)+1, 1.0
 	for _, o := range others {
@@ -341,7 +341,7 @@
 		return nil
 	}
 	p.part = part
-	return []Action{{Event: &relay.Event{Kind: relay.RecoveryChanged, CapacityShare: part}}}
+	return []Action{{Event: relay.RecoveryChanged{CapacityShare: part, Recovering: true}}}
 }
 
 // Status is what operators are told.
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -132,11 +132,12 @@
 					}
 					asked[a.Query] = true
 				}
-				if a.Event != nil && a.Event.Kind == relay.StateRestored {
+				if _, restored := a.Event.(relay.StateRestored); restored {
 					recalled++
 				}
-				if a.Event != nil && !(a.Event.CapacityShare >= 0 && a.Event.CapacityShare <= 1) || math.IsNaN(p.part) {
-					t.Fatal("a part that can't be", a.Event.CapacityShare)
+				changed, _ := a.Event.(relay.RecoveryChanged)
+				if !(changed.CapacityShare >= 0 && changed.CapacityShare <= 1) || math.IsNaN(p.part) {
+					t.Fatal("a part that can't be", changed.CapacityShare)
 				}
 			}
 			if now > 1000+askTime+500 && p.Phase() < Admitting {
@@ -158,6 +159,8 @@
 	assert.NotEmpty(t, acts)
 	acts = p.ReceiveDisk(10000, DiskResult{Snapshot: kept(5, 3, "active")})
 	require.Len(t, acts, 1)
-	assert.Nil(t, acts[0].Event.Snapshot.Endpoints)
-	assert.Equal(t, 5.0, acts[0].Event.Snapshot.Capacity)
+	restored, ok := acts[0].Event.(relay.StateRestored)
+	require.True(t, ok)
+	assert.Nil(t, restored.Snapshot.Endpoints)
+	assert.Equal(t, 5.0, restored.Snapshot.Capacity)
 }
--- a/internal/relay/backends.go
+++ b/internal/relay/backends.go
@@ -55,7 +55,7 @@
 	}
 	var all []BackendStatus
 	for _, backend := range m.backends {
-		links, heard, out := m.table.Balancer.BackendStatus(backend.id)
+		links, heard, out := m.dispatcher.Balancer.BackendStatus(backend.id)
 		all = append(all, BackendStatus{Name: backend.Name, Established: len(backend.sessions), Attempts: tries[backend], Reserved: links,
 			ReportAgeMillis: now - heard, Ejected: out})
 	}
@@ -103,7 +103,7 @@
 // applyEndpoints takes news of the list.
 func (m *StateMachine) applyEndpoints(news *EndpointUpdate) {
 	m.endpointsIndex = news.Index
-	m.table.Balancer.BeginEndpointUpdate(news.Complete)
+	m.dispatcher.Balancer.BeginEndpointUpdate(news.Complete)
 	named := map[*backend]bool{}
 	for _, e := range news.Endpoints {
 		if e.Invalid != "" {
@@ -127,13 +127,13 @@
 		default:
 			backend.condition = balancer.Gone
 		}
-		m.table.Balancer.UpdateEndpoint(backend.id, m.zoneNumber(e.Zone), backend.condition, e.Group, m.localStartTime(e), e.Weight)
+		m.dispatcher.Balancer.UpdateEndpoint(backend.id, m.zoneNumber(e.Zone), backend.condition, e.Group, m.localStartTime(e), e.Weight)
 		if backend.pollConn != nil && moved {
 			m.failPoll(backend)
 		}
 	}
 	m.removeSuperseded(named)
-	m.table.Balancer.EndEndpointUpdate(m.now)
+	m.dispatcher.Balancer.EndEndpointUpdate(m.now)
 	for _, backend := range m.backendOrder {
 		if news.Complete && !named[backend] {
 			backend.condition = balancer.Gone
@@ -144,7 +144,7 @@
 		if backend.condition == balancer.Gone && backend.pollConn != nil {
 			m.failPoll(backend)
 		}
-		if booked, _, _ := m.table.Balancer.BackendStatus(backend.id); backend.condition == balancer.Gone && booked == 0 {
+		if booked, _, _ := m.dispatcher.Balancer.BackendStatus(backend.id); backend.condition == balancer.Gone && booked == 0 {
 			// Against a fleet whose names never come again filling the memory. One with a try out stays: under
 			// the same name it may come again, and its links would be on a backend that nothing tells of.
 			delete(m.backends, backend.Name)
@@ -169,56 +169,79 @@
 		if by := at[backend.Address]; by != nil && !named[backend] && backend.condition != balancer.Gone {
 			m.log("backend's address is another's now", "backend", backend.Name, "by", by.Name)
 			backend.condition = balancer.Gone
-			m.table.Balancer.UpdateEndpoint(backend.id, m.zoneNumber(backend.Zone), balancer.Gone, backend.Group, m.localStartTime(backend.Endpoint), backend.Weight)
+			m.dispatcher.Balancer.UpdateEndpoint(backend.id, m.zoneNumber(backend.Zone), balancer.Gone, backend.Group, m.localStartTime(backend.Endpoint), backend.Weight)
 		}
 	}
 }
 
-// handleWatch takes what the watch brought.
-func (m *StateMachine) handleWatch(e Event) {
-	if e.Kind == WatchFailed {
-		m.watchFailed(e.Err.Error())
+// endpointsUpdated takes the list, or changes of it, from the watch.
+func (m *StateMachine) endpointsUpdated(e EndpointsUpdated) {
+	if e.Watch != m.watchID {
 		return
 	}
-	m.setTimer(&m.watchTimer, m.now+heartbeatTimeout)
-	m.discoveryHeardAt, m.watchAnswered = m.now, true
-	if e.Endpoints != nil && e.Endpoints.DiscoveryTime > 0 {
-		m.discoveryClockOffset = e.Endpoints.DiscoveryTime - m.now
-	}
-	m.endpointsConfirmed = m.endpointsConfirmed || e.Kind == EndpointsUpdated || m.watchedAfter > 0
-	if e.Kind == WatchHeartbeat {
-		return
+	m.discoveryHeard()
+	if e.Update.DiscoveryTime > 0 {
+		m.discoveryClockOffset = e.Update.DiscoveryTime - m.now
 	}
-	if e.Endpoints.Index < m.endpointsIndex && (m.watchedAfter > 0 || !e.Endpoints.Complete) {
-		// Against a list older than the one held: all of it is asked for. At once, where this one began elsewhere:
-		// a discovery that counts anew may have told a drain just now.
-		m.endpointsIndex = 0
-		if m.watchedAfter > 0 {
-			m.log("version went back", "to", e.Endpoints.Index)
-			m.startWatch()
-			return
-		}
-		m.emit(Effect{Kind: StopWatch})
-		m.watchFailed("version went back")
+	m.endpointsConfirmed = true
+	if e.Update.Index < m.endpointsIndex && (m.watchedAfter > 0 || !e.Update.Complete) {
+		m.restartFromOlderVersion(e.Update.Index)
 		return
 	}
 	m.awaitsNewDiscovery = false
 	m.stopTimer(&m.renewTimer)
-	if e.Endpoints.Complete && !m.hasParent && !m.hasChild {
+	if e.Update.Complete && !m.hasParent && !m.hasChild {
 		m.siblingDrained = nil
 	}
-	m.applyEndpoints(e.Endpoints)
+	m.applyEndpoints(e.Update)
 	m.endpointsReceived = true
 	if m.hasParent || m.hasChild {
-		m.emit(Effect{Kind: SendEndpoints, Endpoints: m.currentEndpoints()})
+		m.effects.add(&SendEndpoints{Update: m.currentEndpoints()})
+	}
+}
+
+// restartFromOlderVersion asks for the whole list where discovery has gone back to an older version than the one held.
+// It does so at once where this watch began at a later version: a discovery that counts anew may have drained a backend
+// just now.
+func (m *StateMachine) restartFromOlderVersion(index uint64) {
+	m.endpointsIndex = 0
+	if m.watchedAfter > 0 {
+		m.log("version went back", "to", index)
+		m.startWatch()
+		return
+	}
+	m.effects.add(&StopWatch{})
+	m.watchFailed("version went back")
+}
+
+// watchHeartbeat takes an empty line of the watch: the list that it was asked to follow still holds.
+func (m *StateMachine) watchHeartbeat(e WatchHeartbeat) {
+	if e.Watch != m.watchID {
+		return
 	}
+	m.discoveryHeard()
+	m.endpointsConfirmed = m.endpointsConfirmed || m.watchedAfter > 0
+}
+
+// watchEnded takes the end of the watch.
+func (m *StateMachine) watchEnded(e WatchFailed) {
+	if e.Watch == m.watchID {
+		m.watchFailed(e.Err.Error())
+	}
+}
+
+// discoveryHeard takes that the watch has brought something.
+func (m *StateMachine) discoveryHeard() {
+	m.setTimer(&m.watchTimer, m.now+heartbeatTimeout)
+	m.discoveryHeardAt = m.now
+	m.watchAnswered = true
 }
 
 func (m *StateMachine) watchFailed(why string) {
 	m.log("watch failed", "why", why)
 	m.watchID = 0
 	m.stopTimer(&m.watchTimer)
-	m.table.Balancer.WatchFailed(m.now)
+	m.dispatcher.Balancer.WatchFailed(m.now)
 	// The module's waits grow beyond the time in which a new discovery counts as having told, and in which
 	// another process of this relay has been told.
 	if m.awaitsNewDiscovery || m.hasChild {
@@ -228,16 +251,18 @@
 
 // reloadConfig takes that the file was read again. Against a discovery that counts its versions afresh, the whole
 // list is asked for; until it comes, what was known stays.
-func (m *StateMachine) reloadConfig(e Event) {
+func (m *StateMachine) reloadConfig(e ConfigReloaded) {
 	if e.Err != nil {
 		m.FailedReloads++
 		m.log("reload refused, all stays as it was", "why", e.Err.Error())
 		return
 	}
 	m.Reloads++
-	m.log("reloaded", "discovery", e.Address, "changed", e.Address != m.discoveryAddress)
-	if e.Address != m.discoveryAddress {
-		m.discoveryAddress, m.awaitsNewDiscovery, m.endpointsIndex = e.Address, true, 0
+	m.log("reloaded", "discovery", e.DiscoveryAddress, "changed", e.DiscoveryAddress != m.discoveryAddress)
+	if e.DiscoveryAddress != m.discoveryAddress {
+		m.discoveryAddress = e.DiscoveryAddress
+		m.awaitsNewDiscovery = true
+		m.endpointsIndex = 0
 		m.startWatch()
 	}
 }
@@ -250,7 +275,7 @@
 		m.startWatch()
 		return
 	}
-	m.emit(Effect{Kind: StopWatch})
+	m.effects.add(&StopWatch{})
 	m.watchFailed("silent")
 }
 
@@ -264,7 +289,7 @@
 	if m.hasChild || len(m.siblingDrained) > 0 {
 		m.watchedAfter = 0
 	}
-	m.emit(Effect{Kind: StartWatch, Conn: m.watchID, AfterIndex: m.watchedAfter, Text: m.discoveryAddress})
+	m.effects.add(&StartWatch{Watch: m.watchID, After: m.watchedAfter, Address: m.discoveryAddress})
 	m.setTimer(&m.watchTimer, m.now+answerTimeout)
 }
 
@@ -280,13 +305,13 @@
 	m.Polls++
 	backend := m.backendsByID[id]
 	if backend == nil { // gone since the module wanted it asked
-		m.table.Balancer.PollFinished(m.now, id, false, nil)
+		m.dispatcher.Balancer.PollFinished(m.now, id, false, nil)
 		return
 	}
 	if backend.pollConn == nil && len(m.conns)+m.maxAwaiting() >= m.ownDescriptors {
 		// Against probes taking what clients come in by: while the elder process has most descriptors, and as many
 		// servers join beside links that stand.
-		m.table.Balancer.PollNotSent(id)
+		m.dispatcher.Balancer.PollNotSent(id)
 		return
 	}
 	backend.pollPending = true
@@ -307,30 +332,29 @@
 	}
 }
 
-func (m *StateMachine) handlePollConn(conn *connection, e Event) {
+// pollConnEstablished sends the poll that waits for its connection.
+func (m *StateMachine) pollConnEstablished(conn *connection) {
+	conn.isUp = true
+	if conn.backend.pollPending {
+		m.sendPoll(conn.backend)
+	}
+}
+
+// receivePollAnswer takes what a backend answers to a poll.
+func (m *StateMachine) receivePollAnswer(conn *connection, data []byte) {
 	backend := conn.backend
-	switch e.Kind {
-	case ConnEstablished:
-		conn.isUp = true
-		if backend.pollPending {
-			m.sendPoll(backend)
+	for backend.pollConn == conn {
+		line, rest, err := conn.input.Next(data)
+		if err != nil {
+			m.failPoll(backend)
+			return
 		}
-	case ConnClosed:
-		m.failPoll(backend)
-	case DataReceived:
-		for data := e.Data; backend.pollConn == conn; {
-			line, rest, err := conn.input.Next(data)
-			if err != nil {
-				m.failPoll(backend)
-				return
-			}
-			if line == nil {
-				return
-			}
-			data = rest
-			verb, said := protocol.CutVerb(line)
-			m.finishPoll(backend, string(verb) == "PONG", protocol.ParseReport(said, m.reportFields))
+		if line == nil {
+			return
 		}
+		data = rest
+		verb, said := protocol.CutVerb(line)
+		m.finishPoll(backend, string(verb) == "PONG", protocol.ParseReport(said, m.reportFields))
 	}
 }
 
@@ -342,9 +366,9 @@
 	m.stopTimer(&backend.pollConn.deadline)
 	if conn := backend.pollConn; m.isShortOfDescriptors() { // against probes of a fleet that grows holding what clients come by
 		backend.pollConn = nil
-		m.dropConn(conn, Close)
+		m.dropConn(conn, gracefully)
 	}
-	m.table.PollFinished(m.now, backend.id, ok, report)
+	m.dispatcher.PollFinished(m.now, backend.id, ok, report)
 }
 
 // failPoll ends the connection for probes; a probe that was out has failed.
@@ -352,15 +376,15 @@
 	conn := backend.pollConn
 	out := backend.pollPending
 	backend.pollConn, backend.pollPending = nil, false
-	m.dropConn(conn, Reset)
+	m.dropConn(conn, byReset)
 	if out {
-		m.table.PollFinished(m.now, backend.id, false, nil)
+		m.dispatcher.PollFinished(m.now, backend.id, false, nil)
 		m.migrateFromSilent(backend)
 	}
 }
 
 func (m *StateMachine) recordReport(backend *backend, said []byte) {
 	if report := protocol.ParseReport(said, m.reportFields); report != nil {
-		m.table.Balancer.LoadReported(m.now, backend.id, report)
+		m.dispatcher.Balancer.LoadReported(m.now, backend.id, report)
 	}
 }
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -25,27 +25,40 @@
 	require.NoError(t, err)
 	var play func(e Event)
 	play = func(e Event) {
-		for _, f := range append([]Effect(nil), r.Handle(now, e)...) {
-			switch {
-			case f.Kind == Dial:
-				play(Event{Kind: ConnEstablished, Conn: f.Conn})
-			case f.Kind == Write && f.Conn >= firstDialedID && string(f.Chunks[0]) == "STATS\r\n":
-				play(Event{Kind: DataReceived, Conn: f.Conn, Data: []byte("PONG x0=0.3\r\n")})
-			case f.Kind == Write && f.Conn >= firstDialedID:
-				server = f.Conn
-				play(Event{Kind: DataReceived, Conn: f.Conn, Data: []byte("UP receipt\r\n")})
-			}
+		for _, next := range answersOf(r.Handle(now, e), &server) {
+			play(next)
 		}
 	}
 	for ; now < 3000; now += 5 {
-		play(Event{Kind: TimerFired})
+		play(TimerFired{})
 	}
-	play(Event{Kind: ConnAccepted, Conn: 1})
-	play(Event{Kind: DataReceived, Conn: 1, Data: []byte("OPEN id 1 c=feed,t=one,d=1000\r\n")})
+	play(ConnAccepted{Conn: 1})
+	play(DataReceived{Conn: 1, Data: []byte("OPEN id 1 c=feed,t=one,d=1000\r\n")})
 	require.Equal(t, 1, r.Established)
 	return r, now, 1, server
 }
 
+// answersOf are the events by which backends answer the effects: each connection comes up, each poll and each request
+// is answered. The connection of the last request goes to server.
+func answersOf(effects []Effect, server *uint64) (answers []Event) {
+	for _, effect := range effects {
+		switch f := effect.(type) {
+		case *Dial:
+			answers = append(answers, ConnEstablished{Conn: f.Conn})
+		case *Write:
+			switch {
+			case f.Conn < firstDialedID:
+			case string(f.Chunks[0]) == "STATS\r\n":
+				answers = append(answers, DataReceived{Conn: f.Conn, Data: []byte("PONG x0=0.3\r\n")})
+			default:
+				*server = f.Conn
+				answers = append(answers, DataReceived{Conn: f.Conn, Data: []byte("UP receipt\r\n")})
+			}
+		}
+	}
+	return answers
+}
+
 // A line each way through a relay, by the size of the fleet.
 func BenchmarkLine(b *testing.B) {
 	for _, n := range []int{20, 200, 1000, 5000} {
@@ -55,8 +68,8 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				r.Handle(now, Event{Kind: DataReceived, Conn: client, Data: up})
-				r.Handle(now, Event{Kind: DataReceived, Conn: server, Data: down})
+				r.Handle(now, DataReceived{Conn: client, Data: up})
+				r.Handle(now, DataReceived{Conn: server, Data: down})
 			}
 		})
 	}
@@ -67,21 +80,47 @@
 	r, now, client, server := fleetOf(t, 200)
 	up, down := []byte("a line of a client\r\n"), []byte("a line of a server\r\n")
 	said := 0
-	pass := func() {
-		for _, f := range r.Handle(now, Event{Kind: DataReceived, Conn: client, Data: up}) {
-			if f.Kind == Write && f.Conn == server && string(f.Chunks[0]) == string(up) {
-				said++
-			}
-		}
-		for _, f := range r.Handle(now, Event{Kind: DataReceived, Conn: server, Data: down}) {
-			if f.Kind == Write && f.Conn == client && string(f.Chunks[0]) == string(down) {
+	written := func(effects []Effect, conn uint64, line []byte) {
+		for _, effect := range effects {
+			if f, ok := effect.(*Write); ok && f.Conn == conn && string(f.Chunks[0]) == string(line) {
 				said++
 			}
 		}
 	}
+	pass := func() {
+		written(r.Handle(now, DataReceived{Conn: client, Data: up}), server, up)
+		written(r.Handle(now, DataReceived{Conn: server, Data: down}), client, down)
+	}
 	for range 10 {
 		pass()
 	}
 	require.Zero(t, testing.AllocsPerRun(100, pass))
 	require.Equal(t, 2*111, said)
 }
+
+// placeAndEnd has a client come, its session placed and established at a backend, and the client leave again.
+func placeAndEnd(tb testing.TB, r *StateMachine, now float64, client uint64, request, answer []byte) {
+	tb.Helper()
+	r.Handle(now, ConnAccepted{Conn: client})
+	backend := uint64(0)
+	for _, effect := range r.Handle(now, DataReceived{Conn: client, Data: request}) {
+		if dial, ok := effect.(*Dial); ok {
+			backend = dial.Conn
+		}
+	}
+	require.NotZero(tb, backend)
+	r.Handle(now, ConnEstablished{Conn: backend})
+	r.Handle(now, DataReceived{Conn: backend, Data: answer})
+	r.Handle(now, ConnClosed{Conn: client})
+}
+
+// A session from its client's coming to its end.
+func BenchmarkSession(b *testing.B) {
+	r, now, client, _ := fleetOf(b, 20)
+	request, answer := []byte("OPEN other 1 c=feed,t=one,d=1000\r\n"), []byte("UP receipt\r\n")
+	b.ReportAllocs()
+	b.ResetTimer()
+	for i := range b.N {
+		placeAndEnd(b, r, now+float64(i)*0.1, client+1+uint64(i), request, answer)
+	}
+}
--- a/internal/relay/closing.go
+++ b/internal/relay/closing.go
@@ -23,7 +23,7 @@
 )
 
 // end closes a connection that the reducer is done with, or stops it from being dialed. The lock is held.
-func (s *Sockets) end(conn uint64, how EffectKind) {
+func (s *Sockets) end(conn uint64, how closeMode) {
 	if d := s.dialing[conn]; d != nil {
 		delete(s.dialing, conn)
 		d.giveUp()
@@ -32,7 +32,7 @@
 	c := s.open[conn]
 	switch {
 	case c == nil:
-	case how == Reset:
+	case how == byReset:
 		delete(s.open, conn)
 		c.nb.SetLinger(1, 0)
 		c.nb.Close()
@@ -151,7 +151,7 @@
 func (s *Sockets) endAll() {
 	s.closeListener()
 	s.waitFor(lastCloses, func() bool { return s.reducer.isIdle() })
-	s.take(Event{Kind: ProcessExiting})
+	s.take(ProcessExiting{})
 	s.waitFor(lastWrites, func() bool { return s.unsent() == 0 })
 	s.waitFor(lastCloses, func() bool { return len(s.closing) == 0 })
 }
--- a/internal/relay/dialing.go
+++ b/internal/relay/dialing.go
@@ -52,10 +52,10 @@
 			s.mutex.Lock()
 			delete(s.dialing, conn)
 			s.mutex.Unlock()
-			s.take(Event{Kind: ConnClosed, Conn: conn, Reset: true})
+			s.take(ConnClosed{Conn: conn, Reset: true})
 			return
 		}
-		if s.hold(conn, plain, ConnEstablished) {
+		if s.hold(conn, plain, true) {
 			s.tellUp(conn, client)
 		}
 	})
@@ -68,10 +68,10 @@
 	defer s.mutex.Unlock()
 	if c := s.open[client]; c != nil {
 		if over, broken := c.peerClosed(); over {
-			s.tell(Event{Kind: ConnClosed, Conn: client, Reset: broken})
+			s.tell(ConnClosed{Conn: client, Reset: broken})
 		}
 	}
-	s.tell(Event{Kind: ConnEstablished, Conn: conn})
+	s.tell(ConnEstablished{Conn: conn})
 }
 
 // peerClosed tells whether the peer has closed or reset the connection, with nothing left to be read before that.
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -114,7 +114,7 @@
 	go func() {
 		err := d.follow(ctx, address, number, after)
 		stop()
-		d.take(Event{Kind: WatchFailed, Conn: number, Err: err})
+		d.take(WatchFailed{Watch: number, Err: err})
 	}()
 }
 
@@ -136,7 +136,7 @@
 	stream := jsonstream.NewScanner(answer.Body)
 	for stream.Scan() {
 		if len(stream.Object()) == 0 {
-			d.take(Event{Kind: WatchHeartbeat, Conn: number})
+			d.take(WatchHeartbeat{Watch: number})
 			continue
 		}
 		news, err := readNews(stream.Object())
@@ -146,7 +146,7 @@
 		if clock > 0 {
 			news.DiscoveryTime = clock + float64(time.Since(came))/float64(time.Millisecond)
 		}
-		d.take(Event{Kind: EndpointsUpdated, Conn: number, Endpoints: news})
+		d.take(EndpointsUpdated{Watch: number, Update: news})
 	}
 	switch err := stream.Err(); {
 	case errors.Is(err, jsonstream.ErrNotObject), errors.Is(err, jsonstream.ErrNesting):
--- a/internal/relay/figures.go
+++ b/internal/relay/figures.go
@@ -21,7 +21,7 @@
 	for _, a := range r.answers {
 		to = append(to, a.served, a.refused, a.failed)
 	}
-	known, excluded := r.table.Balancer.Counts()
+	known, excluded := r.dispatcher.Balancer.Counts()
 	return append(to, r.RequestsSent, uint64(r.sessions), uint64(known), uint64(excluded))
 }
 
@@ -84,7 +84,7 @@
 
 // SetDraining is answered once the event is taken.
 func (c calls) SetDraining(on bool) error {
-	c.take(Event{Kind: DrainRequested, Off: !on})
+	c.take(DrainRequested{On: on})
 	c.mutex.Lock()
 	stopping := !on && c.reducer.stopping
 	c.mutex.Unlock()
--- a/internal/relay/handoff.go
+++ b/internal/relay/handoff.go
@@ -52,7 +52,7 @@
 // buildHandoff is what this process knows now.
 func (m *StateMachine) buildHandoff() *Handoff {
 	h := &Handoff{Version: handoffVersion, CreatedAt: m.now, Endpoints: m.currentEndpoints(),
-		Balancer: m.table.Balancer.Snapshot(m.now), Descriptors: m.ownDescriptors + m.siblingReserve(), Sessions: min(m.ownSessions, math.MaxInt32)}
+		Balancer: m.dispatcher.Balancer.Snapshot(m.now), Descriptors: m.ownDescriptors + m.siblingReserve(), Sessions: min(m.ownSessions, math.MaxInt32)}
 	kept := h.Balancer.Backends[:0]
 	for _, s := range h.Balancer.Backends {
 		if backend := m.backendsByID[s.ID]; backend != nil {
@@ -87,7 +87,7 @@
 			record.Backends = append(record.Backends, s)
 		}
 	}
-	if err := m.table.Balancer.Restore(m.now, &record); err != nil {
+	if err := m.dispatcher.Balancer.Restore(m.now, &record); err != nil {
 		return err
 	}
 	m.log("took over what the elder process knew", "age ms", math.Round(m.now-h.CreatedAt), "backends",
@@ -96,11 +96,11 @@
 }
 
 // updateSiblings takes which other processes of this relay are alive.
-func (m *StateMachine) updateSiblings(e Event) {
+func (m *StateMachine) updateSiblings(e SiblingProcessesChanged) {
 	if e.HasChild != m.hasChild {
 		m.log("younger process", "there", e.HasChild)
 		m.hasChild = e.HasChild
-		m.table.Balancer.SetDraining(e.HasChild) // it has the budgets from here on
+		m.dispatcher.Balancer.SetDraining(e.HasChild) // it has the budgets from here on
 		if e.HasChild {
 			m.Subscribe()
 		}
@@ -114,7 +114,7 @@
 		m.startWatch() // what another process was told holds until discovery tells this one
 	}
 	if e.HasChild && e.WantsHandoff {
-		m.emit(Effect{Kind: SendHandoff, Handoff: m.buildHandoff()})
+		m.effects.add(&SendHandoff{Handoff: m.buildHandoff()})
 	}
 }
 
@@ -210,7 +210,7 @@
 
 // requestTransfer has the sockets pass the link on when they can.
 func (m *StateMachine) requestTransfer(session *session) {
-	m.emit(Effect{Kind: TransferSession, Conn: session.clientConn.id, Peer: session.backendConn.id})
+	m.effects.add(&TransferSession{ClientConn: session.clientConn.id, BackendConn: session.backendConn.id})
 }
 
 func nameOf(names map[string]int, number int) string {
@@ -238,7 +238,7 @@
 	if session.backendConn.backend.condition != balancer.Ready && session.migrationTimer.position > 0 {
 		p.LeavesInMillis = max(session.migrationTimer.at-m.now, 0)
 	}
-	m.emit(Effect{Kind: SessionDetached, Conn: connID, Session: p})
+	m.effects.add(&SessionDetached{Conn: connID, Session: p})
 }
 
 // finishTransfer takes that the younger process has the link, or that it stays.
@@ -250,9 +250,9 @@
 	session := conn.session
 	session.state = established
 	if gone {
-		m.endSession(session, TransferredToChild, Close) // the sockets have none of it any more
+		m.endSession(session, TransferredToChild, gracefully) // the sockets have none of it any more
 	} else if session.brokeInTransfer {
-		m.endSession(session, BackendClosed, Reset)
+		m.endSession(session, BackendClosed, byReset)
 	}
 }
 
@@ -295,7 +295,7 @@
 	session.backendConn.input.Restore(p.PartialLine)
 	m.sessions++
 	m.sessionsByID[session.id] = session
-	m.table.Balancer.SessionReceived(m.now, &session.Entry.Session, backend.id, p.Load, p.LoadMeasured)
+	m.dispatcher.Balancer.SessionReceived(m.now, &session.Entry.Session, backend.id, p.Load, p.LoadMeasured)
 	m.addEstablished(session)
 	if p.AwaitsReply {
 		m.setTimer(&session.stateTimer, m.now+replyTimeout)
@@ -308,5 +308,5 @@
 	default:
 		m.scheduleMigration(backend, session, len(backend.sessions)-1)
 	}
-	m.emit(Effect{Kind: SessionAccepted, Conn: connID, Peer: session.backendConn.id})
+	m.effects.add(&SessionAccepted{Conn: connID, BackendConn: session.backendConn.id})
 }
--- a/internal/relay/replication.go
+++ b/internal/relay/replication.go
@@ -21,17 +21,24 @@
 	lookupTimeShare    = 0.25 // of the time it has left
 )
 
+// enableReplication has records held at other relays from now on.
+func (m *StateMachine) enableReplication(e ReplicationEnabled) {
+	m.replicationEnabled = true
+	m.markerRetention = e.MarkerRetentionMillis
+	m.affinityReplicated = e.Affinity
+}
+
 // replicateRejection has others hold what the link's client is about to be told; false: it is told at once.
 func (m *StateMachine) replicateRejection(session *session, wait float64) bool {
 	if !m.replicationEnabled || !m.recovering || session.Key == 0 || wait <= 0 || session.clientConn == nil || m.now+2*replicationTimeout > session.Deadline {
 		return false
 	}
-	m.table.Forget(session)
+	m.dispatcher.Forget(session)
 	session.state, session.deadline = replicating, m.now+wait // giveUp is when it is to come
 	connID := session.clientConn.id
 	session.stateTimer.fire = func() { m.recordReplicated(connID, false) }
 	m.setTimer(&session.stateTimer, m.now+replicationTimeout)
-	m.emit(Effect{Kind: Replicate, Conn: connID, Key: session.Key, At: session.deadline})
+	m.effects.replicate(ReplicationRequest{Operation: Replicate, Conn: connID, Key: session.Key, At: session.deadline})
 	return true
 }
 
@@ -52,7 +59,7 @@
 	}
 	if held {
 		m.RejectionsReplicated++
-		m.table.Balancer.DropReservation(session.Key)
+		m.dispatcher.Balancer.DropReservation(session.Key)
 	} else {
 		m.RejectionsUnreplicated++
 	}
@@ -63,14 +70,14 @@
 // once asks for it again, and goes first by then.
 func (m *StateMachine) lookUpReservation(session *session) {
 	if m.replicationEnabled && m.recovering && session.Key != 0 {
-		m.emit(Effect{Kind: Lookup, Key: session.Key})
+		m.effects.replicate(ReplicationRequest{Operation: Lookup, Key: session.Key})
 	}
 }
 
 // recordFound takes what was found.
-func (m *StateMachine) recordFound(e Event) {
+func (m *StateMachine) recordFound(e RecordFound) {
 	if e.Record == ReservationRecord {
-		m.table.Balancer.RestoreReservations(m.now, map[uint64]float64{e.Key: e.At})
+		m.dispatcher.Balancer.RestoreReservations(m.now, map[uint64]float64{e.Key: e.At})
 	} else if conn := m.conns[e.Conn]; conn != nil && conn.session != nil && conn.session.state == lookingUp {
 		m.finishLookup(conn.session, e)
 	}
@@ -89,8 +96,7 @@
 	}
 	conn := session.backendConn
 	session.markerConn, session.markerDeadline = conn.id, min(m.now+replicationTimeout, session.deadline)
-	m.emit(Effect{Kind: Replicate, Record: AttemptRecord, Conn: conn.id, Key: session.Key, At: session.Deadline + m.markerRetention,
-		Text: conn.backend.Name})
+	m.effects.replicate(ReplicationRequest{Operation: Replicate, Record: AttemptRecord, Conn: conn.id, Key: session.Key, At: session.Deadline + m.markerRetention, Backend: conn.backend.Name})
 }
 
 // awaitMarker tells whether the head still waits for that. Meanwhile nothing has gone out.
@@ -128,7 +134,7 @@
 // releaseMarker takes the mark back: its client has the answer, or nothing ran.
 func (m *StateMachine) releaseMarker(session *session) {
 	if session.markerConn != 0 {
-		m.emit(Effect{Kind: Release, Record: AttemptRecord, Conn: session.markerConn, Key: session.Key})
+		m.effects.replicate(ReplicationRequest{Operation: Release, Record: AttemptRecord, Conn: session.markerConn, Key: session.Key})
 		session.markerConn, session.markerDeadline = 0, 0
 	}
 }
@@ -137,7 +143,7 @@
 func (m *StateMachine) replicateAffinity(session *session) {
 	if m.affinityReplicated && (session.AffinityGroup != 0 || session.Key != 0) {
 		session.affinityConn = session.backendConn.id
-		m.emit(Effect{Kind: Replicate, Record: AffinityRecord, Conn: session.affinityConn, Key: affinityKey(session), Text: session.backendConn.backend.Name})
+		m.effects.replicate(ReplicationRequest{Operation: Replicate, Record: AffinityRecord, Conn: session.affinityConn, Key: affinityKey(session), Backend: session.backendConn.backend.Name})
 	}
 }
 
@@ -153,7 +159,7 @@
 // have others there.
 func (m *StateMachine) releaseAffinity(session *session, how EndReason) {
 	if session.affinityConn != 0 && session.AffinityGroup == 0 && (how == ClientClosed || how == BackendFinished) {
-		m.emit(Effect{Kind: Release, Record: AffinityRecord, Conn: session.affinityConn, Key: affinityKey(session)})
+		m.effects.replicate(ReplicationRequest{Operation: Release, Record: AffinityRecord, Conn: session.affinityConn, Key: affinityKey(session)})
 	}
 }
 
@@ -167,7 +173,7 @@
 	ask := func(word RecordKind, key uint64, longest float64) {
 		wait = max(wait, min(longest, (session.Deadline-m.now)*lookupTimeShare))
 		session.pendingLookups++
-		m.emit(Effect{Kind: Lookup, Record: word, Conn: connID, Key: key, At: m.now + wait})
+		m.effects.replicate(ReplicationRequest{Operation: Lookup, Record: word, Conn: connID, Key: key, At: m.now + wait})
 	}
 	if m.affinityReplicated && (session.AffinityGroup != 0 || session.Key != 0) {
 		ask(AffinityRecord, affinityKey(session), replicationTimeout)
@@ -185,20 +191,20 @@
 }
 
 // finishLookup takes what was said of the link's client, and has it placed once there is nothing more to wait for.
-func (m *StateMachine) finishLookup(session *session, e Event) {
-	backend := m.backends[e.Address]
+func (m *StateMachine) finishLookup(session *session, e RecordFound) {
+	backend := m.backends[e.Backend]
 	switch {
-	case e.Off:
+	case !e.Found:
 	case e.Record == AttemptRecord:
 		m.RepeatsDetected++
 		id := uint32(0) // of no server that is known: then the scope of a referenced link isn't either
 		if backend != nil {
 			id = backend.id
 		}
-		m.table.Balancer.RecordEarlierAttempt(&session.Entry.Session, id, e.At)
+		m.dispatcher.Balancer.RecordEarlierAttempt(&session.Entry.Session, id, e.At)
 	case backend != nil:
 		m.AffinityHits++
-		m.table.Balancer.PreferBackend(&session.Entry.Session, backend.id)
+		m.dispatcher.Balancer.PreferBackend(&session.Entry.Session, backend.id)
 	}
 	if session.pendingLookups--; session.pendingLookups <= 0 {
 		m.assign(session)
@@ -208,5 +214,5 @@
 func (m *StateMachine) assign(session *session) {
 	m.stopTimer(&session.stateTimer)
 	session.state, session.pendingLookups = queued, 0
-	m.table.Assign(m.now, session)
+	m.dispatcher.Assign(m.now, session)
 }
--- a/internal/relay/snapshot.go
+++ b/internal/relay/snapshot.go
@@ -50,9 +50,9 @@
 
 // Status is that.
 func (m *StateMachine) Status(now float64) Status {
-	cold, usable := m.table.Balancer.WarmingUp(now)
+	cold, usable := m.dispatcher.Balancer.WarmingUp(now)
 	return Status{Now: now, EndpointsConfirmed: m.endpointsConfirmed, Index: m.endpointsIndex, Rejected: int(m.Rejected), Sessions: m.sessions, WarmingUp: cold,
-		Usable: usable, DiscoveryClockOffset: m.discoveryClockOffset, UnreportedLoad: m.table.Balancer.UnreportedLoad()}
+		Usable: usable, DiscoveryClockOffset: m.discoveryClockOffset, UnreportedLoad: m.dispatcher.Balancer.UnreportedLoad()}
 }
 
 // ClassLoad is what links of one category weigh, and how many that stands on.
@@ -94,9 +94,9 @@
 
 // Snapshot is what this relay would keep now.
 func (m *StateMachine) Snapshot() *Snapshot {
-	l := m.table.Balancer.Estimates()
+	l := m.dispatcher.Balancer.Estimates()
 	k := &Snapshot{Version: snapshotVersion, Capacity: l.Capacity, MeanLoad: l.MeanSessionLoad, OwnLoad: l.OwnLoad,
-		EstimatedLoad: l.ReportedLoad, Classes: map[string]ClassLoad{}, RetryAt: m.table.Balancer.Reservations(m.now)}
+		EstimatedLoad: l.ReportedLoad, Classes: map[string]ClassLoad{}, RetryAt: m.dispatcher.Balancer.Reservations(m.now)}
 	for name, i := range m.classes {
 		if i < len(l.ClassLoads) {
 			k.Classes[name] = ClassLoad{Load: l.ClassLoads[i], Weight: l.ClassSamples[i]}
@@ -129,7 +129,7 @@
 			l.ClassLoads[i], l.ClassSamples[i] = c.Load, c.Weight
 		}
 	}
-	decider := m.table.Balancer
+	decider := m.dispatcher.Balancer
 	learnt := decider.RestoreEstimates(l)
 	decider.RestoreReservations(m.now, k.RetryAt)
 	listed := 0
@@ -157,7 +157,7 @@
 
 // setRecovering takes that the whole fleet lost power, or that it has recovered.
 func (m *StateMachine) setRecovering(on bool, part float64) {
-	m.table.Balancer.SetRecovering(on, part)
+	m.dispatcher.Balancer.SetRecovering(on, part)
 	if on != m.recovering {
 		m.log("recovery of the fleet", "on", on)
 	}
@@ -174,7 +174,7 @@
 
 // setClockAhead takes how far this relay's clock is ahead of what the fleet takes for right.
 func (m *StateMachine) setClockAhead(ahead float64) {
-	m.table.Balancer.ShiftStartTimes(ahead - m.clockAhead)
+	m.dispatcher.Balancer.ShiftStartTimes(ahead - m.clockAhead)
 	m.log("clock", "ahead of the fleet's, ms", math.Round(ahead))
 	m.clockAhead = ahead
 }
@@ -187,7 +187,7 @@
 // resumeAfterSuspend takes that this process was stopped and goes on now. The watch gets the time to say what it has.
 func (m *StateMachine) resumeAfterSuspend(now float64) {
 	m.log("stopped for a while", "ms", math.Round(now-m.timers[0].at))
-	m.table.Balancer.Pause(now + resumeReadTime)
+	m.dispatcher.Balancer.Pause(now + resumeReadTime)
 	if m.watchTimer.position > 0 && m.watchTimer.at < now+resumeReadTime {
 		m.setTimer(&m.watchTimer, now+resumeReadTime)
 	}
--- a/internal/relay/sockets.go
+++ b/internal/relay/sockets.go
@@ -84,10 +84,10 @@
 	younger  int              // number of the one that was left to
 	other    int              // of the one that is there, and nearest; 0: none
 	passing  transferChannel
-	parted   *TransferredSession // and
-	adopted  uint64              // of the event that is carried out
-	clients  uint64              // accepted or adopted
-	besides  Event               // who was there at the last look
+	parted   *TransferredSession     // and
+	adopted  uint64                  // of the event that is carried out
+	clients  uint64                  // accepted or adopted
+	besides  SiblingProcessesChanged // who was there at the last look
 }
 
 // Fleet is what this relay keeps and hears from others. Of what is told, nothing may wait for any of them.
@@ -101,7 +101,7 @@
 	SetDraining(lame bool) error
 	// Replicate has others hold something (Entrust), or no more (Release), or seeks what they hold (Claim). It waits
 	// for nothing: events follow.
-	Replicate(f Effect)
+	Replicate(request ReplicationRequest)
 	// ReplicationPage shows one part of what is held for others, to be told as JSON; nil where nothing is.
 	ReplicationPage(part int) any
 	Status() any
@@ -126,7 +126,7 @@
 	s.reducer = reducer
 	s.freed = sync.NewCond(&s.mutex)
 	s.discovery = newDiscovery(s.take)
-	s.timer = time.AfterFunc(time.Hour, func() { s.take(Event{Kind: TimerFired}) })
+	s.timer = time.AfterFunc(time.Hour, func() { s.take(TimerFired{}) })
 	logging.SetLogger(nbioLog{log})
 	if t.MaxSockets > 0 {
 		nbio.MaxOpenFiles = max(t.MaxSockets, 64)
@@ -149,7 +149,7 @@
 	if s.seat != nil {
 		s.said(s.seat.ServeSessions(s.receiveSession))
 	}
-	s.take(Event{Kind: TimerFired})
+	s.take(TimerFired{})
 	if s.mates = mates; mates != nil {
 		if err := mates.Start(s.now(), s.take, s.looks, s.keeps, s.lookedAt); err != nil {
 			return err
@@ -172,7 +172,7 @@
 		case <-stop:
 			yield := s.seat != nil && s.look().Ready
 			log.Info("stopping", "for a younger process", yield)
-			s.take(Event{Kind: ShutdownRequested, YieldToChild: yield})
+			s.take(ShutdownRequested{YieldToChild: yield})
 			stop = nil
 		case <-print:
 			s.counters("asked")
@@ -245,7 +245,7 @@
 func (s *Sockets) look() (younger hotrestart.Process) {
 	elder, younger := s.seat.Siblings()
 	fresh := younger.Number > 0 && younger.Number != s.younger && !younger.Ready
-	e := Event{Kind: SiblingProcessesChanged, HasParent: elder.Number > 0, HasChild: younger.Number > 0, WantsHandoff: fresh}
+	e := SiblingProcessesChanged{HasParent: elder.Number > 0, HasChild: younger.Number > 0, WantsHandoff: fresh}
 	if fresh || e.HasParent != s.besides.HasParent || e.HasChild != s.besides.HasChild {
 		s.younger, s.besides = younger.Number, e
 		s.take(e)
@@ -253,7 +253,7 @@
 	if s.other = max(elder.Number, younger.Number); s.other > 0 {
 		var news *EndpointUpdate
 		if text, err := s.seat.ReceiveMessage(); err == nil && json.Unmarshal(text, &news) == nil && news != nil {
-			s.take(Event{Kind: SiblingEndpointsUpdated, Endpoints: news})
+			s.take(SiblingEndpointsUpdated{Update: news})
 		}
 	}
 	return younger
@@ -280,10 +280,10 @@
 		_, err = New(0, t)
 	}
 	if err != nil {
-		return Event{Kind: ConfigReloaded, Err: err}
+		return ConfigReloaded{Err: err}
 	}
 	besides()
-	return Event{Kind: ConfigReloaded, Address: t.Discovery}
+	return ConfigReloaded{DiscoveryAddress: t.Discovery}
 }
 
 func (s *Sockets) counters(why string) {
@@ -318,63 +318,101 @@
 	s.carryOut(effects)
 }
 
+// carryOut does what the state machine asks for, in order. The lock is held.
 func (s *Sockets) carryOut(effects []Effect) {
 	for i := 0; i < len(effects); i++ {
-		switch e := effects[i]; e.Kind {
-		case Dial:
-			s.dial(e.Conn, e.Peer, e.Text)
-		case Write:
-			// Lines that go to one connection in a row go out together.
-			s.parts = append(s.parts[:0], e.Chunks...)
-			for ; i+1 < len(effects) && effects[i+1].Kind == Write && effects[i+1].Conn == e.Conn; i++ {
-				s.parts = append(s.parts, effects[i+1].Chunks...)
-			}
-			s.write(e.Conn, s.parts)
-		case Close, Reset:
-			s.end(e.Conn, e.Kind)
-		case SetTimer:
-			s.timer.Reset(time.Duration(max(e.At-s.now(), 0) * float64(time.Millisecond)))
-		case StartWatch:
-			s.discovery.watch(e.Text, e.Conn, e.AfterIndex)
-		case StopWatch:
+		switch e := effects[i].(type) {
+		case *Write:
+			i += s.writeRun(e, effects[i+1:])
+		case *Dial:
+			s.dial(e.Conn, e.ForClient, e.Address)
+		case *Close:
+			s.end(e.Conn, gracefully)
+		case *Reset:
+			s.end(e.Conn, byReset)
+		case *PauseAccept:
+			s.pauseAccept(true)
+		case *ResumeAccept:
+			s.pauseAccept(false)
+		case *ReplicationRequest:
+			s.mates.Replicate(*e)
+		case *StartWatch:
+			s.discovery.watch(e.Address, e.Watch, e.After)
+		case *StopWatch:
 			s.discovery.stop()
-		case PauseAccept, ResumeAccept:
-			s.held = e.Kind == PauseAccept
-			s.freed.Broadcast()
-			if s.ending {
-				continue // the listener's deadline is that of its last connections
-			}
-			if s.held { // also where a client is waited for already: the next is not taken in
-				s.listener.SetDeadline(time.Unix(1, 0))
-			} else {
-				s.listener.SetDeadline(time.Time{})
-			}
-		case Log:
-			s.log.Info(e.Text, e.Args...)
-		case AnnounceReady:
-			if s.seat != nil {
-				s.said(s.seat.MarkReady())
-			}
-		case SendHandoff:
-			number, left := s.younger, e.Handoff
-			s.work.do(func() { s.leaves(s.seat.SendHandoff, number, left) })
-		case SendEndpoints:
-			if number, told := s.other, e.Endpoints; number > 0 {
-				s.work.do(func() { s.leaves(s.seat.SendMessage, number, told) })
-			}
-		case TransferSession:
-			client, server := e.Conn, e.Peer
-			s.passing.pending.Add(1)
-			s.work.do(func() { s.transferSession(client, server) })
-		case SessionDetached:
-			s.parted = e.Session
-		case SessionAccepted:
-			s.adopted = e.Peer
-		case Replicate, Lookup, Release:
-			s.mates.Replicate(e)
-		case Exit:
-			close(s.quit)
+		case *SendHandoff, *SendEndpoints, *TransferSession, *SessionDetached, *SessionAccepted:
+			s.carryOutHandoff(e)
+		default:
+			s.carryOutProcess(e)
+		}
+	}
+}
+
+// writeRun writes the chunks of a Write together with those of the writes to the same connection that follow it, and
+// returns how many those are.
+func (s *Sockets) writeRun(first *Write, following []Effect) int {
+	s.parts = append(s.parts[:0], first.Chunks...)
+	merged := 0
+	for _, effect := range following {
+		write, isWrite := effect.(*Write)
+		if !isWrite || write.Conn != first.Conn {
+			break
+		}
+		s.parts = append(s.parts, write.Chunks...)
+		merged++
+	}
+	s.write(first.Conn, s.parts)
+	return merged
+}
+
+// pauseAccept has clients accepted no longer, or again.
+func (s *Sockets) pauseAccept(on bool) {
+	s.held = on
+	s.freed.Broadcast()
+	if s.ending {
+		return // the listener's deadline is that of its last connections
+	}
+	if on { // also where a client is waited for already: the next is not accepted
+		s.listener.SetDeadline(time.Unix(1, 0))
+	} else {
+		s.listener.SetDeadline(time.Time{})
+	}
+}
+
+// carryOutProcess does what concerns this process as a whole.
+func (s *Sockets) carryOutProcess(effect Effect) {
+	switch e := effect.(type) {
+	case *SetTimer:
+		s.timer.Reset(time.Duration(max(e.At-s.now(), 0) * float64(time.Millisecond)))
+	case *Log:
+		s.log.Info(e.Message, e.Args...)
+	case *AnnounceReady:
+		if s.seat != nil {
+			s.said(s.seat.MarkReady())
+		}
+	case *Exit:
+		close(s.quit)
+	}
+}
+
+// carryOutHandoff does what concerns the other process of this relay.
+func (s *Sockets) carryOutHandoff(effect Effect) {
+	switch e := effect.(type) {
+	case *SendHandoff:
+		child, handoff := s.younger, e.Handoff
+		s.work.do(func() { s.leaves(s.seat.SendHandoff, child, handoff) })
+	case *SendEndpoints:
+		if sibling, update := s.other, e.Update; sibling > 0 {
+			s.work.do(func() { s.leaves(s.seat.SendMessage, sibling, update) })
 		}
+	case *TransferSession:
+		clientConn, backendConn := e.ClientConn, e.BackendConn
+		s.passing.pending.Add(1)
+		s.work.do(func() { s.transferSession(clientConn, backendConn) })
+	case *SessionDetached:
+		s.parted = e.Session
+	case *SessionAccepted:
+		s.adopted = e.BackendConn
 	}
 }
 
@@ -410,25 +448,25 @@
 	s.clients++
 	conn := s.clients
 	s.mutex.Unlock()
-	s.hold(conn, plain, ConnAccepted)
+	s.hold(conn, plain, false)
 	return true
 }
 
 // hold gives a connection to nbio, unless it was given up meanwhile, and tells whether it did. A client's is told
 // of before its first bytes can be.
-func (s *Sockets) hold(conn uint64, plain net.Conn, kind EventKind) bool {
+func (s *Sockets) hold(conn uint64, plain net.Conn, dialed bool) bool {
 	nb, err := nbio.NBConn(plain)
 	if err != nil {
 		plain.Close()
-		if kind == ConnEstablished {
-			s.take(Event{Kind: ConnClosed, Conn: conn, Reset: true})
+		if dialed {
+			s.take(ConnClosed{Conn: conn, Reset: true})
 		}
 		return false
 	}
 	c := &socket{conn: conn, nb: nb}
 	nb.SetSession(c)
 	s.mutex.Lock()
-	if _, wanted := s.dialing[conn]; kind == ConnEstablished && !wanted {
+	if _, wanted := s.dialing[conn]; dialed && !wanted {
 		s.mutex.Unlock()
 		nb.Close()
 		return false
@@ -437,8 +475,8 @@
 	s.limitClosing(1)
 	s.open[conn] = c
 	s.mutex.Unlock()
-	if kind == ConnAccepted {
-		s.take(Event{Kind: kind, Conn: conn})
+	if !dialed {
+		s.take(ConnAccepted{Conn: conn})
 	}
 	s.mutex.Lock()
 	if s.open[conn] == c { // against handing over a descriptor that was closed since
@@ -447,7 +485,7 @@
 	}
 	s.mutex.Unlock()
 	if err != nil {
-		s.take(Event{Kind: ConnClosed, Conn: conn, Reset: true})
+		s.take(ConnClosed{Conn: conn, Reset: true})
 	}
 	return err == nil
 }
@@ -469,7 +507,7 @@
 				return
 			}
 		case n > 0:
-			s.take(Event{Kind: DataReceived, Conn: c.conn, Data: buffer[:n]})
+			s.take(DataReceived{Conn: c.conn, Data: buffer[:n]})
 		case err == nil:
 			nb.CloseWithError(io.EOF)
 			return
@@ -493,8 +531,7 @@
 		s.mutex.Lock()
 		s.forgetSocket(c)
 		s.mutex.Unlock()
-		s.take(Event{Kind: ConnClosed, Conn: c.conn, Reset: err != nil && !errors.Is(err, io.EOF),
-			Unsent: c.unsent.Load() > 0, SlowReader: errors.Is(err, nbio.ErrOverflow)})
+		s.take(ConnClosed{Conn: c.conn, Reset: err != nil && !errors.Is(err, io.EOF), Unsent: c.unsent.Load() > 0, SlowReader: errors.Is(err, nbio.ErrOverflow)})
 	})
 }
 
--- a/internal/relay/sockets_test.go
+++ b/internal/relay/sockets_test.go
@@ -95,7 +95,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.write(1, parts)
-	s.end(1, Close)
+	s.end(1, gracefully)
 }
 
 // serving gives them a relay with one backend, to which it can't connect.
@@ -231,7 +231,7 @@
 		delete(s.open, 1)
 		k.conn = uint64(i + 1)
 		s.open[k.conn] = k
-		s.end(k.conn, Close)
+		s.end(k.conn, gracefully)
 		assert.LessOrEqual(t, len(s.open), spareClosing)
 		s.mutex.Unlock()
 		clients = append(clients, in)
@@ -272,9 +272,9 @@
 			defer backend.Close()
 			s.reducer.backends["b1"].Address = backend.Addr().String()
 			in := connectUnpolled(t, s)
-			s.take(Event{Kind: ConnAccepted, Conn: 1})
+			s.take(ConnAccepted{Conn: 1})
 			c.leave(in)
-			s.take(Event{Kind: DataReceived, Conn: 1, Data: []byte("OPEN a 1f c=feed,t=one,d=2000\r\n")})
+			s.take(DataReceived{Conn: 1, Data: []byte("OPEN a 1f c=feed,t=one,d=2000\r\n")})
 			server, err := backend.Accept()
 			require.NoError(t, err)
 			server.SetReadDeadline(time.Now().Add(5 * time.Second))
--- a/internal/relay/standing.go
+++ b/internal/relay/standing.go
@@ -59,10 +59,10 @@
 	m.stopTimer(&conn.deadline)
 	if session.state == reestablishing {
 		m.Reestablished++
-		m.table.Balancer.SessionResumed(m.now, &session.Entry.Session, conn.backend.id)
+		m.dispatcher.Balancer.SessionResumed(m.now, &session.Entry.Session, conn.backend.id)
 	} else {
 		m.Succeeded++
-		m.table.Balancer.SessionEstablished(m.now, &session.Entry.Session)
+		m.dispatcher.Balancer.SessionEstablished(m.now, &session.Entry.Session)
 		m.releaseMarker(session)
 		m.replicateAffinity(session)
 	}
@@ -108,7 +108,7 @@
 		line, rest, err := session.backendConn.input.Next(data)
 		if err != nil {
 			m.log("line too long from a backend", "backend", session.backendConn.backend.Name)
-			m.endSession(session, MalformedAnswer, Reset)
+			m.endSession(session, MalformedAnswer, byReset)
 			return
 		}
 		if line == nil {
@@ -121,7 +121,7 @@
 		switch verb, said := protocol.CutVerb(line); string(verb) {
 		case "LOAD":
 			if load, ok := protocol.ParseLoad(said); ok {
-				m.table.Balancer.LoadMeasured(&session.Entry.Session, load)
+				m.dispatcher.Balancer.LoadMeasured(&session.Entry.Session, load)
 			}
 		case "BYE":
 			if m.reportsInAnswers {
@@ -137,25 +137,25 @@
 // announceEnd takes the backend's word that the link is over. What it sends after that is dropped.
 func (m *StateMachine) announceEnd(session *session, how EndReason) {
 	session.endReason, session.endAnnounced = how, true
-	session.stateTimer.fire = func() { m.endSession(session, how, Close) }
+	session.stateTimer.fire = func() { m.endSession(session, how, gracefully) }
 	m.setTimer(&session.stateTimer, m.now+announcedEndTimeout)
 }
 
-func (m *StateMachine) backendClosed(session *session, e Event) {
+func (m *StateMachine) backendClosed(session *session, e ConnClosed) {
 	switch {
 	case session.endAnnounced:
-		m.endSession(session, session.endReason, Close)
+		m.endSession(session, session.endReason, gracefully)
 	case e.SlowReader:
-		m.endSession(session, SlowReader, Reset)
+		m.endSession(session, SlowReader, byReset)
 	case e.Reset:
-		m.endSession(session, BackendClosed, Reset)
+		m.endSession(session, BackendClosed, byReset)
 	default:
-		m.endSession(session, BackendClosed, Close)
+		m.endSession(session, BackendClosed, gracefully)
 	}
 }
 
 // endSession ends a link that stood, on whichever sides are still open.
-func (m *StateMachine) endSession(session *session, how EndReason, both EffectKind) {
+func (m *StateMachine) endSession(session *session, how EndReason, both closeMode) {
 	m.EndReasons[how]++
 	m.Established--
 	m.releaseAffinity(session, how)
@@ -166,7 +166,7 @@
 		m.dropConn(session.clientConn, both)
 	}
 	m.dropConn(session.backendConn, both)
-	m.table.AttemptFinished(m.now, session, how.outcome(), true)
+	m.dispatcher.AttemptFinished(m.now, session, how.outcome(), true)
 }
 
 // migrateFromSilent has the clients of a backend that answers neither probes nor lines come again elsewhere, where the
@@ -178,7 +178,7 @@
 			quiet = max(quiet, m.now-session.stateTimer.at+replyTimeout)
 		}
 	}
-	if !m.table.Balancer.IsUnresponsive(backend.id, min(quiet, m.now-backend.lastDataAt)) {
+	if !m.dispatcher.Balancer.IsUnresponsive(backend.id, min(quiet, m.now-backend.lastDataAt)) {
 		return
 	}
 	m.log("backend fell silent", "backend", backend.Name, "links", len(backend.sessions))
@@ -194,12 +194,12 @@
 		m.setTimer(&session.migrationTimer, m.now+transferRecheckInterval)
 		return
 	case session.endAnnounced:
-		m.endSession(session, session.endReason, Close)
+		m.endSession(session, session.endReason, gracefully)
 		return
 	}
 	m.Migrated++
 	m.write(session.clientConn, []byte("MOVE\r\n"))
-	m.endSession(session, why, Close)
+	m.endSession(session, why, gracefully)
 }
 
 // shutDown begins the relay's planned stop: what comes is served, what stands is moved once clients are dealt
@@ -240,7 +240,7 @@
 // scheduleMigration has a link go that stands on a backend which goes, if it is not told yet.
 func (m *StateMachine) scheduleMigration(backend *backend, session *session, nth int) {
 	if backend.condition != balancer.Ready && session.migrationTimer.position == 0 {
-		m.setTimer(&session.migrationTimer, m.now+m.table.Balancer.DrainDelay(nth, len(backend.sessions), 0))
+		m.setTimer(&session.migrationTimer, m.now+m.dispatcher.Balancer.DrainDelay(nth, len(backend.sessions), 0))
 	}
 }
 
@@ -274,7 +274,7 @@
 
 // migrationTime is when the nth of so many standing links is moved at a stop.
 func (m *StateMachine) migrationTime(nth, of int) float64 {
-	return m.drainStartedAt + drainGrace + m.table.Balancer.DrainDelay(nth, of, m.maxDrainTime()-drainGrace)
+	return m.drainStartedAt + drainGrace + m.dispatcher.Balancer.DrainDelay(nth, of, m.maxDrainTime()-drainGrace)
 }
 
 // finishDrain answers and moves whatever is left.
@@ -287,7 +287,7 @@
 			m.migrate(session, RelayMovedClient)
 		case reestablishing:
 			if session.backendConn != nil {
-				m.dropConn(session.backendConn, Close)
+				m.dropConn(session.backendConn, gracefully)
 			}
 			m.Execute(session, balancer.Decision{Kind: balancer.Fail})
 		case attempting:
@@ -300,7 +300,7 @@
 			m.assign(session)
 		case queued:
 			session.Deadline = m.now
-			m.table.Assign(m.now, session)
+			m.dispatcher.Assign(m.now, session)
 		}
 	}
 	if m.stopping {
@@ -325,7 +325,7 @@
 func (m *StateMachine) exit() {
 	if !m.exiting {
 		m.exiting = true
-		m.emit(Effect{Kind: Exit})
+		m.effects.add(&Exit{})
 	}
 }
 
--- a/internal/relay/statemachine.go
+++ b/internal/relay/statemachine.go
@@ -20,114 +20,6 @@
 	"valeshift/internal/settings"
 )
 
-// EventKind is what an event tells.
-type EventKind uint8
-
-// The events. Those of a connection or a watch that is over already are dropped by its number, as no number
-// is given twice.
-const (
-	ConnAccepted            EventKind = iota // a client's connection was accepted
-	ConnEstablished                          // a connection that was dialed is up
-	DataReceived                             // bytes came; they are good until Take's effects are carried out
-	ConnClosed                               // a connection has ended or never came up
-	TimerFired                               // the timer fired
-	EndpointsUpdated                         // the watch brought entries
-	WatchHeartbeat                           // the watch brought an empty line
-	WatchFailed                              // the watch ended
-	ShutdownRequested                        // the relay is to stop
-	DrainRequested                           // the relay is to be emptied, or (Off) to go back to work
-	SiblingProcessesChanged                  // which other processes of this relay are alive
-	SiblingEndpointsUpdated                  // another process of this relay has been told the list News
-	DetachRequested                          // the standing link of the client Conn can be passed to the younger process now
-	SessionTransferred                       // and is there, or (Off) stays here
-	SessionReceived                          // the elder process passes a standing link, Passed, its client to be Conn
-	ConfigReloaded                           // the file was read again
-	StateRestored                            // what is known from before the start, here or at other relays, is Kept
-	IncarnationChanged                       // another life of this relay may have served until just now
-	RecoveryChanged                          // the whole fleet lost power and recovers, or (Off) has recovered
-	ClockSkewMeasured                        // this relay's clock is Ahead of what the fleet takes for right
-	ZoneWeightsChanged                       // a decision in common has links meant for zones: Toward, or none
-	// other relays hold what this one gives its Word for: marks for At beyond a hard limit; Stood
-	ReplicationEnabled
-	RecordReplicated  // they hold the Word of Conn, or (Off) they don't
-	RecordFound       // what they held: the Word on Key, for Conn; Off: nothing
-	RemoteLoadChanged // others placed the load Placed, which figures may not hold yet; below 0: not known
-	ProcessExiting    // the process ends now: whoever has no answer yet gets one
-)
-
-// Event is one thing that happened.
-type Event struct {
-	Kind         EventKind
-	Conn         uint64 // of the connection, or of the watch
-	Data         []byte
-	Reset        bool // Over: by a reset, not by an end
-	Unsent       bool // Over: with something not written yet
-	SlowReader   bool // Over: as it took in too little of what was written
-	Off          bool // LameDuck, Given, Recovers
-	YieldToChild bool // Stop: a younger process takes the clients from now on
-
-	HasParent, HasChild, WantsHandoff bool // Beside; Leave: the younger is to be left what is known
-
-	Endpoints *EndpointUpdate
-	Err       error  // ListFailed; Reload: why the file can't be used
-	Address   string // Reload: the address of discovery
-
-	Session       *TransferredSession // Adopt
-	Snapshot      *Snapshot           // Recalled
-	CapacityShare float64             // Recovers: of what cold servers bear, that this relay is to take
-	AheadMillis   float64             // Clocked: ms
-	Load          float64             // Beyond
-	Zones         []ZoneWeight
-	Record        RecordKind // Entrusted, Claimed
-	Affinity      bool       // Holds: where clients and groups stand, too
-	Key           uint64     // Claimed
-	At            float64    // Claimed, Holds
-}
-
-// EffectKind is what an effect asks for.
-type EffectKind uint8
-
-// The effects.
-const (
-	Dial       EffectKind = iota // for the client Peer; 0: for none
-	Write                        // Parts, after all that was written before
-	Close                        // end the connection once all is written
-	Reset                        // reset it now, or stop dialing
-	SetTimer                     // have Tick come at At
-	StartWatch                   // watch the list at Text as Conn, from After on, in place of any other watch
-	StopWatch
-	PauseAccept     // take in no further client
-	ResumeAccept    // and again
-	Log             // a line for the log
-	Exit            // all is done
-	TransferSession // the standing link of the client Conn, and Peer, to the younger process: Part
-	SessionDetached // it is given up, as Passed, until Given
-	SessionAccepted // a passed link is here, with the backend's connection as Peer
-	AnnounceReady   // the relay is fit to serve from now on
-	SendHandoff     // leave Left to the younger process
-	SendEndpoints   // tell the other process of this relay of the list News
-	Replicate       // have other relays hold the Word of Conn, on a client of Key: Entrusted
-	Lookup          // seek what they hold for a client of Key: Claimed
-	Release         // the Word of Conn is over
-)
-
-// Effect is one thing to be done, in order.
-type Effect struct {
-	Kind       EffectKind
-	Conn       uint64
-	Text       string // Dial, Watch: the address; Note: what is said
-	Chunks     [][]byte
-	At         float64
-	AfterIndex uint64
-	Args       []any
-	Handoff    *Handoff
-	Endpoints  *EndpointUpdate
-	Peer       uint64
-	Session    *TransferredSession
-	Key        uint64
-	Record     RecordKind
-}
-
 const (
 	firstDialedID         = 1 << 63 // connections from this number on are the relay's own; below, clients'
 	requestTimeout        = 1500.0  // for a client's head to begin, pings or none: against silent ones holding sockets
@@ -219,14 +111,12 @@
 // StateMachine is the state of one relay.
 type StateMachine struct {
 	Counters
-	answers []answerCounts // by category
-	table   *dispatch.Dispatcher[*session]
-	now     float64
-
-	effects             []Effect
-	chunks              [][]byte // of the writes among them
-	returned            []Effect // the former two as they were handed out last; taken up again at the next call
-	returnedChunks      [][]byte
+	answers    []answerCounts // by category
+	dispatcher *dispatch.Dispatcher[*session]
+	now        float64
+
+	effects             effectBuffer // of the event that is being handled
+	returned            effectBuffer // of the one before, good until the end of the next
 	timers              timerHeap
 	timerSetFor         float64
 	conns               map[uint64]*connection
@@ -336,7 +226,7 @@
 	if err := p.Err(); err != nil {
 		return nil, err
 	}
-	m.table = dispatch.NewDispatcher(balancer, m)
+	m.dispatcher = dispatch.NewDispatcher(balancer, m)
 	m.loadInitialEndpoints(t.InitialEndpoints)
 	if p.Text("discovery") == "automatic" {
 		m.startWatch()
@@ -364,83 +254,108 @@
 	return err
 }
 
-// Handle takes one event and gives what is to be done, good until the next call.
-func (m *StateMachine) Handle(now float64, e Event) []Effect {
+// Handle takes one event at the time now, Unix milliseconds, and returns the effects that follow, in order. They may be
+// read until the next call.
+func (m *StateMachine) Handle(now float64, event Event) []Effect {
 	if len(m.timers) > 0 && now > m.timers[0].at+suspendThreshold {
 		m.resumeAfterSuspend(now)
 	}
 	m.now = now
-	switch e.Kind {
+	m.dispatch(event)
+	m.fireTimers()
+	if m.endpointsReceived && !m.isReady && (!m.hasParent || m.dispatcher.Balancer.IsReady(now)) {
+		m.becomeReady()
+	}
+	wake := m.dispatcher.Advance(now)
+	m.limitIntake()
+	if m.stopping && (m.yieldedToChild || now >= m.drainStartedAt+drainGrace) && m.isIdle() {
+		m.exit()
+	}
+	m.scheduleWake(wake)
+	return m.takeEffects()
+}
+
+// dispatch hands the event to the part that it concerns.
+func (m *StateMachine) dispatch(event Event) {
+	switch e := event.(type) {
 	case TimerFired:
 		m.timerSetFor = math.Inf(1)
 	case ConnAccepted:
 		m.acceptClient(e.Conn)
-	case ConnEstablished, DataReceived, ConnClosed:
-		if conn := m.conns[e.Conn]; conn != nil {
-			m.handleConn(conn, e)
-		}
-	case EndpointsUpdated, WatchHeartbeat, WatchFailed:
-		if e.Conn == m.watchID {
-			m.handleWatch(e)
-		}
+	case ConnEstablished:
+		m.connEstablished(e)
+	case DataReceived:
+		m.dataReceived(e)
+	case ConnClosed:
+		m.connClosed(e)
+	case EndpointsUpdated:
+		m.endpointsUpdated(e)
+	case WatchHeartbeat:
+		m.watchHeartbeat(e)
+	case WatchFailed:
+		m.watchEnded(e)
 	case ShutdownRequested:
 		m.shutDown(e.YieldToChild)
 	case DrainRequested:
-		m.setDraining(!e.Off)
+		m.setDraining(e.On)
+	case ConfigReloaded:
+		m.reloadConfig(e)
+	case ProcessExiting:
+		m.finishDrain()
 	case SiblingProcessesChanged:
 		m.updateSiblings(e)
 	case SiblingEndpointsUpdated:
-		m.applySiblingEndpoints(e.Endpoints)
+		m.applySiblingEndpoints(e.Update)
 	case DetachRequested:
 		m.detach(e.Conn)
 	case SessionTransferred:
-		m.finishTransfer(e.Conn, !e.Off)
+		m.finishTransfer(e.Conn, e.Accepted)
 	case SessionReceived:
 		m.receiveSession(e.Conn, e.Session)
-	case ConfigReloaded:
-		m.reloadConfig(e)
 	case StateRestored:
 		m.restore(e.Snapshot)
 	case IncarnationChanged:
-		m.table.Balancer.AssumeRetriesSpent(m.now)
+		m.dispatcher.Balancer.AssumeRetriesSpent(m.now)
 	case RecoveryChanged:
-		m.setRecovering(!e.Off, e.CapacityShare)
+		m.setRecovering(e.Recovering, e.CapacityShare)
 	case ClockSkewMeasured:
 		m.setClockAhead(e.AheadMillis)
 	case ZoneWeightsChanged:
-		m.setZoneWeights(e.Zones)
+		m.setZoneWeights(e.Weights)
+	case RemoteLoadChanged:
+		m.dispatcher.Balancer.SetRemoteLoad(e.Load)
 	case ReplicationEnabled:
-		m.replicationEnabled, m.markerRetention, m.affinityReplicated = true, e.At, e.Affinity
+		m.enableReplication(e)
 	case RecordReplicated:
-		m.recordReplicated(e.Conn, !e.Off)
+		m.recordReplicated(e.Conn, e.Replicated)
 	case RecordFound:
 		m.recordFound(e)
-	case RemoteLoadChanged:
-		m.table.Balancer.SetRemoteLoad(e.Load)
-	case ProcessExiting:
-		m.finishDrain()
 	}
-	for len(m.timers) > 0 && m.timers[0].at <= now {
+}
+
+// fireTimers calls what is due by now, in the order of its times.
+func (m *StateMachine) fireTimers() {
+	for len(m.timers) > 0 && m.timers[0].at <= m.now {
 		heap.Pop(&m.timers).(*timer).fire()
 	}
-	if m.endpointsReceived && !m.isReady && (!m.hasParent || m.table.Balancer.IsReady(now)) {
-		m.becomeReady()
-	}
-	wake := m.table.Advance(now)
-	m.limitIntake()
-	if m.stopping && (m.yieldedToChild || now >= m.drainStartedAt+drainGrace) && m.isIdle() {
-		m.exit()
-	}
+}
+
+// scheduleWake has TimerFired come when the first timer is due, or at wake if that is sooner.
+func (m *StateMachine) scheduleWake(wake float64) {
 	if len(m.timers) > 0 {
 		wake = min(wake, m.timers[0].at)
 	}
 	if wake < m.timerSetFor {
 		m.timerSetFor = wake
-		m.emit(Effect{Kind: SetTimer, At: wake})
+		m.effects.setTimer(wake)
 	}
-	m.effects, m.returned = m.returned[:0], m.effects
-	m.chunks, m.returnedChunks = m.returnedChunks[:0], m.chunks
-	return m.returned
+}
+
+// takeEffects hands out what was collected, and takes the buffer of the call before for what comes next.
+func (m *StateMachine) takeEffects() []Effect {
+	m.effects, m.returned = m.returned, m.effects
+	m.effects.clear()
+	return m.returned.list
 }
 
 // maxAwaiting is how many clients without a head may be there: what links can never take.
@@ -483,23 +398,19 @@
 		m.acceptPaused = full
 		if full {
 			m.AcceptPauses++
-			m.emit(Effect{Kind: PauseAccept})
+			m.effects.add(&PauseAccept{})
 		} else {
-			m.emit(Effect{Kind: ResumeAccept})
+			m.effects.add(&ResumeAccept{})
 		}
 	}
 }
 
-func (m *StateMachine) emit(e Effect) { m.effects = append(m.effects, e) }
-
 func (m *StateMachine) log(text string, args ...any) {
-	m.emit(Effect{Kind: Log, Text: text, Args: args})
+	m.effects.add(&Log{Message: text, Args: args})
 }
 
 func (m *StateMachine) write(conn *connection, data []byte) {
-	n := len(m.chunks)
-	m.chunks = append(m.chunks, data)
-	m.emit(Effect{Kind: Write, Conn: conn.id, Chunks: m.chunks[n : n+1 : n+1]})
+	m.effects.write(conn.id, data)
 }
 
 func (m *StateMachine) setTimer(t *timer, at float64) {
@@ -527,8 +438,16 @@
 	return conn
 }
 
-// dropConn lets go of a connection; with an effect, that ends it. Whatever comes of it later is dropped.
-func (m *StateMachine) dropConn(conn *connection, how EffectKind) {
+// closeMode is how a connection is ended.
+type closeMode uint8
+
+const (
+	gracefully closeMode = iota // once all that was written is sent
+	byReset                     // at once
+)
+
+// dropConn ends a connection. Whatever comes of it later is dropped.
+func (m *StateMachine) dropConn(conn *connection, how closeMode) {
 	if m.conns[conn.id] == nil {
 		return
 	}
@@ -538,18 +457,22 @@
 		m.pollConns--
 	}
 	m.OpenConns = len(m.conns)
-	m.emit(Effect{Kind: how, Conn: conn.id})
+	if how == byReset {
+		m.effects.reset(conn.id)
+	} else {
+		m.effects.close(conn.id)
+	}
 }
 
-// dial starts a connection to the backend.
+// dial starts a connection to the backend; session is nil for one that polls it.
 func (m *StateMachine) dial(backend *backend, session *session) *connection {
 	m.lastDialedID++
 	conn := m.addConn(&connection{id: m.lastDialedID, backend: backend, session: session, acceptedAt: backend.StartedAt})
-	effect := Effect{Kind: Dial, Conn: conn.id, Text: backend.Address}
+	forClient := uint64(0)
 	if session != nil && session.clientConn != nil {
-		effect.Peer = session.clientConn.id
+		forClient = session.clientConn.id
 	}
-	m.emit(effect)
+	m.effects.dial(conn.id, forClient, backend.Address)
 	return conn
 }
 
@@ -579,28 +502,59 @@
 	}
 }
 
-func (m *StateMachine) handleConn(conn *connection, e Event) {
-	if e.Kind == ConnClosed {
-		// The socket may still be open on this side, after the other has ended its sending.
-		m.dropConn(conn, Close)
+// connEstablished takes that a connection that was dialed is up.
+func (m *StateMachine) connEstablished(e ConnEstablished) {
+	conn := m.conns[e.Conn]
+	if conn == nil {
+		return
+	}
+	switch session := conn.session; {
+	case session == nil:
+		m.pollConnEstablished(conn)
+	case session.state == handingOff:
+	case session.state == established: // it has answered already: the connection is not what it was
+		m.backendClosed(session, ConnClosed{})
+	default:
+		m.sendRequest(session)
+	}
+}
+
+// dataReceived takes bytes of a connection.
+func (m *StateMachine) dataReceived(e DataReceived) {
+	conn := m.conns[e.Conn]
+	if conn == nil {
+		return
 	}
 	switch session := conn.session; {
 	case session == nil:
-		m.handlePollConn(conn, e)
+		m.receivePollAnswer(conn, e.Data)
 	case session.state == handingOff:
-		session.brokeInTransfer = session.brokeInTransfer || e.Kind == ConnClosed
-	case conn.backend == nil && e.Kind == DataReceived:
+	case conn.backend == nil:
 		m.receiveFromClient(session, e.Data)
+	case session.state == established:
+		m.forwardToClient(session, e.Data)
+	default:
+		m.receiveAnswer(session, e.Data)
+	}
+}
+
+// connClosed takes the end of a connection.
+func (m *StateMachine) connClosed(e ConnClosed) {
+	conn := m.conns[e.Conn]
+	if conn == nil {
+		return
+	}
+	// The socket may still be open on this side, after the other has ended its sending.
+	m.dropConn(conn, gracefully)
+	switch session := conn.session; {
+	case session == nil:
+		m.failPoll(conn.backend)
+	case session.state == handingOff:
+		session.brokeInTransfer = true
 	case conn.backend == nil:
 		m.clientClosed(session, e)
-	case session.state == established && e.Kind == DataReceived:
-		m.forwardToClient(session, e.Data)
 	case session.state == established:
 		m.backendClosed(session, e)
-	case e.Kind == ConnEstablished:
-		m.sendRequest(session)
-	case e.Kind == DataReceived:
-		m.receiveAnswer(session, e.Data)
 	case !conn.isUp || e.Unsent:
 		m.finishAttempt(session, ConnectFailed)
 	default:
@@ -638,8 +592,8 @@
 		m.answers[session.Class].failed++
 		conn := session.clientConn
 		m.write(conn, []byte(errorAnswer))
-		m.clientClosed(session, Event{})
-		m.dropConn(conn, Close)
+		m.clientClosed(session, ConnClosed{})
+		m.dropConn(conn, gracefully)
 	}
 }
 
@@ -665,7 +619,7 @@
 	}
 	m.isReady = true
 	m.stopTimer(&m.readyTimer)
-	m.emit(Effect{Kind: AnnounceReady})
+	m.effects.add(&AnnounceReady{})
 	for _, conn := range m.clientConns() {
 		if conn.session.state == awaitingRequest {
 			for range conn.pings {
@@ -684,7 +638,7 @@
 	}
 	m.stopAwaiting(session, finished)
 	m.write(session.clientConn, []byte(text))
-	m.dropConn(session.clientConn, Close)
+	m.dropConn(session.clientConn, gracefully)
 }
 
 const errorAnswer = "ERR\r\n"
@@ -748,7 +702,7 @@
 		m.Execute(session, balancer.Decision{Kind: balancer.Reject, Wait: m.maxRetryAfter})
 	default:
 		if m.lookUpReservation(session); !m.lookUpAttempts(session) {
-			m.table.Assign(m.now, session)
+			m.dispatcher.Assign(m.now, session)
 		}
 	}
 }
@@ -781,7 +735,7 @@
 	m.removeSession(session)
 	if session.clientConn != nil {
 		m.write(session.clientConn, []byte(text))
-		m.dropConn(session.clientConn, Close)
+		m.dropConn(session.clientConn, gracefully)
 	}
 }
 
@@ -791,7 +745,7 @@
 		delete(m.sessionsByID, session.id)
 	}
 	session.state = finished
-	m.table.Forget(session)
+	m.dispatcher.Forget(session)
 	m.stopTimer(&session.stateTimer)
 	m.stopTimer(&session.migrationTimer)
 }
@@ -828,7 +782,7 @@
 		wait = session.request.Timeout
 	}
 	m.RequestsSent++
-	m.emit(Effect{Kind: Write, Conn: conn.id, Chunks: session.request.EncodeWithTimeout(wait)})
+	m.effects.writeChunks(conn.id, session.request.EncodeWithTimeout(wait))
 	conn.deadline.fire = func() { m.finishAttempt(session, AttemptTimedOut) }
 	m.setTimer(&conn.deadline, session.deadline)
 }
@@ -874,9 +828,9 @@
 	conn := session.backendConn
 	session.backendConn = nil
 	if conn.isUp {
-		m.dropConn(conn, Close)
+		m.dropConn(conn, gracefully)
 	} else {
-		m.dropConn(conn, Reset)
+		m.dropConn(conn, byReset)
 	}
 	if session.state == reestablishing {
 		m.retryReestablish(session)
@@ -890,16 +844,16 @@
 	if gone {
 		m.removeSession(session)
 	}
-	m.table.AttemptFinished(m.now, session, how.outcome(), gone)
+	m.dispatcher.AttemptFinished(m.now, session, how.outcome(), gone)
 }
 
 // clientClosed takes that the client has left.
-func (m *StateMachine) clientClosed(session *session, e Event) {
-	how, ending := Close, ClientClosed
+func (m *StateMachine) clientClosed(session *session, e ConnClosed) {
+	how, ending := gracefully, ClientClosed
 	if e.SlowReader {
-		how, ending = Reset, SlowReader
+		how, ending = byReset, SlowReader
 	} else if e.Reset {
-		how, ending = Reset, ClientReset
+		how, ending = byReset, ClientReset
 	}
 	conn := session.clientConn
 	session.clientConn = nil
@@ -911,7 +865,7 @@
 		m.stopAwaiting(session, finished)
 	case queued:
 		m.Abandoned++
-		m.table.Balancer.ClientDisconnected(&session.Entry.Session)
+		m.dispatcher.Balancer.ClientDisconnected(&session.Entry.Session)
 		m.removeSession(session)
 	case replicating, lookingUp:
 		m.Abandoned++
@@ -924,7 +878,7 @@
 		m.removeSession(session)
 	case attempting:
 		m.Abandoned++
-		m.table.Balancer.ClientDisconnected(&session.Entry.Session)
+		m.dispatcher.Balancer.ClientDisconnected(&session.Entry.Session)
 		if m.canCancel || !session.backendConn.isUp {
 			m.finishAttempt(session, ClientReset)
 		}
--- a/internal/relay/statemachine_test.go
+++ b/internal/relay/statemachine_test.go
@@ -1,6 +1,7 @@
 package relay
 
 import (
+	"bytes"
 	"errors"
 	"fmt"
 	"os"
@@ -93,115 +94,127 @@
 	var e Event
 	switch word[0] {
 	case "open":
-		e = Event{Kind: ConnAccepted, Conn: s.conn(word[1])}
+		e = ConnAccepted{Conn: s.conn(word[1])}
 	case "up":
-		e = Event{Kind: ConnEstablished, Conn: s.conn(word[1])}
+		e = ConnEstablished{Conn: s.conn(word[1])}
 	case "came":
-		e = Event{Kind: DataReceived, Conn: s.conn(word[1]), Data: []byte(strings.ReplaceAll(word[2], "|", "\r\n"))}
+		e = DataReceived{Conn: s.conn(word[1]), Data: []byte(strings.ReplaceAll(word[2], "|", "\r\n"))}
 	case "end", "reset", "cut":
-		e = Event{Kind: ConnClosed, Conn: s.conn(word[1]), Reset: word[0] != "end", Unsent: word[0] == "cut"}
+		e = ConnClosed{Conn: s.conn(word[1]), Reset: word[0] != "end", Unsent: word[0] == "cut"}
 	case "news":
 		f := strings.Fields(word[2])
 		index, _ := strconv.ParseUint(f[0], 10, 64)
-		e = Event{Kind: EndpointsUpdated, Conn: s.conn(word[1]), Endpoints: &EndpointUpdate{Index: index, Complete: f[1] == "whole",
+		e = EndpointsUpdated{Watch: s.conn(word[1]), Update: &EndpointUpdate{Index: index, Complete: f[1] == "whole",
 			Endpoints: entries(f[2:])}}
 	case "heard":
-		e = Event{Kind: WatchHeartbeat, Conn: s.conn(word[1])}
+		e = WatchHeartbeat{Watch: s.conn(word[1])}
 	case "failed":
-		e = Event{Kind: WatchFailed, Conn: s.conn(word[1]), Err: errors.New("told so")}
+		e = WatchFailed{Watch: s.conn(word[1]), Err: errors.New("told so")}
 	case "reload":
-		e = Event{Kind: ConfigReloaded, Address: word[1]}
+		e = ConfigReloaded{DiscoveryAddress: word[1]}
 	case "refuse":
-		e = Event{Kind: ConfigReloaded, Err: errors.New("told so")}
+		e = ConfigReloaded{Err: errors.New("told so")}
 	case "lame":
-		e = Event{Kind: DrainRequested, Off: word[1] == "off"}
+		e = DrainRequested{On: !(word[1] == "off")}
 	case "part":
-		e = Event{Kind: DetachRequested, Conn: s.conn(word[1])}
+		e = DetachRequested{Conn: s.conn(word[1])}
 	case "given":
-		e = Event{Kind: SessionTransferred, Conn: s.conn(word[1]), Off: len(word) > 2}
+		e = SessionTransferred{Conn: s.conn(word[1]), Accepted: !(len(word) > 2)}
 	case "adopt":
-		e = Event{Kind: SessionReceived, Conn: s.conn(word[1]), Session: s.parted}
+		e = SessionReceived{Conn: s.conn(word[1]), Session: s.parted}
 	case "beside":
-		e = Event{Kind: SiblingProcessesChanged, HasParent: word[1] == "elder", HasChild: word[1] == "younger",
-			WantsHandoff: word[1] == "younger"}
+		e = SiblingProcessesChanged{HasParent: word[1] == "elder", HasChild: word[1] == "younger", WantsHandoff: word[1] == "younger"}
 	case "confided":
-		e = Event{Kind: SiblingEndpointsUpdated, Endpoints: &EndpointUpdate{Complete: true, Endpoints: entries(strings.Fields(event)[1:])}}
+		e = SiblingEndpointsUpdated{Update: &EndpointUpdate{Complete: true, Endpoints: entries(strings.Fields(event)[1:])}}
 	case "holds":
-		e = Event{Kind: ReplicationEnabled, At: 10000, Affinity: len(word) > 1}
+		e = ReplicationEnabled{MarkerRetentionMillis: 10000, Affinity: len(word) > 1}
 	case "held", "unheld":
-		e = Event{Kind: RecordReplicated, Conn: s.conn(word[1]), Off: word[0] == "unheld"}
+		e = RecordReplicated{Conn: s.conn(word[1]), Replicated: !(word[0] == "unheld")}
 	case "ran":
-		e = Event{Kind: RecordFound, Record: AttemptRecord, Conn: s.conn(word[1]), Address: word[2], At: now - 500}
+		e = RecordFound{Record: AttemptRecord, Conn: s.conn(word[1]), Backend: word[2], At: now - 500, Found: true}
 	case "none":
-		e = Event{Kind: RecordFound, Record: AttemptRecord, Conn: s.conn(word[1]), Off: true}
+		e = RecordFound{Record: AttemptRecord, Conn: s.conn(word[1])}
 	case "stood":
-		e = Event{Kind: RecordFound, Record: AffinityRecord, Conn: s.conn(word[1]), Address: word[2]}
+		e = RecordFound{Record: AffinityRecord, Conn: s.conn(word[1]), Backend: word[2], Found: true}
 	case "stands":
-		e = Event{Kind: RecordFound, Record: AffinityRecord, Conn: s.conn(word[1]), Off: true}
+		e = RecordFound{Record: AffinityRecord, Conn: s.conn(word[1])}
 	case "recovers":
-		e = Event{Kind: RecoveryChanged, CapacityShare: 0.5}
+		e = RecoveryChanged{CapacityShare: 0.5, Recovering: true}
 	case "ended":
-		e = Event{Kind: ProcessExiting}
+		e = ProcessExiting{}
 	case "stop":
-		e = Event{Kind: ShutdownRequested, YieldToChild: len(word) > 1}
+		e = ShutdownRequested{YieldToChild: len(word) > 1}
 	default:
-		e = Event{Kind: TimerFired}
+		e = TimerFired{}
 	}
 	var said []string
-	for _, f := range s.Handle(now, e) {
-		name := fmt.Sprint(f.Conn)
-		if f.Conn >= firstDialedID {
-			name = fmt.Sprint("s", f.Conn-firstDialedID)
-		}
-		switch f.Kind {
-		case Dial:
-			said = append(said, "dial "+name+" "+f.Text)
-		case Write:
-			var all []byte
-			for _, p := range f.Chunks {
-				all = append(all, p...)
-			}
-			said = append(said, "write "+name+" "+strings.ReplaceAll(string(all), "\r\n", "|"))
-		case Close:
-			said = append(said, "end "+name)
-		case Reset:
-			said = append(said, "break "+name)
-		case StartWatch:
-			said = append(said, strings.TrimSuffix(fmt.Sprint("watch ", name, " after ", f.AfterIndex, " at ", f.Text),
-				" at 10.1.0.1:85"))
-		case StopWatch:
-			said = append(said, "unwatch")
-		case Log:
-			s.notes = append(s.notes, fmt.Sprint(f.Text, f.Args))
-		case PauseAccept:
-			said = append(said, "hold")
-		case ResumeAccept:
-			said = append(said, "free")
-		case Exit:
-			said = append(said, "quit")
-		case TransferSession:
-			said = append(said, "pass "+name)
-		case SessionDetached:
-			s.parted = f.Session
-			said = append(said, "parted "+name)
-		case SessionAccepted:
-			said = append(said, fmt.Sprint("adopted ", name, " s", f.Peer-firstDialedID))
-		case SendHandoff:
-			s.handoff = f.Handoff
-			said = append(said, "bequeath")
-		case SendEndpoints:
-			s.confides = f.Endpoints
-		case Replicate:
-			said = append(said, strings.TrimSpace(fmt.Sprint("entrust ", name, " ", f.Text)))
-		case Lookup:
-			said = append(said, fmt.Sprint("claim ", name))
-		case Release:
-			said = append(said, "release "+name)
+	for _, effect := range s.Handle(now, e) {
+		if words := s.describe(effect); words != "" {
+			said = append(said, words)
 		}
 	}
 	return strings.Join(said, "; ")
 }
 
+// name is the word for a connection: of a client's its number, of the relay's own s and a number.
+func (s *scene) name(conn uint64) string {
+	if conn >= firstDialedID {
+		return fmt.Sprint("s", conn-firstDialedID)
+	}
+	return fmt.Sprint(conn)
+}
+
+// describe gives an effect in words, and keeps what others ask the scene for; timers and log lines have none.
+func (s *scene) describe(effect Effect) string {
+	switch f := effect.(type) {
+	case *Dial:
+		return "dial " + s.name(f.Conn) + " " + f.Address
+	case *Write:
+		return "write " + s.name(f.Conn) + " " + strings.ReplaceAll(string(bytes.Join(f.Chunks, nil)), "\r\n", "|")
+	case *Close:
+		return "end " + s.name(f.Conn)
+	case *Reset:
+		return "break " + s.name(f.Conn)
+	case *StartWatch:
+		return strings.TrimSuffix(fmt.Sprint("watch ", f.Watch, " after ", f.After, " at ", f.Address), " at 10.1.0.1:85")
+	case *StopWatch:
+		return "unwatch"
+	case *Log:
+		s.notes = append(s.notes, fmt.Sprint(f.Message, f.Args))
+	case *PauseAccept:
+		return "hold"
+	case *ResumeAccept:
+		return "free"
+	case *Exit:
+		return "quit"
+	case *TransferSession:
+		return "pass " + s.name(f.ClientConn)
+	case *SessionDetached:
+		s.parted = f.Session
+		return "parted " + s.name(f.Conn)
+	case *SessionAccepted:
+		return fmt.Sprint("adopted ", s.name(f.Conn), " s", f.BackendConn-firstDialedID)
+	case *SendHandoff:
+		s.handoff = f.Handoff
+		return "bequeath"
+	case *SendEndpoints:
+		s.confides = f.Update
+	case *ReplicationRequest:
+		return describeReplication(s.name(f.Conn), f)
+	}
+	return ""
+}
+
+func describeReplication(conn string, f *ReplicationRequest) string {
+	switch f.Operation {
+	case Replicate:
+		return strings.TrimSpace(fmt.Sprint("entrust ", conn, " ", f.Backend))
+	case Lookup:
+		return "claim " + conn
+	}
+	return "release " + conn
+}
+
 type step struct {
 	at          float64
 	event, want string
@@ -583,7 +596,7 @@
 	assert.Equal(t, uint64(3), s.endpointsIndex, "a list that was asked for whole may go back")
 	s.findOrAddBackend("b1").Endpoint.Invalid = ""
 	bad := []Endpoint{{Name: "b1", Status: "odd", Invalid: "status"}, {Name: "b2", Status: "left"}}
-	s.Handle(12902, Event{Kind: EndpointsUpdated, Conn: 6, Endpoints: &EndpointUpdate{Index: 4, Complete: true, Endpoints: bad}})
+	s.Handle(12902, EndpointsUpdated{Watch: 6, Update: &EndpointUpdate{Index: 4, Complete: true, Endpoints: bad}})
 	assert.Equal(t, balancer.Ready, s.findOrAddBackend("b1").condition, "what was known of a bad entry stays")
 	assert.Equal(t, balancer.Gone, s.findOrAddBackend("b2").condition)
 }
--- a/internal/relay/transfer.go
+++ b/internal/relay/transfer.go
@@ -73,7 +73,7 @@
 		s.resumePolling(b)
 	}
 	s.mutex.Unlock()
-	s.take(Event{Kind: SessionTransferred, Conn: client, Off: !gone})
+	s.take(SessionTransferred{Conn: client, Accepted: gone})
 	if gone { // the other process's descriptors keep them up
 		c.nb.Close()
 		b.nb.Close()
@@ -109,7 +109,7 @@
 		}
 	}
 	s.parted = nil
-	s.tell(Event{Kind: DetachRequested, Conn: client})
+	s.tell(DetachRequested{Conn: client})
 	record := s.parted
 	if record == nil {
 		return nil, fds
@@ -133,7 +133,7 @@
 		}
 		s.resumePolling(k)
 	}
-	s.tell(Event{Kind: SessionTransferred, Conn: client, Off: true})
+	s.tell(SessionTransferred{Conn: client})
 	return nil, fds
 }
 
@@ -193,7 +193,7 @@
 	s.clients++
 	client := s.clients
 	s.adopted = 0
-	s.tell(Event{Kind: SessionReceived, Conn: client, Session: record})
+	s.tell(SessionReceived{Conn: client, Session: record})
 	if s.adopted == 0 {
 		both[0].Close()
 		both[1].Close()
@@ -223,7 +223,7 @@
 			continue
 		}
 		if _, err := s.engine.AddConn(c.nb); err != nil {
-			s.work.do(func() { s.take(Event{Kind: ConnClosed, Conn: c.conn, Reset: true}) })
+			s.work.do(func() { s.take(ConnClosed{Conn: c.conn, Reset: true}) })
 			continue
 		}
 		c.polled = true
--- a/internal/relay/zones.go
+++ b/internal/relay/zones.go
@@ -19,13 +19,13 @@
 	for _, t := range all {
 		parts = append(parts, balancer.ZoneWeight{Zone: m.zoneNumber(t.Zone), Weight: t.Share, AcceptsOverflow: t.AcceptsOverflow})
 	}
-	m.table.Balancer.SetZoneWeights(parts)
+	m.dispatcher.Balancer.SetZoneWeights(parts)
 	m.log("directed", "zones", len(all))
 }
 
 // ZoneObservations is what this relay has seen of each zone since its start, and what its links weigh.
 func (m *StateMachine) ZoneObservations(now float64) (map[string]balancer.ZoneObservation, float64) {
-	all, demand := m.table.Balancer.ZoneObservations(now)
+	all, demand := m.dispatcher.Balancer.ZoneObservations(now)
 	named := map[string]balancer.ZoneObservation{}
 	for name, z := range m.zones {
 		if z < len(all) {
--- a/internal/testbed/sim/mates.go
+++ b/internal/testbed/sim/mates.go
@@ -74,7 +74,7 @@
 		}
 	}
 	p.mates = m
-	p.take(relay.Event{Kind: relay.IncarnationChanged})
+	p.take(relay.IncarnationChanged{})
 	if x.Relays.Replicas > 0 {
 		m.do(m.core.EnableReplication(own.Name, own.Incarnation, x.Relays.Replicas, float64(x.Relays.MarkerRetention), x.Relays.ReplicatesAffinity,
 			fleetKey, chance))
@@ -132,7 +132,7 @@
 }
 
 // trust is what the relay asks for; nothing of it is done in the event that asks.
-func (m *mates) trust(f relay.Effect) {
+func (m *mates) trust(f relay.ReplicationRequest) {
 	m.s.net.after(0, func() {
 		if !m.p.over {
 			m.do(m.core.HandleReplicationEffect(m.p.clock(), f))
@@ -160,7 +160,7 @@
 			}
 			m.save(*a.Persist, done)
 		case a.Event != nil:
-			m.p.take(*a.Event)
+			m.p.take(a.Event)
 		case a.Log != "":
 			m.s.net.tell("relay %d fleet: %s", m.i, a.Log)
 		}
--- a/internal/testbed/sim/recovery_test.go
+++ b/internal/testbed/sim/recovery_test.go
@@ -141,10 +141,10 @@
 	down := fault("discovery-down", "10s", "for = \"5s\"")
 	believes := func(change func(k *relay.Snapshot)) func(e relay.Event) relay.Event {
 		return func(e relay.Event) relay.Event {
-			if e.Kind == relay.StateRestored {
-				k := *e.Snapshot
+			if restored, ok := e.(relay.StateRestored); ok {
+				k := *restored.Snapshot
 				change(&k)
-				e.Snapshot = &k
+				return relay.StateRestored{Snapshot: &k}
 			}
 			return e
 		}
@@ -158,8 +158,8 @@
 		{"each takes hearsay for discovery's word", down, believes(func(k *relay.Snapshot) { k.EndpointsAssumed = false })},
 		{"none is told that its clock is ahead", fault("clock-wrong", "11s", "for = \"16s\"\nshare = 1.0"),
 			func(e relay.Event) relay.Event {
-				if e.Kind == relay.ClockSkewMeasured {
-					e.AheadMillis = 0
+				if _, measured := e.(relay.ClockSkewMeasured); measured {
+					return relay.ClockSkewMeasured{}
 				}
 				return e
 			}},
--- a/internal/testbed/sim/relay.go
+++ b/internal/testbed/sim/relay.go
@@ -85,16 +85,16 @@
 	p.taking = false
 }
 
-func (p *process) carry(f relay.Effect) {
+func (p *process) carry(effect relay.Effect) {
 	if p.over {
 		return
 	}
-	switch f.Kind {
-	case relay.Dial:
+	switch f := effect.(type) {
+	case *relay.Dial:
 		p.last++
 		p.conns[f.Conn], p.back[p.last] = p.last, f.Conn
-		p.dial(p.last, f.Text)
-	case relay.Write:
+		p.dial(p.last, f.Address)
+	case *relay.Write:
 		size := 0
 		for _, part := range f.Chunks {
 			size += len(part)
@@ -106,61 +106,62 @@
 		if conn, open := p.conns[f.Conn]; open {
 			p.write(conn, all)
 		}
-	case relay.Close, relay.Reset:
-		if conn, open := p.conns[f.Conn]; open {
-			p.end(conn, f.Kind == relay.Reset)
-			delete(p.conns, f.Conn)
-			delete(p.back, conn)
-		}
-	case relay.SetTimer:
+	case *relay.Close:
+		p.endOwn(f.Conn, false)
+	case *relay.Reset:
+		p.endOwn(f.Conn, true)
+	case *relay.SetTimer:
 		p.alarm++
 		alarm := p.alarm
 		p.net.after(f.At-p.clock(), func() {
 			if p.alarm == alarm && !p.over {
-				p.take(relay.Event{Kind: relay.TimerFired})
+				p.take(relay.TimerFired{})
 			}
 		})
-	case relay.StartWatch:
+	case *relay.StartWatch:
 		p.unwatch()
-		w := &follower{p: p, number: f.Conn}
+		w := &follower{p: p, number: f.Watch}
 		p.follow = w
 		p.pass(p.number, experiment.Discovery, func() {
 			if p.follow == w {
-				w.id = p.list.Watch(f.AfterIndex, w)
+				w.id = p.list.Watch(f.After, w)
 			}
 		})
-	case relay.StopWatch:
+	case *relay.StopWatch:
 		p.unwatch()
-	case relay.PauseAccept, relay.ResumeAccept:
-		p.holds = f.Kind == relay.PauseAccept
+	case *relay.PauseAccept:
+		p.holds = true
+		p.door()
+	case *relay.ResumeAccept:
+		p.holds = false
 		p.door()
-	case relay.AnnounceReady:
+	case *relay.AnnounceReady:
 		if p.ready != nil {
 			p.ready()
 		}
-	case relay.SendHandoff:
+	case *relay.SendHandoff:
 		p.left = f.Handoff
-	case relay.SendEndpoints:
-		told := f.Endpoints
+	case *relay.SendEndpoints:
+		told := f.Update
 		p.net.after(seen, func() {
 			if p.beside != nil && !p.beside.over {
-				p.beside.take(relay.Event{Kind: relay.SiblingEndpointsUpdated, Endpoints: told})
+				p.beside.take(relay.SiblingEndpointsUpdated{Update: told})
 			}
 		})
-	case relay.TransferSession:
-		client, server := f.Conn, f.Peer
+	case *relay.TransferSession:
+		client, server := f.ClientConn, f.BackendConn
 		p.net.after(passing, func() { p.handOver(client, server) })
-	case relay.SessionDetached:
+	case *relay.SessionDetached:
 		p.passed = f.Session
-	case relay.SessionAccepted:
-		p.given = f.Peer
-	case relay.Log:
+	case *relay.SessionAccepted:
+		p.given = f.BackendConn
+	case *relay.Log:
 		if p.net.trace != nil {
-			p.net.tell("%s note %s %v", p.address, f.Text, f.Args)
+			p.net.tell("%s note %s %v", p.address, f.Message, f.Args)
 		}
-	case relay.Replicate, relay.Lookup, relay.Release:
-		p.mates.trust(f)
-	case relay.Exit:
+	case *relay.ReplicationRequest:
+		p.mates.trust(*f)
+	case *relay.Exit:
 		p.net.after(1, func() {
 			if !p.over {
 				p.stop(false)
@@ -170,6 +171,15 @@
 	}
 }
 
+// endOwn ends a connection of the relay's, by the relay's own number.
+func (p *process) endOwn(own uint64, broken bool) {
+	if conn, open := p.conns[own]; open {
+		p.end(conn, broken)
+		delete(p.conns, own)
+		delete(p.back, conn)
+	}
+}
+
 // listens has this process accept at the node's socket.
 func (p *process) listens() {
 	p.node.actor, p.node.refuse = p, false
@@ -192,7 +202,7 @@
 		return
 	}
 	p.passed = nil
-	p.take(relay.Event{Kind: relay.DetachRequested, Conn: client})
+	p.take(relay.DetachRequested{Conn: client})
 	if p.passed == nil {
 		return
 	}
@@ -208,7 +218,7 @@
 	if gone {
 		next.count++
 		next.given = 0
-		next.take(relay.Event{Kind: relay.SessionReceived, Conn: next.count, Session: passed})
+		next.take(relay.SessionReceived{Conn: next.count, Session: passed})
 		gone = next.given != 0
 	}
 	if gone {
@@ -219,7 +229,7 @@
 			next.conns[its], next.back[conn] = conn, its
 		}
 	}
-	p.take(relay.Event{Kind: relay.SessionTransferred, Conn: client, Off: !gone})
+	p.take(relay.SessionTransferred{Conn: client, Accepted: gone})
 }
 
 func (p *process) unwatch() {
@@ -256,7 +266,7 @@
 func (p *process) OnAccept(conn uint64) {
 	p.count++
 	p.conns[p.count], p.back[conn] = conn, p.count
-	p.take(relay.Event{Kind: relay.ConnAccepted, Conn: p.count})
+	p.take(relay.ConnAccepted{Conn: p.count})
 }
 
 // of is the process that has the connection.
@@ -270,13 +280,13 @@
 // OnConnect tells that a dial is up.
 func (p *process) OnConnect(conn uint64) {
 	p = p.of(conn)
-	p.take(relay.Event{Kind: relay.ConnEstablished, Conn: p.back[conn]})
+	p.take(relay.ConnEstablished{Conn: p.back[conn]})
 }
 
 // OnData tells bytes.
 func (p *process) OnData(conn uint64, data []byte) {
 	p = p.of(conn)
-	p.take(relay.Event{Kind: relay.DataReceived, Conn: p.back[conn], Data: data})
+	p.take(relay.DataReceived{Conn: p.back[conn], Data: data})
 }
 
 // OnClose tells an end from the other side.
@@ -285,7 +295,7 @@
 	of := p.back[conn]
 	delete(p.back, conn)
 	delete(p.conns, of)
-	p.take(relay.Event{Kind: relay.ConnClosed, Conn: of, Reset: broken})
+	p.take(relay.ConnClosed{Conn: of, Reset: broken})
 }
 
 // follower is one watch: what it tells arrives in order.
@@ -330,7 +340,7 @@
 func (p *process) reset() {
 	if w := p.follow; w != nil {
 		p.unwatch()
-		p.take(relay.Event{Kind: relay.WatchFailed, Conn: w.number, Err: errReset})
+		p.take(relay.WatchFailed{Watch: w.number, Err: errReset})
 	}
 }
 
@@ -355,19 +365,19 @@
 		p.net.tell("%s news %d of %d", p.address, len(n.Endpoints), n.Index)
 		dated := *n
 		dated.DiscoveryTime = p.net.now
-		p.take(relay.Event{Kind: relay.EndpointsUpdated, Conn: w.number, Endpoints: &dated})
+		p.take(relay.EndpointsUpdated{Watch: w.number, Update: &dated})
 	})
 }
 
 // OnHeartbeat brings an empty line.
 func (w *follower) OnHeartbeat() {
-	w.tell(func() { w.p.take(relay.Event{Kind: relay.WatchHeartbeat, Conn: w.number}) })
+	w.tell(func() { w.p.take(relay.WatchHeartbeat{Watch: w.number}) })
 }
 
 // OnFailure brings the watch's end.
 func (w *follower) OnFailure(err error) {
 	w.tell(func() {
 		w.p.follow = nil
-		w.p.take(relay.Event{Kind: relay.WatchFailed, Conn: w.number, Err: err})
+		w.p.take(relay.WatchFailed{Watch: w.number, Err: err})
 	})
 }
--- a/internal/testbed/sim/sim.go
+++ b/internal/testbed/sim/sim.go
@@ -116,7 +116,7 @@
 	}
 	s.relays[i] = p
 	p.listens()
-	p.take(relay.Event{Kind: relay.TimerFired})
+	p.take(relay.TimerFired{})
 	s.join(i, p)
 	return nil
 }
@@ -155,7 +155,7 @@
 func (s *Sim) ReplaceRelay(i int, done func()) {
 	s.net.tell("relay %d is replaced", i)
 	elder := s.relays[i]
-	elder.take(relay.Event{Kind: relay.SiblingProcessesChanged, HasChild: true, WantsHandoff: true})
+	elder.take(relay.SiblingProcessesChanged{HasChild: true, WantsHandoff: true})
 	s.net.after(seen, func() {
 		if elder.over || s.relays[i] != elder {
 			return
@@ -178,7 +178,7 @@
 			younger.listens()
 			s.net.after(noticed, func() { s.yield(i, elder, younger, done) })
 		}
-		younger.take(relay.Event{Kind: relay.TimerFired})
+		younger.take(relay.TimerFired{})
 	})
 }
 
@@ -192,13 +192,13 @@
 		s.net.after(seen, func() {
 			younger.beside = nil
 			if !younger.over {
-				younger.take(relay.Event{Kind: relay.SiblingProcessesChanged})
+				younger.take(relay.SiblingProcessesChanged{})
 				done()
 			}
 		})
 	}
 	elder.exit = alone
-	elder.take(relay.Event{Kind: relay.ShutdownRequested, YieldToChild: true})
+	elder.take(relay.ShutdownRequested{YieldToChild: true})
 	s.net.after(s.x.KillAfter(), func() {
 		if !elder.over {
 			elder.stop(true)
@@ -211,7 +211,7 @@
 func (s *Sim) DrainRelay(i int, on bool) {
 	s.net.tell("relay %d lame duck %t", i, on)
 	p := s.relays[i]
-	p.take(relay.Event{Kind: relay.DrainRequested, Off: !on})
+	p.take(relay.DrainRequested{On: on})
 	if p.mates != nil && !p.over {
 		record, acts := p.mates.core.SetDraining(p.clock(), on)
 		p.mates.do(acts)
@@ -340,7 +340,7 @@
 func (s *Sim) StopRelay(i int) {
 	s.net.tell("relay %d stops", i)
 	p := s.relays[i]
-	p.take(relay.Event{Kind: relay.ShutdownRequested})
+	p.take(relay.ShutdownRequested{})
 	s.net.after(s.x.KillAfter(), func() {
 		if !p.over {
 			p.stop(true)
@@ -361,6 +361,6 @@
 func (s *Sim) ReloadRelay(i int) {
 	s.net.tell("relay %d reloads", i)
 	if p := s.relays[i]; !p.over {
-		p.take(relay.Event{Kind: relay.ConfigReloaded, Address: fmt.Sprintf("10.0.0.%d:1", 2+s.net.seq%200)})
+		p.take(relay.ConfigReloaded{DiscoveryAddress: fmt.Sprintf("10.0.0.%d:1", 2+s.net.seq%200)})
 	}
 }
--- a/internal/testbed/sim/spoil_test.go
+++ b/internal/testbed/sim/spoil_test.go
@@ -41,9 +41,26 @@
 	}
 }
 
-func text(f relay.Effect) string { return string(bytes.Join(f.Chunks, nil)) }
+// text is what the effect writes, if it does.
+func text(f relay.Effect) string {
+	if write, ok := f.(*relay.Write); ok {
+		return string(bytes.Join(write.Chunks, nil))
+	}
+	return ""
+}
+
+// writeTo is an effect that writes the text to the connection.
+func writeTo(conn uint64, text string) *relay.Write {
+	return &relay.Write{Conn: conn, Chunks: [][]byte{[]byte(text)}}
+}
 
-func toClient(f relay.Effect) bool { return f.Kind == relay.Write && f.Conn < 1<<63 }
+// toClient is the write of an effect that writes to a client; else nil.
+func toClient(f relay.Effect) *relay.Write {
+	if write, ok := f.(*relay.Write); ok && write.Conn < 1<<63 {
+		return write
+	}
+	return nil
+}
 
 const twoFree = 1 << 62 // numbers that no reducer gives
 
@@ -77,8 +94,8 @@
 	}{
 		{"answers twice", audit.FinalAnswer, "BUSY after UP", func() *spoiled {
 			return &spoiled{after: each(func(f relay.Effect) []relay.Effect {
-				if toClient(f) && strings.HasPrefix(text(f), "UP") {
-					return []relay.Effect{f, {Kind: relay.Write, Conn: f.Conn, Chunks: [][]byte{[]byte("BUSY 5\r\n")}}}
+				if write := toClient(f); write != nil && strings.HasPrefix(text(f), "UP") {
+					return []relay.Effect{f, writeTo(write.Conn, "BUSY 5\r\n")}
 				}
 				return []relay.Effect{f}
 			})}
@@ -86,7 +103,7 @@
 		{"says nothing", audit.FinalAnswer, "no answer", func() *spoiled {
 			n := 0
 			return &spoiled{after: each(func(f relay.Effect) []relay.Effect {
-				if toClient(f) && strings.HasPrefix(text(f), "UP") {
+				if toClient(f) != nil && strings.HasPrefix(text(f), "UP") {
 					if n++; n%20 == 0 {
 						return nil
 					}
@@ -97,9 +114,9 @@
 		{"ends without a word", audit.FinalAnswer, "ended without an answer", func() *spoiled {
 			n := 0
 			return &spoiled{after: each(func(f relay.Effect) []relay.Effect {
-				if toClient(f) && strings.HasPrefix(text(f), "UP") {
+				if write := toClient(f); write != nil && strings.HasPrefix(text(f), "UP") {
 					if n++; n%20 == 0 {
-						return []relay.Effect{{Kind: relay.Close, Conn: f.Conn}}
+						return []relay.Effect{&relay.Close{Conn: write.Conn}}
 					}
 				}
 				return []relay.Effect{f}
@@ -114,14 +131,16 @@
 			next := uint64(twoFree)
 			s := &spoiled{}
 			s.after = each(func(f relay.Effect) []relay.Effect {
-				switch {
-				case f.Kind == relay.Dial:
-					dialed = append(dialed, f.Text)
+				switch f := f.(type) {
+				case *relay.Dial:
+					dialed = append(dialed, f.Address)
 					next++
 					second[f.Conn] = next
-					return []relay.Effect{f, {Kind: relay.Dial, Conn: next, Text: dialed[len(dialed)/2]}}
-				case f.Kind == relay.Write && strings.HasPrefix(text(f), "OPEN"):
-					return []relay.Effect{f, {Kind: relay.Write, Conn: second[f.Conn], Chunks: f.Chunks}}
+					return []relay.Effect{f, &relay.Dial{Conn: next, Address: dialed[len(dialed)/2]}}
+				case *relay.Write:
+					if strings.HasPrefix(text(f), "OPEN") {
+						return []relay.Effect{f, &relay.Write{Conn: second[f.Conn], Chunks: f.Chunks}}
+					}
 				}
 				return []relay.Effect{f}
 			})
@@ -129,8 +148,8 @@
 		}},
 		{"keeps its clients though it is to be empty", audit.LineDelivery, "still held", func() *spoiled {
 			return &spoiled{before: func(e relay.Event) relay.Event {
-				if e.Kind == relay.DrainRequested {
-					e = relay.Event{Kind: relay.TimerFired}
+				if _, drain := e.(relay.DrainRequested); drain {
+					return relay.TimerFired{}
 				}
 				return e
 			}}
@@ -138,24 +157,27 @@
 		{"turns clients away while it is replaced", audit.FinalAnswer, "did not let a client in", func() *spoiled {
 			replaced := false
 			return &spoiled{before: func(e relay.Event) relay.Event {
-				replaced = replaced || e.Kind == relay.SiblingProcessesChanged
+				if _, sibling := e.(relay.SiblingProcessesChanged); sibling {
+					replaced = true
+				}
 				return e
 			}, after: each(func(f relay.Effect) []relay.Effect {
-				if replaced && toClient(f) && strings.HasPrefix(text(f), "UP") {
-					return []relay.Effect{{Kind: relay.Close, Conn: f.Conn}}
+				if write := toClient(f); replaced && write != nil && strings.HasPrefix(text(f), "UP") {
+					return []relay.Effect{&relay.Close{Conn: write.Conn}}
 				}
 				return []relay.Effect{f}
 			})}
 		}},
 		{"ignores drains", audit.Drain, "leaving for", func() *spoiled {
 			return &spoiled{before: func(e relay.Event) relay.Event {
-				if e.Kind == relay.EndpointsUpdated {
-					news := *e.Endpoints
+				if updated, ok := e.(relay.EndpointsUpdated); ok {
+					news := *updated.Update
 					news.Endpoints = slices.Clone(news.Endpoints)
 					for i := range news.Endpoints {
 						news.Endpoints[i].Status = "active"
 					}
-					e.Endpoints = &news
+					updated.Update = &news
+					return updated
 				}
 				return e
 			}}
@@ -163,20 +185,23 @@
 		{"takes cold servers for warm", audit.SlowStart, "was sent", func() *spoiled {
 			only := ""
 			return &spoiled{before: func(e relay.Event) relay.Event {
-				if e.Kind == relay.EndpointsUpdated {
-					news := *e.Endpoints
+				if updated, ok := e.(relay.EndpointsUpdated); ok {
+					news := *updated.Update
 					news.Endpoints = slices.Clone(news.Endpoints)
 					for i := range news.Endpoints {
 						if news.Endpoints[i].StartedAt > 0 {
 							news.Endpoints[i].StartedAt, only = 0, news.Endpoints[i].Address
 						}
 					}
-					e.Endpoints = &news
+					updated.Update = &news
+					return updated
 				}
 				return e
 			}, after: each(func(f relay.Effect) []relay.Effect {
-				if f.Kind == relay.Dial && only != "" {
-					f.Text = only
+				if dial, ok := f.(*relay.Dial); ok && only != "" {
+					changed := *dial
+					changed.Address = only
+					return []relay.Effect{&changed}
 				}
 				return []relay.Effect{f}
 			})}
@@ -184,7 +209,7 @@
 		{"loses lines", audit.LineDelivery, "lost before", func() *spoiled {
 			n := 0
 			return &spoiled{after: each(func(f relay.Effect) []relay.Effect {
-				if toClient(f) && strings.HasPrefix(text(f), "R ") {
+				if toClient(f) != nil && strings.HasPrefix(text(f), "R ") {
 					if n++; n%50 == 0 {
 						return nil
 					}
@@ -195,7 +220,7 @@
 		{"doubles lines", audit.LineDelivery, "came again", func() *spoiled {
 			n := 0
 			return &spoiled{after: each(func(f relay.Effect) []relay.Effect {
-				if f.Kind == relay.Write && strings.HasPrefix(text(f), "M ") {
+				if strings.HasPrefix(text(f), "M ") {
 					if n++; n%50 == 0 {
 						return []relay.Effect{f, f}
 					}
@@ -206,9 +231,9 @@
 		{"cuts links off", audit.LineDelivery, "cut off without MOVE", func() *spoiled {
 			n := 0
 			return &spoiled{after: each(func(f relay.Effect) []relay.Effect {
-				if toClient(f) && strings.HasPrefix(text(f), "R ") {
+				if write := toClient(f); write != nil && strings.HasPrefix(text(f), "R ") {
 					if n++; n%500 == 0 {
-						return []relay.Effect{f, {Kind: relay.Reset, Conn: f.Conn}}
+						return []relay.Effect{f, &relay.Reset{Conn: write.Conn}}
 					}
 				}
 				return []relay.Effect{f}
@@ -243,15 +268,14 @@
 	var conn uint64
 	return func(e relay.Event) relay.Event {
 			conn = 0
-			if e.Kind == relay.DataReceived && bytes.HasPrefix(e.Data, []byte("OPEN")) {
-				conn = e.Conn
+			if received, ok := e.(relay.DataReceived); ok && bytes.HasPrefix(received.Data, []byte("OPEN")) {
+				conn = received.Conn
 			}
 			return e
 		}, func(all []relay.Effect) []relay.Effect {
 			if conn == 0 {
 				return all
 			}
-			return append([]relay.Effect{{Kind: relay.Write, Conn: conn, Chunks: [][]byte{[]byte("UP mine\r\n")}}},
-				all...)
+			return append([]relay.Effect{writeTo(conn, "UP mine\r\n")}, all...)
 		}
 }
