--- a/internal/relay/handoff.go
+++ b/internal/relay/handoff.go
@@ -229,7 +229,7 @@
 		return
 	}
 	session := conn.session
-	session.state = handingOff
+	m.enter(session, handingOff)
 	p := &TransferredSession{Version: handoffVersion, ID: session.id, Class: nameOf(m.classes, session.Class),
 		Tenant: nameOf(m.tenants, session.Tenant), Key: session.Key, Group: session.AffinityGroup, Backend: session.backendConn.backend.Name,
 		PartialLine: session.backendConn.input.Pending(), AwaitsReply: session.stateTimer.position > 0, LeavesInMillis: -1,
@@ -248,7 +248,7 @@
 		return
 	}
 	session := conn.session
-	session.state = established
+	m.enter(session, established)
 	if gone {
 		m.endSession(session, TransferredToChild, gracefully) // the sockets have none of it any more
 	} else if session.brokeInTransfer {
--- a/internal/relay/replication.go
+++ b/internal/relay/replication.go
@@ -34,7 +34,8 @@
 		return false
 	}
 	m.dispatcher.Forget(session)
-	session.state, session.deadline = replicating, m.now+wait // giveUp is when it is to come
+	m.enter(session, replicating)
+	session.deadline = m.now + wait // when its client is to come again
 	connID := session.clientConn.id
 	session.stateTimer.fire = func() { m.recordReplicated(connID, false) }
 	m.setTimer(&session.stateTimer, m.now+replicationTimeout)
@@ -184,7 +185,7 @@
 	if session.pendingLookups == 0 {
 		return false
 	}
-	session.state = lookingUp
+	m.enter(session, lookingUp)
 	session.stateTimer.fire = func() { m.assign(session) }
 	m.setTimer(&session.stateTimer, m.now+wait)
 	return true
@@ -213,6 +214,7 @@
 
 func (m *StateMachine) assign(session *session) {
 	m.stopTimer(&session.stateTimer)
-	session.state, session.pendingLookups = queued, 0
+	session.pendingLookups = 0
+	m.enter(session, queued)
 	m.dispatcher.Assign(m.now, session)
 }
--- a/internal/relay/standing.go
+++ b/internal/relay/standing.go
@@ -24,7 +24,7 @@
 
 // reestablish asks the backend that has the link already.
 func (m *StateMachine) reestablish(session *session) {
-	session.state = reestablishing
+	m.enter(session, reestablishing)
 	session.deadline = m.now + reestablishTimeout
 	m.tryReestablish(session)
 }
@@ -82,7 +82,7 @@
 
 // addEstablished is what holds of every link from when it stands.
 func (m *StateMachine) addEstablished(session *session) {
-	session.state = established
+	m.enter(session, established)
 	m.Established++
 	backend := session.backendConn.backend
 	backend.sessions = append(backend.sessions, session)
--- a/internal/relay/statemachine.go
+++ b/internal/relay/statemachine.go
@@ -74,40 +74,6 @@
 	deadline     timer
 }
 
-type sessionState uint8
-
-const (
-	awaitingRequest sessionState = iota // the client's first line has not come
-	queued                              // the module has it
-	attempting                          // a setup try is out
-	reestablishing                      // it stood before the start, and its backend is asked
-	established
-	handingOff  // it stands, and is on its way to the younger process
-	replicating // its answer is known, and other relays are about to hold it
-	lookingUp   // others are asked whether its client's former try may have run
-	finished
-)
-
-// session is one client's connection.
-type session struct {
-	dispatch.Entry
-	state           sessionState
-	clientConn      *connection // nil: the client has gone
-	backendConn     *connection // of the setup try that is out, or of the link that stands
-	id              string
-	request         protocol.Request
-	deadline        float64
-	markerConn      uint64    // of a setup try that others hold, or are asked to: its connection; 0: none
-	affinityConn    uint64    // where it stands is held by others, or they are asked to: its connection; 0: not
-	pendingLookups  int       // words that it waits for
-	markerDeadline  float64   // clock time until which its head waits for that; 0: it does not
-	endReason       EndReason // what the backend said of the end to come
-	endAnnounced    bool      // it said so
-	brokeInTransfer bool      // a side did while it was parting
-	stateTimer      timer     // for lines that bring nothing back
-	migrationTimer  timer
-}
-
 // StateMachine is the state of one relay.
 type StateMachine struct {
 	Counters
@@ -169,6 +135,8 @@
 	clockAhead           float64 // of the fleet's clock, ms
 	discoveryClockOffset float64 // what discovery's clock was ahead of this relay's, as last told; NaN: never
 
+	illegalTransitions int // changes of a session's state that sessionTransitions does not list
+
 	stopping       bool
 	siblingDrained map[string]bool // servers that another process was told are to get nothing new
 	draining       bool            // emptied, but not to stop
@@ -479,6 +447,7 @@
 func (m *StateMachine) acceptClient(connID uint64) {
 	m.Accepted++
 	session := &session{}
+	m.enter(session, awaitingRequest)
 	conn := m.addConn(&connection{id: connID, session: session, acceptedAt: m.now, lastDataAt: m.now})
 	session.clientConn = conn
 	m.awaitingCount++
@@ -495,7 +464,7 @@
 
 // stopAwaiting takes that the client has a head now, or is over without one. The first of mute is without.
 func (m *StateMachine) stopAwaiting(session *session, then sessionState) {
-	session.state = then
+	m.enter(session, then)
 	m.awaitingCount--
 	for len(m.awaiting) > 0 && m.awaiting[0].session.state != awaitingRequest {
 		m.awaiting = m.awaiting[1:]
@@ -744,7 +713,7 @@
 		m.sessions--
 		delete(m.sessionsByID, session.id)
 	}
-	session.state = finished
+	m.enter(session, finished)
 	m.dispatcher.Forget(session)
 	m.stopTimer(&session.stateTimer)
 	m.stopTimer(&session.migrationTimer)
@@ -752,7 +721,7 @@
 
 func (m *StateMachine) startAttempt(session *session, backend *backend, timeout float64) {
 	m.Attempts++
-	session.state = attempting
+	m.enter(session, attempting)
 	session.deadline = m.now + timeout
 	m.dialForSession(session, backend, m.connectTimeout)
 }
@@ -839,7 +808,7 @@
 	if !conn.isUp || how.outcome().IsUnprocessed() {
 		m.releaseMarker(session)
 	}
-	session.state = queued
+	m.enter(session, queued)
 	gone := session.clientConn == nil
 	if gone {
 		m.removeSession(session)
--- a/internal/relay/statemachine_test.go
+++ b/internal/relay/statemachine_test.go
@@ -153,6 +153,7 @@
 			said = append(said, words)
 		}
 	}
+	require.Zero(s.t, s.illegalTransitions, "%v %s", now, event)
 	return strings.Join(said, "; ")
 }
 
