--- a/internal/fleet/action.go
+++ b/internal/fleet/action.go
@@ -21,7 +21,7 @@
 	// ReplicationWrite is the replica that Persist stores; nil: it stores none.
 	ReplicationWrite *replication.Write
 	// Event is for the relay.
-	Event *relay.Event
+	Event relay.Event
 	// OrderReplicated answers Core.ReplicateOrder.
 	OrderReplicated *OrderReplicated
 	// Log is a line for the log.
--- a/internal/fleet/clock.go
+++ b/internal/fleet/clock.go
@@ -45,7 +45,7 @@
 	ahead := -offset
 	line := fmt.Sprintf("this relay's clock is ahead by %.0f ms, by %d relays' clocks, discovery's %t", ahead,
 		len(offsets), isDated)
-	return []Action{{Event: &relay.Event{Kind: relay.ClockSkewMeasured, AheadMillis: ahead}}, {Log: line}}
+	return []Action{{Event: relay.ClockSkewMeasured{AheadMillis: ahead}}, {Log: line}}
 }
 
 // clockOffsets returns what this machine's wall clock and those of the relays that are alive are ahead of this
--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -104,10 +104,7 @@
 				actions = append(actions, Action{Query: query})
 			}
 		case a.Event != nil:
-			if a.Event.Snapshot != nil {
-				a.Event.Snapshot = shiftRetryTimes(a.Event.Snapshot, -c.fleetClockOffset)
-			}
-			actions = append(actions, Action{Event: a.Event})
+			actions = append(actions, Action{Event: c.byOwnClock(a.Event)})
 		case a.Log != "":
 			actions = append(actions, Action{Log: a.Log})
 		}
@@ -115,6 +112,15 @@
 	return actions
 }
 
+// byOwnClock returns the event with its times by this relay's own clock: snapshots are stored by the fleet's.
+func (c *Core) byOwnClock(event relay.Event) relay.Event {
+	restored, isRestored := event.(relay.StateRestored)
+	if !isRestored {
+		return event
+	}
+	return relay.StateRestored{Snapshot: shiftRetryTimes(restored.Snapshot, -c.fleetClockOffset)}
+}
+
 const (
 	rejectionInterval = 500.0 // over which rejected clients are counted
 	smoothing         = 0.3   // the weight of a new sample in a moving average
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -115,7 +115,7 @@
 		return nil
 	}
 	c.remoteLoad.notified = load
-	return []Action{{Event: &relay.Event{Kind: relay.RemoteLoadChanged, Load: load}}}
+	return []Action{{Event: relay.RemoteLoadChanged{Load: load}}}
 }
 
 // sumRemoteLoad sums what the others say they have assigned. Each counts for a few times the median at the
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -137,12 +137,12 @@
 	if len(n.config.Voters) > 0 {
 		n.core.FollowCoordinators(n.name, n.config.Zone, n.config.Voters, n.key, rng)
 	}
-	n.relay.notify(relay.Event{Kind: relay.IncarnationChanged})
+	n.relay.notify(relay.IncarnationChanged{})
 	if n.config.Copies > 0 {
 		n.replication = newReplicationQueue()
 		for _, a := range n.core.EnableReplication(n.name, own.Incarnation, n.config.Copies,
 			n.config.MarkerRetentionMillis, n.config.ReplicateAffinity, n.key, rng) {
-			n.relay.notify(*a.Event)
+			n.relay.notify(a.Event)
 		}
 	}
 }
@@ -230,7 +230,7 @@
 	case a.OrderReplicated != nil:
 		n.orders.complete(*a.OrderReplicated)
 	case a.Event != nil:
-		n.relay.notify(*a.Event)
+		n.relay.notify(a.Event)
 	case a.Log != "":
 		n.log.Info("fleet", "what", a.Log)
 	}
--- a/internal/fleet/node_replication.go
+++ b/internal/fleet/node_replication.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// maxPendingReplications is how many of the relay's effects may wait to be handled, and how many best-effort
+	// maxPendingReplications is how many of the relay's requests may wait to be handled, and how many best-effort
 	// records to be replicated again.
 	maxPendingReplications = 4096
 	maxReplicationWait     = 1e6 // ms, of one setting of the timer
@@ -18,20 +18,20 @@
 // replicationQueue is what the relay wants replicated, and when replication has to go on. The zero value is
 // disabled.
 type replicationQueue struct {
-	effects      chan relay.Effect
+	requests     chan relay.ReplicationRequest
 	dueAtChanged chan struct{} // has room for one
 	dueAt        float64       // of the relay's clock; under Node.mutex
 }
 
 func newReplicationQueue() replicationQueue {
 	return replicationQueue{
-		effects:      make(chan relay.Effect, maxPendingReplications),
+		requests:     make(chan relay.ReplicationRequest, maxPendingReplications),
 		dueAtChanged: make(chan struct{}, 1),
 		dueAt:        math.Inf(1),
 	}
 }
 
-func (q *replicationQueue) isEnabled() bool { return q.effects != nil }
+func (q *replicationQueue) isEnabled() bool { return q.requests != nil }
 
 // bringForward has replication go on at that time, where it isn't due before. Node.mutex is held.
 func (q *replicationQueue) bringForward(dueAt float64) {
@@ -45,17 +45,17 @@
 	}
 }
 
-// Replicate handles an effect of the relay: to replicate a record, to look one up or to release one. It is called
-// under the relay's lock and waits for nothing: where too many are pending, the effect is dropped, and the relay
+// Replicate handles a request of the relay: to replicate a record, to look one up or to release one. It is called
+// under the relay's lock and waits for nothing: where too many are pending, the request is dropped, and the relay
 // goes on without.
-func (n *Node) Replicate(f relay.Effect) {
+func (n *Node) Replicate(r relay.ReplicationRequest) {
 	select {
-	case n.replication.effects <- f:
+	case n.replication.requests <- r:
 	default:
 	}
 }
 
-// runReplication handles the relay's effects, and has replication go on when it is due: ticks are too far apart
+// runReplication handles the relay's requests, and has replication go on when it is due: ticks are too far apart
 // for what takes some milliseconds.
 func (n *Node) runReplication(ctx context.Context) {
 	timer := time.NewTimer(time.Hour)
@@ -64,8 +64,8 @@
 		select {
 		case <-ctx.Done():
 			return
-		case f := <-n.replication.effects:
-			n.update(func(core *Core) []Action { return core.HandleReplicationEffect(n.clock.now(), f) })
+		case r := <-n.replication.requests:
+			n.update(func(core *Core) []Action { return core.HandleReplicationEffect(n.clock.now(), r) })
 		case <-timer.C:
 			n.mutex.Lock()
 			n.replication.dueAt = math.Inf(1)
--- a/internal/fleet/orders.go
+++ b/internal/fleet/orders.go
@@ -45,7 +45,7 @@
 	if !hasChanged {
 		return nil
 	}
-	return []Action{{Event: &relay.Event{Kind: relay.DrainRequested, Off: !draining}}}
+	return []Action{{Event: relay.DrainRequested{On: draining}}}
 }
 
 // adoptOrder takes an order to this relay that others remember, where it is later than the one in effect, or of
--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -73,8 +73,8 @@
 
 // Action is something to do: one of its fields is set.
 type Action struct {
-	Query string       // the relay of that name is to be queried for its snapshot
-	Event *relay.Event // for the relay
+	Query string      // the relay of that name is to be queried for its snapshot
+	Event relay.Event // for the relay
 	Log   string
 }
 
@@ -132,7 +132,7 @@
 	late := *d.Snapshot
 	late.Endpoints = nil
 	p.accepted = append(p.accepted, "estimates, from the disk, late")
-	return []Action{{Event: &relay.Event{Kind: relay.StateRestored, Snapshot: &late}}}
+	return []Action{{Event: relay.StateRestored{Snapshot: &late}}}
 }
 
 // ReceiveAnswer takes another relay's snapshot; or, where fault is not empty, why it gave none.
@@ -229,8 +229,7 @@
 	}
 	actions := []Action{p.enter(now, next, reason)}
 	if believed.Snapshot != nil {
-		restored := &relay.Event{Kind: relay.StateRestored, Snapshot: believed.Snapshot}
-		actions = append(actions, Action{Event: restored})
+		actions = append(actions, Action{Event: relay.StateRestored{Snapshot: believed.Snapshot}})
 	}
 	return actions
 }
@@ -249,12 +248,12 @@
 		return nil
 	}
 	p.capacityShare = share
-	return []Action{{Event: &relay.Event{Kind: relay.RecoveryChanged, CapacityShare: share}}}
+	return []Action{{Event: relay.RecoveryChanged{Recovering: true, CapacityShare: share}}}
 }
 
 func (p *Plan) endAdmitting(now float64, reason string) []Action {
 	p.capacityShare = 0
-	return []Action{p.enter(now, Normal, reason), {Event: &relay.Event{Kind: relay.RecoveryChanged, Off: true}}}
+	return []Action{p.enter(now, Normal, reason), {Event: relay.RecoveryChanged{}}}
 }
 
 // capacityShare is this relay's share: for the most part an even one, for the rest by the clients that each relay
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -153,12 +153,13 @@
 					}
 					queried[a.Query] = true
 				}
-				if a.Event != nil && a.Event.Kind == relay.StateRestored {
+				if _, isRestored := a.Event.(relay.StateRestored); isRestored {
 					restored++
 				}
-				isShare := a.Event == nil || a.Event.CapacityShare >= 0 && a.Event.CapacityShare <= 1
+				changed, _ := a.Event.(relay.RecoveryChanged)
+				isShare := changed.CapacityShare >= 0 && changed.CapacityShare <= 1
 				if !isShare || math.IsNaN(p.capacityShare) {
-					t.Fatal("a share that can't be", p.capacityShare, a.Event)
+					t.Fatal("a share that can't be", p.capacityShare, changed.CapacityShare)
 				}
 			}
 			if now > 1000+queryTimeout+500 && p.Phase() < Admitting {
@@ -180,6 +181,8 @@
 	assert.NotEmpty(t, actions)
 	actions = p.ReceiveDisk(10000, DiskResult{Snapshot: snapshot(5, 3, statusActive)})
 	require.Len(t, actions, 1)
-	assert.Nil(t, actions[0].Event.Snapshot.Endpoints)
-	assert.Equal(t, 5.0, actions[0].Event.Snapshot.Capacity)
+	restored, isRestored := actions[0].Event.(relay.StateRestored)
+	require.True(t, isRestored)
+	assert.Nil(t, restored.Snapshot.Endpoints)
+	assert.Equal(t, 5.0, restored.Snapshot.Capacity)
 }
