--- a/cmd/valeshift/golden_test.go
+++ b/cmd/valeshift/golden_test.go
@@ -40,9 +40,9 @@
 		}{}},
 		{"valeshift zone", &zoneLine{}},
 		{"valeshift holdings", &struct {
-			Show   holdingsShow   `cmd:"" name:"show" default:"withargs"`
-			Export holdingsExport `cmd:"" name:"export"`
-			Verify holdingsVerify `cmd:"" name:"verify"`
+			Show   replicationSummary `cmd:"" name:"show" default:"withargs"`
+			Export replicationExport  `cmd:"" name:"export"`
+			Verify replicationVerify  `cmd:"" name:"verify"`
 		}{}},
 	} {
 		parser, err := kong.New(c.grammar, kong.Name(c.name))
--- a/cmd/valeshift/main.go
+++ b/cmd/valeshift/main.go
@@ -28,8 +28,8 @@
 	Fleet fleetCommand `cmd:"" name:"fleet" passthrough:"" help:"Ask relays what they keep and hear of each other."`
 	Zone  zoneCommand  `cmd:"" name:"zone" passthrough:"" help:"Ask the council on zones, or order it."`
 
-	Holdings holdingsCommand `cmd:"" name:"holdings" passthrough:"" help:"Ask relays what they hold for each other."`
-	Version  versionCommand  `cmd:"" name:"version" help:"Say which build this is."`
+	Holdings replicationCommand `cmd:"" name:"holdings" passthrough:"" help:"Ask relays what they hold for each other."`
+	Version  versionCommand     `cmd:"" name:"version" help:"Say which build this is."`
 }
 
 func main() {
--- a/cmd/valeshift/holdings.go
+++ b/cmd/valeshift/replication.go
@@ -13,32 +13,32 @@
 	"valeshift/internal/replication"
 )
 
-// holdingsCommand passes its words on, as zoneCommand does.
-type holdingsCommand struct {
+// replicationCommand passes its words on, as zoneCommand does.
+type replicationCommand struct {
 	Words []string `arg:"" optional:"" help:"Addresses, or export or verify and some: docs/holdings.md."`
 }
 
 // Run reads the words, and does what they say.
-func (c *holdingsCommand) Run() error {
+func (c *replicationCommand) Run() error {
 	var l struct {
-		Show   holdingsShow   `cmd:"" default:"withargs" help:"How many of each kind relays hold, and how whole that is."`
-		Export holdingsExport `cmd:"" help:"Each record that relays hold, as a line of JSON."`
-		Verify holdingsVerify `cmd:"" help:"Hold what relays have against each other."`
+		Show   replicationSummary `cmd:"" default:"withargs" help:"How many of each kind relays hold, and how whole that is."`
+		Export replicationExport  `cmd:"" help:"Each record that relays hold, as a line of JSON."`
+		Verify replicationVerify  `cmd:"" help:"Hold what relays have against each other."`
 	}
 	return words(&l, "valeshift holdings", c.Words)
 }
 
-type asked struct {
+type relayAddresses struct {
 	Addresses []string      `arg:"" help:"Where operators call the relays, address:port each."`
 	Within    time.Duration `default:"3s" help:"How long an answer is waited for."`
 }
 
-type holdingsShow struct {
-	asked
+type replicationSummary struct {
+	relayAddresses
 }
 
 // Run sums what the relays say.
-func (c *holdingsShow) Run() error {
+func (c *replicationSummary) Run() error {
 	standing, counts := map[string]replication.KindStatus{}, map[string]replication.Counts{}
 	for _, address := range c.Addresses {
 		var s fleet.Status
@@ -81,8 +81,8 @@
 	return all
 }
 
-// pages reads all that a relay holds.
-func (c *asked) pages(address string, take func(p *replication.Page) error) error {
+// readPages reads all that a relay holds.
+func (c *relayAddresses) readPages(address string, take func(p *replication.Page) error) error {
 	for part := range replication.Partitions {
 		var p replication.Page
 		if _, err := ask(calls(c.Within), address, fmt.Sprintf("/_holdings?part=%d", part), &p); err != nil {
@@ -95,15 +95,15 @@
 	return nil
 }
 
-type holdingsExport struct {
-	asked
+type replicationExport struct {
+	relayAddresses
 }
 
 // Run writes out each record.
-func (c *holdingsExport) Run() error {
+func (c *replicationExport) Run() error {
 	out := json.NewEncoder(os.Stdout)
 	for _, address := range c.Addresses {
-		if err := c.pages(address, func(p *replication.Page) error {
+		if err := c.readPages(address, func(p *replication.Page) error {
 			for _, r := range p.Records {
 				if err := out.Encode(struct {
 					Holder string `json:"Holder"`
@@ -120,15 +120,15 @@
 	return nil
 }
 
-type holdingsVerify struct {
-	asked
+type replicationVerify struct {
+	relayAddresses
 }
 
 // Run says how whole copies are, and fails where something contradicts itself or is not whole.
-func (c *holdingsVerify) Run() error {
+func (c *replicationVerify) Run() error {
 	var all []replication.Page
 	for _, address := range c.Addresses {
-		if err := c.pages(address, func(p *replication.Page) error { all = append(all, *p); return nil }); err != nil {
+		if err := c.readPages(address, func(p *replication.Page) error { all = append(all, *p); return nil }); err != nil {
 			return err
 		}
 	}
--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -71,8 +71,8 @@
 	beyondAt         float64
 	beyondSaid       float64 // what others have placed, as the relay was told
 	diskRead         bool
-	coordinators     *council // nil: no voters are named
-	replication      *held    // nil: nothing is held for others
+	coordinators     *council          // nil: no voters are named
+	replication      *replicationState // nil: nothing is held for others
 }
 
 // New starts the relay's side: with others, where an own word is given that says where it hears them, and
@@ -185,7 +185,7 @@
 	w := c.membership.LocalState()
 	if w.Boot > c.boot && c.diskRead {
 		if c.boot = w.Boot; c.replication != nil {
-			c.replication.older = true
+			c.replication.diskIsOlder = true
 		}
 		acts = append(acts, c.saveBoot(now))
 	}
--- a/internal/replication/golden_test.go
+++ b/internal/replication/golden_test.go
@@ -17,7 +17,7 @@
 // The files of testdata/golden were written by the build before the fields had tags and the names that they
 // have now. Relays of both builds run in one fleet, and a new build reads what an old one saved.
 
-func readGolden(t *testing.T, name string) []byte {
+func readGoldenFile(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", name))
 	require.NoError(t, err)
@@ -32,58 +32,58 @@
 }
 
 // goldenMessage has no field that is zero.
-func goldenMessage(kind what, record Kind) message {
-	return message{What: kind, Token: 0xfedcba9876543211, From: "relay-2", Life: 1 << 40, Ballot: ballot{5, 11},
-		Taken: ballot{4, 13}, By: 0x8000000000000001,
+func goldenMessage(kind messageType, record Kind) message {
+	return message{Type: kind, Token: 0xfedcba9876543211, From: "relay-2", Incarnation: 1 << 40, Ballot: ballot{5, 11},
+		AcceptedBallot: ballot{4, 13}, Claimant: 0x8000000000000001,
 		Records: []Record{goldenRecord(record), {Kind: AttemptMarker, Key: "k", ID: 77}}}
 }
 
 // Each kind of message and of record, as they go between relays.
 func TestGoldenMessages(t *testing.T) {
 	golden := map[string]string{}
-	for _, line := range strings.Split(strings.TrimSpace(string(readGolden(t, "messages.hex"))), "\n") {
+	for _, line := range strings.Split(strings.TrimSpace(string(readGoldenFile(t, "messages.hex"))), "\n") {
 		name, digits, _ := strings.Cut(line, " ")
 		golden[name] = digits
 	}
 	cases := map[string]message{
-		"put":                goldenMessage(put, Reservation),
-		"held":               goldenMessage(held, OperatorOrder),
-		"refuse":             goldenMessage(refuse, AttemptMarker),
-		"seek":               goldenMessage(seek, Affinity),
-		"found":              goldenMessage(found, Reservation),
-		"bind":               goldenMessage(bind, Reservation),
-		"bound":              goldenMessage(bound, Reservation),
-		"accept":             goldenMessage(accept, Reservation),
-		"accepted":           goldenMessage(accepted, Reservation),
-		"dropped":            goldenMessage(dropped, AttemptMarker),
-		"point":              goldenMessage(point, OperatorOrder),
-		"refuse-never":       {What: refuse, Token: 1, From: "relay-3", Ballot: ballot{Round: math.MaxUint64}},
-		"found-without-any":  {What: found, Token: 2, From: "relay-3", Life: 9},
-		"found-mark-is-over": {What: found, Token: 3, From: "relay-3", Life: 9, Records: []Record{{Kind: AttemptMarker, Key: "k", ID: 5}}},
+		"put":                goldenMessage(messageStore, Reservation),
+		"held":               goldenMessage(messageStored, OperatorOrder),
+		"refuse":             goldenMessage(messageReject, AttemptMarker),
+		"seek":               goldenMessage(messageLookup, Affinity),
+		"found":              goldenMessage(messageFound, Reservation),
+		"bind":               goldenMessage(messagePrepare, Reservation),
+		"bound":              goldenMessage(messagePromise, Reservation),
+		"accept":             goldenMessage(messageAccept, Reservation),
+		"accepted":           goldenMessage(messageAccepted, Reservation),
+		"dropped":            goldenMessage(messageDiscard, AttemptMarker),
+		"point":              goldenMessage(messagePublish, OperatorOrder),
+		"refuse-never":       {Type: messageReject, Token: 1, From: "relay-3", Ballot: ballot{Round: math.MaxUint64}},
+		"found-without-any":  {Type: messageFound, Token: 2, From: "relay-3", Incarnation: 9},
+		"found-mark-is-over": {Type: messageFound, Token: 3, From: "relay-3", Incarnation: 9, Records: []Record{{Kind: AttemptMarker, Key: "k", ID: 5}}},
 	}
 	assert.Len(t, golden, len(cases))
 	for name, message := range cases {
 		t.Run(name, func(t *testing.T) {
 			data, err := hex.DecodeString(golden[name])
 			require.NoError(t, err)
-			read, err := readMessage(data)
+			read, err := decodeMessage(data)
 			require.NoError(t, err)
 			assert.Equal(t, message, read)
-			assert.Equal(t, golden[name], hex.EncodeToString(message.text()))
+			assert.Equal(t, golden[name], hex.EncodeToString(message.encode()))
 		})
 	}
 }
 
 // What is saved of a record, under its name in the store, is loaded, and saved again as it was.
 func TestGoldenSavedRecord(t *testing.T) {
-	name, digits, _ := strings.Cut(strings.TrimSpace(string(readGolden(t, "saved.hex"))), " ")
+	name, digits, _ := strings.Cut(strings.TrimSpace(string(readGoldenFile(t, "saved.hex"))), " ")
 	body, err := hex.DecodeString(digits)
 	require.NoError(t, err)
 	c := New("relay-2", 1<<40, 3, 10, rand.New(rand.NewSource(1)))
 	require.True(t, c.LoadRecord(1700000000000, name, body))
-	assert.Equal(t, &holding{Record: goldenRecord(Reservation), Bound: ballot{6, 17}, Taken: ballot{5, 11},
-		By: 0x8000000000000001}, c.records[0x0123456789abcdef])
-	again := c.saves(c.records[0x0123456789abcdef])
+	assert.Equal(t, &storedRecord{Record: goldenRecord(Reservation), Promised: ballot{6, 17}, Accepted: ballot{5, 11},
+		Claimant: 0x8000000000000001}, c.records[0x0123456789abcdef])
+	again := c.writeOf(c.records[0x0123456789abcdef])
 	assert.Equal(t, name, again.Name)
 	assert.Equal(t, digits, hex.EncodeToString(again.Body))
 }
@@ -91,12 +91,12 @@
 // The numbers of the kinds and their names, which stand in /_holdings and in /_fleet.
 func TestGoldenKinds(t *testing.T) {
 	var names []string
-	require.NoError(t, json.Unmarshal(readGolden(t, "kinds.json"), &names))
+	require.NoError(t, json.Unmarshal(readGoldenFile(t, "kinds.json"), &names))
 	for i, kind := range []Kind{Reservation, OperatorOrder, AttemptMarker, Affinity} {
 		assert.Equal(t, i+1, int(kind))
 		assert.Equal(t, names[i], kind.String())
 	}
-	assert.Len(t, names, int(lastKind)-1)
+	assert.Len(t, names, int(kindLimit)-1)
 }
 
 // goldenPage has no field that is zero.
@@ -123,7 +123,7 @@
 			new(Report)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			golden := strings.TrimSpace(string(readGolden(t, name)))
+			golden := strings.TrimSpace(string(readGoldenFile(t, name)))
 			require.NoError(t, json.Unmarshal([]byte(golden), c.read))
 			assert.Equal(t, c.value, c.read)
 			text, err := json.Marshal(c.value)
@@ -135,12 +135,12 @@
 
 // A loaded record is shown as it was by the build before.
 func TestGoldenPageOfLoadedRecord(t *testing.T) {
-	name, digits, _ := strings.Cut(strings.TrimSpace(string(readGolden(t, "saved.hex"))), " ")
+	name, digits, _ := strings.Cut(strings.TrimSpace(string(readGoldenFile(t, "saved.hex"))), " ")
 	body, err := hex.DecodeString(digits)
 	require.NoError(t, err)
 	c := New("relay-2", 1<<40, 3, 10, rand.New(rand.NewSource(1)))
 	require.True(t, c.LoadRecord(1700000000000, name, body))
 	text, err := json.Marshal(c.Page(1700000000000, 0x0123456789abcdef%Partitions))
 	require.NoError(t, err)
-	assert.Equal(t, strings.TrimSpace(string(readGolden(t, "page-of-saved.json"))), string(text))
+	assert.Equal(t, strings.TrimSpace(string(readGoldenFile(t, "page-of-saved.json"))), string(text))
 }
--- a/internal/replication/shown.go
+++ b/internal/replication/shown.go
@@ -39,14 +39,14 @@
 	if part >= Partitions {
 		return p
 	}
-	for _, h := range c.parts[part] {
-		s := RecordSnapshot{Kind: h.Kind.String(), Key: h.Key, ID: nameOf(h.ID), Owner: h.Owner, Version: h.Version,
+	for _, h := range c.partitions[part] {
+		s := RecordSnapshot{Kind: h.Kind.String(), Key: h.Key, ID: recordName(h.ID), Owner: h.Owner, Version: h.Version,
 			ValidFrom: h.ValidFrom,
 			ExpiresAt: h.ExpiresAt, Replicas: h.Replicas, State: "open", Body: h.Body}
 		switch {
-		case h.Taken != (ballot{}):
+		case h.Accepted != (ballot{}):
 			s.State = "used"
-		case h.Bound.Round == math.MaxUint64 || h.ExpiresAt <= now:
+		case h.Promised.Round == math.MaxUint64 || h.ExpiresAt <= now:
 			s.State = "over"
 		}
 		p.Records = append(p.Records, s)
@@ -71,8 +71,8 @@
 }
 
 const (
-	lasting  = 1000.0 // ms, that a record is to last yet: against its end coming between two relays' answers
-	mostSaid = 20
+	verifyMarginMillis = 1000.0 // ms, that a record is to last yet: against its end coming between two relays' answers
+	maxInconsistencies = 20
 )
 
 // Verify holds what relays show against each other: for each kind, how far copies are whole, and what
@@ -85,13 +85,13 @@
 		late bool
 	}
 	asked, all, found := map[string]bool{}, map[string]*seen{}, map[string]*Report{}
-	for k := Reservation; k < lastKind; k++ {
+	for k := Reservation; k < kindLimit; k++ {
 		found[k.String()] = &Report{}
 	}
 	wrong := func(kind, format string, args ...any) {
 		if f := found[kind]; f == nil {
 			found[kind] = &Report{Inconsistencies: []string{"a kind that this build does not know"}}
-		} else if len(f.Inconsistencies) < mostSaid {
+		} else if len(f.Inconsistencies) < maxInconsistencies {
 			f.Inconsistencies = append(f.Inconsistencies, fmt.Sprintf(format, args...))
 		}
 	}
@@ -106,14 +106,14 @@
 			}
 			x.by = append(x.by, p.Relay)
 			x.over = x.over || r.State != "open"
-			x.late = x.late || r.ExpiresAt < p.Now+lasting
+			x.late = x.late || r.ExpiresAt < p.Now+verifyMarginMillis
 			switch {
 			case r.Kind != x.Kind || r.Key != x.Key || r.Owner != x.Owner || r.Version != x.Version ||
 				!slices.Equal(r.Replicas, x.Replicas):
 				wrong(r.Kind, "%s of %s is another record at %s than at %s", r.ID, r.Owner, p.Relay, x.by[0])
 			case !slices.ContainsFunc(r.Replicas, func(h Replica) bool { return h.Name == p.Relay }):
 				wrong(r.Kind, "%s of %s lies at %s, which is none of its holders", r.ID, r.Owner, p.Relay)
-			case r.ExpiresAt > p.Now+mostEnd:
+			case r.ExpiresAt > p.Now+maxLifetimeMillis:
 				wrong(r.Kind, "%s of %s at %s ends beyond all bounds", r.ID, r.Owner, p.Relay)
 			}
 			if r.Kind == OperatorOrder.String() {
--- a/internal/replication/shown_test.go
+++ b/internal/replication/shown_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func (w *world) pages() (all []Page) {
-	for _, n := range w.nodes {
+func (w *testFleet) allPages() (all []Page) {
+	for _, n := range w.relays {
 		for part := range Partitions {
 			if p := n.Page(w.now, part); len(p.Records) > 0 || part == 0 {
 				all = append(all, *p)
@@ -84,15 +84,15 @@
 			return p
 		}, Report{Records: 1, FullyReplicated: 1}, "none of its holders"},
 	} {
-		w := newWorld(t, 9, 3, 3, 4, Faults{})
-		_, acts := w.nodes[2].Replicate(w.now, Record{Kind: OperatorOrder, Key: "n2", Version: 1, ExpiresAt: w.now + 1e6,
+		w := newTestFleet(t, 9, 3, 3, 4, injectedFaults{})
+		_, acts := w.relays[2].Replicate(w.now, Record{Kind: OperatorOrder, Key: "n2", Version: 1, ExpiresAt: w.now + 1e6,
 			Body: []byte("x")}, 50)
-		w.do(2, acts)
-		w.gives(1, "k", w.now+5000)
-		w.run(w.now + 60)
-		w.comes(3, "k")
-		w.run(w.now + 60)
-		text, err := json.Marshal(w.pages())
+		w.perform(2, acts)
+		w.reserve(1, "k", w.now+5000)
+		w.runUntil(w.now + 60)
+		w.acquire(3, "k")
+		w.runUntil(w.now + 60)
+		text, err := json.Marshal(w.allPages())
 		require.NoError(t, err)
 		var pages []Page
 		require.NoError(t, json.Unmarshal(text, &pages))
