--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -374,7 +374,7 @@
 		page, is := r.ReplicationPage(part).(*replication.Page)
 		require.True(t, is)
 		for _, record := range page.Records {
-			got[summary{record.Kind, record.Key, record.Owner, string(record.Body), record.State}]++
+			got[summary{record.Kind, record.Key, record.Owner, string(record.Body), string(record.State)}]++
 			assert.Len(t, record.Replicas, 3)
 		}
 	}
--- /dev/null
+++ b/internal/fleet/replicated_records.go
@@ -0,0 +1,231 @@
+package fleet
+
+import (
+	"fmt"
+	"slices"
+
+	"valeshift/internal/relay"
+	"valeshift/internal/replication"
+)
+
+// This file is the records that the relay's state machine has replicated for its clients: reservations, attempt
+// markers and affinities. Lookups are about the same.
+
+const (
+	replicateTimeoutMillis = 200.0  // after which the replicas of a durable record discard it
+	replyMarginMillis      = 1.0    // of the time that a session awaits a lookup, for the outcome to reach it
+	affinityLifetimeMillis = 3.0e6  // unless it is revoked before
+	reservationGraceMillis = 700.0  // a reservation is valid so long after its time, as admission counts it
+	sweepIntervalMillis    = 5000.0 // between two sweeps of expired records
+	retryIntervalMillis    = 2000.0 // between two attempts to replicate affinities that failed
+	retryBatch             = 500    // affinities at a time
+)
+
+// replicationKinds are the replicator's kinds for the relay's.
+var replicationKinds = [...]replication.Kind{
+	relay.ReservationRecord: replication.Reservation,
+	relay.AttemptRecord:     replication.AttemptMarker,
+	relay.AffinityRecord:    replication.Affinity,
+}
+
+// pendingRecord is a replication whose outcome a connection awaits.
+type pendingRecord struct {
+	conn      uint64
+	startedAt float64
+}
+
+// revocableKey is what the relay revokes a record by.
+type revocableKey struct {
+	kind relay.RecordKind
+	conn uint64
+}
+
+// revocableExpiry says when a revocable record expires, by this relay's clock.
+type revocableExpiry struct {
+	revocableKey
+	expiresAt float64
+}
+
+// recordReplication is the state of the relay's own records and lookups.
+type recordReplication struct {
+	pending    map[uint64]pendingRecord // replications whose outcome is awaited, by token
+	affinities map[uint64]relay.Effect  // replications whose outcome nobody awaits, by token
+	lookups    map[uint64]relay.Effect  // by token
+
+	retries     []relay.Effect // affinities that were not replicated
+	nextRetryAt float64
+
+	revocable   map[revocableKey]uint64 // tokens
+	expiries    []revocableExpiry       // of the revocable records, as they came
+	nextSweepAt float64
+}
+
+func newRecordReplication() recordReplication {
+	return recordReplication{
+		pending:    map[uint64]pendingRecord{},
+		affinities: map[uint64]relay.Effect{},
+		lookups:    map[uint64]relay.Effect{},
+		revocable:  map[revocableKey]uint64{},
+	}
+}
+
+// recordKey is the replicator's key for a client's or group's.
+func recordKey(key uint64) string { return fmt.Sprintf("%016x", key) }
+
+// HandleReplicationEffect does what the relay's state machine asks for: Replicate, Lookup or Release.
+func (c *Core) HandleReplicationEffect(now float64, effect relay.Effect) []Action {
+	if c.replication == nil {
+		return nil
+	}
+	switch effect.Kind {
+	case relay.Release:
+		return c.revokeRecord(now, effect)
+	case relay.Lookup:
+		return c.lookUpRecord(now, effect)
+	default:
+		return c.replicateRecord(now, effect)
+	}
+}
+
+func (c *Core) revokeRecord(now float64, effect relay.Effect) []Action {
+	state := c.replication
+	key := revocableKey{effect.Record, effect.Conn}
+	token := state.records.revocable[key]
+	delete(state.records.revocable, key)
+	return c.apply(now, state.replicator.Revoke(c.fleetTime(now), token))
+}
+
+// lookUpRecord acquires a reservation, or looks up a marker or affinity until shortly before the time until which
+// the session waits.
+func (c *Core) lookUpRecord(now float64, effect relay.Effect) []Action {
+	state := c.replication
+	fleetNow := c.fleetTime(now)
+	key := recordKey(effect.Key)
+	var token uint64
+	var actions []replication.Action
+	if effect.Record == relay.ReservationRecord {
+		token, actions = state.replicator.Acquire(fleetNow, replication.Reservation, key)
+	} else {
+		timeout := max(effect.At-now-replyMarginMillis, 1)
+		token, actions = state.replicator.Lookup(fleetNow, replicationKinds[effect.Record], key, timeout)
+	}
+	state.records.lookups[token] = effect
+	return c.apply(now, actions)
+}
+
+func (c *Core) replicateRecord(now float64, effect relay.Effect) []Action {
+	state := c.replication
+	record := c.newRecord(now, effect)
+	token, actions := state.replicator.Replicate(c.fleetTime(now), record, replicateTimeoutMillis)
+	if effect.Record == relay.AffinityRecord {
+		state.records.affinities[token] = effect
+	} else {
+		state.records.pending[token] = pendingRecord{effect.Conn, now}
+	}
+	if effect.Record != relay.ReservationRecord {
+		key := revocableKey{effect.Record, effect.Conn}
+		state.records.addRevocable(key, token, record.ExpiresAt-c.fleetClockOffset)
+	}
+	return c.apply(now, actions)
+}
+
+// newRecord gives the record that an effect of the relay asks to replicate. The effect's time is that of a
+// reservation, or the expiry of a marker.
+func (c *Core) newRecord(now float64, effect relay.Effect) replication.Record {
+	fleetNow := c.fleetTime(now)
+	record := replication.Record{
+		Kind:      replicationKinds[effect.Record],
+		Key:       recordKey(effect.Key),
+		Version:   uint64(max(fleetNow, 0)),
+		ValidFrom: fleetNow,
+		Body:      []byte(effect.Text),
+	}
+	switch effect.Record {
+	case relay.ReservationRecord:
+		record.Version = 0
+		record.ValidFrom = c.fleetTime(effect.At)
+		record.ExpiresAt = c.fleetTime(effect.At) + reservationGraceMillis
+	case relay.AttemptRecord:
+		record.ExpiresAt = c.fleetTime(effect.At)
+	case relay.AffinityRecord:
+		record.ExpiresAt = fleetNow + affinityLifetimeMillis
+	}
+	return record
+}
+
+// addRevocable remembers a record that may be revoked. One that is replicated again expires no sooner for it.
+func (r *recordReplication) addRevocable(key revocableKey, token uint64, expiresAt float64) {
+	if _, known := r.revocable[key]; !known {
+		r.expiries = append(r.expiries, revocableExpiry{key, expiresAt})
+	}
+	r.revocable[key] = token
+}
+
+// removeExpired forgets, every few seconds, the records that can't be revoked any more.
+func (r *recordReplication) removeExpired(now float64) {
+	if now < r.nextSweepAt {
+		return
+	}
+	r.nextSweepAt = now + sweepIntervalMillis
+	r.expiries = slices.DeleteFunc(r.expiries, func(expiry revocableExpiry) bool {
+		_, known := r.revocable[expiry.revocableKey]
+		expired := expiry.expiresAt < now
+		if known && expired {
+			delete(r.revocable, expiry.revocableKey)
+		}
+		return !known || expired
+	})
+}
+
+// retryAffinities replicates again the affinities that others didn't store, while their sessions are established.
+func (c *Core) retryAffinities(now float64) []Action {
+	records := &c.replication.records
+	if now < records.nextRetryAt {
+		return nil
+	}
+	records.nextRetryAt = now + retryIntervalMillis
+	n := min(len(records.retries), retryBatch)
+	var actions []Action
+	for _, effect := range records.retries[:n] {
+		if _, known := records.revocable[revocableKey{effect.Record, effect.Conn}]; known {
+			actions = append(actions, c.HandleReplicationEffect(now, effect)...)
+		}
+	}
+	records.retries = slices.Clone(records.retries[n:]) // those that failed again just now included
+	return actions
+}
+
+// handleRecordOutcome tells the relay's state machine how a replication or lookup ended. Of a reservation that isn't
+// found nothing is told.
+func (c *Core) handleRecordOutcome(now float64, outcome *replication.Outcome) []Action {
+	records := &c.replication.records
+	succeeded := outcome.Err == nil
+	if pending, ok := records.pending[outcome.Token]; ok {
+		delete(records.pending, outcome.Token)
+		if succeeded {
+			c.replication.latencies.add(now - pending.startedAt)
+		}
+		return []Action{{Event: &relay.Event{Kind: relay.RecordReplicated, Conn: pending.conn, Off: !succeeded}}}
+	}
+	if effect, ok := records.affinities[outcome.Token]; ok {
+		delete(records.affinities, outcome.Token)
+		if !succeeded && len(records.retries) < maxPendingReplications {
+			records.retries = append(records.retries, effect)
+		}
+		return nil
+	}
+	effect, ok := records.lookups[outcome.Token]
+	delete(records.lookups, outcome.Token)
+	if !ok || (!succeeded && effect.Record == relay.ReservationRecord) {
+		return nil
+	}
+	return []Action{{Event: &relay.Event{
+		Kind:    relay.RecordFound,
+		Record:  effect.Record,
+		Conn:    effect.Conn,
+		Key:     effect.Key,
+		Off:     !succeeded,
+		At:      outcome.Record.ValidFrom - c.fleetClockOffset,
+		Address: string(outcome.Record.Body),
+	}}}
+}
--- a/internal/replication/golden_test.go
+++ b/internal/replication/golden_test.go
@@ -79,11 +79,14 @@
 	name, digits, _ := strings.Cut(strings.TrimSpace(string(readGoldenFile(t, "saved.hex"))), " ")
 	body, err := hex.DecodeString(digits)
 	require.NoError(t, err)
-	c := New("relay-2", 1<<40, 3, 10, rand.New(rand.NewSource(1)))
-	require.True(t, c.LoadRecord(1700000000000, name, body))
-	assert.Equal(t, &storedRecord{Record: goldenRecord(Reservation), Promised: ballot{6, 17}, Accepted: ballot{5, 11},
-		Claimant: 0x8000000000000001}, c.records[0x0123456789abcdef])
-	again := c.writeOf(c.records[0x0123456789abcdef])
+	r := New("relay-2", 1<<40, 3, 10, rand.New(rand.NewSource(1)))
+	require.True(t, r.LoadRecord(1700000000000, name, body))
+	stored := r.records.byID[0x0123456789abcdef]
+	assert.Equal(t, &storedRecord{
+		Record:   goldenRecord(Reservation),
+		register: register{Promised: ballot{6, 17}, Accepted: ballot{5, 11}, Claimant: 0x8000000000000001},
+	}, stored)
+	again := r.newWrite(stored)
 	assert.Equal(t, name, again.Name)
 	assert.Equal(t, digits, hex.EncodeToString(again.Body))
 }
@@ -101,13 +104,13 @@
 
 // goldenPage has no field that is zero.
 func goldenPage() Page {
-	shown := func(kind, id, state string) RecordSnapshot {
+	snapshot := func(kind, id string, state RecordState) RecordSnapshot {
 		return RecordSnapshot{Kind: kind, Key: "00000000deadbeef", ID: id, Owner: "relay-1", Version: 300,
 			ValidFrom: 1700000000123.5, ExpiresAt: 1700000060000, Replicas: []Replica{{"relay-1", 7}, {"relay-2", 1 << 40}},
 			State: state, Body: []byte("s1\x00\xff")}
 	}
-	return Page{Relay: "relay-2", Now: 1700000000500.25, Records: []RecordSnapshot{shown("places", "0123456789abcdef", "used"),
-		shown("orders", "1123456789abcdef", "open"), shown("marks", "2123456789abcdef", "over"),
+	return Page{Relay: "relay-2", Now: 1700000000500.25, Records: []RecordSnapshot{snapshot("places", "0123456789abcdef", "used"),
+		snapshot("orders", "1123456789abcdef", "open"), snapshot("marks", "2123456789abcdef", "over"),
 		{Kind: "affinities", ID: "3123456789abcdef", Replicas: []Replica{}}}}
 }
 
@@ -138,9 +141,9 @@
 	name, digits, _ := strings.Cut(strings.TrimSpace(string(readGoldenFile(t, "saved.hex"))), " ")
 	body, err := hex.DecodeString(digits)
 	require.NoError(t, err)
-	c := New("relay-2", 1<<40, 3, 10, rand.New(rand.NewSource(1)))
-	require.True(t, c.LoadRecord(1700000000000, name, body))
-	text, err := json.Marshal(c.Page(1700000000000, 0x0123456789abcdef%Partitions))
+	r := New("relay-2", 1<<40, 3, 10, rand.New(rand.NewSource(1)))
+	require.True(t, r.LoadRecord(1700000000000, name, body))
+	text, err := json.Marshal(r.Page(1700000000000, 0x0123456789abcdef%Partitions))
 	require.NoError(t, err)
 	assert.Equal(t, strings.TrimSpace(string(readGoldenFile(t, "page-of-saved.json"))), string(text))
 }
--- /dev/null
+++ b/internal/replication/lookup.go
@@ -0,0 +1,150 @@
+package replication
+
+import (
+	"slices"
+)
+
+// This file is how a relay finds a record by its key, and acquires a single-use one.
+
+const (
+	extraLookupTargets   = 3 // members asked beyond as many as copies are made, as views of the membership differ
+	acquireTimeoutMillis = 1000.0
+	earlyToleranceMillis = 300.0 // a record may be acquired so long before it becomes valid
+)
+
+// Acquire looks for a single-use record, and acquires it for this relay unless another operation has done so. An
+// Outcome with the token follows within a second.
+func (r *Replicator) Acquire(now float64, kind Kind, key string) (token uint64, actions []Action) {
+	return r.startLookup(now, kind, key, acquireTimeoutMillis)
+}
+
+// Lookup looks for the latest version of a record that isn't single-use. An Outcome with the token follows after
+// timeout ms at the latest.
+func (r *Replicator) Lookup(now float64, kind Kind, key string, timeout float64) (token uint64, actions []Action) {
+	return r.startLookup(now, kind, key, timeout)
+}
+
+func (r *Replicator) startLookup(now float64, kind Kind, key string, timeout float64) (uint64, []Action) {
+	r.counts[kind].Lookups++
+	op := &operation{
+		token:    r.newToken(),
+		phase:    messageLookup,
+		record:   Record{Kind: kind, Key: key},
+		deadline: now + timeout,
+		targets:  r.lookupTargets(key),
+	}
+	if len(r.operations) >= maxOperations || len(op.targets) == 0 || key == "" || len(key) > maxKeyBytes {
+		return op.token, []Action{{Outcome: &Outcome{Token: op.token, Record: op.record, Err: errNoTargets}}}
+	}
+	return op.token, r.startPhase(now, op)
+}
+
+func (r *Replicator) lookupTargets(key string) []Member {
+	return r.members.rank(key, r.copies+extraLookupTargets, true)
+}
+
+// advanceLookup goes on with what was found so far. A single-use record is acquired as soon as one member has
+// answered with it. A durable versioned record is found once all members have replied, as any of them may have the
+// latest version; at the deadline the best of those that have is taken.
+func (r *Replicator) advanceLookup(now float64, op *operation) []Action {
+	candidate := r.bestCandidate(now, op)
+	allReplied := len(op.replies) == len(op.targets)
+	switch {
+	case candidate == nil && !allReplied:
+		return nil
+	case candidate == nil && len(op.usedIDs) > 0:
+		return r.finish(op, errAlreadyUsed)
+	case candidate == nil:
+		return r.finish(op, errNotFound)
+	case candidate.Kind.isSingleUse():
+		return r.acquireCandidate(now, op, *candidate)
+	case !allReplied && !candidate.Kind.isBestEffort():
+		return nil
+	default:
+		op.record = *candidate
+		return r.finish(op, nil)
+	}
+}
+
+// acquireCandidate begins to acquire a record, unless its client came before its time: it may come again then.
+func (r *Replicator) acquireCandidate(now float64, op *operation, candidate Record) []Action {
+	if now < candidate.ValidFrom-earlyToleranceMillis {
+		return r.finish(op, errTooEarly)
+	}
+	return r.startPrepare(now, op, candidate)
+}
+
+// bestCandidate gives the found record with the highest version, nil where there is none. Of equal versions it is
+// one at random, so that operations on the same key spread over its records.
+func (r *Replicator) bestCandidate(now float64, op *operation) *Record {
+	revoked := op.revokedIDs()
+	var best *Record
+	for _, reply := range op.replies {
+		for i := range reply.Records {
+			candidate := &reply.Records[i]
+			if revoked[candidate.ID] || !r.isCandidate(now, op, candidate) {
+				continue
+			}
+			if best == nil || op.prefers(candidate, best) {
+				best = candidate
+			}
+		}
+	}
+	return best
+}
+
+// revokedIDs are the markers that some member knows to be revoked.
+func (op *operation) revokedIDs() map[uint64]bool {
+	revoked := map[uint64]bool{}
+	for _, reply := range op.replies {
+		for i := range reply.Records {
+			if reply.Records[i].isRevokedMarker() {
+				revoked[reply.Records[i].ID] = true
+			}
+		}
+	}
+	return revoked
+}
+
+func (r *Replicator) isCandidate(now float64, op *operation, candidate *Record) bool {
+	return candidate.lookupKey() == op.record.lookupKey() &&
+		candidate.isValid(now+maxLifetimeMillis) &&
+		candidate.hasDistinctReplicas(r.copies) &&
+		!slices.Contains(op.usedIDs, candidate.ID)
+}
+
+func (op *operation) prefers(candidate, best *Record) bool {
+	if candidate.Version != best.Version {
+		return candidate.Version > best.Version
+	}
+	return candidate.ID^op.token < best.ID^op.token
+}
+
+// lookUpNext looks for the next record of the key, as this one goes to another operation: many clients with the
+// same key may come at once and try for the same record.
+func (r *Replicator) lookUpNext(now float64, op *operation) []Action {
+	op.usedIDs = append(op.usedIDs, op.record.ID)
+	op.phase = messageLookup
+	op.round = 0
+	op.claimant = 0
+	op.ballotAttempts = 0
+	op.record = Record{Kind: op.record.Kind, Key: op.record.Key}
+	op.targets = r.lookupTargets(op.record.Key)
+	return r.startPhase(now, op)
+}
+
+// expireLookup ends a lookup at its deadline, with what was found so far where that is of use.
+func (r *Replicator) expireLookup(now float64, op *operation) []Action {
+	if !op.record.Kind.isSingleUse() {
+		candidate := r.bestCandidate(now, op)
+		if candidate == nil {
+			return r.finish(op, errMissingReplies)
+		}
+		op.record = *candidate
+		return r.finish(op, nil)
+	}
+	if len(op.usedIDs) > 0 {
+		return r.finish(op, errAlreadyUsed)
+	}
+	return r.finish(op, errTimeout)
+}
