--- a/internal/replication/status.go
+++ b/internal/replication/status.go
@@ -20,6 +20,14 @@
 	BelowQuorum     int `json:"Short"` // no more than half of them are: it can't be acquired, or read for certain, until more are
 }
 
+// Add adds another relay's status.
+func (s *KindStatus) Add(other KindStatus) {
+	s.Stored += other.Stored
+	s.Open += other.Open
+	s.UnderReplicated += other.UnderReplicated
+	s.BelowQuorum += other.BelowQuorum
+}
+
 // Counts are the events of a kind of record since the start.
 type Counts struct {
 	Stored        uint64 `json:"Held"`     // stored here, for this relay and others
@@ -75,7 +83,7 @@
 	result := [kindLimit]KindStatus{}
 	for _, record := range records {
 		if record.isOpen() && record.ExpiresAt > now {
-			result[record.Kind].add(record, name, alive)
+			result[record.Kind].count(record, name, alive)
 		}
 	}
 	s.partitions[partition] = result
@@ -85,16 +93,13 @@
 func (s *statusScanner) sum(kind Kind) KindStatus {
 	var sum KindStatus
 	for i := range s.partitions {
-		partition := &s.partitions[i][kind]
-		sum.Open += partition.Open
-		sum.UnderReplicated += partition.UnderReplicated
-		sum.BelowQuorum += partition.BelowQuorum
+		sum.Add(s.partitions[i][kind])
 	}
 	return sum
 }
 
-// add counts an open record.
-func (s *KindStatus) add(record *storedRecord, name string, alive map[string]bool) {
+// count counts an open record as seen by the relay of that name.
+func (s *KindStatus) count(record *storedRecord, name string, alive map[string]bool) {
 	s.Open++
 	aliveCount := 0
 	firstAlive := ""
