--- a/internal/fleet/replicated_records.go
+++ b/internal/fleet/replicated_records.go
@@ -48,11 +48,11 @@
 
 // recordReplication is the state of the relay's own records and lookups.
 type recordReplication struct {
-	pending    map[uint64]pendingRecord // replications whose outcome is awaited, by token
-	affinities map[uint64]relay.Effect  // replications whose outcome nobody awaits, by token
-	lookups    map[uint64]relay.Effect  // by token
+	pending    map[uint64]pendingRecord            // replications whose outcome is awaited, by token
+	affinities map[uint64]relay.ReplicationRequest // replications whose outcome nobody awaits, by token
+	lookups    map[uint64]relay.ReplicationRequest // by token
 
-	retries     []relay.Effect // affinities that were not replicated
+	retries     []relay.ReplicationRequest // affinities that were not replicated
 	nextRetryAt float64
 
 	revocable   map[revocableKey]uint64 // tokens
@@ -63,8 +63,8 @@
 func newRecordReplication() recordReplication {
 	return recordReplication{
 		pending:    map[uint64]pendingRecord{},
-		affinities: map[uint64]relay.Effect{},
-		lookups:    map[uint64]relay.Effect{},
+		affinities: map[uint64]relay.ReplicationRequest{},
+		lookups:    map[uint64]relay.ReplicationRequest{},
 		revocable:  map[revocableKey]uint64{},
 	}
 }
@@ -73,23 +73,23 @@
 func recordKey(key uint64) string { return fmt.Sprintf("%016x", key) }
 
 // HandleReplicationEffect does what the relay's state machine asks for: Replicate, Lookup or Release.
-func (c *Core) HandleReplicationEffect(now float64, effect relay.Effect) []Action {
+func (c *Core) HandleReplicationEffect(now float64, request relay.ReplicationRequest) []Action {
 	if c.replication == nil {
 		return nil
 	}
-	switch effect.Kind {
+	switch request.Operation {
 	case relay.Release:
-		return c.revokeRecord(now, effect)
+		return c.revokeRecord(now, request)
 	case relay.Lookup:
-		return c.lookUpRecord(now, effect)
+		return c.lookUpRecord(now, request)
 	default:
-		return c.replicateRecord(now, effect)
+		return c.replicateRecord(now, request)
 	}
 }
 
-func (c *Core) revokeRecord(now float64, effect relay.Effect) []Action {
+func (c *Core) revokeRecord(now float64, request relay.ReplicationRequest) []Action {
 	state := c.replication
-	key := revocableKey{effect.Record, effect.Conn}
+	key := revocableKey{request.Record, request.Conn}
 	token := state.records.revocable[key]
 	delete(state.records.revocable, key)
 	return c.apply(now, state.replicator.Revoke(c.fleetTime(now), token))
@@ -97,56 +97,56 @@
 
 // lookUpRecord acquires a reservation, or looks up a marker or affinity until shortly before the time until which
 // the session waits.
-func (c *Core) lookUpRecord(now float64, effect relay.Effect) []Action {
+func (c *Core) lookUpRecord(now float64, request relay.ReplicationRequest) []Action {
 	state := c.replication
 	fleetNow := c.fleetTime(now)
-	key := recordKey(effect.Key)
+	key := recordKey(request.Key)
 	var token uint64
 	var actions []replication.Action
-	if effect.Record == relay.ReservationRecord {
+	if request.Record == relay.ReservationRecord {
 		token, actions = state.replicator.Acquire(fleetNow, replication.Reservation, key)
 	} else {
-		timeout := max(effect.At-now-replyMarginMillis, 1)
-		token, actions = state.replicator.Lookup(fleetNow, replicationKinds[effect.Record], key, timeout)
+		timeout := max(request.At-now-replyMarginMillis, 1)
+		token, actions = state.replicator.Lookup(fleetNow, replicationKinds[request.Record], key, timeout)
 	}
-	state.records.lookups[token] = effect
+	state.records.lookups[token] = request
 	return c.apply(now, actions)
 }
 
-func (c *Core) replicateRecord(now float64, effect relay.Effect) []Action {
+func (c *Core) replicateRecord(now float64, request relay.ReplicationRequest) []Action {
 	state := c.replication
-	record := c.newRecord(now, effect)
+	record := c.newRecord(now, request)
 	token, actions := state.replicator.Replicate(c.fleetTime(now), record, replicateTimeoutMillis)
-	if effect.Record == relay.AffinityRecord {
-		state.records.affinities[token] = effect
+	if request.Record == relay.AffinityRecord {
+		state.records.affinities[token] = request
 	} else {
-		state.records.pending[token] = pendingRecord{effect.Conn, now}
+		state.records.pending[token] = pendingRecord{request.Conn, now}
 	}
-	if effect.Record != relay.ReservationRecord {
-		key := revocableKey{effect.Record, effect.Conn}
+	if request.Record != relay.ReservationRecord {
+		key := revocableKey{request.Record, request.Conn}
 		state.records.addRevocable(key, token, record.ExpiresAt-c.fleetClockOffset)
 	}
 	return c.apply(now, actions)
 }
 
-// newRecord gives the record that an effect of the relay asks to replicate. The effect's time is that of a
+// newRecord gives the record that a request of the relay asks to replicate. The request's time is that of a
 // reservation, or the expiry of a marker.
-func (c *Core) newRecord(now float64, effect relay.Effect) replication.Record {
+func (c *Core) newRecord(now float64, request relay.ReplicationRequest) replication.Record {
 	fleetNow := c.fleetTime(now)
 	record := replication.Record{
-		Kind:      replicationKinds[effect.Record],
-		Key:       recordKey(effect.Key),
+		Kind:      replicationKinds[request.Record],
+		Key:       recordKey(request.Key),
 		Version:   uint64(max(fleetNow, 0)),
 		ValidFrom: fleetNow,
-		Body:      []byte(effect.Text),
+		Body:      []byte(request.Backend),
 	}
-	switch effect.Record {
+	switch request.Record {
 	case relay.ReservationRecord:
 		record.Version = 0
-		record.ValidFrom = c.fleetTime(effect.At)
-		record.ExpiresAt = c.fleetTime(effect.At) + reservationGraceMillis
+		record.ValidFrom = c.fleetTime(request.At)
+		record.ExpiresAt = c.fleetTime(request.At) + reservationGraceMillis
 	case relay.AttemptRecord:
-		record.ExpiresAt = c.fleetTime(effect.At)
+		record.ExpiresAt = c.fleetTime(request.At)
 	case relay.AffinityRecord:
 		record.ExpiresAt = fleetNow + affinityLifetimeMillis
 	}
@@ -186,9 +186,9 @@
 	records.nextRetryAt = now + retryIntervalMillis
 	n := min(len(records.retries), retryBatch)
 	var actions []Action
-	for _, effect := range records.retries[:n] {
-		if _, known := records.revocable[revocableKey{effect.Record, effect.Conn}]; known {
-			actions = append(actions, c.HandleReplicationEffect(now, effect)...)
+	for _, request := range records.retries[:n] {
+		if _, known := records.revocable[revocableKey{request.Record, request.Conn}]; known {
+			actions = append(actions, c.HandleReplicationEffect(now, request)...)
 		}
 	}
 	records.retries = slices.Clone(records.retries[n:]) // those that failed again just now included
@@ -205,27 +205,26 @@
 		if succeeded {
 			c.replication.latencies.add(now - pending.startedAt)
 		}
-		return []Action{{Event: &relay.Event{Kind: relay.RecordReplicated, Conn: pending.conn, Off: !succeeded}}}
+		return []Action{{Event: relay.RecordReplicated{Conn: pending.conn, Replicated: succeeded}}}
 	}
-	if effect, ok := records.affinities[outcome.Token]; ok {
+	if request, ok := records.affinities[outcome.Token]; ok {
 		delete(records.affinities, outcome.Token)
 		if !succeeded && len(records.retries) < maxPendingReplications {
-			records.retries = append(records.retries, effect)
+			records.retries = append(records.retries, request)
 		}
 		return nil
 	}
-	effect, ok := records.lookups[outcome.Token]
+	request, ok := records.lookups[outcome.Token]
 	delete(records.lookups, outcome.Token)
-	if !ok || (!succeeded && effect.Record == relay.ReservationRecord) {
+	if !ok || (!succeeded && request.Record == relay.ReservationRecord) {
 		return nil
 	}
-	return []Action{{Event: &relay.Event{
-		Kind:    relay.RecordFound,
-		Record:  effect.Record,
-		Conn:    effect.Conn,
-		Key:     effect.Key,
-		Off:     !succeeded,
+	return []Action{{Event: relay.RecordFound{
+		Record:  request.Record,
+		Conn:    request.Conn,
+		Key:     request.Key,
+		Found:   succeeded,
 		At:      outcome.Record.ValidFrom - c.fleetClockOffset,
-		Address: string(outcome.Record.Body),
+		Backend: string(outcome.Record.Body),
 	}}}
 }
--- a/internal/fleet/replication.go
+++ b/internal/fleet/replication.go
@@ -49,7 +49,7 @@
 		order:       newOrderReplication(),
 	}
 	c.replication.replicator.SetSuspended(true)
-	return []Action{{Event: &relay.Event{Kind: relay.ReplicationEnabled, At: markerRetention, Affinity: affinity}}}
+	return []Action{{Event: relay.ReplicationEnabled{MarkerRetentionMillis: markerRetention, Affinity: affinity}}}
 }
 
 // fleetTime gives the fleet's clock at this relay's time, both in Unix milliseconds.
--- a/internal/relay/reducer_test.go
+++ b/internal/relay/statemachine_test.go
@@ -1,6 +1,7 @@
 package relay
 
 import (
+	"bytes"
 	"errors"
 	"fmt"
 	"os"
@@ -82,7 +83,7 @@
 	n, err := strconv.ParseUint(strings.TrimPrefix(word, "s"), 10, 64)
 	require.NoError(s.t, err, word)
 	if word[0] == 's' {
-		n += dialed
+		n += firstDialedID
 	}
 	return n
 }
@@ -93,115 +94,128 @@
 	var e Event
 	switch word[0] {
 	case "open":
-		e = Event{Kind: ConnAccepted, Conn: s.conn(word[1])}
+		e = ConnAccepted{Conn: s.conn(word[1])}
 	case "up":
-		e = Event{Kind: ConnEstablished, Conn: s.conn(word[1])}
+		e = ConnEstablished{Conn: s.conn(word[1])}
 	case "came":
-		e = Event{Kind: DataReceived, Conn: s.conn(word[1]), Data: []byte(strings.ReplaceAll(word[2], "|", "\r\n"))}
+		e = DataReceived{Conn: s.conn(word[1]), Data: []byte(strings.ReplaceAll(word[2], "|", "\r\n"))}
 	case "end", "reset", "cut":
-		e = Event{Kind: ConnClosed, Conn: s.conn(word[1]), Reset: word[0] != "end", Unsent: word[0] == "cut"}
+		e = ConnClosed{Conn: s.conn(word[1]), Reset: word[0] != "end", Unsent: word[0] == "cut"}
 	case "news":
 		f := strings.Fields(word[2])
 		index, _ := strconv.ParseUint(f[0], 10, 64)
-		e = Event{Kind: EndpointsUpdated, Conn: s.conn(word[1]), Endpoints: &EndpointUpdate{Index: index, Complete: f[1] == "whole",
+		e = EndpointsUpdated{Watch: s.conn(word[1]), Update: &EndpointUpdate{Index: index, Complete: f[1] == "whole",
 			Endpoints: entries(f[2:])}}
 	case "heard":
-		e = Event{Kind: WatchHeartbeat, Conn: s.conn(word[1])}
+		e = WatchHeartbeat{Watch: s.conn(word[1])}
 	case "failed":
-		e = Event{Kind: WatchFailed, Conn: s.conn(word[1]), Err: errors.New("told so")}
+		e = WatchFailed{Watch: s.conn(word[1]), Err: errors.New("told so")}
 	case "reload":
-		e = Event{Kind: ConfigReloaded, Address: word[1]}
+		e = ConfigReloaded{DiscoveryAddress: word[1]}
 	case "refuse":
-		e = Event{Kind: ConfigReloaded, Err: errors.New("told so")}
+		e = ConfigReloaded{Err: errors.New("told so")}
 	case "lame":
-		e = Event{Kind: DrainRequested, Off: word[1] == "off"}
+		e = DrainRequested{On: !(word[1] == "off")}
 	case "part":
-		e = Event{Kind: DetachRequested, Conn: s.conn(word[1])}
+		e = DetachRequested{Conn: s.conn(word[1])}
 	case "given":
-		e = Event{Kind: SessionTransferred, Conn: s.conn(word[1]), Off: len(word) > 2}
+		e = SessionTransferred{Conn: s.conn(word[1]), Accepted: !(len(word) > 2)}
 	case "adopt":
-		e = Event{Kind: SessionReceived, Conn: s.conn(word[1]), Session: s.parted}
+		e = SessionReceived{Conn: s.conn(word[1]), Session: s.parted}
 	case "beside":
-		e = Event{Kind: SiblingProcessesChanged, HasParent: word[1] == "elder", HasChild: word[1] == "younger",
-			WantsHandoff: word[1] == "younger"}
+		e = SiblingProcessesChanged{HasParent: word[1] == "elder", HasChild: word[1] == "younger", WantsHandoff: word[1] == "younger"}
 	case "confided":
-		e = Event{Kind: SiblingEndpointsUpdated, Endpoints: &EndpointUpdate{Complete: true, Endpoints: entries(strings.Fields(event)[1:])}}
+		e = SiblingEndpointsUpdated{Update: &EndpointUpdate{Complete: true, Endpoints: entries(strings.Fields(event)[1:])}}
 	case "holds":
-		e = Event{Kind: ReplicationEnabled, At: 10000, Affinity: len(word) > 1}
+		e = ReplicationEnabled{MarkerRetentionMillis: 10000, Affinity: len(word) > 1}
 	case "held", "unheld":
-		e = Event{Kind: RecordReplicated, Conn: s.conn(word[1]), Off: word[0] == "unheld"}
+		e = RecordReplicated{Conn: s.conn(word[1]), Replicated: !(word[0] == "unheld")}
 	case "ran":
-		e = Event{Kind: RecordFound, Record: AttemptRecord, Conn: s.conn(word[1]), Address: word[2], At: now - 500}
+		e = RecordFound{Record: AttemptRecord, Conn: s.conn(word[1]), Backend: word[2], At: now - 500, Found: true}
 	case "none":
-		e = Event{Kind: RecordFound, Record: AttemptRecord, Conn: s.conn(word[1]), Off: true}
+		e = RecordFound{Record: AttemptRecord, Conn: s.conn(word[1])}
 	case "stood":
-		e = Event{Kind: RecordFound, Record: AffinityRecord, Conn: s.conn(word[1]), Address: word[2]}
+		e = RecordFound{Record: AffinityRecord, Conn: s.conn(word[1]), Backend: word[2], Found: true}
 	case "stands":
-		e = Event{Kind: RecordFound, Record: AffinityRecord, Conn: s.conn(word[1]), Off: true}
+		e = RecordFound{Record: AffinityRecord, Conn: s.conn(word[1])}
 	case "recovers":
-		e = Event{Kind: RecoveryChanged, CapacityShare: 0.5}
+		e = RecoveryChanged{CapacityShare: 0.5, Recovering: true}
 	case "ended":
-		e = Event{Kind: ProcessExiting}
+		e = ProcessExiting{}
 	case "stop":
-		e = Event{Kind: ShutdownRequested, YieldToChild: len(word) > 1}
+		e = ShutdownRequested{YieldToChild: len(word) > 1}
 	default:
-		e = Event{Kind: TimerFired}
+		e = TimerFired{}
 	}
 	var said []string
-	for _, f := range s.Handle(now, e) {
-		name := fmt.Sprint(f.Conn)
-		if f.Conn >= dialed {
-			name = fmt.Sprint("s", f.Conn-dialed)
-		}
-		switch f.Kind {
-		case Dial:
-			said = append(said, "dial "+name+" "+f.Text)
-		case Write:
-			var all []byte
-			for _, p := range f.Chunks {
-				all = append(all, p...)
-			}
-			said = append(said, "write "+name+" "+strings.ReplaceAll(string(all), "\r\n", "|"))
-		case Close:
-			said = append(said, "end "+name)
-		case Reset:
-			said = append(said, "break "+name)
-		case StartWatch:
-			said = append(said, strings.TrimSuffix(fmt.Sprint("watch ", name, " after ", f.AfterIndex, " at ", f.Text),
-				" at 10.1.0.1:85"))
-		case StopWatch:
-			said = append(said, "unwatch")
-		case Log:
-			s.notes = append(s.notes, fmt.Sprint(f.Text, f.Args))
-		case PauseAccept:
-			said = append(said, "hold")
-		case ResumeAccept:
-			said = append(said, "free")
-		case Exit:
-			said = append(said, "quit")
-		case TransferSession:
-			said = append(said, "pass "+name)
-		case SessionDetached:
-			s.parted = f.Session
-			said = append(said, "parted "+name)
-		case SessionAccepted:
-			said = append(said, fmt.Sprint("adopted ", name, " s", f.Peer-dialed))
-		case SendHandoff:
-			s.left = f.Handoff
-			said = append(said, "bequeath")
-		case SendEndpoints:
-			s.confides = f.Endpoints
-		case Replicate:
-			said = append(said, strings.TrimSpace(fmt.Sprint("entrust ", name, " ", f.Text)))
-		case Lookup:
-			said = append(said, fmt.Sprint("claim ", name))
-		case Release:
-			said = append(said, "release "+name)
+	for _, effect := range s.Handle(now, e) {
+		if words := s.describe(effect); words != "" {
+			said = append(said, words)
 		}
 	}
+	require.Zero(s.t, s.illegalTransitions, "%v %s", now, event)
 	return strings.Join(said, "; ")
 }
 
+// name is the word for a connection: of a client's its number, of the relay's own s and a number.
+func (s *scene) name(conn uint64) string {
+	if conn >= firstDialedID {
+		return fmt.Sprint("s", conn-firstDialedID)
+	}
+	return fmt.Sprint(conn)
+}
+
+// describe gives an effect in words, and keeps what others ask the scene for; timers and log lines have none.
+func (s *scene) describe(effect Effect) string {
+	switch f := effect.(type) {
+	case *Dial:
+		return "dial " + s.name(f.Conn) + " " + f.Address
+	case *Write:
+		return "write " + s.name(f.Conn) + " " + strings.ReplaceAll(string(bytes.Join(f.Chunks, nil)), "\r\n", "|")
+	case *Close:
+		return "end " + s.name(f.Conn)
+	case *Reset:
+		return "break " + s.name(f.Conn)
+	case *StartWatch:
+		return strings.TrimSuffix(fmt.Sprint("watch ", f.Watch, " after ", f.After, " at ", f.Address), " at 10.1.0.1:85")
+	case *StopWatch:
+		return "unwatch"
+	case *Log:
+		s.notes = append(s.notes, fmt.Sprint(f.Message, f.Args))
+	case *PauseAccept:
+		return "hold"
+	case *ResumeAccept:
+		return "free"
+	case *Exit:
+		return "quit"
+	case *TransferSession:
+		return "pass " + s.name(f.ClientConn)
+	case *SessionDetached:
+		s.parted = f.Session
+		return "parted " + s.name(f.Conn)
+	case *SessionAccepted:
+		return fmt.Sprint("adopted ", s.name(f.Conn), " s", f.BackendConn-firstDialedID)
+	case *SendHandoff:
+		s.handoff = f.Handoff
+		return "bequeath"
+	case *SendEndpoints:
+		s.confides = f.Update
+	case *ReplicationRequest:
+		return describeReplication(s.name(f.Conn), f)
+	}
+	return ""
+}
+
+func describeReplication(conn string, f *ReplicationRequest) string {
+	switch f.Operation {
+	case Replicate:
+		return strings.TrimSpace(fmt.Sprint("entrust ", conn, " ", f.Backend))
+	case Lookup:
+		return "claim " + conn
+	}
+	return "release " + conn
+}
+
 type step struct {
 	at          float64
 	event, want string
@@ -273,7 +287,7 @@
 		BackendFinished: balancer.OutcomeSucceeded, BackendMovedClient: balancer.OutcomeCanceled, BackendClosed: balancer.OutcomeConnectionLost, BackendSilent: balancer.OutcomeConnectionLost,
 		SlowReader: balancer.OutcomeCanceled, RelayMovedClient: balancer.OutcomeCanceled, ClientClosed: balancer.OutcomeSucceeded,
 		ClientReset: balancer.OutcomeCanceled, TransferredToChild: balancer.OutcomeCanceled}
-	assert.Len(t, want, len(endingNames))
+	assert.Len(t, want, len(endReasonNames))
 	for how, outcome := range want {
 		assert.Equal(t, outcome, how.outcome(), how.String())
 	}
@@ -294,7 +308,7 @@
 		s.at(now, "tick")
 	}
 	assert.Equal(t, uint64(1), s.Rejected)
-	assert.Zero(t, s.links)
+	assert.Zero(t, s.sessions)
 }
 
 func TestClientsFirstLine(t *testing.T) {
@@ -314,7 +328,7 @@
 		{"more in the same bytes", "OPEN a 1f c=feed,t=one,d=2000|OPEN b 1f c=feed,t=one,d=2000|",
 			"write 1 ERR|; end 1"},
 		{"half of more", "OPEN a 1f c=feed,t=one,d=2000|x", "write 1 ERR|; end 1"},
-		{"pings without end", strings.Repeat("PING|", mostPings+1), "write 1 ERR|; end 1"},
+		{"pings without end", strings.Repeat("PING|", maxPings+1), "write 1 ERR|; end 1"},
 		{"further figures", "OPEN a 1f c=feed,zz=1,h=2,r=1,d=2000|", "dial s1 10.0.0.1:9000"},
 	} {
 		s := open(t, nil, 0, "b1=active")
@@ -342,8 +356,8 @@
 	s.play("more before its answer", step{100, "open 1", ""},
 		step{100, "came 1 OPEN a 1f c=feed,d=2000|", "dial s1 10.0.0.1:9000"},
 		step{101, "came 1 x", "write 1 ERR|; break s1; end 1"}, step{102, "came 1 y|", ""})
-	assert.Zero(t, s.links)
-	assert.Empty(t, s.ids)
+	assert.Zero(t, s.sessions)
+	assert.Empty(t, s.sessionsByID)
 }
 
 func TestClientLeaves(t *testing.T) {
@@ -363,8 +377,8 @@
 		s.at(101, c.first)
 		s.play(c.name, step{102, "end 1", c.want})
 		s.at(103, "came s1 UP r|")
-		assert.Zero(t, s.links, c.name)
-		assert.Empty(t, s.ends, c.name)
+		assert.Zero(t, s.sessions, c.name)
+		assert.Empty(t, s.conns, c.name)
 	}
 }
 
@@ -405,9 +419,9 @@
 		s.stands()
 		s.play(c.name, c.steps...)
 		assert.Equal(t, uint64(1), s.EndReasons[c.how], c.name)
-		assert.Zero(t, s.links, c.name)
-		assert.Empty(t, s.ends, c.name)
-		assert.Empty(t, s.named("b1").links, c.name)
+		assert.Zero(t, s.sessions, c.name)
+		assert.Empty(t, s.conns, c.name)
+		assert.Empty(t, s.findOrAddBackend("b1").sessions, c.name)
 	}
 }
 
@@ -459,7 +473,7 @@
 
 // Servers that join beside links that stand are not probed by the descriptors that clients come in by.
 func TestProbesLeaveRoomAtTheDoor(t *testing.T) {
-	s := open(t, with(`"probes": false`, `"probes": true`), spareFiles+12, "b1=active")
+	s := open(t, with(`"probes": false`, `"probes": true`), spareDescriptors+12, "b1=active")
 	for i, c := range []string{"1", "2", "3"} {
 		s.at(float64(100+i), "open "+c)
 		s.at(float64(100+i), "came "+c+" OPEN "+c+" 1f c=feed,t=one,d=2000|")
@@ -473,7 +487,7 @@
 	for now := 1050.0; now < 4000; now += 50 {
 		assert.NotContains(t, s.at(now, "tick"), "hold", "%v", now)
 	}
-	assert.LessOrEqual(t, len(s.ends), s.most-s.mostMute())
+	assert.LessOrEqual(t, len(s.conns), s.ownDescriptors-s.maxAwaiting())
 	s.at(4000, "open 9")
 	assert.Contains(t, s.at(4001, "came 9 OPEN z 1f c=feed,t=one,d=2000|"), "write 9 BUSY 900|; end 9")
 }
@@ -512,11 +526,11 @@
 		step{1103, "up s3", "write s3 OPEN c 1f c=feed,d=1989|"},
 		step{1899, "tick", ""}, step{2650, "tick", "write 1 MOVE|; end 1; end s1; write 2 ERR|; end 2"},
 		step{2660, "came s2 UP r|", "write 3 UP r|; write 3 MOVE|; end 3; end s2"})
-	last := s.at(1000+2000+lastWord, "tick")
+	last := s.at(1000+2000+finalAnswerTime, "tick")
 	assert.Contains(t, last, "end s3; write 4 BUSY 900|; end 4")
 	assert.True(t, strings.HasSuffix(last, "quit"), last)
 	assert.NotContains(t, s.at(9000, "tick"), "quit", "no second exit")
-	assert.Zero(t, s.links)
+	assert.Zero(t, s.sessions)
 
 	s = open(t, nil, 0, "b1=active")
 	s.play("a head on its way", step{1000, "stop", ""}, step{1400, "open 1", ""}, step{1500, "tick", ""},
@@ -546,7 +560,7 @@
 }
 
 func TestDescriptorsRunOut(t *testing.T) {
-	s := open(t, nil, spareFiles+fewHeads+2, "b1=active")
+	s := open(t, nil, spareDescriptors+minAwaiting+2, "b1=active")
 	s.play("told to come again, never broken; silent ones let go first", step{100, "open 1", ""},
 		step{100, "came 1 OPEN a 1f c=feed,d=2000|", "dial s1 10.0.0.1:9000"},
 		step{101, "open 2", ""}, step{102, "open 3", ""}, step{102, "open 4", ""}, step{102, "open 5", "hold"},
@@ -580,12 +594,12 @@
 		step{11302, "news 5 3 whole b1=active b2=active", ""},
 		step{11303, "news 5 2 delta b1=leaving", "unwatch"}, // and not at once for ever
 		step{12900, "tick", "watch 6 after 0"}, step{12900, "news 6 3 whole b1=active b2=active", ""})
-	assert.Equal(t, uint64(3), s.index, "a list that was asked for whole may go back")
-	s.named("b1").Endpoint.Invalid = ""
+	assert.Equal(t, uint64(3), s.endpointsIndex, "a list that was asked for whole may go back")
+	s.findOrAddBackend("b1").Endpoint.Invalid = ""
 	bad := []Endpoint{{Name: "b1", Status: "odd", Invalid: "status"}, {Name: "b2", Status: "left"}}
-	s.Handle(12902, Event{Kind: EndpointsUpdated, Conn: 6, Endpoints: &EndpointUpdate{Index: 4, Complete: true, Endpoints: bad}})
-	assert.Equal(t, balancer.Ready, s.named("b1").condition, "what was known of a bad entry stays")
-	assert.Equal(t, balancer.Gone, s.named("b2").condition)
+	s.Handle(12902, EndpointsUpdated{Watch: 6, Update: &EndpointUpdate{Index: 4, Complete: true, Endpoints: bad}})
+	assert.Equal(t, balancer.Ready, s.findOrAddBackend("b1").condition, "what was known of a bad entry stays")
+	assert.Equal(t, balancer.Gone, s.findOrAddBackend("b2").condition)
 }
 
 // Against a reload that loses what is known, waits too long for a new discovery, or refuses its fresh count.
@@ -601,7 +615,7 @@
 		step{3860, "tick", "unwatch"}, step{4110, "tick", "watch 4 after 0 at 10.1.0.2:85"},
 		step{4111, "news 4 2 whole b1=active b3=active", ""}, step{6910, "tick", ""},
 		step{6911, "tick", "watch 5 after 2 at 10.1.0.2:85"})
-	assert.Equal(t, balancer.Gone, s.named("b2").condition)
+	assert.Equal(t, balancer.Gone, s.findOrAddBackend("b2").condition)
 	assert.Equal(t, []uint64{2, 1}, []uint64{s.Reloads, s.FailedReloads})
 	assert.Equal(t, 1, s.Established)
 	s = open(t, nil, 0, "b1=active")
@@ -614,7 +628,7 @@
 		step{4, "stop", ""},
 		step{5, "reload 10.1.0.1:85", "watch 4 after 0"}, step{6, "news 4 1 delta b1=leaving", ""},
 		step{504, "tick", "quit"})
-	assert.Equal(t, balancer.Draining, s.named("b1").condition)
+	assert.Equal(t, balancer.Draining, s.findOrAddBackend("b1").condition)
 }
 
 func TestNews(t *testing.T) {
@@ -720,15 +734,15 @@
 	s.at(110, "news 1 2 whole b1=active")
 	s.at(160, "tick")
 	assert.Equal(t, 5, int(s.Attempts))
-	assert.Len(t, s.ends, 10)
-	assert.False(t, s.full)
+	assert.Len(t, s.conns, 10)
+	assert.False(t, s.acceptPaused)
 	s.play("there is still room for who comes", step{170, "open 10", ""},
 		step{170, "came 10 OPEN x 1f c=feed,t=one,d=2000|", "write 10 BUSY 900|; end 10"})
 }
 
 // In a crowd that connects and idles, or stops half way, one that writes its head slowly is let go last.
 func TestCrowdLetsSlowHeadsIn(t *testing.T) {
-	s := open(t, nil, spareFiles+40, "b1=active") // five for those without a head
+	s := open(t, nil, spareDescriptors+40, "b1=active") // five for those without a head
 	s.at(100, "open 1")
 	s.at(100, "came 1 OPEN a 1f c=fe")
 	s.at(100, "open 2")
@@ -743,14 +757,14 @@
 		if now == 1000 {
 			s.at(now, "came 1 ed,")
 		}
-		assert.LessOrEqual(t, s.heads, s.mostMute()+1, now)
+		assert.LessOrEqual(t, s.awaitingCount, s.maxAwaiting()+1, now)
 	}
 	assert.NotZero(t, s.RequestErrors[Evicted])
 	assert.Contains(t, s.at(2001, "came 1 d=2000|"), "dial s1 10.0.0.1:9000")
 	s.at(2001, "came 2 ed,d=2000|")
 	assert.Equal(t, uint64(2), s.Attempts, "so is one that paused for longer, as others have begun no head at all")
 
-	s = open(t, nil, spareFiles+40, "b1=active")
+	s = open(t, nil, spareDescriptors+40, "b1=active")
 	for n := 1; n <= 5; n++ {
 		s.at(float64(n), fmt.Sprintf("open %d", n))
 		s.at(float64(n), fmt.Sprintf("came %d OPEN a", n))
