--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -49,7 +49,7 @@
 	if state.Boot > c.boot && c.diskRead {
 		c.boot = state.Boot
 		if c.replication != nil {
-			c.replication.older = true
+			c.replication.diskIsOlder = true
 		}
 		actions = append(actions, c.persistBoot(now))
 	}
