--- a/internal/failover/book.go
+++ b/internal/failover/decisionlog.go
@@ -73,9 +73,9 @@
 }
 
 const (
-	mostHistory = 30
-	mostZones   = 64
-	mostText    = 200
+	maxHistory = 30
+	maxZones   = 64
+	maxTextBytes    = 200
 )
 
 // DecisionLog is what has been decided. It is the council's machine: the same at all voters after the same entries.
@@ -93,7 +93,7 @@
 	all := slices.Clone(b.PolicyZones)
 	for i := range all {
 		z := &all[i]
-		if o := b.order(z.Name); o != nil {
+		if o := b.orderFor(z.Name); o != nil {
 			z.Reason = "order: " + o.Reason
 			switch o.Action {
 			case "empty":
@@ -101,35 +101,35 @@
 			case "return":
 				z.State, z.Share = Home, 1
 			case "hold":
-				z.State, z.Share = b.held(z)
+				z.State, z.Share = b.heldState(z)
 			}
 		}
 	}
 	if len(b.Orders) > 0 { // what an order moves goes by what was judged of the others' room
-		b.spare(all)
-		direct(all, b.Demand, b.Capacity)
+		b.keepOneServing(all)
+		divert(all, b.Demand, b.Capacity)
 	}
 	return all
 }
 
-// spare has the zones that were judged to be empty serve where orders that nobody forced leave no other: a
+// keepOneServing has the zones that were judged to be empty serve where orders that nobody forced leave no other: a
 // zone that does badly is better than none, and no order is to end service by slip together with what is
 // judged later.
-func (b *DecisionLog) spare(all []Zone) {
+func (b *DecisionLog) keepOneServing(all []Zone) {
 	if slices.ContainsFunc(all, func(z Zone) bool { return z.Share > 0 }) ||
 		slices.ContainsFunc(b.Orders, func(o OperatorOrder) bool { return o.Force }) {
 		return
 	}
 	for i := range all {
-		if z := &all[i]; b.order(z.Name) == nil {
+		if z := &all[i]; b.orderFor(z.Name) == nil {
 			z.State, z.Share, z.Reason = Home, 1, "no other serves, by the orders; "+z.Reason
 		}
 	}
 }
 
-// held is a zone as it was when the order to hold it came.
-func (b *DecisionLog) held(z *Zone) (State, float64) {
-	o := b.order(z.Name)
+// heldState is a zone as it was when the order to hold it came.
+func (b *DecisionLog) heldState(z *Zone) (State, float64) {
+	o := b.orderFor(z.Name)
 	for i := len(b.History) - 1; i >= 0; i-- {
 		for _, was := range b.History[i].Zones {
 			if b.History[i].Rejection == "" && was.Name == z.Name && b.History[i].OrderID == o.ID {
@@ -140,7 +140,7 @@
 	return z.State, z.Share
 }
 
-func (b *DecisionLog) order(zone string) *OperatorOrder {
+func (b *DecisionLog) orderFor(zone string) *OperatorOrder {
 	for i := len(b.Orders) - 1; i >= 0; i-- { // the later number
 		if b.Orders[i].Zone == zone {
 			return &b.Orders[i]
@@ -158,7 +158,7 @@
 	case err != nil:
 		e.Rejection = "unreadable"
 	case c.Order != nil:
-		e.OrderID, e.Rejection = c.Order.ID, b.give(*c.Order, before)
+		e.OrderID, e.Rejection = c.Order.ID, b.acceptOrder(*c.Order, before)
 	case c.ExpiredOrderID != "":
 		e.OrderID = c.ExpiredOrderID
 		n := len(b.Orders)
@@ -167,9 +167,9 @@
 			e.Rejection = "no such order"
 		}
 	default:
-		if e.Rejection = wrongZones(c.Zones); e.Rejection == "" {
+		if e.Rejection = validateProposal(c.Zones); e.Rejection == "" {
 			b.PolicyZones, b.Demand, b.Capacity = c.Zones, c.Demand, c.Capacity
-			b.Orders = slices.DeleteFunc(b.Orders, func(o OperatorOrder) bool { return !named(c.Zones, o.Zone) })
+			b.Orders = slices.DeleteFunc(b.Orders, func(o OperatorOrder) bool { return !containsZone(c.Zones, o.Zone) })
 		}
 	}
 	e.ProposedAt, e.Cause = c.ProposedAt, short(c.Cause)
@@ -180,28 +180,28 @@
 		e.Zones = before // as it is then is what is held
 	}
 	b.History = append(b.History, e)
-	if len(b.History) > mostHistory {
-		b.History = b.History[len(b.History)-mostHistory:]
+	if len(b.History) > maxHistory {
+		b.History = b.History[len(b.History)-maxHistory:]
 	}
 }
 
-func short(text string) string { return text[:min(len(text), mostText)] }
+func short(text string) string { return text[:min(len(text), maxTextBytes)] }
 
-func named(zones []Zone, name string) bool {
+func containsZone(zones []Zone, name string) bool {
 	return slices.ContainsFunc(zones, func(z Zone) bool { return z.Name == name })
 }
 
-// wrongZones tells why a picture can't be decided by itself: only an operators' order may leave no zone.
-func wrongZones(zones []Zone) string {
-	why := unreadable(zones)
+// validateProposal tells why a picture can't be decided by itself: only an operators' order may leave no zone.
+func validateProposal(zones []Zone) string {
+	why := validateZones(zones)
 	if why == "" && !slices.ContainsFunc(zones, func(z Zone) bool { return z.Share > 0 }) {
 		return "no zone would serve"
 	}
 	return why
 }
 
-func unreadable(zones []Zone) string {
-	if len(zones) == 0 || len(zones) > mostZones {
+func validateZones(zones []Zone) string {
+	if len(zones) == 0 || len(zones) > maxZones {
 		return fmt.Sprintf("%d zones", len(zones))
 	}
 	for _, z := range zones {
@@ -212,13 +212,13 @@
 	return ""
 }
 
-// give takes an order, or says why not. Judged here and not where it is given: of two that contradict each
+// acceptOrder takes an order, or says why not. Judged here and not where it is given: of two that contradict each
 // other the later sees the earlier.
-func (b *DecisionLog) give(o OperatorOrder, zones []Zone) string {
-	if !named(zones, o.Zone) {
+func (b *DecisionLog) acceptOrder(o OperatorOrder, zones []Zone) string {
+	if !containsZone(zones, o.Zone) {
 		return "no such zone"
 	}
-	if o.ID == "" || len(o.ID) > mostText || len(o.Reason) > mostText || len(o.IssuedBy) > mostText {
+	if o.ID == "" || len(o.ID) > maxTextBytes || len(o.Reason) > maxTextBytes || len(o.IssuedBy) > maxTextBytes {
 		return "an order has an id, a reason and who gave it, each short"
 	}
 	if slices.ContainsFunc(b.Orders, func(had OperatorOrder) bool { return had.ID == o.ID }) {
@@ -275,5 +275,5 @@
 	return nil
 }
 
-// byName has zones in one order at all relays and voters.
-func byName(a, b Zone) int { return cmp.Compare(a.Name, b.Name) }
+// compareNames has zones in one order at all relays and voters.
+func compareNames(a, b Zone) int { return cmp.Compare(a.Name, b.Name) }
--- a/internal/failover/walk_test.go
+++ b/internal/failover/exhaustive_test.go
@@ -17,7 +17,7 @@
 func TestAllSmallBooks(t *testing.T) {
 	zones := func(bState State, bShare float64) []Zone {
 		all := []Zone{{Name: "a", State: Home, Share: 1}, {Name: "b", State: bState, Share: bShare}}
-		direct(all, map[string]float64{"a": 1, "b": 1}, map[string]float64{"a": 2, "b": 2})
+		divert(all, map[string]float64{"a": 1, "b": 1}, map[string]float64{"a": 2, "b": 2})
 		return all
 	}
 	order := func(id, zone, do string, force bool) Command {
@@ -86,7 +86,7 @@
 			if zones == nil {
 				return
 			}
-			var k kept
+			var k persistedDecision
 			json.Unmarshal(r.disk, &k)
 			switch {
 			case number < r.number:
@@ -105,15 +105,15 @@
 			}
 			for k := range 9 {
 				n := r
-				n.f.chance = rand.New(rand.NewSource(1))
+				n.f.rng = rand.New(rand.NewSource(1))
 				n.told = map[uint64]float64{}
 				maps.Copy(n.told, r.told)
 				switch number := uint64(k%3 + 1); {
 				case k < 6: // a word of one of three numbers, new or nearly run out
 					age := 4500 * float64(k/3)
-					if n.f.next != nil { // a copy, as the follower changes it
-						next := *n.f.next
-						n.f.next = &next
+					if n.f.pending != nil { // a copy, as the follower changes it
+						next := *n.f.pending
+						n.f.pending = &next
 					}
 					n.told[number] = max(n.told[number], n.now-age)
 					if data := n.f.Receive(n.now, Announcement{Number: number, Zones: zones, AgeMillis: age}); data != nil {
@@ -126,14 +126,14 @@
 					if n.writes == nil {
 						continue
 					}
-					var d kept
+					var d persistedDecision
 					json.Unmarshal(n.writes, &d)
 					n.disk, n.writes = n.writes, nil
 					n.f.ConfirmPersisted(n.now, d.Number)
 				case k == 7:
 					n.now += 3000
 				case k == 8: // power is lost, what was on its way with it
-					n.f, n.writes = *NewFollower(n.f.chance), nil
+					n.f, n.writes = *NewFollower(n.f.rng), nil
 					n.f.Restore(n.disk)
 				}
 				check(&n)
--- a/internal/failover/follow.go
+++ b/internal/failover/follower.go
@@ -27,35 +27,35 @@
 // Follower is a relay's side of the decisions: it never goes back in number, also over its own starts, and
 // lets go of one that nobody renews at a moment of its own, as all relays would else change in one.
 type Follower struct {
-	chance *rand.Rand
+	rng *rand.Rand
 	number uint64
 	zones  []Zone
-	until  float64
-	lets   float64
-	next   *Announcement // waits to be kept
-	nextAt float64
+	renewedTo  float64
+	dropAt   float64
+	pending   *Announcement // waits to be kept
+	pendingReceivedAt float64
 }
 
 // NewFollower follows nothing yet.
 func NewFollower(chance *rand.Rand) *Follower {
-	return &Follower{chance: chance, until: math.Inf(-1), lets: math.Inf(-1)}
+	return &Follower{rng: chance, renewedTo: math.Inf(-1), dropAt: math.Inf(-1)}
 }
 
-type kept struct {
+type persistedDecision struct {
 	Number uint64 `json:"Number"`
 }
 
 // Restore takes what the disk has: nothing below it is followed.
 func (f *Follower) Restore(data []byte) {
-	var k kept
+	var k persistedDecision
 	if json.Unmarshal(data, &k) == nil && k.Number > f.number {
-		f.number, f.zones, f.until, f.lets = k.Number, nil, math.Inf(-1), math.Inf(-1)
+		f.number, f.zones, f.renewedTo, f.dropAt = k.Number, nil, math.Inf(-1), math.Inf(-1)
 	}
 }
 
 // Receive takes a word, and gives what is to be kept before it is followed: Kept says that it is.
 func (f *Follower) Receive(now float64, w Announcement) []byte {
-	if !(w.AgeMillis >= 0 && w.AgeMillis < DecisionTTL) || w.Number < f.number || w.Number == 0 || unreadable(w.Zones) != "" {
+	if !(w.AgeMillis >= 0 && w.AgeMillis < DecisionTTL) || w.Number < f.number || w.Number == 0 || validateZones(w.Zones) != "" {
 		return nil
 	}
 	until := now - w.AgeMillis + DecisionTTL
@@ -66,30 +66,30 @@
 		f.renew(until)
 		return nil
 	}
-	if f.next != nil && f.next.Number >= w.Number {
-		if f.next.Number == w.Number {
-			f.next.AgeMillis, f.nextAt = w.AgeMillis, now
+	if f.pending != nil && f.pending.Number >= w.Number {
+		if f.pending.Number == w.Number {
+			f.pending.AgeMillis, f.pendingReceivedAt = w.AgeMillis, now
 		}
 		return nil
 	}
-	f.next, f.nextAt = &w, now
-	text, _ := json.Marshal(kept{w.Number}) // of a plain value
+	f.pending, f.pendingReceivedAt = &w, now
+	text, _ := json.Marshal(persistedDecision{w.Number}) // of a plain value
 	return text
 }
 
 func (f *Follower) renew(until float64) {
-	if until > f.until {
-		f.until = until
-		f.lets = until + DecisionTTL*f.chance.Float64()
+	if until > f.renewedTo {
+		f.renewedTo = until
+		f.dropAt = until + DecisionTTL*f.rng.Float64()
 	}
 }
 
 // ConfirmPersisted says that the number is on the disk, or can't be. An answer that is late counts for nothing.
 func (f *Follower) ConfirmPersisted(now float64, number uint64) {
-	if w := f.next; w != nil && w.Number == number {
-		f.number, f.zones, f.next = w.Number, w.Zones, nil
-		f.until = math.Inf(-1)
-		f.renew(f.nextAt - w.AgeMillis + DecisionTTL)
+	if w := f.pending; w != nil && w.Number == number {
+		f.number, f.zones, f.pending = w.Number, w.Zones, nil
+		f.renewedTo = math.Inf(-1)
+		f.renew(f.pendingReceivedAt - w.AgeMillis + DecisionTTL)
 	}
 }
 
@@ -97,11 +97,11 @@
 // against going back in number over a start: the one before it runs out meanwhile, and the relay decides
 // alone.
 func (f *Follower) Current(now float64) ([]Zone, uint64) {
-	if now >= f.lets {
+	if now >= f.dropAt {
 		return nil, f.number
 	}
 	return f.zones, f.number
 }
 
 // Renewal tells whether what is held was renewed of late, and until when that counts.
-func (f *Follower) Renewal(now float64) (bool, float64) { return now < f.until, f.until }
+func (f *Follower) Renewal(now float64) (bool, float64) { return now < f.renewedTo, f.renewedTo }
--- a/internal/failover/evidence.go
+++ b/internal/failover/observations.go
@@ -13,16 +13,16 @@
 // byte, figures are float32, all little-endian. Read as JSON they cost three times as much.
 
 const (
-	evidenceForm = 1
-	mostName     = 64
-	lookFigures  = 6
+	observationsVersion = 1
+	maxNameBytes     = 64
+	figuresPerObservation  = 6
 )
 
 // Encode writes it. Names that are too long, and looks beyond what is read, are left out.
 func (e *Observations) Encode() []byte {
-	to := []byte{evidenceForm}
+	to := []byte{observationsVersion}
 	text := func(s string) {
-		s = s[:min(len(s), mostName)]
+		s = s[:min(len(s), maxNameBytes)]
 		to = append(append(to, byte(len(s))), s...)
 	}
 	figure := func(x float64) { to = binary.LittleEndian.AppendUint32(to, math.Float32bits(float32(x))) }
@@ -30,25 +30,25 @@
 	text(e.Zone)
 	figure(e.Demand)
 	for i, name := range slices.Sorted(maps.Keys(e.ByZone)) {
-		if i == mostZones {
+		if i == maxZones {
 			break
 		}
 		l := e.ByZone[name]
 		text(name)
-		for _, x := range [lookFigures]float64{l.Attempts, l.FailedAttempts, l.HealthChecks, l.FailedHealthChecks, l.Load, l.Capacity} {
+		for _, x := range [figuresPerObservation]float64{l.Attempts, l.FailedAttempts, l.HealthChecks, l.FailedHealthChecks, l.Load, l.Capacity} {
 			figure(x)
 		}
 	}
 	return to
 }
 
-var errEvidence = errors.New("failover: evidence that can't be read")
+var errMalformedObservations = errors.New("failover: evidence that can't be read")
 
 // DecodeObservations reads it; figures that can't be are refused by whoever hears it.
 func DecodeObservations(data []byte) (e Observations, err error) {
-	bad := len(data) == 0 || data[0] != evidenceForm
+	bad := len(data) == 0 || data[0] != observationsVersion
 	text := func() string {
-		if bad = bad || len(data) == 0 || int(data[0]) > mostName || len(data) < 1+int(data[0]); bad {
+		if bad = bad || len(data) == 0 || int(data[0]) > maxNameBytes || len(data) < 1+int(data[0]); bad {
 			return ""
 		}
 		s := string(data[1 : 1+data[0]])
@@ -71,12 +71,12 @@
 	for !bad && len(data) > 0 {
 		name := text()
 		l := Observation{figure(), figure(), figure(), figure(), figure(), figure()}
-		if bad = bad || len(e.ByZone) == mostZones; !bad {
+		if bad = bad || len(e.ByZone) == maxZones; !bad {
 			e.ByZone[name] = l
 		}
 	}
 	if bad {
-		return Observations{}, errEvidence
+		return Observations{}, errMalformedObservations
 	}
 	return e, nil
 }
--- a/internal/failover/judge.go
+++ b/internal/failover/policy.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	evidenceFor = 3000.0 // that a relay's word on a zone counts
-	leastTries  = 4.0    // at a zone, within what is told of, for a word on it
-	mostVoice   = 3.0    // middle ones, that one relay counts for
-	someViews   = 3
-	badOver     = 0.2 // of the tries, that did not do
-	goodUnder   = 0.08
-	lostOver    = 0.7
-	lostTime    = 1100.0 // a zone is seen as lost, before it is emptied
-	greyTime    = 2000.0 // and as grey, in the mean over so long
-	meanFor     = 1000.0
-	mostMean    = 0.5    // against a moment in which nothing passes being held for a grey zone
-	firstWait   = 4000.0 // it is seen as good, before it returns
-	mostWait    = 120000.0
-	calmAfter   = 60000.0 // without a fall, the waits begin anew
-	stepFor     = 1500.0  // it is seen as good at a share, before the next
-	pressedPace = 0.1     // of those waits, while the other zones are full
-	fullOver    = 0.9     // of what a zone bears, above which a share goes elsewhere
-	fillTo      = 0.8     // of what a zone bears, by what is sent there
-	spillStep   = 0.05    // that a share has to change by
-	leastPart   = 0.001   // of the work near a zone, that is worth a word
-	spillFor    = 1000.0
+	observationsTTL = 3000.0 // that a relay's word on a zone counts
+	minAttempts  = 4.0    // at a zone, within what is told of, for a word on it
+	maxWeightOverMedian   = 3.0    // middle ones, that one relay counts for
+	minViewsByAttempts   = 3
+	degradedAbove     = 0.2 // of the tries, that did not do
+	healthyBelow   = 0.08
+	lostAbove    = 0.7
+	lostDelay    = 1100.0 // a zone is seen as lost, before it is emptied
+	degradedDelay    = 2000.0 // and as grey, in the mean over so long
+	meanTime     = 1000.0
+	maxMeanSample    = 0.5    // against a moment in which nothing passes being held for a grey zone
+	firstReturnWait   = 4000.0 // it is seen as good, before it returns
+	maxReturnWait    = 120000.0
+	returnWaitReset   = 60000.0 // without a fall, the waits begin anew
+	returnStepDelay     = 1500.0  // it is seen as good at a share, before the next
+	overloadedWaitFactor = 0.1     // of those waits, while the other zones are full
+	fullAbove    = 0.9     // of what a zone bears, above which a share goes elsewhere
+	targetUtilization      = 0.8     // of what a zone bears, by what is sent there
+	minShareChange   = 0.05    // that a share has to change by
+	minFraction   = 0.001   // of the work near a zone, that is worth a word
+	spillDelay    = 1000.0
 )
 
-// returnSteps are the shares by which a zone returns.
-var returnSteps = []float64{0.05, 0.2, 0.5, 1}
+// returnShares are the shares by which a zone returns.
+var returnShares = []float64{0.05, 0.2, 0.5, 1}
 
 // Observation is what one relay saw of one zone over the last second or so.
 type Observation struct {
@@ -51,18 +51,18 @@
 	ByZone      map[string]Observation
 }
 
-type heard struct {
+type timedObservations struct {
 	Observations
-	at float64
+	receivedAt float64
 }
 
-// health is what is held of a zone over time.
-type health struct {
+// zoneHealth is what is held of a zone over time.
+type zoneHealth struct {
 	lostSince, badSince float64 // NaN: it is not
 	goodSince           float64
-	mean, meanAt        float64 // of the share that fails: few links tell little at a time
-	fellAt              float64
-	wait                float64
+	meanFailureRate, meanUpdatedAt        float64 // of the share that fails: few links tell little at a time
+	emptiedAt              float64
+	returnWait                float64
 	step                int
 	stepAt              float64
 	fullSince           float64
@@ -73,19 +73,19 @@
 // one: the next begins with what the book says and looks anew.
 type Policy struct {
 	zones   []Zone // names and regions, by the operators' file
-	relays  map[string]heard
-	healths map[string]*health
-	number  map[string]int // of a zone
-	ends    [][]sight      // by the zone that looks and the one looked at: all relays' words, folded once a look
-	rooms   []capacity
+	observations  map[string]timedObservations
+	health map[string]*zoneHealth
+	indices  map[string]int // of a zone
+	views    [][]zoneView      // by the zone that looks and the one looked at: all relays' words, folded once a look
+	loads   []zoneLoad
 }
 
-type sight struct {
-	links, probes []ended
-	tries         float64
+type zoneView struct {
+	attempts, healthChecks []outcomes
+	totalAttempts         float64
 }
 
-type capacity struct {
+type zoneLoad struct {
 	loads, rooms []float64
 	load, room   float64 // the middle of those
 	demand       float64
@@ -93,7 +93,7 @@
 
 // NewPolicy judges those zones; states and shares among them say nothing.
 func NewPolicy(zones []Zone) *Policy {
-	j := &Policy{relays: map[string]heard{}}
+	j := &Policy{observations: map[string]timedObservations{}}
 	j.SetZones(zones)
 	return j
 }
@@ -101,34 +101,34 @@
 // SetZones has those zones judged from now on. What is held of zones that stay, stays; one that comes begins as
 // home, and one that goes leaves the next picture, with the orders on it.
 func (j *Policy) SetZones(zones []Zone) {
-	had := j.healths
-	j.zones, j.ends, j.healths, j.number = nil, nil, map[string]*health{}, map[string]int{}
+	had := j.health
+	j.zones, j.views, j.health, j.indices = nil, nil, map[string]*zoneHealth{}, map[string]int{}
 	for _, z := range zones {
 		j.zones = append(j.zones, Zone{Name: z.Name, Region: z.Region, State: Home, Share: 1})
-		if j.healths[z.Name] = had[z.Name]; had[z.Name] == nil {
-			j.healths[z.Name] = &health{lostSince: math.NaN(), badSince: math.NaN(), goodSince: math.NaN(),
-				fellAt: math.Inf(-1), wait: firstWait, fullSince: math.NaN()}
+		if j.health[z.Name] = had[z.Name]; had[z.Name] == nil {
+			j.health[z.Name] = &zoneHealth{lostSince: math.NaN(), badSince: math.NaN(), goodSince: math.NaN(),
+				emptiedAt: math.Inf(-1), returnWait: firstReturnWait, fullSince: math.NaN()}
 		}
 	}
-	slices.SortFunc(j.zones, byName)
+	slices.SortFunc(j.zones, compareNames)
 	for i, z := range j.zones {
-		j.number[z.Name] = i
-		j.ends = append(j.ends, make([]sight, len(j.zones)))
+		j.indices[z.Name] = i
+		j.views = append(j.views, make([]zoneView, len(j.zones)))
 	}
-	j.rooms = make([]capacity, len(j.zones))
-	for name, h := range j.relays {
-		if !named(j.zones, h.Zone) {
-			delete(j.relays, name)
+	j.loads = make([]zoneLoad, len(j.zones))
+	for name, h := range j.observations {
+		if !containsZone(j.zones, h.Zone) {
+			delete(j.observations, name)
 		}
 	}
 }
 
-const mostRelays = 4096
+const maxRelays = 4096
 
 // AddObservations takes a relay's word. What can't be is passed over.
 func (j *Policy) AddObservations(now float64, e Observations) {
-	_, there := j.relays[e.Relay]
-	if !there && len(j.relays) >= mostRelays || e.Relay == "" || !named(j.zones, e.Zone) {
+	_, there := j.observations[e.Relay]
+	if !there && len(j.observations) >= maxRelays || e.Relay == "" || !containsZone(j.zones, e.Zone) {
 		return
 	}
 	good := func(x float64) bool { return x >= 0 && x < 1e9 }
@@ -139,96 +139,96 @@
 		}
 	}
 	if good(e.Demand) {
-		j.relays[e.Relay] = heard{e, now}
+		j.observations[e.Relay] = timedObservations{e, now}
 	}
 }
 
-// fold puts what all relays say in order, by zones, and forgets who has said nothing of late.
-func (j *Policy) fold(now float64) {
+// aggregate puts what all relays say in order, by zones, and forgets who has said nothing of late.
+func (j *Policy) aggregate(now float64) {
 	for i := range j.zones {
 		for k := range j.zones {
-			e := &j.ends[i][k]
-			e.links, e.probes, e.tries = e.links[:0], e.probes[:0], 0
+			e := &j.views[i][k]
+			e.attempts, e.healthChecks, e.totalAttempts = e.attempts[:0], e.healthChecks[:0], 0
 		}
-		c := &j.rooms[i]
+		c := &j.loads[i]
 		c.loads, c.rooms, c.demand = c.loads[:0], c.rooms[:0], 0
 	}
-	for name, h := range j.relays {
-		if now > h.at+evidenceFor {
-			delete(j.relays, name)
+	for name, h := range j.observations {
+		if now > h.receivedAt+observationsTTL {
+			delete(j.observations, name)
 			continue
 		}
-		from := j.number[h.Zone]
-		j.rooms[from].demand += h.Demand
+		from := j.indices[h.Zone]
+		j.loads[from].demand += h.Demand
 		for zone, l := range h.ByZone {
-			at, known := j.number[zone]
+			at, known := j.indices[zone]
 			if !known {
 				continue
 			}
-			e, c := &j.ends[from][at], &j.rooms[at]
-			e.links, e.probes = append(e.links, ended{l.Attempts, l.FailedAttempts}), append(e.probes, ended{l.HealthChecks, l.FailedHealthChecks})
-			if e.tries += l.Attempts; l.Capacity > 0 {
+			e, c := &j.views[from][at], &j.loads[at]
+			e.attempts, e.healthChecks = append(e.attempts, outcomes{l.Attempts, l.FailedAttempts}), append(e.healthChecks, outcomes{l.HealthChecks, l.FailedHealthChecks})
+			if e.totalAttempts += l.Attempts; l.Capacity > 0 {
 				c.loads, c.rooms = append(c.loads, l.Load), append(c.rooms, l.Capacity)
 			}
 		}
 	}
-	for i := range j.rooms { // once a look, as several ask
-		if c := &j.rooms[i]; len(c.rooms) > 0 {
-			c.load, c.room = middle(c.loads), middle(c.rooms)
+	for i := range j.loads { // once a look, as several ask
+		if c := &j.loads[i]; len(c.rooms) > 0 {
+			c.load, c.room = median(c.loads), median(c.rooms)
 		} else {
 			c.load, c.room = 0, 0
 		}
 	}
 }
 
-type ended struct{ all, bad float64 }
+type outcomes struct{ total, failed float64 }
 
-// bad is the share that did not do: the middle of what relays say, so that a third of them that lie move
+// relaysFailureRate is the share that did not do: the middle of what relays say, so that a third of them that lie move
 // nothing; where each sees little, all together, one counting for no more than three middle ones.
-func bad(all []ended) float64 {
+func relaysFailureRate(all []outcomes) float64 {
 	var shares, sizes []float64
 	for _, e := range all {
-		if sizes = append(sizes, e.all); e.all >= leastTries {
-			shares = append(shares, e.bad/e.all)
+		if sizes = append(sizes, e.total); e.total >= minAttempts {
+			shares = append(shares, e.failed/e.total)
 		}
 	}
 	if 2*len(shares) > len(all) {
-		return middle(shares)
+		return median(shares)
 	}
 	if len(all) == 0 {
 		return math.NaN()
 	}
-	most := max(mostVoice*middle(sizes), 1)
+	most := max(maxWeightOverMedian*median(sizes), 1)
 	sum, failed := 0.0, 0.0
 	for _, e := range all {
-		if e.all > 0 {
-			part := min(e.all, most) / e.all
-			sum, failed = sum+part*e.all, failed+part*e.bad
+		if e.total > 0 {
+			part := min(e.total, most) / e.total
+			sum, failed = sum+part*e.total, failed+part*e.failed
 		}
 	}
-	if sum < leastTries {
+	if sum < minAttempts {
 		return math.NaN()
 	}
 	return failed / sum
 }
 
-func middle(all []float64) float64 {
+func median(all []float64) float64 {
 	slices.Sort(all)
 	return (all[(len(all)-1)/2] + all[len(all)/2]) / 2
 }
 
-// seen is a zone by all views, NaN where they are too few: by probes the middle of them, so that one broken
+// failureRate is a zone by all views, NaN where they are too few: by probes the middle of them, so that one broken
 // way is none of the zone's; by links the same where some zones send there, else weighed by their tries: as
 // traffic stays near, its own zone's may be all there is.
-func (j *Policy) seen(at int) float64 {
+func (j *Policy) failureRate(at int) float64 {
 	var byLinks, byProbes []float64
 	sum, failed, own := 0.0, 0.0, false
 	for from := range j.zones {
-		e := &j.ends[from][at]
-		links, probes := bad(e.links), bad(e.probes)
+		e := &j.views[from][at]
+		links, probes := relaysFailureRate(e.attempts), relaysFailureRate(e.healthChecks)
 		if !math.IsNaN(links) {
 			byLinks = append(byLinks, links)
-			sum, failed, own = sum+e.tries, failed+links*e.tries, own || from == at
+			sum, failed, own = sum+e.totalAttempts, failed+links*e.totalAttempts, own || from == at
 		}
 		if !math.IsNaN(probes) {
 			byProbes = append(byProbes, probes)
@@ -236,10 +236,10 @@
 	}
 	links, probes := math.NaN(), math.NaN()
 	if least := min(2, len(j.zones)); len(byProbes) >= least {
-		probes = middle(byProbes)
+		probes = median(byProbes)
 	}
-	if len(byLinks) >= someViews {
-		links = middle(byLinks)
+	if len(byLinks) >= minViewsByAttempts {
+		links = median(byLinks)
 	} else if own && sum > 0 {
 		links = failed / sum
 	}
@@ -251,7 +251,7 @@
 
 // Evaluate gives the picture to be decided where it is another than the one that holds, and why.
 func (j *Policy) Evaluate(now float64, book *DecisionLog) (c Command, changed bool) {
-	j.fold(now)
+	j.aggregate(now)
 	held := map[string]Zone{}
 	for _, z := range book.PolicyZones {
 		held[z.Name] = z
@@ -259,13 +259,13 @@
 	bad := map[string]float64{}
 	worst := 0
 	for i, z := range j.zones {
-		b, h := j.seen(i), j.healths[z.Name]
+		b, h := j.failureRate(i), j.health[z.Name]
 		if !math.IsNaN(b) {
-			h.mean += (min(b, mostMean) - h.mean) * (1 - math.Exp((h.meanAt-now)/meanFor))
+			h.meanFailureRate += (min(b, maxMeanSample) - h.meanFailureRate) * (1 - math.Exp((h.meanUpdatedAt-now)/meanTime))
 		}
-		h.meanAt = now
+		h.meanUpdatedAt = now
 		bad[z.Name] = b
-		if b > badOver || h.mean > badOver {
+		if b > degradedAbove || h.meanFailureRate > degradedAbove {
 			worst++
 		}
 	}
@@ -278,13 +278,13 @@
 	}
 	pace := 1.0
 	if j.pressed(book.PolicyZones) {
-		pace = pressedPace
+		pace = overloadedWaitFactor
 	}
 	changed = len(book.PolicyZones) != len(j.zones)
 	c.Demand, c.Capacity = map[string]float64{}, map[string]float64{}
 	for i, z := range j.zones {
-		c.Demand[z.Name] = j.rooms[i].demand
-		if _, room := j.load(z.Name); room > 0 {
+		c.Demand[z.Name] = j.loads[i].demand
+		if _, room := j.loadOf(z.Name); room > 0 {
 			c.Capacity[z.Name] = room
 		}
 		was, there := held[z.Name]
@@ -292,7 +292,7 @@
 			was, changed = z, true
 		}
 		was.Region = z.Region
-		next, why := j.next(now, was, bad[z.Name], alike, j.may(was, emptied, bad), pace)
+		next, why := j.nextState(now, was, bad[z.Name], alike, j.mayEmpty(was, emptied, bad), pace)
 		if next.State != was.State || next.Share != was.Share {
 			changed, c.Cause = true, fmt.Sprintf("%s %s: %s", z.Name, next.State, why)
 			next.Reason = why
@@ -302,23 +302,23 @@
 		}
 		c.Zones = append(c.Zones, next)
 	}
-	if j.spills(now, c.Zones, c.Demand) {
+	if j.updateSpilling(now, c.Zones, c.Demand) {
 		changed, c.Cause = true, cmp.Or(c.Cause, "room")
 	}
 	c.Cause = cmp.Or(c.Cause, "the zones of the file")
-	direct(c.Zones, c.Demand, c.Capacity)
-	return c, changed && wrongZones(c.Zones) == ""
+	divert(c.Zones, c.Demand, c.Capacity)
+	return c, changed && validateProposal(c.Zones) == ""
 }
 
-// may tells whether a zone may be emptied beside those that are: up to a third of all, or one region whole
+// mayEmpty tells whether a zone may be emptied beside those that are: up to a third of all, or one region whole
 // where there is another that is good. Against one trouble emptying zone after zone.
-func (j *Policy) may(z Zone, emptied []Zone, bad map[string]float64) bool {
+func (j *Policy) mayEmpty(z Zone, emptied []Zone, bad map[string]float64) bool {
 	if len(emptied)+1 <= max(1, len(j.zones)/3) {
 		return len(emptied)+1 < len(j.zones)
 	}
 	same := !slices.ContainsFunc(emptied, func(e Zone) bool { return e.Region != z.Region })
 	return same && slices.ContainsFunc(j.zones, func(o Zone) bool {
-		return o.Region != z.Region && bad[o.Name] < goodUnder
+		return o.Region != z.Region && bad[o.Name] < healthyBelow
 	})
 }
 
@@ -327,18 +327,18 @@
 	load, room := 0.0, 0.0
 	for _, z := range zones {
 		if z.State == Home {
-			l, r := j.load(z.Name)
+			l, r := j.loadOf(z.Name)
 			load, room = load+l, room+r
 		}
 	}
-	return load > fillTo*room
+	return load > targetUtilization*room
 }
 
-// next is what becomes of one zone. Returns go at that part of the usual waits: faster where the others are
+// nextState is what becomes of one zone. Returns go at that part of the usual waits: faster where the others are
 // full.
-func (j *Policy) next(now float64, z Zone, bad float64, alike, may bool,
+func (j *Policy) nextState(now float64, z Zone, bad float64, alike, may bool,
 	pace float64) (Zone, string) {
-	h := j.healths[z.Name]
+	h := j.health[z.Name]
 	since := func(at *float64, on bool) float64 {
 		if !on {
 			*at = math.NaN()
@@ -349,25 +349,25 @@
 		}
 		return now - *at
 	}
-	lostFor := since(&h.lostSince, bad > lostOver && !alike)
-	badFor := since(&h.badSince, h.mean > badOver && bad > goodUnder && !alike)
-	goodFor := since(&h.goodSince, bad < goodUnder)
-	falls := lostFor >= lostTime || badFor >= greyTime
+	lostFor := since(&h.lostSince, bad > lostAbove && !alike)
+	badFor := since(&h.badSince, h.meanFailureRate > degradedAbove && bad > healthyBelow && !alike)
+	goodFor := since(&h.goodSince, bad < healthyBelow)
+	falls := lostFor >= lostDelay || badFor >= degradedDelay
 	switch z.State {
 	case Home, Spilling, Returning:
 		if falls && may {
-			if now > h.fellAt+calmAfter {
-				h.wait = firstWait
+			if now > h.emptiedAt+returnWaitReset {
+				h.returnWait = firstReturnWait
 			} else {
-				h.wait = min(2*h.wait, mostWait)
+				h.returnWait = min(2*h.returnWait, maxReturnWait)
 			}
-			h.fellAt = now
+			h.emptiedAt = now
 			return with(z, Emptied, 0), fmt.Sprintf("%.0f%% of tries fail", 100*bad)
 		}
-		if z.State != Returning || goodFor < pace*stepFor || now < h.stepAt+pace*stepFor {
+		if z.State != Returning || goodFor < pace*returnStepDelay || now < h.stepAt+pace*returnStepDelay {
 			return z, ""
 		}
-		for _, share := range returnSteps {
+		for _, share := range returnShares {
 			if share > z.Share {
 				h.stepAt = now
 				if share == 1 {
@@ -377,9 +377,9 @@
 			}
 		}
 	case Emptied:
-		if goodFor > 0 && goodFor >= pace*h.wait {
+		if goodFor > 0 && goodFor >= pace*h.returnWait {
 			h.stepAt = now
-			return with(z, Returning, returnSteps[0]), fmt.Sprintf("good for %.0f s", goodFor/1000)
+			return with(z, Returning, returnShares[0]), fmt.Sprintf("good for %.0f s", goodFor/1000)
 		}
 	}
 	return z, ""
@@ -390,38 +390,38 @@
 	return z
 }
 
-// load is a zone's, and what it bears: the middle of what relays say.
-func (j *Policy) load(zone string) (load, room float64) {
-	if i, known := j.number[zone]; known {
-		return j.rooms[i].load, j.rooms[i].room
+// loadOf is a zone's, and what it bears: the middle of what relays say.
+func (j *Policy) loadOf(zone string) (load, room float64) {
+	if i, known := j.indices[zone]; known {
+		return j.loads[i].load, j.loads[i].room
 	}
 	return 0, 0
 }
 
-// spills has zones that are too full send a share elsewhere, and those that have room again take it back.
-func (j *Policy) spills(now float64, zones []Zone, demands map[string]float64) (changed bool) {
+// updateSpilling has zones that are too full send a share elsewhere, and those that have room again take it back.
+func (j *Policy) updateSpilling(now float64, zones []Zone, demands map[string]float64) (changed bool) {
 	for i := range zones {
-		z, h := &zones[i], j.healths[zones[i].Name]
+		z, h := &zones[i], j.health[zones[i].Name]
 		if z.State != Home && z.State != Spilling {
 			continue
 		}
-		load, room := j.load(z.Name)
+		load, room := j.loadOf(z.Name)
 		demand := demands[z.Name]
 		if room == 0 || demand == 0 {
 			continue
 		}
 		share := 1.0
-		if load > fullOver*room || z.State == Spilling {
-			share = min(fillTo*room/demand, 1)
+		if load > fullAbove*room || z.State == Spilling {
+			share = min(targetUtilization*room/demand, 1)
 		}
-		if math.Abs(share-z.Share) < spillStep && !(share == 1 && z.Share < 1) {
+		if math.Abs(share-z.Share) < minShareChange && !(share == 1 && z.Share < 1) {
 			h.fullSince = math.NaN()
 			continue
 		}
 		if math.IsNaN(h.fullSince) {
 			h.fullSince = now
 		}
-		if now < h.fullSince+spillFor || !elsewhere(zones, i) {
+		if now < h.fullSince+spillDelay || !hasOtherHome(zones, i) {
 			continue
 		}
 		h.fullSince, changed = math.NaN(), true
@@ -433,7 +433,7 @@
 	return changed
 }
 
-func elsewhere(zones []Zone, i int) bool {
+func hasOtherHome(zones []Zone, i int) bool {
 	for k, z := range zones {
 		if k != i && z.State == Home {
 			return true
@@ -442,15 +442,15 @@
 	return false
 }
 
-// direct says where the rest of the work near each zone goes: to zones that are home, of the same region
+// divert says where the rest of the work near each zone goes: to zones that are home, of the same region
 // first, as far as they have room; what nobody has room for is left. Where nothing is known of room, evenly.
-func direct(zones []Zone, demand, room map[string]float64) {
+func divert(zones []Zone, demand, room map[string]float64) {
 	spare := map[string]float64{}
 	for i := range zones {
 		z := &zones[i]
 		z.Diversions, z.Unserved = nil, 0
 		if z.State == Home {
-			spare[z.Name] = max(fillTo*room[z.Name]-demand[z.Name], 0)
+			spare[z.Name] = max(targetUtilization*room[z.Name]-demand[z.Name], 0)
 		}
 	}
 	for _, near := range []bool{true, false} {
@@ -460,7 +460,7 @@
 			for _, p := range z.Diversions {
 				left -= p.Fraction
 			}
-			if left < leastPart {
+			if left < minFraction {
 				continue
 			}
 			var to []int
@@ -482,7 +482,7 @@
 				if known {
 					part = goes * spare[zones[k].Name] / max(sum, 1e-9)
 				}
-				if part >= leastPart {
+				if part >= minFraction {
 					z.Diversions = append(z.Diversions, TrafficShare{zones[k].Name, part})
 				}
 			}
@@ -501,7 +501,7 @@
 		for _, p := range z.Diversions {
 			left -= p.Fraction
 		}
-		if left >= leastPart {
+		if left >= minFraction {
 			z.Unserved = left
 		}
 	}
--- a/internal/failover/failover_test.go
+++ b/internal/failover/policy_test.go
@@ -185,11 +185,11 @@
 	assert.Equal(t, []string{"home 1.00", "emptied 0.00", "returning 0.05", "returning 0.20", "returning 0.50",
 		"home 1.00"}, seen)
 	last := f.book.History[len(f.book.History)-1]
-	first := f.judge.healths["b"].wait
+	first := f.judge.health["b"].returnWait
 	f.bad = at("b", 1, 41000, 43000)
 	f.run(46000)
 	assert.Equal(t, "b emptied", f.states())
-	assert.Equal(t, 2*first, f.judge.healths["b"].wait)
+	assert.Equal(t, 2*first, f.judge.health["b"].returnWait)
 	assert.Greater(t, f.book.Number, last.Number)
 }
 
@@ -222,12 +222,12 @@
 	zones := []Zone{{Name: "a", Region: "n", State: Emptied}, {Name: "b", Region: "n", State: Home, Share: 1},
 		{Name: "d", Region: "s", State: Home, Share: 1}}
 	demand := map[string]float64{"a": 10, "b": 5, "d": 2}
-	direct(zones, demand, map[string]float64{"b": 10, "d": 10})
+	divert(zones, demand, map[string]float64{"b": 10, "d": 10})
 	assert.InDelta(t, 0.3, zones[0].Diversions[0].Fraction, 1e-9)
 	assert.Equal(t, "d", zones[0].Diversions[1].Zone)
 	assert.InDelta(t, 0.6, zones[0].Diversions[1].Fraction, 1e-9)
 	assert.InDelta(t, 0.1, zones[0].Unserved, 1e-9)
-	direct(zones, nil, nil)
+	divert(zones, nil, nil)
 	assert.Equal(t, []TrafficShare{{"b", 1}}, zones[0].Diversions, "near, as nothing is known")
 }
 
