--- a/cmd/valeshift/zone.go
+++ b/cmd/valeshift/zone.go
@@ -49,7 +49,7 @@
 	if c.Zone == "" {
 		return errors.New("which zone?")
 	}
-	o := failover.OperatorOrder{ID: c.ID, Zone: c.Zone, Action: c.Do, Reason: c.Reason, IssuedBy: c.Who, Force: c.Force}
+	o := failover.OperatorOrder{ID: c.ID, Zone: c.Zone, Action: failover.OrderAction(c.Do), Reason: c.Reason, IssuedBy: c.Who, Force: c.Force}
 	if o.ID == "" {
 		o.ID = rand.Text()
 	}
@@ -119,7 +119,7 @@
 			for _, e := range all {
 				at := time.UnixMilli(int64(e.ProposedAt)).UTC().Format(time.RFC3339)
 				if e.Rejection != "" {
-					e.Cause += "; refused: " + e.Rejection
+					e.Cause += failover.Cause("; refused: " + e.Rejection)
 				}
 				fmt.Printf("  %d  %s  %s\n", e.Number, at, e.Cause)
 			}
--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -59,7 +59,7 @@
 	for _, id := range c.book.ExpiredOrderIDs(wall) {
 		if now > c.ending[id]+proposeFor {
 			c.ending[id] = now
-			c.propose(now, failover.Command{ExpiredOrderID: id, Cause: "the order has ended"})
+			c.propose(now, failover.Command{ExpiredOrderID: id, Cause: failover.CauseOrderExpired})
 		}
 	}
 	if !math.IsInf(c.out, 1) {
@@ -95,8 +95,7 @@
 	if _, there := c.book.DecisionOnOrder(o.ID); there { // given again: it has its answer
 		return nil
 	}
-	return c.propose(now, failover.Command{Order: &o, Cause: fmt.Sprintf("%s %s by %s: %s", o.Action, o.Zone, o.IssuedBy,
-		o.Reason)})
+	return c.propose(now, failover.Command{Order: &o, Cause: failover.CauseOrdered(o)})
 }
 
 // DecisionOnOrder is what has become of the order of that ID.
--- a/internal/coordinator/processes_test.go
+++ b/internal/coordinator/processes_test.go
@@ -127,7 +127,7 @@
 
 // order gives an order to this voter.
 func (m *machine) order(id, zone, do string) (code int, said string) {
-	body, _ := json.Marshal(failover.OperatorOrder{ID: id, Zone: zone, Action: do, Reason: "test", IssuedBy: "t"})
+	body, _ := json.Marshal(failover.OperatorOrder{ID: id, Zone: zone, Action: failover.OrderAction(do), Reason: "test", IssuedBy: "t"})
 	answer, err := client.Post("http://"+m.ops+"/order", "application/json", bytes.NewReader(body))
 	if err != nil {
 		return 0, err.Error()
@@ -306,7 +306,7 @@
 	require.NoError(t, all[l].ask("/status", &s))
 	last := s.Orders[len(s.Orders)-1] // the later number holds, at all
 	followers.follow(18, map[string]string{"empty": "b emptied, c emptied, d emptied",
-		"return": "b emptied, c emptied"}[last.Action])
+		"return": "b emptied, c emptied"}[string(last.Action)])
 	code, said = all[l].order("o2b", "d", "return")
 	require.Equal(t, http.StatusOK, code, said)
 
--- a/internal/failover/decisionlog.go
+++ b/internal/failover/decisionlog.go
@@ -1,279 +1,130 @@
-// Package failover decides which zones serve: what the relays of all zones see of each is folded into one
-// picture (Judge), and what was decided is kept as a list of numbered decisions and operators' orders
-// (Book), which the council agrees on. Everything here is a function of what comes in: no disk, socket,
-// clock or log. Times are milliseconds; a share is the part of the work near a zone that it is to serve,
-// from 0 to 1.
 package failover
 
 import (
-	"cmp"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"slices"
 )
 
-// State is what is decided of a zone.
-type State string
-
-// The states. All but home send some of the work elsewhere.
 const (
-	Home      State = "home"
-	Spilling  State = "spilling"  // a share goes elsewhere, as it has no room for it
-	Emptied   State = "emptied"   // nothing new goes there
-	Returning State = "returning" // a share that grows
+	maxHistory   = 30  // decisions
+	maxTextBytes = 200 // of a text that an operator wrote, or of a cause
 )
 
-// Zone is one zone as it is decided.
-type Zone struct {
-	Name       string         `json:"Name"`
-	Region     string         `json:"Region"`
-	State      State          `json:"State"`
-	Share      float64        `json:"Share"`
-	Diversions []TrafficShare `json:"To,omitempty"`   // where the rest goes
-	Unserved   float64        `json:"Left,omitempty"` // what is left, as nobody has room for it: told to come again
-	Reason     string         `json:"Why"`
-}
-
-// TrafficShare is how much of the work near a zone goes to another.
-type TrafficShare struct {
-	Zone     string  `json:"Zone"`
-	Fraction float64 `json:"Part"`
-}
+var errUnreadableCommand = errors.New("unreadable")
 
-// OperatorOrder is an operator's: it goes before what is decided automatically, until its end.
-type OperatorOrder struct {
-	ID        string  `json:"ID"` // the caller's, for the answer
-	Zone      string  `json:"Zone"`
-	Action    string  `json:"Do"` // empty, return or hold
-	ExpiresAt float64 `json:"Until"`
-	Reason    string  `json:"Reason"`
-	IssuedBy  string  `json:"Who"`
-	Force     bool    `json:"Force"` // also where nothing is left to serve
-}
-
-// Command is one entry of the council's list.
+// Command is one entry of the coordinators' replicated log: a proposal of the policy (Zones, Demand and
+// Capacity), an operator's order, or the end of one.
 type Command struct {
-	Zones          []Zone             `json:"Zones,omitempty"` // the whole picture, as it was judged, and by what
-	Demand         map[string]float64 `json:"Demand,omitempty"`
-	Capacity       map[string]float64 `json:"Room,omitempty"`
-	Order          *OperatorOrder     `json:"Order,omitempty"`
-	ExpiredOrderID string             `json:"Ends,omitempty"` // an order's ID: it is over
-	Cause          string             `json:"Cause"`
-	ProposedAt     float64            `json:"At"` // clock time at who proposed it, for the history
+	Zones          []Zone             `json:"Zones,omitempty"`  // all zones
+	Demand         map[string]float64 `json:"Demand,omitempty"` // near each zone, when the policy decided
+	Capacity       map[string]float64 `json:"Room,omitempty"`   // of each zone, in the same unit
+	Order          *OperatorOrder     `json:"Order,omitempty"`  // an order to apply
+	ExpiredOrderID string             `json:"Ends,omitempty"`   // an order to remove
+	Cause          Cause              `json:"Cause"`
+	ProposedAt     float64            `json:"At"` // Unix milliseconds by the proposer's clock
 }
 
-// Decision is one decision as it is remembered.
+// Decision is what became of one command.
 type Decision struct {
-	Number     uint64  `json:"Number"`
-	ProposedAt float64 `json:"At"`
-	Cause      string  `json:"Cause"`
-	OrderID    string  `json:"Who"`
-	Rejection  string  `json:"Refused"` // why it has changed nothing
-	Zones      []Zone  `json:"Zones"`
+	Number     uint64  `json:"Number"` // its index in the replicated log
+	ProposedAt float64 `json:"At"`     // Unix milliseconds by the proposer's clock
+	Cause      Cause   `json:"Cause"`
+	OrderID    string  `json:"Who"`     // of the order that it applies or removes
+	Rejection  string  `json:"Refused"` // why it changed nothing; empty: it was applied
+	Zones      []Zone  `json:"Zones"`   // as they are after it; for an order to hold a zone, as they were before it
 }
 
-const (
-	maxHistory = 30
-	maxZones   = 64
-	maxTextBytes    = 200
-)
-
-// DecisionLog is what has been decided. It is the council's machine: the same at all voters after the same entries.
+// DecisionLog is the state machine that the coordinators replicate: after the same commands it is the same
+// at all of them. The zero value is ready for use.
 type DecisionLog struct {
-	Number      uint64             `json:"Number"`
-	PolicyZones []Zone             `json:"Judged"` // as judged, before orders
-	Orders      []OperatorOrder    `json:"Orders"`
-	Demand      map[string]float64 `json:"Demand"` // near each zone, and what each bears, as the picture was judged
-	Capacity    map[string]float64 `json:"Room"`
+	Number      uint64             `json:"Number"` // of the latest command that was applied
+	PolicyZones []Zone             `json:"Judged"` // as the policy decided, before orders
+	Orders      []OperatorOrder    `json:"Orders"` // that hold
+	Demand      map[string]float64 `json:"Demand"` // near each zone, when the policy decided
+	Capacity    map[string]float64 `json:"Room"`   // of each zone, in the same unit
 	History     []Decision         `json:"History"`
 }
 
-// EffectiveZones is the picture that holds: what was judged, with the orders on top.
-func (b *DecisionLog) EffectiveZones() []Zone {
-	all := slices.Clone(b.PolicyZones)
-	for i := range all {
-		z := &all[i]
-		if o := b.orderFor(z.Name); o != nil {
-			z.Reason = "order: " + o.Reason
-			switch o.Action {
-			case "empty":
-				z.State, z.Share = Emptied, 0
-			case "return":
-				z.State, z.Share = Home, 1
-			case "hold":
-				z.State, z.Share = b.heldState(z)
-			}
-		}
-	}
-	if len(b.Orders) > 0 { // what an order moves goes by what was judged of the others' room
-		b.keepOneServing(all)
-		divert(all, b.Demand, b.Capacity)
+// EffectiveZones returns the decision that holds: the policy's, overridden by the operators' orders.
+func (l *DecisionLog) EffectiveZones() []Zone {
+	zones := slices.Clone(l.PolicyZones)
+	if len(l.Orders) == 0 {
+		return zones
 	}
-	return all
+	l.applyOrders(zones)
+	l.keepOneServing(zones)
+	divert(zones, l.Demand, l.Capacity) // by the capacity that the policy knew
+	return zones
 }
 
-// keepOneServing has the zones that were judged to be empty serve where orders that nobody forced leave no other: a
-// zone that does badly is better than none, and no order is to end service by slip together with what is
-// judged later.
-func (b *DecisionLog) keepOneServing(all []Zone) {
-	if slices.ContainsFunc(all, func(z Zone) bool { return z.Share > 0 }) ||
-		slices.ContainsFunc(b.Orders, func(o OperatorOrder) bool { return o.Force }) {
-		return
-	}
-	for i := range all {
-		if z := &all[i]; b.orderFor(z.Name) == nil {
-			z.State, z.Share, z.Reason = Home, 1, "no other serves, by the orders; "+z.Reason
-		}
-	}
-}
-
-// heldState is a zone as it was when the order to hold it came.
-func (b *DecisionLog) heldState(z *Zone) (State, float64) {
-	o := b.orderFor(z.Name)
-	for i := len(b.History) - 1; i >= 0; i-- {
-		for _, was := range b.History[i].Zones {
-			if b.History[i].Rejection == "" && was.Name == z.Name && b.History[i].OrderID == o.ID {
-				return was.State, was.Share
-			}
-		}
-	}
-	return z.State, z.Share
-}
-
-func (b *DecisionLog) orderFor(zone string) *OperatorOrder {
-	for i := len(b.Orders) - 1; i >= 0; i-- { // the later number
-		if b.Orders[i].Zone == zone {
-			return &b.Orders[i]
-		}
-	}
-	return nil
-}
-
-// Apply takes the entry of that number, and remembers it.
-func (b *DecisionLog) Apply(number uint64, data []byte) {
-	var c Command
-	e := Decision{Number: number}
-	before := b.EffectiveZones()
-	switch err := json.Unmarshal(data, &c); {
+// Apply applies the command with the given index of the replicated log and records the decision. A command
+// that can't be applied is recorded with the reason.
+func (l *DecisionLog) Apply(number uint64, data []byte) {
+	before := l.EffectiveZones()
+	var command Command
+	decision := Decision{Number: number}
+	var rejection error
+	switch err := json.Unmarshal(data, &command); {
 	case err != nil:
-		e.Rejection = "unreadable"
-	case c.Order != nil:
-		e.OrderID, e.Rejection = c.Order.ID, b.acceptOrder(*c.Order, before)
-	case c.ExpiredOrderID != "":
-		e.OrderID = c.ExpiredOrderID
-		n := len(b.Orders)
-		if b.Orders = slices.DeleteFunc(b.Orders,
-			func(o OperatorOrder) bool { return o.ID == c.ExpiredOrderID }); len(b.Orders) == n {
-			e.Rejection = "no such order"
-		}
+		rejection = errUnreadableCommand
+	case command.Order != nil:
+		decision.OrderID = command.Order.ID
+		rejection = l.acceptOrder(*command.Order, before)
+	case command.ExpiredOrderID != "":
+		decision.OrderID = command.ExpiredOrderID
+		rejection = l.removeOrder(command.ExpiredOrderID)
 	default:
-		if e.Rejection = validateProposal(c.Zones); e.Rejection == "" {
-			b.PolicyZones, b.Demand, b.Capacity = c.Zones, c.Demand, c.Capacity
-			b.Orders = slices.DeleteFunc(b.Orders, func(o OperatorOrder) bool { return !containsZone(c.Zones, o.Zone) })
-		}
-	}
-	e.ProposedAt, e.Cause = c.ProposedAt, short(c.Cause)
-	if e.Zones = b.EffectiveZones(); e.Rejection == "" {
-		b.Number = number
-	}
-	if c.Order != nil && c.Order.Action == "hold" && e.Rejection == "" {
-		e.Zones = before // as it is then is what is held
-	}
-	b.History = append(b.History, e)
-	if len(b.History) > maxHistory {
-		b.History = b.History[len(b.History)-maxHistory:]
-	}
-}
-
-func short(text string) string { return text[:min(len(text), maxTextBytes)] }
-
-func containsZone(zones []Zone, name string) bool {
-	return slices.ContainsFunc(zones, func(z Zone) bool { return z.Name == name })
-}
-
-// validateProposal tells why a picture can't be decided by itself: only an operators' order may leave no zone.
-func validateProposal(zones []Zone) string {
-	why := validateZones(zones)
-	if why == "" && !slices.ContainsFunc(zones, func(z Zone) bool { return z.Share > 0 }) {
-		return "no zone would serve"
-	}
-	return why
-}
-
-func validateZones(zones []Zone) string {
-	if len(zones) == 0 || len(zones) > maxZones {
-		return fmt.Sprintf("%d zones", len(zones))
-	}
-	for _, z := range zones {
-		if z.Name == "" || !(z.Share >= 0 && z.Share <= 1) {
-			return fmt.Sprintf("zone %q: share %v", z.Name, z.Share)
+		rejection = l.acceptProposal(command)
+	}
+	decision.ProposedAt = command.ProposedAt
+	decision.Cause = command.Cause[:min(len(command.Cause), maxTextBytes)]
+	decision.Zones = l.EffectiveZones()
+	if rejection != nil {
+		decision.Rejection = rejection.Error()
+	} else {
+		l.Number = number
+		if command.Order != nil && command.Order.Action == ActionHold {
+			decision.Zones = before // the state to hold, which heldState reads
 		}
 	}
-	return ""
+	l.record(decision)
 }
 
-// acceptOrder takes an order, or says why not. Judged here and not where it is given: of two that contradict each
-// other the later sees the earlier.
-func (b *DecisionLog) acceptOrder(o OperatorOrder, zones []Zone) string {
-	if !containsZone(zones, o.Zone) {
-		return "no such zone"
-	}
-	if o.ID == "" || len(o.ID) > maxTextBytes || len(o.Reason) > maxTextBytes || len(o.IssuedBy) > maxTextBytes {
-		return "an order has an id, a reason and who gave it, each short"
-	}
-	if slices.ContainsFunc(b.Orders, func(had OperatorOrder) bool { return had.ID == o.ID }) {
-		return "" // given twice
-	}
-	switch o.Action {
-	case "return", "hold":
-	case "empty":
-		left := slices.ContainsFunc(zones, func(z Zone) bool { return z.Name != o.Zone && z.Share > 0 })
-		if !left && !o.Force {
-			return "no other zone serves; it is to be forced by name"
-		}
-	default:
-		return fmt.Sprintf("empty, return or hold expected, got %q", o.Action)
-	}
-	b.Orders = slices.DeleteFunc(b.Orders, func(had OperatorOrder) bool { return had.Zone == o.Zone })
-	b.Orders = append(b.Orders, o)
-	return ""
-}
-
-// ExpiredOrderIDs are the orders whose end has come by that clock.
-func (b *DecisionLog) ExpiredOrderIDs(clock float64) (ids []string) {
-	for _, o := range b.Orders {
-		if o.ExpiresAt > 0 && clock >= o.ExpiresAt {
-			ids = append(ids, o.ID)
-		}
+// acceptProposal takes over what the policy proposes. Orders for zones that it no longer names end.
+func (l *DecisionLog) acceptProposal(command Command) error {
+	if err := validateProposal(command.Zones); err != nil {
+		return err
 	}
-	return ids
+	l.PolicyZones = command.Zones
+	l.Demand = command.Demand
+	l.Capacity = command.Capacity
+	l.Orders = slices.DeleteFunc(l.Orders, func(o OperatorOrder) bool {
+		return !containsZone(command.Zones, o.Zone)
+	})
+	return nil
 }
 
-// DecisionOnOrder is what has become of the order of that ID; false: nothing yet.
-func (b *DecisionLog) DecisionOnOrder(id string) (Decision, bool) {
-	for _, e := range b.History {
-		if e.OrderID == id {
-			return e, true
-		}
+func (l *DecisionLog) record(decision Decision) {
+	l.History = append(l.History, decision)
+	if len(l.History) > maxHistory {
+		l.History = l.History[len(l.History)-maxHistory:]
 	}
-	return Decision{}, false
 }
 
-// Snapshot and Restore are the book as a whole.
-func (b *DecisionLog) Snapshot() []byte {
-	text, _ := json.Marshal(b) // of plain values
-	return text
+// Snapshot encodes the whole log for Restore.
+func (l *DecisionLog) Snapshot() []byte {
+	data, _ := json.Marshal(l) // can't fail: plain values, and no figure is NaN or infinite
+	return data
 }
 
-// Restore takes it.
-func (b *DecisionLog) Restore(data []byte) error {
-	var had DecisionLog
-	if err := json.Unmarshal(data, &had); err != nil {
-		return err
+// Restore replaces the log by a snapshot. On an error the log stays as it is.
+func (l *DecisionLog) Restore(data []byte) error {
+	var restored DecisionLog
+	if err := json.Unmarshal(data, &restored); err != nil {
+		return fmt.Errorf("restore decision log: %w", err)
 	}
-	*b = had
+	*l = restored
 	return nil
 }
-
-// compareNames has zones in one order at all relays and voters.
-func compareNames(a, b Zone) int { return cmp.Compare(a.Name, b.Name) }
--- /dev/null
+++ b/internal/failover/decisionlog_test.go
@@ -0,0 +1,62 @@
+package failover
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+func TestOrders(t *testing.T) {
+	s := newSimulation(t, 12)
+	s.runUntil(3000)
+	order := func(id, zone string, action OrderAction, force bool) (rejection string) {
+		t.Helper()
+		o := OperatorOrder{ID: id, Zone: zone, Action: action, ExpiresAt: 9000, Reason: "work", IssuedBy: "x", Force: force}
+		return s.apply(Command{Order: &o, Cause: CauseOrdered(o)}).Rejection
+	}
+	before := s.log.Number
+	assert.Empty(t, order("1", "b", ActionEmpty, false))
+	assert.Equal(t, "b emptied", s.states())
+	assert.Equal(t, before+1, s.log.Number)
+	assert.Empty(t, order("1", "b", ActionEmpty, false), "sent again")
+	s.runUntil(6000)
+	assert.Equal(t, "b emptied", s.states(), "overrides the policy")
+	assert.Equal(t, "a", s.log.EffectiveZones()[1].Diversions[0].Zone)
+	assert.Empty(t, order("2", "b", ActionReturn, false))
+	assert.Empty(t, s.states(), "the later order holds")
+	assert.Equal(t, errUnknownZone.Error(), order("3", "x", ActionEmpty, false))
+	assert.Equal(t, `empty, return or hold expected, got "burn"`, order("4", "b", "burn", false))
+	assert.Equal(t, errIncompleteOrder.Error(), order("", "b", ActionEmpty, false))
+
+	assert.Empty(t, order("5", "b", ActionHold, false))
+	s.failureRate = zoneFails("b", 1, 0, forever)
+	s.runUntil(12000)
+	assert.Empty(t, s.states(), "held, though it fails")
+
+	for _, zone := range []string{"a", "c", "d", "e"} {
+		assert.Empty(t, order("e"+zone, zone, ActionEmpty, false))
+	}
+	assert.Empty(t, order("eb", "b", ActionEmpty, false))
+	assert.Equal(t, errLastZone.Error(), order("ef", "f", ActionEmpty, false))
+	assert.Empty(t, order("ef!", "f", ActionEmpty, true), "by force")
+	assert.Equal(t, s.number, s.log.Number)
+	decision, isDecided := s.log.DecisionOnOrder("ef")
+	assert.True(t, isDecided)
+	assert.Equal(t, errLastZone.Error(), decision.Rejection)
+
+	assert.Len(t, s.log.ExpiredOrderIDs(9000), 6)
+	for _, id := range s.log.ExpiredOrderIDs(9000) {
+		assert.Empty(t, s.apply(Command{ExpiredOrderID: id, Cause: CauseOrderExpired}).Rejection)
+	}
+	assert.Equal(t, errUnknownOrder.Error(), s.apply(Command{ExpiredOrderID: "1"}).Rejection)
+	assert.Equal(t, "b emptied", s.states(), "by the policy")
+	s.log.Apply(999, []byte("{"))
+	assert.Equal(t, errUnreadableCommand.Error(), s.latestDecision().Rejection)
+}
+
+func TestRestoreOfDamagedSnapshot(t *testing.T) {
+	log := &DecisionLog{Number: 7}
+	require.Error(t, log.Restore([]byte("{")))
+	assert.Equal(t, &DecisionLog{Number: 7}, log, "stays as it was")
+}
--- a/internal/failover/exhaustive_test.go
+++ b/internal/failover/exhaustive_test.go
@@ -12,136 +12,204 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Every order of six entries: each leaves a picture that serves, whose parts come to the whole, and a book
-// that was restored anywhere says the same.
-func TestAllSmallBooks(t *testing.T) {
-	zones := func(bState State, bShare float64) []Zone {
-		all := []Zone{{Name: "a", State: Home, Share: 1}, {Name: "b", State: bState, Share: bShare}}
-		divert(all, map[string]float64{"a": 1, "b": 1}, map[string]float64{"a": 2, "b": 2})
-		return all
+// All sequences of five out of eight commands: each leaves a zone that serves, unless by force, all work is
+// accounted for, the number never goes back, and the log is restored from its snapshot at each step.
+func TestAllShortCommandSequences(t *testing.T) {
+	commands := exhaustiveCommands(t)
+	const length = 5
+	logs := 0
+	var walk func(snapshot []byte, number uint64)
+	walk = func(snapshot []byte, number uint64) {
+		for k, data := range commands {
+			log := &DecisionLog{}
+			require.NoError(t, log.Restore(snapshot))
+			numberBefore := log.Number
+			log.Apply(number, data)
+			logs++
+			if log.Number < numberBefore || (log.Number != numberBefore && log.Number != number) {
+				assert.Fail(t, "its number goes back", "%+v", log)
+			}
+			checkZones(t, log, k)
+			if number < length && !t.Failed() {
+				walk(log.Snapshot(), number+1)
+			}
+		}
+	}
+	walk([]byte("{}"), 1)
+	assert.Greater(t, logs, 30000)
+}
+
+func exhaustiveCommands(t *testing.T) (encoded [][]byte) {
+	t.Helper()
+	proposal := func(state State, share float64) Command {
+		zones := []Zone{{Name: "a", State: Home, Share: 1}, {Name: "b", State: state, Share: share}}
+		divert(zones, map[string]float64{"a": 1, "b": 1}, map[string]float64{"a": 2, "b": 2})
+		return Command{Zones: zones}
 	}
-	order := func(id, zone, do string, force bool) Command {
-		return Command{Order: &OperatorOrder{ID: id, Zone: zone, Action: do, Force: force}}
+	order := func(id, zone string, action OrderAction) Command {
+		return Command{Order: &OperatorOrder{ID: id, Zone: zone, Action: action}}
 	}
-	commands := []Command{{Zones: zones(Home, 1)}, {Zones: zones(Emptied, 0)}, order("1", "a", "empty", false),
-		order("2", "b", "empty", false), order("3", "a", "return", false), order("4", "a", "hold", false),
+	for _, command := range []Command{
+		proposal(Home, 1),
+		proposal(Emptied, 0),
+		order("1", "a", ActionEmpty),
+		order("2", "b", ActionEmpty),
+		order("3", "a", ActionReturn),
+		order("4", "a", ActionHold),
 		{ExpiredOrderID: "1"},
-		{Zones: []Zone{{Name: "a", State: Emptied}}}}
-	var entries [][]byte
-	for _, c := range commands {
-		data, err := json.Marshal(c)
+		{Zones: []Zone{{Name: "a", State: Emptied}}},
+	} {
+		data, err := json.Marshal(command)
 		require.NoError(t, err)
-		entries = append(entries, data)
+		encoded = append(encoded, data)
 	}
-	books := 0
-	var walk func(disk []byte, number uint64)
-	walk = func(disk []byte, number uint64) {
-		for k, data := range entries {
-			b := &DecisionLog{}
-			require.NoError(t, b.Restore(disk))
-			was := b.Number
-			b.Apply(number, data)
-			if books++; b.Number < was || (b.Number != was && b.Number != number) {
-				assert.Fail(t, "its number goes back", "%+v", b)
-			}
-			open := len(b.PolicyZones) == 0
-			for _, z := range b.EffectiveZones() {
-				sum := z.Share + z.Unserved
-				for _, p := range z.Diversions {
-					sum += p.Fraction
-				}
-				open = open || z.Share > 0
-				if math.Abs(sum-1) > 0.02 {
-					assert.Fail(t, "parts", "%+v", b.History)
-				}
-			}
-			if !open {
-				assert.Fail(t, "no zone serves, and nobody forced it", "by %d: %+v", k, b.History)
-			}
-			if number < 5 && !t.Failed() {
-				walk(b.Snapshot(), number+1)
-			}
+	return encoded
+}
+
+func checkZones(t *testing.T, log *DecisionLog, command int) {
+	t.Helper()
+	serves := len(log.PolicyZones) == 0
+	for _, zone := range log.EffectiveZones() {
+		sum := zone.Share + zone.Unserved
+		for _, diversion := range zone.Diversions {
+			sum += diversion.Fraction
+		}
+		serves = serves || zone.Share > 0
+		if math.Abs(sum-1) > 0.02 {
+			assert.Fail(t, "shares don't add up", "%+v", log.History)
 		}
 	}
-	walk([]byte("{}"), 1)
-	assert.Greater(t, books, 30000)
+	if !serves {
+		assert.Fail(t, "no zone serves, and nobody forced it", "by command %d: %+v", command, log.History)
+	}
 }
 
-// Every order of words, kept or not, of time that goes by and starts anew: a relay never goes back in number,
-// goes by nothing that is not on its disk, and by nothing for longer than two lives.
-func TestAllSmallFollowers(t *testing.T) {
-	zones := []Zone{{Name: "a", State: Home, Share: 1}}
-	type relay struct {
-		f      Follower
-		now    float64
-		disk   []byte             // durable
-		writes []byte             // on its way there
-		number uint64             // gone by, in all lives
-		told   map[uint64]float64 // when the latest word of each number was true
+// All sequences of five out of nine steps of a follower: announcements, writes to its disk, time that goes by
+// and restarts. A relay never goes back in number, follows nothing that is not on its disk, and nothing for
+// longer than twice the TTL. A follower that follows before its disk has the number is found.
+func TestAllShortFollowerSequences(t *testing.T) {
+	for name, ignoresDisk := range map[string]bool{"as it is": false, "follows before it is persisted": true} {
+		w := followerWalk{ignoresDisk: ignoresDisk}
+		w.walk(steppedRelay{
+			follower:    *NewFollower(nil),
+			now:         1,
+			latestTruth: map[uint64]float64{},
+		}, 5)
+		t.Logf("%s: %d sequences, %s", name, w.sequences, w.violation)
+		assert.Equal(t, ignoresDisk, w.violation != "", "%s: %s", name, w.violation)
 	}
-	for name, faulty := range map[string]bool{"as it is": false, "acts before it is kept": true} {
-		wrong, plays := "", 0
-		check := func(r *relay) {
-			zones, number := r.f.Current(r.now)
-			if zones == nil {
-				return
-			}
-			var k persistedDecision
-			json.Unmarshal(r.disk, &k)
-			switch {
-			case number < r.number:
-				wrong = fmt.Sprintf("back from %d to %d", r.number, number)
-			case number > k.Number:
-				wrong = fmt.Sprintf("by %d, which is on no disk", number)
-			case r.now > r.told[number]+2*DecisionTTL:
-				wrong = fmt.Sprintf("by %d for too long", number)
-			}
-			r.number = max(r.number, number)
+}
+
+// steppedRelay is a relay with a follower after some steps.
+type steppedRelay struct {
+	follower    Follower
+	now         float64
+	disk        []byte             // durable
+	writing     []byte             // on its way to the disk
+	number      uint64             // the highest followed, over all restarts
+	latestTruth map[uint64]float64 // when the latest announcement of each number was true
+}
+
+// followerWalk tries all sequences of steps.
+type followerWalk struct {
+	ignoresDisk bool
+	sequences   int
+	violation   string
+}
+
+// The steps of a follower: first an announcement of each number, new and nearly expired.
+const (
+	announcedNumbers  = 3
+	stepPersisted     = 2 * announcedNumbers
+	stepTimePasses    = stepPersisted + 1
+	stepPowerIsLost   = stepPersisted + 2
+	followerSteps     = stepPersisted + 3
+	nearlyExpiredAge  = 4500.0
+	timePassesMillis  = 3000.0
+	maxFollowedMillis = 2 * DecisionTTL
+)
+
+func (w *followerWalk) walk(r steppedRelay, left int) {
+	w.sequences++
+	if left == 0 || w.violation != "" {
+		return
+	}
+	for step := range followerSteps {
+		next := r.clone()
+		if !w.take(&next, step) {
+			continue
 		}
-		var walk func(r relay, left int)
-		walk = func(r relay, left int) {
-			if plays++; left == 0 || wrong != "" {
-				return
-			}
-			for k := range 9 {
-				n := r
-				n.f.rng = rand.New(rand.NewSource(1))
-				n.told = map[uint64]float64{}
-				maps.Copy(n.told, r.told)
-				switch number := uint64(k%3 + 1); {
-				case k < 6: // a word of one of three numbers, new or nearly run out
-					age := 4500 * float64(k/3)
-					if n.f.pending != nil { // a copy, as the follower changes it
-						next := *n.f.pending
-						n.f.pending = &next
-					}
-					n.told[number] = max(n.told[number], n.now-age)
-					if data := n.f.Receive(n.now, Announcement{Number: number, Zones: zones, AgeMillis: age}); data != nil {
-						n.writes = data
-						if faulty {
-							n.f.ConfirmPersisted(n.now, number)
-						}
-					}
-				case k == 6: // the disk has it
-					if n.writes == nil {
-						continue
-					}
-					var d persistedDecision
-					json.Unmarshal(n.writes, &d)
-					n.disk, n.writes = n.writes, nil
-					n.f.ConfirmPersisted(n.now, d.Number)
-				case k == 7:
-					n.now += 3000
-				case k == 8: // power is lost, what was on its way with it
-					n.f, n.writes = *NewFollower(n.f.rng), nil
-					n.f.Restore(n.disk)
-				}
-				check(&n)
-				walk(n, left-1)
-			}
+		w.check(&next)
+		w.walk(next, left-1)
+	}
+}
+
+// clone copies the relay so that steps of the copy leave the original as it is.
+func (r steppedRelay) clone() steppedRelay {
+	r.follower.rng = rand.New(rand.NewSource(1))
+	r.latestTruth = maps.Clone(r.latestTruth)
+	if r.follower.pending != nil { // which Receive changes
+		pending := *r.follower.pending
+		r.follower.pending = &pending
+	}
+	return r
+}
+
+// take has the relay take a step; false if it can't.
+func (w *followerWalk) take(r *steppedRelay, step int) bool {
+	switch step {
+	case stepPersisted:
+		if r.writing == nil {
+			return false
 		}
-		walk(relay{f: *NewFollower(nil), now: 1, told: map[uint64]float64{}}, 5)
-		t.Logf("%s: %d orders, %s", name, plays, wrong)
-		assert.Equal(t, faulty, wrong != "", "%s: %s", name, wrong)
+		r.disk = r.writing
+		r.writing = nil
+		r.follower.ConfirmPersisted(r.now, persistedNumber(r.disk))
+	case stepTimePasses:
+		r.now += timePassesMillis
+	case stepPowerIsLost:
+		r.follower = *NewFollower(r.follower.rng)
+		r.writing = nil
+		r.follower.Restore(r.disk)
+	default:
+		number := uint64(step%announcedNumbers + 1)
+		w.announce(r, number, nearlyExpiredAge*float64(step/announcedNumbers))
 	}
+	return true
+}
+
+func (w *followerWalk) announce(r *steppedRelay, number uint64, age float64) {
+	r.latestTruth[number] = max(r.latestTruth[number], r.now-age)
+	zones := []Zone{{Name: "a", State: Home, Share: 1}}
+	data := r.follower.Receive(r.now, Announcement{Number: number, Zones: zones, AgeMillis: age})
+	if data == nil {
+		return
+	}
+	r.writing = data
+	if w.ignoresDisk {
+		r.follower.ConfirmPersisted(r.now, number)
+	}
+}
+
+func (w *followerWalk) check(r *steppedRelay) {
+	zones, number := r.follower.Current(r.now)
+	if zones == nil {
+		return
+	}
+	switch {
+	case number < r.number:
+		w.violation = fmt.Sprintf("back from %d to %d", r.number, number)
+	case number > persistedNumber(r.disk):
+		w.violation = fmt.Sprintf("follows %d, which is not on disk", number)
+	case r.now > r.latestTruth[number]+maxFollowedMillis:
+		w.violation = fmt.Sprintf("follows %d for too long", number)
+	}
+	r.number = max(r.number, number)
+}
+
+// persistedNumber is 0 for a disk that holds nothing.
+func persistedNumber(disk []byte) uint64 {
+	var persisted persistedDecision
+	json.Unmarshal(disk, &persisted)
+	return persisted.Number
 }
--- a/internal/failover/follower.go
+++ b/internal/failover/follower.go
@@ -6,75 +6,73 @@
 	"math/rand"
 )
 
-// What a datagram between relays and voters is, by its first byte under the seal.
-const (
-	ConsensusDatagram    = 'v' // between voters
-	ObservationsDatagram = 'e' // evidence of a relay; or a voter that asks
-	AnnouncementDatagram = 'w' // the word that answers it
-)
-
-// DecisionTTL is how long a decision holds from the renewal that its word tells of, ms.
-const DecisionTTL = 5000.0
-
-// Announcement is what a voter tells a relay: the picture that holds, and how old it is at the most.
-type Announcement struct {
-	Number     uint64  `json:"Number"`
-	Zones      []Zone  `json:"Zones"`
-	AgeMillis  float64 `json:"Age"`   // since its leader knew that it leads; below 0: this voter does not know that
-	FromLeader bool    `json:"Leads"` // this voter leads itself
-}
-
-// Follower is a relay's side of the decisions: it never goes back in number, also over its own starts, and
-// lets go of one that nobody renews at a moment of its own, as all relays would else change in one.
+// Follower is a relay's side of the decisions. It never goes back to a lower number, not even over a restart
+// of the relay: a decision is followed once its number is on the relay's disk. A decision that nobody renews
+// is dropped at a random moment within another DecisionTTL, as else all relays would change at once.
 type Follower struct {
-	rng *rand.Rand
-	number uint64
-	zones  []Zone
-	renewedTo  float64
-	dropAt   float64
-	pending   *Announcement // waits to be kept
+	rng       *rand.Rand
+	number    uint64
+	zones     []Zone  // nil: the number is known from before a restart, the decision is not
+	renewedTo float64 // until when the latest renewal counts
+	dropAt    float64
+
+	pending           *Announcement // of a higher number, which is not on disk yet
 	pendingReceivedAt float64
 }
 
-// NewFollower follows nothing yet.
-func NewFollower(chance *rand.Rand) *Follower {
-	return &Follower{rng: chance, renewedTo: math.Inf(-1), dropAt: math.Inf(-1)}
+// NewFollower follows no decision yet.
+func NewFollower(rng *rand.Rand) *Follower {
+	return &Follower{rng: rng, renewedTo: math.Inf(-1), dropAt: math.Inf(-1)}
 }
 
+// persistedDecision is what a relay keeps on disk.
 type persistedDecision struct {
 	Number uint64 `json:"Number"`
 }
 
-// Restore takes what the disk has: nothing below it is followed.
+// Restore takes what an earlier process of this relay persisted: no lower number is followed. Data that can't
+// be read is ignored.
 func (f *Follower) Restore(data []byte) {
-	var k persistedDecision
-	if json.Unmarshal(data, &k) == nil && k.Number > f.number {
-		f.number, f.zones, f.renewedTo, f.dropAt = k.Number, nil, math.Inf(-1), math.Inf(-1)
+	var persisted persistedDecision
+	if json.Unmarshal(data, &persisted) != nil || persisted.Number <= f.number {
+		return
 	}
+	f.number = persisted.Number
+	f.zones = nil
+	f.renewedTo = math.Inf(-1)
+	f.dropAt = math.Inf(-1)
 }
 
-// Receive takes a word, and gives what is to be kept before it is followed: Kept says that it is.
-func (f *Follower) Receive(now float64, w Announcement) []byte {
-	if !(w.AgeMillis >= 0 && w.AgeMillis < DecisionTTL) || w.Number < f.number || w.Number == 0 || validateZones(w.Zones) != "" {
+// Receive takes an announcement. If it returns data, that is to be persisted before the decision is followed:
+// ConfirmPersisted says that it was.
+func (f *Follower) Receive(now float64, announcement Announcement) (persist []byte) {
+	if !f.isAcceptable(announcement) {
 		return nil
 	}
-	until := now - w.AgeMillis + DecisionTTL
-	if w.Number == f.number {
-		if f.zones == nil { // known by number from before a start
-			f.zones = w.Zones
+	if announcement.Number == f.number {
+		if f.zones == nil {
+			f.zones = announcement.Zones
 		}
-		f.renew(until)
+		f.renew(now - announcement.AgeMillis + DecisionTTL)
 		return nil
 	}
-	if f.pending != nil && f.pending.Number >= w.Number {
-		if f.pending.Number == w.Number {
-			f.pending.AgeMillis, f.pendingReceivedAt = w.AgeMillis, now
+	if f.pending != nil && f.pending.Number >= announcement.Number {
+		if f.pending.Number == announcement.Number {
+			f.pending.AgeMillis = announcement.AgeMillis
+			f.pendingReceivedAt = now
 		}
 		return nil
 	}
-	f.pending, f.pendingReceivedAt = &w, now
-	text, _ := json.Marshal(persistedDecision{w.Number}) // of a plain value
-	return text
+	f.pending = &announcement
+	f.pendingReceivedAt = now
+	persist, _ = json.Marshal(persistedDecision{Number: announcement.Number}) // can't fail
+	return persist
+}
+
+func (f *Follower) isAcceptable(announcement Announcement) bool {
+	isFresh := announcement.AgeMillis >= 0 && announcement.AgeMillis < DecisionTTL // false for NaN
+	return isFresh && announcement.Number > 0 && announcement.Number >= f.number &&
+		validateZones(announcement.Zones) == nil
 }
 
 func (f *Follower) renew(until float64) {
@@ -84,18 +82,22 @@
 	}
 }
 
-// ConfirmPersisted says that the number is on the disk, or can't be. An answer that is late counts for nothing.
+// ConfirmPersisted says that the data which Receive returned for a number is on disk, or that there is no
+// usable disk. It ignores a number that is no longer pending.
 func (f *Follower) ConfirmPersisted(now float64, number uint64) {
-	if w := f.pending; w != nil && w.Number == number {
-		f.number, f.zones, f.pending = w.Number, w.Zones, nil
-		f.renewedTo = math.Inf(-1)
-		f.renew(f.pendingReceivedAt - w.AgeMillis + DecisionTTL)
+	if f.pending == nil || f.pending.Number != number {
+		return
 	}
+	f.number = number
+	f.zones = f.pending.Zones
+	f.renewedTo = math.Inf(-1)
+	f.renew(f.pendingReceivedAt - f.pending.AgeMillis + DecisionTTL)
+	f.pending = nil
 }
 
-// Current is the picture to go by now, and its number; nil: none. One that waits for a slow disk is not gone by,
-// against going back in number over a start: the one before it runs out meanwhile, and the relay decides
-// alone.
+// Current returns the decision to follow now and its number; nil zones: none, the relay decides alone. While
+// the disk is slow a pending decision is not followed, as a restart could then go back to a lower number; the
+// one before it runs out meanwhile.
 func (f *Follower) Current(now float64) ([]Zone, uint64) {
 	if now >= f.dropAt {
 		return nil, f.number
@@ -103,5 +105,7 @@
 	return f.zones, f.number
 }
 
-// Renewal tells whether what is held was renewed of late, and until when that counts.
-func (f *Follower) Renewal(now float64) (bool, float64) { return now < f.renewedTo, f.renewedTo }
+// Renewal reports whether the latest renewal still counts, and until when it does.
+func (f *Follower) Renewal(now float64) (isCurrent bool, until float64) {
+	return now < f.renewedTo, f.renewedTo
+}
--- a/internal/failover/follower_test.go
+++ b/internal/failover/follower_test.go
@@ -10,53 +10,61 @@
 
 func TestFollower(t *testing.T) {
 	home := []Zone{{Name: "a", State: Home, Share: 1}, {Name: "b", State: Home, Share: 1}}
-	empty := []Zone{{Name: "a", State: Emptied}, {Name: "b", State: Home, Share: 1}}
+	emptied := []Zone{{Name: "a", State: Emptied}, {Name: "b", State: Home, Share: 1}}
 	f := NewFollower(rand.New(rand.NewSource(1)))
-	held := func(now float64) any {
+	// followed is the number of the decision that is followed and the state of its first zone; "" if the follower
+	// knows a number but follows nothing.
+	type followed struct {
+		number uint64
+		state  State
+	}
+	current := func(now float64) followed {
 		zones, number := f.Current(now)
 		if zones == nil {
-			return number
+			return followed{number: number}
 		}
-		return []any{number, zones[0].State}
+		return followed{number, zones[0].State}
 	}
-	assert.Nil(t, f.Receive(0, Announcement{Number: 3, Zones: home, AgeMillis: -1}), "of a voter that does not know")
+	assert.Nil(t, f.Receive(0, Announcement{Number: 3, Zones: home, AgeMillis: -1}), "its sender doesn't know")
 	assert.Nil(t, f.Receive(0, Announcement{Number: 3, Zones: home, AgeMillis: DecisionTTL}), "too old")
 	assert.Nil(t, f.Receive(0, Announcement{Number: 3, Zones: []Zone{{Name: "a", Share: 2}}}), "more than all")
-	assert.Nil(t, f.Receive(0, Announcement{Number: 3}), "no zones at all")
-	disk := f.Receive(0, Announcement{Number: 3, Zones: home, AgeMillis: 100})
-	require.NotNil(t, disk)
-	assert.Equal(t, uint64(0), held(10), "not before it is kept")
+	assert.Nil(t, f.Receive(0, Announcement{Number: 3}), "no zones")
+	persisted := f.Receive(0, Announcement{Number: 3, Zones: home, AgeMillis: 100})
+	require.NotNil(t, persisted)
+	assert.Equal(t, followed{0, ""}, current(10), "not before it is persisted")
 	f.ConfirmPersisted(20, 2)
-	assert.Equal(t, uint64(0), held(20), "another")
+	assert.Equal(t, followed{0, ""}, current(20), "another is persisted")
 	f.ConfirmPersisted(20, 3)
-	assert.Equal(t, []any{uint64(3), Home}, held(20))
-	assert.Nil(t, f.Receive(30, Announcement{Number: 2, Zones: empty}), "lower")
+	assert.Equal(t, followed{3, Home}, current(20))
+	assert.Nil(t, f.Receive(30, Announcement{Number: 2, Zones: emptied}), "a lower number")
 	assert.Nil(t, f.Receive(1000, Announcement{Number: 3, Zones: home, AgeMillis: 50}), "renewed")
-	on, until := f.Renewal(5900)
-	assert.True(t, on)
+	isCurrent, until := f.Renewal(5900)
+	assert.True(t, isCurrent)
 	assert.Equal(t, 5950.0, until)
-	on, _ = f.Renewal(5951)
-	assert.False(t, on)
-	assert.Equal(t, []any{uint64(3), Home}, held(5951), "let go of at a moment of its own")
-	assert.Equal(t, uint64(3), held(5951+DecisionTTL))
+	isCurrent, _ = f.Renewal(5951)
+	assert.False(t, isCurrent)
+	assert.Equal(t, followed{3, Home}, current(5951), "dropped at a random moment only")
+	assert.Equal(t, followed{3, ""}, current(5951+DecisionTTL))
 
-	require.NotNil(t, f.Receive(20000, Announcement{Number: 5, Zones: empty, AgeMillis: 1}))
-	assert.Nil(t, f.Receive(20010, Announcement{Number: 4, Zones: home, AgeMillis: 1}), "a higher one waits to be kept")
-	assert.Equal(t, uint64(3), held(20020))
-	assert.Equal(t, uint64(3), held(22000), "nor while its disk is slow: it decides alone")
-	assert.Nil(t, f.Receive(22000, Announcement{Number: 5, Zones: empty, AgeMillis: 1}))
+	require.NotNil(t, f.Receive(20000, Announcement{Number: 5, Zones: emptied, AgeMillis: 1}))
+	assert.Nil(t, f.Receive(20010, Announcement{Number: 4, Zones: home, AgeMillis: 1}), "a higher one is pending")
+	assert.Equal(t, followed{3, ""}, current(20020))
+	assert.Equal(t, followed{3, ""}, current(22000), "nor while its disk is slow: it decides alone")
+	assert.Nil(t, f.Receive(22000, Announcement{Number: 5, Zones: emptied, AgeMillis: 1}))
 	f.ConfirmPersisted(22001, 5)
-	assert.Equal(t, []any{uint64(5), Emptied}, held(22010))
+	assert.Equal(t, followed{5, Emptied}, current(22010))
+
 	none := []Zone{{Name: "a", State: Emptied}, {Name: "b", State: Emptied}}
 	require.NotNil(t, f.Receive(30000, Announcement{Number: 6, Zones: none}),
-		"an order by force leaves no zone, and is followed")
+		"a forced order leaves no zone, and is followed")
 	f.ConfirmPersisted(30010, 6)
-	assert.Equal(t, []any{uint64(6), Emptied}, held(30010))
-	f = NewFollower(rand.New(rand.NewSource(2))) // the next life
+	assert.Equal(t, followed{6, Emptied}, current(30010))
+
+	f = NewFollower(rand.New(rand.NewSource(2))) // after a restart
 	f.Restore([]byte("{"))
-	f.Restore(disk)
-	assert.Nil(t, f.Receive(0, Announcement{Number: 2, Zones: empty}), "it does not go back over its starts")
-	assert.Equal(t, uint64(3), held(0), "and goes by none that nobody renews")
+	f.Restore(persisted)
+	assert.Nil(t, f.Receive(0, Announcement{Number: 2, Zones: emptied}), "it does not go back over a restart")
+	assert.Equal(t, followed{3, ""}, current(0), "and follows none that nobody renews")
 	assert.Nil(t, f.Receive(10, Announcement{Number: 3, Zones: home, AgeMillis: 1}))
-	assert.Equal(t, []any{uint64(3), Home}, held(10))
+	assert.Equal(t, followed{3, Home}, current(10))
 }
--- a/internal/failover/golden_test.go
+++ b/internal/failover/golden_test.go
@@ -16,19 +16,31 @@
 
 func goldenZones() []Zone {
 	return []Zone{
-		{Name: "a", Region: "north", State: Spilling, Share: 0.5, Diversions: []TrafficShare{{"b", 0.25}, {"c", 0.125}},
-			Unserved: 0.125, Reason: "it has room for 50% of what is near"},
+		{
+			Name: "a", Region: "north", State: Spilling, Share: 0.5,
+			Diversions: []TrafficShare{{"b", 0.25}, {"c", 0.125}}, Unserved: 0.125,
+			Reason: "it has room for 50% of what is near",
+		},
 		{Name: "b", Region: "north", State: Home, Share: 1, Reason: "returned"},
-		{Name: "c", Region: "south", State: Returning, Share: 0.2, Diversions: []TrafficShare{{"b", 0.8}}, Reason: "returns by steps"},
-		{Name: "d", Region: "south", State: Emptied, Diversions: []TrafficShare{{"b", 1}}, Reason: "97% of tries fail"},
+		{
+			Name: "c", Region: "south", State: Returning, Share: 0.2,
+			Diversions: []TrafficShare{{"b", 0.8}}, Reason: "returns by steps",
+		},
+		{
+			Name: "d", Region: "south", State: Emptied,
+			Diversions: []TrafficShare{{"b", 1}}, Reason: "97% of tries fail",
+		},
 	}
 }
 
 func goldenOrder() OperatorOrder {
-	return OperatorOrder{ID: "order-1", Zone: "d", Action: "empty", ExpiresAt: 1.7e12, Reason: "rack work", IssuedBy: "ana", Force: true}
+	return OperatorOrder{
+		ID: "order-1", Zone: "d", Action: ActionEmpty, ExpiresAt: 1.7e12, Reason: "rack work", IssuedBy: "ana",
+		Force: true,
+	}
 }
 
-func goldenBook() *DecisionLog {
+func goldenLog() *DecisionLog {
 	return &DecisionLog{
 		Number:      42,
 		PolicyZones: goldenZones(),
@@ -53,13 +65,25 @@
 		want any // a pointer
 		into any // an empty value of the same type
 	}{
-		"command-zones.json": {&Command{Zones: goldenZones(), Demand: map[string]float64{"a": 12.5},
-			Capacity: map[string]float64{"a": 10}, Cause: "a spilling: room", ProposedAt: 1.6e12}, &Command{}},
-		"command-order.json": {&Command{Order: &order, Cause: "empty d by ana: rack work", ProposedAt: 1.6e12}, &Command{}},
-		"command-end.json":   {&Command{ExpiredOrderID: "order-1", Cause: "the order has ended", ProposedAt: 1.6e12}, &Command{}},
-		"order.json":         {&order, &OperatorOrder{}},
-		"entry.json":         {&goldenBook().History[0], &Decision{}},
-		"announcement.json":  {&Announcement{Number: 42, Zones: goldenZones(), AgeMillis: 120.5, FromLeader: true}, &Announcement{}},
+		"command-zones.json": {
+			&Command{Zones: goldenZones(), Demand: map[string]float64{"a": 12.5},
+				Capacity: map[string]float64{"a": 10}, Cause: "a spilling: room", ProposedAt: 1.6e12},
+			&Command{},
+		},
+		"command-order.json": {
+			&Command{Order: &order, Cause: "empty d by ana: rack work", ProposedAt: 1.6e12},
+			&Command{},
+		},
+		"command-end.json": {
+			&Command{ExpiredOrderID: "order-1", Cause: "the order has ended", ProposedAt: 1.6e12},
+			&Command{},
+		},
+		"order.json": {&order, &OperatorOrder{}},
+		"entry.json": {&goldenLog().History[0], &Decision{}},
+		"announcement.json": {
+			&Announcement{Number: 42, Zones: goldenZones(), AgeMillis: 120.5, FromLeader: true},
+			&Announcement{},
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			data := readGolden(t, name)
@@ -76,8 +100,8 @@
 	data := readGolden(t, "snapshot.json")
 	restored := &DecisionLog{}
 	require.NoError(t, restored.Restore(data))
-	assert.Equal(t, goldenBook(), restored)
-	assert.Equal(t, string(data), string(goldenBook().Snapshot()))
+	assert.Equal(t, goldenLog(), restored)
+	assert.Equal(t, string(data), string(goldenLog().Snapshot()))
 }
 
 func TestGoldenObservations(t *testing.T) {
--- a/internal/failover/observations.go
+++ b/internal/failover/observations.go
@@ -8,75 +8,164 @@
 	"slices"
 )
 
-// Evidence goes to voters in a form of its own, as hundreds of relays tell theirs twice a second: a version,
-// the relay's name and zone, its demand, and each look as a name and six figures. Texts have a length of one
-// byte, figures are float32, all little-endian. Read as JSON they cost three times as much.
+// Observation is what one relay saw of one zone over the last second or so.
+type Observation struct {
+	Attempts           float64 // to set up a session, that ended
+	FailedAttempts     float64 // of those: without an answer in time, refused or answered with an error
+	HealthChecks       float64 // that ended
+	FailedHealthChecks float64 // of those: without an answer
+	Load               float64 // of the zone's backends together, as they report it; the unit is what one backend can bear
+	Capacity           float64 // of the zone's backends that can serve, in the same unit
+}
 
-const (
-	observationsVersion = 1
-	maxNameBytes     = 64
-	figuresPerObservation  = 6
-)
+// Observations is what one relay reports of all zones.
+type Observations struct {
+	Relay  string
+	Zone   string  // where the relay is
+	Demand float64 // the work that comes to this relay, in the unit of load
+	ByZone map[string]Observation
+}
 
-// Encode writes it. Names that are too long, and looks beyond what is read, are left out.
-func (e *Observations) Encode() []byte {
-	to := []byte{observationsVersion}
-	text := func(s string) {
-		s = s[:min(len(s), maxNameBytes)]
-		to = append(append(to, byte(len(s))), s...)
-	}
-	figure := func(x float64) { to = binary.LittleEndian.AppendUint32(to, math.Float32bits(float32(x))) }
-	text(e.Relay)
-	text(e.Zone)
-	figure(e.Demand)
-	for i, name := range slices.Sorted(maps.Keys(e.ByZone)) {
-		if i == maxZones {
-			break
+// maxFigure is above any figure that a relay can have counted within an observation.
+const maxFigure = 1e9
+
+// isPlausible reports whether all figures can be true. What a relay reports is not trusted.
+func (o Observations) isPlausible() bool {
+	for _, observation := range o.ByZone {
+		if !observation.isPlausible() {
+			return false
 		}
-		l := e.ByZone[name]
-		text(name)
-		for _, x := range [figuresPerObservation]float64{l.Attempts, l.FailedAttempts, l.HealthChecks, l.FailedHealthChecks, l.Load, l.Capacity} {
-			figure(x)
+	}
+	return isPlausibleFigure(o.Demand)
+}
+
+func (o Observation) isPlausible() bool {
+	for _, figure := range o.figures() {
+		if !isPlausibleFigure(figure) {
+			return false
 		}
 	}
-	return to
+	return o.FailedAttempts <= o.Attempts && o.FailedHealthChecks <= o.HealthChecks
 }
 
-var errMalformedObservations = errors.New("failover: evidence that can't be read")
+// isPlausibleFigure is false for NaN too.
+func isPlausibleFigure(figure float64) bool { return figure >= 0 && figure < maxFigure }
 
-// DecodeObservations reads it; figures that can't be are refused by whoever hears it.
-func DecodeObservations(data []byte) (e Observations, err error) {
-	bad := len(data) == 0 || data[0] != observationsVersion
-	text := func() string {
-		if bad = bad || len(data) == 0 || int(data[0]) > maxNameBytes || len(data) < 1+int(data[0]); bad {
-			return ""
-		}
-		s := string(data[1 : 1+data[0]])
-		data = data[1+data[0]:]
-		return s
+// figuresPerObservation counts the figures of an encoded observation.
+const figuresPerObservation = 6
+
+// figures returns all figures in the order in which they are encoded.
+func (o Observation) figures() [figuresPerObservation]float64 {
+	return [figuresPerObservation]float64{
+		o.Attempts, o.FailedAttempts, o.HealthChecks, o.FailedHealthChecks, o.Load, o.Capacity,
 	}
-	figure := func() float64 {
-		if bad = bad || len(data) < 4; bad {
-			return 0
+}
+
+// Observations are sent in a binary form, as hundreds of relays report twice a second and reading JSON costs
+// three times as much. The form is: a version, the relay's name, its zone, its demand, and then for each zone
+// its name and figures. A text is one byte for its length and then its bytes; a figure is a little-endian
+// float32.
+const (
+	observationsVersion = 1
+	maxNameBytes        = 64
+	figureBytes         = 4
+)
+
+// Encode returns the binary form. Longer names are cut; zones beyond the number that DecodeObservations
+// accepts are left out.
+func (o Observations) Encode() []byte {
+	data := []byte{observationsVersion}
+	data = appendName(data, o.Relay)
+	data = appendName(data, o.Zone)
+	data = appendFigure(data, o.Demand)
+	zones := slices.Sorted(maps.Keys(o.ByZone))
+	for _, zone := range zones[:min(len(zones), maxZones)] {
+		data = appendName(data, zone)
+		for _, figure := range o.ByZone[zone].figures() {
+			data = appendFigure(data, figure)
 		}
-		x := math.Float32frombits(binary.LittleEndian.Uint32(data))
-		data = data[4:]
-		return float64(x)
 	}
-	if !bad {
-		data = data[1:]
+	return data
+}
+
+func appendName(data []byte, name string) []byte {
+	name = name[:min(len(name), maxNameBytes)]
+	data = append(data, byte(len(name)))
+	return append(data, name...)
+}
+
+func appendFigure(data []byte, figure float64) []byte {
+	return binary.LittleEndian.AppendUint32(data, math.Float32bits(float32(figure)))
+}
+
+var errMalformedObservations = errors.New("decode observations: malformed")
+
+// DecodeObservations reads the binary form. It does not check the figures: Policy.AddObservations does.
+func DecodeObservations(data []byte) (Observations, error) {
+	if len(data) == 0 || data[0] != observationsVersion {
+		return Observations{}, errMalformedObservations
+	}
+	d := observationsDecoder{rest: data[1:]}
+	observations := Observations{
+		Relay:  d.name(),
+		Zone:   d.name(),
+		Demand: d.figure(),
+		ByZone: map[string]Observation{},
 	}
-	e.Relay, e.Zone, e.Demand = text(), text(), figure()
-	e.ByZone = map[string]Observation{}
-	for !bad && len(data) > 0 {
-		name := text()
-		l := Observation{figure(), figure(), figure(), figure(), figure(), figure()}
-		if bad = bad || len(e.ByZone) == maxZones; !bad {
-			e.ByZone[name] = l
+	for !d.malformed && len(d.rest) > 0 {
+		name := d.name()
+		observation := d.observation()
+		if len(observations.ByZone) == maxZones {
+			d.malformed = true
+		}
+		if !d.malformed {
+			observations.ByZone[name] = observation
 		}
 	}
-	if bad {
+	if d.malformed {
 		return Observations{}, errMalformedObservations
 	}
-	return e, nil
+	return observations, nil
+}
+
+// observationsDecoder reads one value after the other. Once something is malformed it returns zero values.
+type observationsDecoder struct {
+	rest      []byte
+	malformed bool
+}
+
+func (d *observationsDecoder) name() string {
+	if d.malformed || len(d.rest) == 0 {
+		d.malformed = true
+		return ""
+	}
+	length := int(d.rest[0])
+	if length > maxNameBytes || len(d.rest) < 1+length {
+		d.malformed = true
+		return ""
+	}
+	name := string(d.rest[1 : 1+length])
+	d.rest = d.rest[1+length:]
+	return name
+}
+
+func (d *observationsDecoder) figure() float64 {
+	if d.malformed || len(d.rest) < figureBytes {
+		d.malformed = true
+		return 0
+	}
+	figure := math.Float32frombits(binary.LittleEndian.Uint32(d.rest))
+	d.rest = d.rest[figureBytes:]
+	return float64(figure)
+}
+
+func (d *observationsDecoder) observation() Observation {
+	return Observation{
+		Attempts:           d.figure(),
+		FailedAttempts:     d.figure(),
+		HealthChecks:       d.figure(),
+		FailedHealthChecks: d.figure(),
+		Load:               d.figure(),
+		Capacity:           d.figure(),
+	}
 }
--- /dev/null
+++ b/internal/failover/simulation_test.go
@@ -0,0 +1,158 @@
+package failover
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// sixZones in two regions, the first three in the north.
+var sixZones = []Zone{
+	{Name: "a", Region: "n"},
+	{Name: "b", Region: "n"},
+	{Name: "c", Region: "n"},
+	{Name: "d", Region: "s"},
+	{Name: "e", Region: "s"},
+	{Name: "f", Region: "s"},
+}
+
+const (
+	evaluateEvery       = 100.0 // ms
+	attemptsPerRelay    = 20.0  // in each observation of a zone
+	simulatedCapacity   = 10.0  // of each zone
+	relayReportEvery    = 10    // evaluations
+	undisturbedZoneLoad = 4.0
+)
+
+// simulation runs relays that see the zones as a test says, and one policy whose proposals are all applied.
+type simulation struct {
+	t      testing.TB
+	now    float64
+	relays int // relay i is in zone i modulo the number of zones
+	policy *Policy
+	log    *DecisionLog
+	number uint64 // of the latest command
+	rng    *rand.Rand
+
+	failureRate func(now float64, observing, observed string) float64
+	load        func(now float64, zone string) float64
+	isLying     func(relay int) bool // it reports successes as failures, and failures as successes
+	trafficNear bool                 // relays send work to their own zone alone, and all health checks succeed
+}
+
+func newSimulation(t testing.TB, relays int) *simulation {
+	t.Helper()
+	return &simulation{
+		t:           t,
+		relays:      relays,
+		policy:      NewPolicy(sixZones),
+		log:         &DecisionLog{},
+		rng:         rand.New(rand.NewSource(1)),
+		failureRate: func(float64, string, string) float64 { return 0 },
+		load:        func(float64, string) float64 { return undisturbedZoneLoad },
+		isLying:     func(int) bool { return false },
+	}
+}
+
+// apply applies a command as the next of the log and returns the decision.
+func (s *simulation) apply(command Command) Decision {
+	s.t.Helper()
+	s.number++
+	command.ProposedAt = s.now
+	data, err := json.Marshal(command)
+	require.NoError(s.t, err)
+	s.log.Apply(s.number, data)
+	return s.latestDecision()
+}
+
+func (s *simulation) latestDecision() Decision { return s.log.History[len(s.log.History)-1] }
+
+// runUntil reports, evaluates and applies until a time.
+func (s *simulation) runUntil(end float64) {
+	s.t.Helper()
+	for ; s.now < end; s.now += evaluateEvery {
+		for relay := range s.relays {
+			observations := s.observe(relay)
+			if relay%relayReportEvery == int(s.now/evaluateEvery)%relayReportEvery {
+				s.policy.AddObservations(s.now, observations)
+			}
+		}
+		if command, changed := s.policy.Evaluate(s.now, s.log); changed {
+			s.apply(command)
+		}
+	}
+}
+
+func (s *simulation) observe(relay int) Observations {
+	zoneIndex := relay % len(sixZones)
+	zone := sixZones[zoneIndex].Name
+	relaysInZone := float64((s.relays + len(sixZones) - 1 - zoneIndex) / len(sixZones))
+	observations := Observations{
+		Relay:  fmt.Sprint("r", relay),
+		Zone:   zone,
+		Demand: s.load(s.now, zone) / relaysInZone,
+		ByZone: map[string]Observation{},
+	}
+	for _, observed := range sixZones {
+		observations.ByZone[observed.Name] = s.observeZone(relay, zone, observed.Name)
+	}
+	return observations
+}
+
+func (s *simulation) observeZone(relay int, observing, observed string) Observation {
+	o := Observation{Attempts: attemptsPerRelay, Load: s.load(s.now, observed), Capacity: simulatedCapacity}
+	o.FailedAttempts = float64(int(attemptsPerRelay*s.failureRate(s.now, observing, observed) + s.rng.Float64()))
+	if s.trafficNear {
+		o.HealthChecks = attemptsPerRelay
+		if observed != observing {
+			o.Attempts = 0
+			o.FailedAttempts = 0
+		}
+	}
+	if s.isLying(relay) {
+		o.FailedAttempts = attemptsPerRelay - o.FailedAttempts
+	}
+	return o
+}
+
+// states lists the zones that are not home.
+func (s *simulation) states() string {
+	var all []string
+	for _, z := range s.log.EffectiveZones() {
+		if z.State != Home {
+			all = append(all, fmt.Sprintf("%s %s", z.Name, z.State))
+		}
+	}
+	return strings.Join(all, ", ")
+}
+
+// zoneFails has a zone fail at a rate from one time to another.
+func zoneFails(zone string, rate, from, until float64) func(float64, string, string) float64 {
+	return func(now float64, _, observed string) float64 {
+		if observed == zone && now >= from && now < until {
+			return rate
+		}
+		return 0
+	}
+}
+
+// failsIf is the failure rate of something that fails always or never.
+func failsIf(fails bool) float64 {
+	if fails {
+		return 1
+	}
+	return 0
+}
+
+// requireFullShares checks that all the work near a zone is accounted for.
+func requireFullShares(t require.TestingT, zone Zone) {
+	sum := zone.Share + zone.Unserved
+	for _, diversion := range zone.Diversions {
+		sum += diversion.Fraction
+	}
+	require.InDelta(t, 1, sum, 0.02, "%+v", zone)
+}
