--- a/internal/fleet/council.go
+++ b/internal/fleet/coordinator.go
@@ -19,51 +19,51 @@
 // relay decides alone.
 
 const (
-	showEvery = 500.0
-	showFor   = 1200.0 // of what was seen, that evidence tells
-	leadsFor  = 1200.0 // without a word of who leads, before all are asked
+	reportInterval = 500.0
+	reportWindow   = 1200.0 // of what was seen, that evidence tells
+	leaderTimeout  = 1200.0 // without a word of who leads, before all are asked
 )
 
-type council struct {
+type coordinatorClient struct {
 	relay, zone string
 	key         []byte
 	voters      []string
 	follower    *failover.Follower
-	showAt      float64
-	leads       int // voter that said so last; -1: none
-	leadsAt     float64
-	seen        []sight // of late, the oldest first
-	told        string  // how the relay is directed
+	nextReportAt      float64
+	leader       int // voter that said so last; -1: none
+	leaderHeardAt     float64
+	samples        []zoneSample // of late, the oldest first
+	zoneWeights        string  // how the relay is directed
 	number      uint64
 }
 
-type sight struct {
+type zoneSample struct {
 	at    float64
 	zones map[string]balancer.ZoneObservation
 }
 
 // FollowCoordinators has the relay follow the council whose voters are there.
 func (c *Core) FollowCoordinators(relay, zone string, voters []string, key []byte, chance *rand.Rand) {
-	c.coordinators = &council{relay: relay, zone: zone, key: key, voters: voters, leads: -1, told: "[]",
+	c.coordinators = &coordinatorClient{relay: relay, zone: zone, key: key, voters: voters, leader: -1, zoneWeights: "[]",
 		follower: failover.NewFollower(chance)}
 }
 
 // IsObservationDue tells whether evidence is due.
 func (c *Core) IsObservationDue(now float64) bool {
-	return c.coordinators != nil && now >= c.coordinators.showAt
+	return c.coordinators != nil && now >= c.coordinators.nextReportAt
 }
 
 // SendObservations takes what the relay has seen of zones since its start, and what its links weigh, and gives what
 // voters are told of the last seconds: who leads, or all while nobody is known to.
 func (c *Core) SendObservations(now float64, zones map[string]balancer.ZoneObservation, demand float64) (acts []Action) {
 	k := c.coordinators
-	k.showAt = now + showEvery
-	k.seen = append(k.seen, sight{now, zones})
-	for len(k.seen) > 2 && k.seen[1].at <= now-showFor {
-		k.seen = k.seen[1:]
+	k.nextReportAt = now + reportInterval
+	k.samples = append(k.samples, zoneSample{now, zones})
+	for len(k.samples) > 2 && k.samples[1].at <= now-reportWindow {
+		k.samples = k.samples[1:]
 	}
 	e := failover.Observations{Relay: k.relay, Zone: k.zone, Demand: demand, ByZone: map[string]failover.Observation{}}
-	first := k.seen[0].zones
+	first := k.samples[0].zones
 	for name, l := range zones {
 		was := first[name]
 		e.ByZone[name] = failover.Observation{Attempts: l.Attempts - was.Attempts, FailedAttempts: l.FailedAttempts - was.FailedAttempts,
@@ -71,7 +71,7 @@
 	}
 	data := membership.Seal(k.key, append([]byte{failover.ObservationsDatagram}, e.Encode()...))
 	for i, to := range k.voters {
-		if i == k.leads && now < k.leadsAt+leadsFor || k.leads < 0 || now >= k.leadsAt+leadsFor {
+		if i == k.leader && now < k.leaderHeardAt+leaderTimeout || k.leader < 0 || now >= k.leaderHeardAt+leaderTimeout {
 			acts = append(acts, Action{Send: &membership.Datagram{To: to, Data: data}})
 		}
 	}
@@ -94,7 +94,7 @@
 		return nil, true
 	}
 	if w.FromLeader {
-		k.leads, k.leadsAt = i, now
+		k.leader, k.leaderHeardAt = i, now
 	}
 	if c.hasDisk && !c.diskRead { // which number it went by before its start is not known yet
 		return nil, true
@@ -126,17 +126,17 @@
 	}
 	zones, number := k.follower.Current(now)
 	k.number = number
-	all := towards(zones, k.zone)
-	if text := fmt.Sprint(all); text != k.told {
-		k.told = text
+	all := zoneWeights(zones, k.zone)
+	if text := fmt.Sprint(all); text != k.zoneWeights {
+		k.zoneWeights = text
 		return []Action{{Event: &relay.Event{Kind: relay.ZoneWeightsChanged, Zones: all}},
 			{Log: fmt.Sprintf("decision %d: %v", number, all)}}
 	}
 	return nil
 }
 
-// towards is where links that come to that zone are meant to go; none where nothing is decided of it.
-func towards(zones []failover.Zone, own string) (all []relay.ZoneWeight) {
+// zoneWeights is where links that come to that zone are meant to go; none where nothing is decided of it.
+func zoneWeights(zones []failover.Zone, own string) (all []relay.ZoneWeight) {
 	at := slices.IndexFunc(zones, func(z failover.Zone) bool { return z.Name == own })
 	if at < 0 {
 		return nil
@@ -173,13 +173,13 @@
 	}
 	zones, number := k.follower.Current(now)
 	_, until := k.follower.Renewal(now)
-	s := &CoordinatorStatus{Number: number, Followed: zones != nil, RenewalDueMillis: max(until-now, -1), ZoneWeights: towards(zones,
+	s := &CoordinatorStatus{Number: number, Followed: zones != nil, RenewalDueMillis: max(until-now, -1), ZoneWeights: zoneWeights(zones,
 		k.zone)}
 	if math.IsInf(until, 0) {
 		s.RenewalDueMillis = -1
 	}
-	if k.leads >= 0 {
-		s.Leader = k.voters[k.leads]
+	if k.leader >= 0 {
+		s.Leader = k.voters[k.leader]
 	}
 	return s
 }
--- a/internal/fleet/council_golden_test.go
+++ b/internal/fleet/coordinator_golden_test.go
@@ -16,7 +16,7 @@
 func TestCouncilStatusGolden(t *testing.T) {
 	want := CoordinatorStatus{Number: 42, Followed: true, RenewalDueMillis: 1250.5, Leader: "10.0.0.1:7946",
 		ZoneWeights: []relay.ZoneWeight{{Zone: "a", Share: 0.75, AcceptsOverflow: true}, {Zone: "b", Share: 0.25, AcceptsOverflow: true}}}
-	data, err := os.ReadFile("testdata/golden/council-status.json")
+	data, err := os.ReadFile("testdata/golden/coordinator-status.json")
 	require.NoError(t, err)
 	var read CoordinatorStatus
 	require.NoError(t, json.Unmarshal(data, &read))
--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -71,7 +71,7 @@
 	beyondAt         float64
 	beyondSaid       float64 // what others have placed, as the relay was told
 	diskRead         bool
-	coordinators     *council // nil: no voters are named
+	coordinators     *coordinatorClient // nil: no voters are named
 	replication      *held    // nil: nothing is held for others
 }
 
