--- a/internal/fleet/coordinator_golden_test.go
+++ b/internal/fleet/coordinator_golden_test.go
@@ -13,9 +13,12 @@
 
 // What operators' tools read of a relay's side of the decisions, as the build wrote it before its fields had
 // tags.
-func TestCouncilStatusGolden(t *testing.T) {
+func TestCoordinatorStatusGolden(t *testing.T) {
 	want := CoordinatorStatus{Number: 42, Followed: true, RenewalDueMillis: 1250.5, Leader: "10.0.0.1:7946",
-		ZoneWeights: []relay.ZoneWeight{{Zone: "a", Share: 0.75, AcceptsOverflow: true}, {Zone: "b", Share: 0.25, AcceptsOverflow: true}}}
+		ZoneWeights: []relay.ZoneWeight{
+			{Zone: "a", Share: 0.75, AcceptsOverflow: true},
+			{Zone: "b", Share: 0.25, AcceptsOverflow: true},
+		}}
 	data, err := os.ReadFile("testdata/golden/coordinator-status.json")
 	require.NoError(t, err)
 	var read CoordinatorStatus
--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -72,7 +72,7 @@
 	beyondSaid       float64 // what others have placed, as the relay was told
 	diskRead         bool
 	coordinators     *coordinatorClient // nil: no voters are named
-	replication      *held    // nil: nothing is held for others
+	replication      *held              // nil: nothing is held for others
 }
 
 // New starts the relay's side: with others, where an own word is given that says where it hears them, and
