--- a/cmd/valeshift/golden_test.go
+++ b/cmd/valeshift/golden_test.go
@@ -38,7 +38,7 @@
 			Show  fleetShow  `cmd:"" name:"show" default:"withargs"`
 			Leave fleetLeave `cmd:"" name:"leave"`
 		}{}},
-		{"valeshift zone", &zoneLine{}},
+		{"valeshift zone", &zoneArguments{}},
 		{"valeshift holdings", &struct {
 			Show   holdingsShow   `cmd:"" name:"show" default:"withargs"`
 			Export holdingsExport `cmd:"" name:"export"`
--- a/cmd/valeshift/zone.go
+++ b/cmd/valeshift/zone.go
@@ -16,143 +16,220 @@
 	"valeshift/internal/failover"
 )
 
-// zoneCommand passes its words on to zoneLine, whose fields are read only then: each start of the relay
+const (
+	coordinatorTimeout = 4 * time.Second // for one coordinator's answer
+	maxOrderAnswer     = 1 << 20         // bytes
+	maxStatusAnswer    = 8 << 20         // bytes
+)
+
+// zoneCommand passes its words on to zoneArguments, whose fields are read only then: each start of the relay
 // would pay for them by a twentieth of its CPU.
 type zoneCommand struct {
 	Words []string `arg:"" name:"words" optional:"" help:"What to do, and flags: docs/council.md tells."`
 }
 
-// Run reads the words, and does what they say.
+// Run parses the words and does what they say.
 func (c *zoneCommand) Run() error {
-	return words(&zoneLine{}, "valeshift zone", c.Words)
+	return words(&zoneArguments{}, "valeshift zone", c.Words)
 }
 
-type zoneLine struct {
-	Do      string        `arg:"" name:"do" enum:"status,history,empty,return,hold" help:"What is to be done."`
-	Zone    string        `arg:"" name:"zone" optional:"" help:"The zone that is ordered."`
-	Council []string      `name:"council" required:"" placeholder:"ADDRESS" help:"Where operators call a voter, each."`
-	Reason  string        `name:"reason" help:"Why it is ordered."`
-	Who     string        `name:"who" env:"USER" help:"Who orders it."`
-	For     time.Duration `name:"for" help:"When the order ends. 0: with the next."`
-	Force   bool          `name:"force" help:"Also where no zone is left to serve."`
-	ID      string        `name:"id" help:"Of the order: given again under it, it is one order."`
+// zoneArguments is the command line of `valeshift zone`. Action is one of failover's order actions, or shows
+// something.
+type zoneArguments struct {
+	Action       string        `arg:"" name:"do" enum:"status,history,empty,return,hold" help:"What is to be done."`
+	Zone         string        `arg:"" name:"zone" optional:"" help:"The zone that is ordered."`
+	Coordinators []string      `name:"council" required:"" placeholder:"ADDRESS" help:"Where operators call a voter, each."`
+	Reason       string        `name:"reason" help:"Why it is ordered."`
+	IssuedBy     string        `name:"who" env:"USER" help:"Who orders it."`
+	Duration     time.Duration `name:"for" help:"When the order ends. 0: with the next."`
+	Force        bool          `name:"force" help:"Also where no zone is left to serve."`
+	OrderID      string        `name:"id" help:"Of the order: given again under it, it is one order."`
 }
 
-var errNobody = errors.New("no voter that was asked leads")
+const (
+	showStatus  = "status"
+	showHistory = "history"
+)
+
+var (
+	errNoLeader = errors.New("no coordinator that was asked leads")
+	errNoZone   = errors.New("an order needs a zone")
+)
 
-// Run asks the voters, or has whoever leads take an order.
-func (c *zoneLine) Run() error {
-	client := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	if c.Do == "status" || c.Do == "history" {
-		return c.show(client)
+// Run shows how things stand, or sends an order.
+func (a *zoneArguments) Run() error {
+	client := &http.Client{
+		Timeout:   coordinatorTimeout,
+		Transport: &http.Transport{DisableKeepAlives: true},
 	}
-	if c.Zone == "" {
-		return errors.New("which zone?")
+	if a.Action == showStatus || a.Action == showHistory {
+		return a.show(client)
 	}
-	o := failover.OperatorOrder{ID: c.ID, Zone: c.Zone, Action: failover.OrderAction(c.Do), Reason: c.Reason, IssuedBy: c.Who, Force: c.Force}
-	if o.ID == "" {
-		o.ID = rand.Text()
+	return a.sendOrder(client)
+}
+
+// order makes the order, whose ID is drawn if none was given.
+func (a *zoneArguments) order() failover.OperatorOrder {
+	order := failover.OperatorOrder{
+		ID:       a.OrderID,
+		Zone:     a.Zone,
+		Action:   failover.OrderAction(a.Action),
+		Reason:   a.Reason,
+		IssuedBy: a.IssuedBy,
+		Force:    a.Force,
+	}
+	if order.ID == "" {
+		order.ID = rand.Text()
+	}
+	if a.Duration > 0 {
+		order.ExpiresAt = float64(time.Now().Add(a.Duration).UnixMilli())
 	}
-	if c.For > 0 {
-		o.ExpiresAt = float64(time.Now().Add(c.For).UnixMilli())
+	return order
+}
+
+// sendOrder sends the order to each coordinator in turn, until the one that leads takes it.
+func (a *zoneArguments) sendOrder(client *http.Client) error {
+	if a.Zone == "" {
+		return errNoZone
 	}
-	body, err := json.Marshal(o)
+	order := a.order()
+	body, err := json.Marshal(order)
 	if err != nil {
-		return err
+		return fmt.Errorf("encode order: %w", err)
 	}
-	err = errNobody
-	for _, address := range c.Council {
-		answer, failed := client.Post("http://"+address+"/order", "application/json", bytes.NewReader(body))
-		if failed != nil {
-			err = fmt.Errorf("%w; %v", err, failed)
-			continue
-		}
-		text, _ := io.ReadAll(io.LimitReader(answer.Body, 1<<20))
-		answer.Body.Close()
-		switch answer.StatusCode {
-		case http.StatusOK:
-			var e failover.Decision
-			if err := json.Unmarshal(text, &e); err != nil {
-				return err
-			}
-			fmt.Printf("decision %d, order %s\n", e.Number, o.ID)
-			zones(e.Zones)
+	failure := errNoLeader
+	for _, address := range a.Coordinators {
+		decision, err := postOrder(client, address, body)
+		var refused *orderError
+		switch {
+		case err == nil:
+			fmt.Printf("decision %d, order %s\n", decision.Number, order.ID)
+			printZones(decision.Zones)
 			return nil
-		case http.StatusMisdirectedRequest:
-		default: // it may hold all the same: under its ID it can be asked again
-			return fmt.Errorf("order %s: %s", o.ID, strings.TrimSpace(string(text)))
+		case errors.As(err, &refused):
+			return fmt.Errorf("order %s: %w", order.ID, err)
+		case !errors.Is(err, errNoLeader):
+			failure = fmt.Errorf("%w; %v", failure, err)
+		}
+	}
+	return failure
+}
+
+// orderError is what a coordinator that leads answers to an order that it did not decide on, or not yet: the
+// order may hold all the same, and can be sent again under its ID.
+type orderError struct{ answer string }
+
+func (e *orderError) Error() string { return e.answer }
+
+// postOrder sends the order to one coordinator. Its error is errNoLeader if that does not lead, an orderError
+// if it did not decide, and another one if it can't be reached.
+func postOrder(client *http.Client, address string, body []byte) (decision failover.Decision, err error) {
+	response, err := client.Post("http://"+address+"/order", "application/json", bytes.NewReader(body))
+	if err != nil {
+		return decision, err
+	}
+	defer response.Body.Close()
+	text, _ := io.ReadAll(io.LimitReader(response.Body, maxOrderAnswer))
+	switch response.StatusCode {
+	case http.StatusOK:
+		if err := json.Unmarshal(text, &decision); err != nil {
+			return decision, &orderError{answer: fmt.Sprintf("read the decision: %v", err)}
 		}
+		return decision, nil
+	case http.StatusMisdirectedRequest:
+		return decision, errNoLeader
+	default:
+		return decision, &orderError{answer: strings.TrimSpace(string(text))}
 	}
-	return err
 }
 
-// show takes the word of whoever leads; without one, of each for itself.
-func (c *zoneLine) show(client *http.Client) error {
-	type status struct {
-		Me struct {
-			Name string `json:"Name"`
-		} `json:"Me"`
-		Leads  bool                     `json:"Leads"`
-		Leader string                   `json:"Leader"`
-		Role   string                   `json:"Role"`
-		Aside  string                   `json:"Aside"`
-		Number uint64                   `json:"Number"`
-		Zones  []failover.Zone          `json:"Zones"`
-		Orders []failover.OperatorOrder `json:"Orders"`
-	}
-	led := false
-	for _, address := range c.Council {
-		var s status
-		if err := get(client, address, "/status", &s); err != nil {
+// coordinatorStatus is what this command reads of a coordinator's status.
+type coordinatorStatus struct {
+	Self struct {
+		Name string `json:"Name"`
+	} `json:"Me"`
+	HasLease            bool                     `json:"Leads"`
+	Role                string                   `json:"Role"`
+	DiskDiscardedReason string                   `json:"Aside"`
+	DecisionNumber      uint64                   `json:"Number"`
+	Zones               []failover.Zone          `json:"Zones"`
+	Orders              []failover.OperatorOrder `json:"Orders"`
+}
+
+// show prints the status of each coordinator, and of the one that leads the zones and orders, or the history.
+func (a *zoneArguments) show(client *http.Client) error {
+	isLeaderSeen := false
+	for _, address := range a.Coordinators {
+		var status coordinatorStatus
+		if err := getJSON(client, address, "/status", &status); err != nil {
 			fmt.Fprintf(os.Stderr, "%s: %v\n", address, err)
 			continue
 		}
-		fmt.Printf("%s  %s: %s, leads %t, decision %d%s\n", address, s.Me.Name, s.Role, s.Leads, s.Number, s.Aside)
-		if led = led || s.Leads; !s.Leads {
+		fmt.Printf("%s  %s: %s, leads %t, decision %d%s\n", address, status.Self.Name, status.Role,
+			status.HasLease, status.DecisionNumber, status.DiskDiscardedReason)
+		if !status.HasLease {
 			continue
 		}
-		if c.Do == "history" {
-			var all []failover.Decision
-			if err := get(client, address, "/history", &all); err != nil {
+		isLeaderSeen = true
+		if a.Action == showHistory {
+			if err := printHistory(client, address); err != nil {
 				return err
 			}
-			for _, e := range all {
-				at := time.UnixMilli(int64(e.ProposedAt)).UTC().Format(time.RFC3339)
-				if e.Rejection != "" {
-					e.Cause += failover.Cause("; refused: " + e.Rejection)
-				}
-				fmt.Printf("  %d  %s  %s\n", e.Number, at, e.Cause)
-			}
 			continue
 		}
-		zones(s.Zones)
-		for _, o := range s.Orders {
-			fmt.Printf("  order %s: %s %s by %s: %s\n", o.ID, o.Action, o.Zone, o.IssuedBy, o.Reason)
-		}
+		printZones(status.Zones)
+		printOrders(status.Orders)
 	}
-	if !led {
-		return errNobody
+	if !isLeaderSeen {
+		return errNoLeader
 	}
 	return nil
 }
 
-func get(client *http.Client, address, path string, into any) error {
-	answer, err := client.Get("http://" + address + path)
-	if err != nil {
+func printHistory(client *http.Client, address string) error {
+	var history []failover.Decision
+	if err := getJSON(client, address, "/history", &history); err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	return json.NewDecoder(io.LimitReader(answer.Body, 8<<20)).Decode(into)
+	for _, decision := range history {
+		at := time.UnixMilli(int64(decision.ProposedAt)).UTC().Format(time.RFC3339)
+		text := decision.Cause.String()
+		if decision.Rejection != "" {
+			text += "; refused: " + decision.Rejection
+		}
+		fmt.Printf("  %d  %s  %s\n", decision.Number, at, text)
+	}
+	return nil
 }
 
-func zones(all []failover.Zone) {
+func printZones(zones []failover.Zone) {
 	w := tabwriter.NewWriter(os.Stdout, 2, 8, 2, ' ', 0)
-	for _, z := range all {
-		to := ""
-		for _, p := range z.Diversions {
-			to += fmt.Sprintf(" %s %.2f", p.Zone, p.Fraction)
+	for _, zone := range zones {
+		diversions := ""
+		for _, diversion := range zone.Diversions {
+			diversions += fmt.Sprintf(" %s %.2f", diversion.Zone, diversion.Fraction)
 		}
-		fmt.Fprintf(w, "  %s\t%s\t%s\t%.2f\tto%s\t%s\n", z.Name, z.Region, z.State, z.Share, to, z.Reason)
+		fmt.Fprintf(w, "  %s\t%s\t%s\t%.2f\tto%s\t%s\n", zone.Name, zone.Region, zone.State, zone.Share, diversions,
+			zone.Reason)
 	}
 	w.Flush()
 }
+
+func printOrders(orders []failover.OperatorOrder) {
+	for _, order := range orders {
+		fmt.Printf("  order %s: %s %s by %s: %s\n", order.ID, order.Action, order.Zone, order.IssuedBy, order.Reason)
+	}
+}
+
+// getJSON reads a coordinator's answer into a value.
+func getJSON(client *http.Client, address, path string, into any) error {
+	response, err := client.Get("http://" + address + path)
+	if err != nil {
+		return err
+	}
+	defer response.Body.Close()
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxStatusAnswer)).Decode(into); err != nil {
+		return fmt.Errorf("read %s: %w", path, err)
+	}
+	return nil
+}
--- a/cmd/valeshift/zone_test.go
+++ b/cmd/valeshift/zone_test.go
@@ -93,7 +93,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			leader.order = nil
-			text, err := printed(t, names, func() error { return words(&zoneLine{}, "valeshift zone", append(args, council...)) })
+			text, err := printed(t, names, func() error { return words(&zoneArguments{}, "valeshift zone", append(args, council...)) })
 			require.NoError(t, err)
 			assert.Equal(t, zoneGolden(t, name+".txt"), text)
 			if leader.order != nil {
@@ -109,7 +109,7 @@
 	address := leader.start(t)
 	before := time.Now().Add(time.Hour).UnixMilli()
 	_, err := printed(t, nil, func() error {
-		return words(&zoneLine{}, "valeshift zone", []string{"hold", "d", "--for=1h", "--council", address})
+		return words(&zoneArguments{}, "valeshift zone", []string{"hold", "d", "--for=1h", "--council", address})
 	})
 	require.NoError(t, err)
 	var order failover.OperatorOrder
@@ -127,13 +127,13 @@
 		args []string
 		want string
 	}{
-		"an order without a zone":       {[]string{"empty", "--council", leaderAddress}, "which zone?"},
-		"nobody that was asked leads":   {[]string{"empty", "d", "--council", otherAddress}, errNobody.Error()},
-		"no leader to show":             {[]string{"status", "--council", otherAddress}, errNobody.Error()},
+		"an order without a zone":       {[]string{"empty", "--council", leaderAddress}, errNoZone.Error()},
+		"nobody that was asked leads":   {[]string{"empty", "d", "--council", otherAddress}, errNoLeader.Error()},
+		"no leader to show":             {[]string{"status", "--council", otherAddress}, errNoLeader.Error()},
 		"an order that is not accepted": {[]string{"empty", "refuse-me", "--id=1", "--council", leaderAddress}, "order 1: refused: no such zone"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := printed(t, nil, func() error { return words(&zoneLine{}, "valeshift zone", c.args) })
+			_, err := printed(t, nil, func() error { return words(&zoneArguments{}, "valeshift zone", c.args) })
 			assert.EqualError(t, err, c.want)
 		})
 	}
@@ -143,7 +143,7 @@
 func TestZoneCommandHelpGolden(t *testing.T) {
 	t.Setenv("USER", "")
 	var help bytes.Buffer
-	parser, err := kong.New(&zoneLine{}, kong.Name("valeshift zone"), kong.Writers(&help, &help), kong.Exit(func(int) {}))
+	parser, err := kong.New(&zoneArguments{}, kong.Name("valeshift zone"), kong.Writers(&help, &help), kong.Exit(func(int) {}))
 	require.NoError(t, err)
 	parser.Parse([]string{"--help"})
 	assert.Equal(t, zoneGolden(t, "help.txt"), help.String())
