--- a/cmd/valeshift/zone.go
+++ b/cmd/valeshift/zone.go
@@ -36,14 +36,14 @@
 // zoneArguments is the command line of `valeshift zone`. Action is one of failover's order actions, or shows
 // something.
 type zoneArguments struct {
-	Action       string        `arg:"" name:"do" enum:"status,history,empty,return,hold" help:"What is to be done."`
-	Zone         string        `arg:"" name:"zone" optional:"" help:"The zone that is ordered."`
-	Coordinators []string      `name:"council" required:"" placeholder:"ADDRESS" help:"Where operators call a voter, each."`
-	Reason       string        `name:"reason" help:"Why it is ordered."`
-	IssuedBy     string        `name:"who" env:"USER" help:"Who orders it."`
-	Duration     time.Duration `name:"for" help:"When the order ends. 0: with the next."`
-	Force        bool          `name:"force" help:"Also where no zone is left to serve."`
-	OrderID      string        `name:"id" help:"Of the order: given again under it, it is one order."`
+	Action       string        `arg:"" name:"do" enum:"status,history,empty,return,hold" help:"What to do."`
+	Zone         string        `arg:"" name:"zone" optional:"" help:"The zone that the order is for."`
+	Coordinators []string      `name:"council" required:"" placeholder:"ADDRESS" help:"Admin addresses of the coordinators."`
+	Reason       string        `name:"reason" help:"Why the order is given."`
+	IssuedBy     string        `name:"who" env:"USER" help:"Who gives the order."`
+	Duration     time.Duration `name:"for" help:"How long the order holds. 0: until another replaces it."`
+	Force        bool          `name:"force" help:"Apply the order even if it leaves no zone that serves."`
+	OrderID      string        `name:"id" help:"ID of the order: sent again under its ID, it is applied once."`
 }
 
 const (
