--- a/internal/testbed/live/council.go
+++ b/internal/testbed/live/coordinator.go
@@ -12,16 +12,16 @@
 	"valeshift/internal/testbed/netem"
 )
 
-// seat is a voter's process on a relay's machine: what kills one kills both, and the ways between machines
+// coordinatorProcess is a voter's process on a relay's machine: what kills one kills both, and the ways between machines
 // are one.
-type seat struct {
-	file string
-	cmd  *exec.Cmd
+type coordinatorProcess struct {
+	configFile string
+	cmd        *exec.Cmd
 }
 
-// council makes the voters' files, with a way of its own to each other, and gives where each relay reaches
+// configureCoordinators makes the voters' files, with a way of its own to each other, and gives where each relay reaches
 // them.
-func (r *Run) council() (voters [][]string, err error) {
+func (r *Run) configureCoordinators() (voters [][]string, err error) {
 	n := r.x.Relays.Coordinators
 	hears := make([]string, n)
 	for k := range hears {
@@ -63,11 +63,11 @@
 		for z := range r.x.Fleet.Zones {
 			text += fmt.Sprintf("[[zone]]\nname = %q\nregion = %q\n", experiment.Zone(z), r.x.Region(z))
 		}
-		s := &seat{file: filepath.Join(r.dir, fmt.Sprintf("voter-%d.toml", k))}
-		if err := os.WriteFile(s.file, []byte(text), 0o600); err != nil {
+		s := &coordinatorProcess{configFile: filepath.Join(r.dir, fmt.Sprintf("voter-%d.toml", k))}
+		if err := os.WriteFile(s.configFile, []byte(text), 0o600); err != nil {
 			return nil, err
 		}
-		r.seats = append(r.seats, s)
+		r.coordinators = append(r.coordinators, s)
 	}
 	for i := range r.relays {
 		var all []string
@@ -83,13 +83,13 @@
 	return voters, nil
 }
 
-// vote starts the voter of a machine, where there is one and it does not run.
-func (r *Run) vote(k int) error {
-	if k >= len(r.seats) || r.seats[k].cmd != nil {
+// startCoordinator starts the voter of a machine, where there is one and it does not run.
+func (r *Run) startCoordinator(k int) error {
+	if k >= len(r.coordinators) || r.coordinators[k].cmd != nil {
 		return nil
 	}
-	s := r.seats[k]
-	log, err := os.OpenFile(strings.TrimSuffix(s.file, ".toml")+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY,
+	s := r.coordinators[k]
+	log, err := os.OpenFile(strings.TrimSuffix(s.configFile, ".toml")+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY,
 		0o600)
 	if err != nil {
 		return err
@@ -97,7 +97,7 @@
 	defer log.Close()
 	// Of the same build as the relays, beside them.
 	name := strings.Replace(filepath.Base(r.binary), "valeshift", "valeshift-coordinator", 1)
-	s.cmd = exec.Command(filepath.Join(filepath.Dir(r.binary), name), s.file)
+	s.cmd = exec.Command(filepath.Join(filepath.Dir(r.binary), name), s.configFile)
 	s.cmd.Stderr = log
 	if err := s.cmd.Start(); err != nil {
 		s.cmd = nil
@@ -108,9 +108,9 @@
 	return nil
 }
 
-func (r *Run) unseat(k int) {
-	if k < len(r.seats) && r.seats[k].cmd != nil {
-		r.seats[k].cmd.Process.Kill()
-		r.seats[k].cmd = nil
+func (r *Run) killCoordinator(k int) {
+	if k < len(r.coordinators) && r.coordinators[k].cmd != nil {
+		r.coordinators[k].cmd.Process.Kill()
+		r.coordinators[k].cmd = nil
 	}
 }
--- a/internal/testbed/live/live.go
+++ b/internal/testbed/live/live.go
@@ -57,15 +57,15 @@
 // Run is one run on sockets.
 type Run struct {
 	*ground
-	x      *experiment.Experiment
-	world  *model.Environment
-	audit  *audit.Auditor
-	relays []*process
-	dir    string
-	binary string
-	number int64   // of the run
-	seats  []*seat // of voters, on the first machines
-	given  map[string]bool
+	x            *experiment.Experiment
+	world        *model.Environment
+	audit        *audit.Auditor
+	relays       []*process
+	dir          string
+	binary       string
+	number       int64                 // of the run
+	coordinators []*coordinatorProcess // of voters, on the first machines
+	given        map[string]bool
 
 	ways     map[[2]int]experiment.Impairment // as they are, by who sends and who is sent to
 	forwards map[[2]int][]*netem.Proxy        // by who dials and who is dialed
@@ -242,8 +242,8 @@
 	if p := r.relays[i]; p.alive {
 		p.cmd.Process.Signal(signal)
 	}
-	if i < len(r.seats) && r.seats[i].cmd != nil {
-		r.seats[i].cmd.Process.Signal(signal)
+	if i < len(r.coordinators) && r.coordinators[i].cmd != nil {
+		r.coordinators[i].cmd.Process.Signal(signal)
 	}
 }
 
@@ -299,7 +299,7 @@
 
 func (r *Run) launch(p *process) error {
 	p.turn++
-	if err := r.vote(p.number); err != nil {
+	if err := r.startCoordinator(p.number); err != nil {
 		return err
 	}
 	var err error
@@ -395,8 +395,8 @@
 			p.cmd.Process.Kill()
 		}
 	}
-	for k := range r.seats {
-		r.unseat(k)
+	for k := range r.coordinators {
+		r.killCoordinator(k)
 	}
 	r.mutex.Unlock()
 }
@@ -433,7 +433,7 @@
 	p := r.relays[i]
 	p.alive = false
 	r.keep(p)
-	r.unseat(i)
+	r.killCoordinator(i)
 	p.cmd.Process.Kill()
 	if p.elder != nil {
 		p.elder.Process.Kill()
--- a/internal/testbed/live/mates.go
+++ b/internal/testbed/live/mates.go
@@ -35,7 +35,7 @@
 			return err
 		}
 	}
-	voters, err := r.council()
+	voters, err := r.configureCoordinators()
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/sim/mates.go
+++ b/internal/testbed/sim/mates.go
@@ -67,10 +67,10 @@
 	}
 	m := &mates{s: s, i: i, p: p, core: fleet.New(p.clock(), own, seeds, fleetKey, x.Relays.Disk, chance)}
 	if x.Relays.Coordinators > 0 {
-		_, voters := s.voters()
+		_, voters := s.coordinators()
 		m.core.FollowCoordinators(own.Name, own.Zone, voters, fleetKey, chance)
 		if i < len(voters) {
-			s.vote(i, p)
+			s.startCoordinator(i, p)
 		}
 	}
 	p.mates = m
@@ -225,8 +225,8 @@
 			switch {
 			case p == nil:
 			case strings.HasPrefix(d.To, "voter-"):
-				if v := s.seats[to]; v != nil && !v.p.over {
-					v.heard(by, d.Data)
+				if v := s.coordinatorProcesses[to]; v != nil && !v.process.over {
+					v.receive(by, d.Data)
 				}
 			case p.mates != nil:
 				p.mates.do(p.mates.core.ReceiveDatagram(p.clock(), by, d.Data))
--- a/internal/testbed/sim/sim.go
+++ b/internal/testbed/sim/sim.go
@@ -32,20 +32,20 @@
 
 // Sim is one run in the making.
 type Sim struct {
-	x       *experiment.Experiment
-	variant string
-	net     *network
-	world   *model.Environment
-	audit   *audit.Auditor
-	relays  []*process
-	reducer []*relay.StateMachine
-	lives   []int
-	known   []*relay.EndpointUpdate
-	past    []relay.Counters // of lives that are over
-	ways    map[[2]int]experiment.Impairment
-	disks   []*disk
-	seats   map[int]*seat // voters, by their machines
-	clocks  []float64     // of relays' machines, ahead of the true time
+	x                    *experiment.Experiment
+	variant              string
+	net                  *network
+	world                *model.Environment
+	audit                *audit.Auditor
+	relays               []*process
+	reducer              []*relay.StateMachine
+	lives                []int
+	known                []*relay.EndpointUpdate
+	past                 []relay.Counters // of lives that are over
+	ways                 map[[2]int]experiment.Impairment
+	disks                []*disk
+	coordinatorProcesses map[int]*coordinatorProcess // voters, by their machines
+	clocks               []float64                   // of relays' machines, ahead of the true time
 	// Spoil, where set, puts something between the network and a relay's reducer: for tests of the auditor.
 	Spoil func(relay int, brain Brain) Brain
 }
@@ -58,7 +58,7 @@
 	n.trace = trace
 	slack := 4*float64(x.Network.Delay+4*x.Network.Jitter) + 1
 	return &Sim{x: x, variant: variant, net: n, ways: map[[2]int]experiment.Impairment{},
-		seats: map[int]*seat{}, audit: audit.New(slack, x.Fleet.OverloadMultiple, float64(x.Fleet.OverloadWindow))}
+		coordinatorProcesses: map[int]*coordinatorProcess{}, audit: audit.New(slack, x.Fleet.OverloadMultiple, float64(x.Fleet.OverloadWindow))}
 }
 
 // Run plays an experiment under one variant.
