--- a/internal/testbed/live/coordinator.go
+++ b/internal/testbed/live/coordinator.go
@@ -12,105 +12,144 @@
 	"valeshift/internal/testbed/netem"
 )
 
-// coordinatorProcess is a voter's process on a relay's machine: what kills one kills both, and the ways between machines
-// are one.
+// coordinatorProcess is a coordinator that runs beside a relay's process: what kills one kills both, and the
+// emulated network treats them as one machine.
 type coordinatorProcess struct {
 	configFile string
-	cmd        *exec.Cmd
+	cmd        *exec.Cmd // nil: it does not run
 }
 
-// configureCoordinators makes the voters' files, with a way of its own to each other, and gives where each relay reaches
-// them.
-func (r *Run) configureCoordinators() (voters [][]string, err error) {
-	n := r.x.Relays.Coordinators
-	hears := make([]string, n)
-	for k := range hears {
-		if hears[k], err = r.free(k); err != nil {
-			return nil, err
-		}
+// configureCoordinators writes the coordinators' files, and returns the addresses by which each relay reaches
+// them. Each pair of machines has a proxy of its own.
+func (r *Run) configureCoordinators() (addresses [][]string, err error) {
+	listen, err := r.coordinatorListenAddresses()
+	if err != nil {
+		return nil, err
 	}
-	reach := func(from, to int) (string, error) {
-		if from == to {
-			return hears[to], nil
-		}
-		w, err := netem.New(r.road(from), hears[to], r.x.Rand("way", 100000*(from+1)+to))
+	for machine := range listen {
+		process, err := r.configureCoordinator(machine, listen)
 		if err != nil {
-			return "", err
-		}
-		context.AfterFunc(r.ctx, w.Close)
-		r.forwards[[2]int{from, to}] = append(r.forwards[[2]int{from, to}], w)
-		return w.Address, nil
-	}
-	for k := range n {
-		folder := filepath.Join(r.dir, fmt.Sprintf("voter-%d", k))
-		if err := os.MkdirAll(folder, 0o700); err != nil {
 			return nil, err
 		}
-		ops, err := r.free(k)
+		r.coordinators = append(r.coordinators, process)
+	}
+	for relay := range r.relays {
+		reached, err := r.reachCoordinators(relay, listen)
 		if err != nil {
 			return nil, err
 		}
-		text := fmt.Sprintf("name = \"v%d\"\nops = %q\nkey-file = %q\nfolder = %q\n", k, ops, filepath.Join(r.dir,
-			"key"),
-			folder)
-		for to := range n {
-			at, err := reach(k, to)
-			if err != nil {
-				return nil, err
-			}
-			text += fmt.Sprintf("[[voter]]\nname = \"v%d\"\naddress = %q\n", to, at)
-		}
-		for z := range r.x.Fleet.Zones {
-			text += fmt.Sprintf("[[zone]]\nname = %q\nregion = %q\n", experiment.Zone(z), r.x.Region(z))
+		var quoted []string
+		for _, address := range reached {
+			quoted = append(quoted, fmt.Sprintf("%q", address))
 		}
-		s := &coordinatorProcess{configFile: filepath.Join(r.dir, fmt.Sprintf("voter-%d.toml", k))}
-		if err := os.WriteFile(s.configFile, []byte(text), 0o600); err != nil {
-			return nil, err
+		addresses = append(addresses, quoted)
+	}
+	return addresses, nil
+}
+
+func (r *Run) coordinatorListenAddresses() ([]string, error) {
+	listen := make([]string, r.x.Relays.Coordinators)
+	for machine := range listen {
+		address, err := r.free(machine)
+		if err != nil {
+			return nil, fmt.Errorf("address of coordinator %d: %w", machine, err)
 		}
-		r.coordinators = append(r.coordinators, s)
+		listen[machine] = address
 	}
-	for i := range r.relays {
-		var all []string
-		for k := range n {
-			at, err := reach(i, k)
-			if err != nil {
-				return nil, err
-			}
-			all = append(all, fmt.Sprintf("%q", at))
+	return listen, nil
+}
+
+// reachCoordinators returns the addresses by which a machine reaches each coordinator: its own directly, the
+// others by proxies.
+func (r *Run) reachCoordinators(from int, listen []string) (addresses []string, err error) {
+	for to := range listen {
+		if from == to {
+			addresses = append(addresses, listen[to])
+			continue
 		}
-		voters = append(voters, all)
+		proxy, err := netem.New(r.road(from), listen[to], r.x.Rand("way", 100000*(from+1)+to))
+		if err != nil {
+			return nil, fmt.Errorf("proxy from machine %d to coordinator %d: %w", from, to, err)
+		}
+		context.AfterFunc(r.ctx, proxy.Close)
+		pair := [2]int{from, to}
+		r.forwards[pair] = append(r.forwards[pair], proxy)
+		addresses = append(addresses, proxy.Address)
+	}
+	return addresses, nil
+}
+
+// configureCoordinator writes the file of one machine's coordinator, and makes its folder.
+func (r *Run) configureCoordinator(machine int, listen []string) (*coordinatorProcess, error) {
+	folder := filepath.Join(r.dir, fmt.Sprintf("voter-%d", machine))
+	if err := os.MkdirAll(folder, 0o700); err != nil {
+		return nil, fmt.Errorf("folder of coordinator %d: %w", machine, err)
+	}
+	adminAddress, err := r.free(machine)
+	if err != nil {
+		return nil, fmt.Errorf("admin address of coordinator %d: %w", machine, err)
+	}
+	reached, err := r.reachCoordinators(machine, listen)
+	if err != nil {
+		return nil, err
+	}
+	process := &coordinatorProcess{configFile: filepath.Join(r.dir, fmt.Sprintf("voter-%d.toml", machine))}
+	text := r.coordinatorConfig(machine, folder, adminAddress, reached)
+	if err := os.WriteFile(process.configFile, []byte(text), 0o600); err != nil {
+		return nil, fmt.Errorf("configuration of coordinator %d: %w", machine, err)
 	}
-	return voters, nil
+	return process, nil
 }
 
-// startCoordinator starts the voter of a machine, where there is one and it does not run.
-func (r *Run) startCoordinator(k int) error {
-	if k >= len(r.coordinators) || r.coordinators[k].cmd != nil {
+// coordinatorConfig is a coordinator's file, in TOML.
+func (r *Run) coordinatorConfig(machine int, folder, adminAddress string, reached []string) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "name = \"v%d\"\n", machine)
+	fmt.Fprintf(&text, "ops = %q\n", adminAddress)
+	fmt.Fprintf(&text, "key-file = %q\n", filepath.Join(r.dir, "key"))
+	fmt.Fprintf(&text, "folder = %q\n", folder)
+	for to, address := range reached {
+		fmt.Fprintf(&text, "[[voter]]\nname = \"v%d\"\naddress = %q\n", to, address)
+	}
+	for zone := range r.x.Fleet.Zones {
+		fmt.Fprintf(&text, "[[zone]]\nname = %q\nregion = %q\n", experiment.Zone(zone), r.x.Region(zone))
+	}
+	return text.String()
+}
+
+// startCoordinator starts the coordinator of a machine, if there is one and it does not run.
+func (r *Run) startCoordinator(machine int) error {
+	if machine >= len(r.coordinators) || r.coordinators[machine].cmd != nil {
 		return nil
 	}
-	s := r.coordinators[k]
-	log, err := os.OpenFile(strings.TrimSuffix(s.configFile, ".toml")+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY,
-		0o600)
+	process := r.coordinators[machine]
+	logFile := strings.TrimSuffix(process.configFile, ".toml") + ".log"
+	log, err := os.OpenFile(logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return err
+		return fmt.Errorf("log of coordinator %d: %w", machine, err)
 	}
 	defer log.Close()
-	// Of the same build as the relays, beside them.
-	name := strings.Replace(filepath.Base(r.binary), "valeshift", "valeshift-coordinator", 1)
-	s.cmd = exec.Command(filepath.Join(filepath.Dir(r.binary), name), s.configFile)
-	s.cmd.Stderr = log
-	if err := s.cmd.Start(); err != nil {
-		s.cmd = nil
-		return fmt.Errorf("voter: %w", err)
+	cmd := exec.Command(r.coordinatorBinary(), process.configFile)
+	cmd.Stderr = log
+	if err := cmd.Start(); err != nil {
+		return fmt.Errorf("start coordinator %d: %w", machine, err)
 	}
-	cmd := s.cmd
-	go cmd.Wait()
+	process.cmd = cmd
+	go cmd.Wait() // ends with the process
 	return nil
 }
 
-func (r *Run) killCoordinator(k int) {
-	if k < len(r.coordinators) && r.coordinators[k].cmd != nil {
-		r.coordinators[k].cmd.Process.Kill()
-		r.coordinators[k].cmd = nil
+// coordinatorBinary is of the same build as the relays' binary, and lies beside it.
+func (r *Run) coordinatorBinary() string {
+	name := strings.Replace(filepath.Base(r.binary), "valeshift", "valeshift-coordinator", 1)
+	return filepath.Join(filepath.Dir(r.binary), name)
+}
+
+// killCoordinator kills the coordinator of a machine, if there is one and it runs.
+func (r *Run) killCoordinator(machine int) {
+	if machine >= len(r.coordinators) || r.coordinators[machine].cmd == nil {
+		return
 	}
+	r.coordinators[machine].cmd.Process.Kill()
+	r.coordinators[machine].cmd = nil
 }
--- a/internal/testbed/sim/coordinator.go
+++ b/internal/testbed/sim/coordinator.go
@@ -11,117 +11,167 @@
 	"valeshift/internal/testbed/experiment"
 )
 
-const coordinatorTick = 10.0
+const (
+	coordinatorTick     = 10.0 // ms
+	askLeaderEveryTicks = 25
+	relayAddressPrefix  = "peer-"
+)
 
-// coordinatorProcess is a voter on a relay's machine: what kills one kills both, and the ways between machines are one.
+// coordinatorProcess is a coordinator that runs beside a relay's process: what kills one kills both, and the
+// simulated network treats them as one machine.
 type coordinatorProcess struct {
 	sim      *Sim
 	machine  int
 	process  *process
 	core     *coordinator.Core
-	disk     []byte
-	isSaving bool
+	disk     []byte // durable state
+	isSaving bool   // nothing more is sent until the state is durable
 }
 
-func coordinatorAddress(k int) string { return fmt.Sprintf("voter-%d", k) }
+func coordinatorAddress(machine int) string { return fmt.Sprintf("voter-%d", machine) }
 
-func (s *Sim) coordinators() (all []consensus.Member, addresses []string) {
-	for k := range s.x.Relays.Coordinators {
-		all = append(all, consensus.Member{Name: fmt.Sprint("v", k), Address: coordinatorAddress(k)})
-		addresses = append(addresses, coordinatorAddress(k))
+// coordinatorMembers are the voters that the experiment asks for, one on each of the first machines.
+func (s *Sim) coordinatorMembers() (members []consensus.Member) {
+	for machine := range s.x.Relays.Coordinators {
+		members = append(members, consensus.Member{
+			Name:    fmt.Sprint("v", machine),
+			Address: coordinatorAddress(machine),
+		})
 	}
-	return all, addresses
+	return members
 }
 
-// startCoordinator starts the voter of a machine, on what its disk has.
-func (s *Sim) startCoordinator(k int, p *process) {
-	var disk []byte
-	if s.coordinatorProcesses[k] != nil {
-		disk = s.coordinatorProcesses[k].disk
+func (s *Sim) coordinatorAddresses() (addresses []string) {
+	for _, member := range s.coordinatorMembers() {
+		addresses = append(addresses, member.Address)
 	}
-	all, _ := s.coordinators()
-	var zones []failover.Zone
-	for z := range s.x.Fleet.Zones {
-		zones = append(zones, failover.Zone{Name: experiment.Zone(z), Region: s.x.Region(z)})
+	return addresses
+}
+
+// zonesToDecideOn are the zones as a coordinator's configuration names them.
+func (s *Sim) zonesToDecideOn() (zones []failover.Zone) {
+	for zone := range s.x.Fleet.Zones {
+		zones = append(zones, failover.Zone{Name: experiment.Zone(zone), Region: s.x.Region(zone)})
 	}
-	core, err := coordinator.New(p.clock(), all[k], all, zones, disk, s.x.Rand("voter", 1000*k+s.lives[k]))
+	return zones
+}
+
+// startCoordinator starts the coordinator of a machine with what its disk holds.
+func (s *Sim) startCoordinator(machine int, p *process) {
+	var disk []byte
+	if former := s.coordinatorProcesses[machine]; former != nil {
+		disk = former.disk
+	}
+	members := s.coordinatorMembers()
+	rng := s.x.Rand("voter", 1000*machine+s.lives[machine])
+	core, err := coordinator.New(p.clock(), members[machine], members, s.zonesToDecideOn(), disk, rng)
 	if err != nil {
-		panic(err) // of a disk that it wrote itself
+		panic(fmt.Sprintf("start coordinator %d with the disk that it wrote: %v", machine, err))
 	}
-	v := &coordinatorProcess{sim: s, machine: k, process: p, core: core, disk: disk}
-	s.coordinatorProcesses[k] = v
-	v.tick()
+	c := &coordinatorProcess{sim: s, machine: machine, process: p, core: core, disk: disk}
+	s.coordinatorProcesses[machine] = c
+	c.tick()
 }
 
-func (v *coordinatorProcess) tick() {
-	if v.process.over {
+// tick has the coordinator go on with time, until its process ends.
+func (c *coordinatorProcess) tick() {
+	if c.process.over {
 		return
 	}
-	if !v.process.frozen {
-		v.core.Tick(v.process.clock(), v.sim.wall(v.machine))
-		if to := v.core.AnnouncementSource(v.process.clock()); to != "" && int(v.process.clock()/coordinatorTick)%25 == 0 {
-			v.send(to, failover.ObservationsDatagram, nil)
-		}
-		v.performEffects()
+	if !c.process.frozen {
+		now := c.process.clock()
+		c.core.Tick(now, c.sim.wall(c.machine))
+		c.askLeader(now)
+		c.performEffects()
+	}
+	c.sim.net.after(coordinatorTick, c.tick)
+}
+
+// askLeader asks the leader for its announcement, if another coordinator leads.
+func (c *coordinatorProcess) askLeader(now float64) {
+	leader := c.core.AnnouncementSource(now)
+	if leader != "" && int(now/coordinatorTick)%askLeaderEveryTicks == 0 {
+		c.send(leader, failover.ObservationsDatagram, nil)
 	}
-	v.sim.net.after(coordinatorTick, v.tick)
 }
 
-func (v *coordinatorProcess) performEffects() {
-	for !v.isSaving {
-		out := v.core.Ready()
-		if out.DurableState != nil {
-			v.isSaving = true
-			v.sim.net.after(syncTime, func() {
-				if !v.process.over { // else it is lost with the power
-					v.disk, v.isSaving = out.DurableState, false
-					v.sendMessages(out.Messages)
-					v.core.Advance()
-					v.performEffects()
-				}
-			})
+// performEffects saves and sends what the core has ready, in this order.
+func (c *coordinatorProcess) performEffects() {
+	for !c.isSaving {
+		ready := c.core.Ready()
+		if ready.DurableState != nil {
+			c.save(ready)
 			return
 		}
-		if len(out.Messages) == 0 {
+		if len(ready.Messages) == 0 {
 			return
 		}
-		v.sendMessages(out.Messages)
+		c.sendMessages(ready.Messages)
 	}
 }
 
-func (v *coordinatorProcess) sendMessages(all []consensus.OutgoingMessage) {
-	for _, m := range all {
-		v.send(m.To, failover.ConsensusDatagram, m.Data)
+// save makes the state durable after the time that a disk takes; a process that ends before loses it.
+func (c *coordinatorProcess) save(ready consensus.Ready) {
+	c.isSaving = true
+	c.sim.net.after(syncTime, func() {
+		if c.process.over {
+			return
+		}
+		c.disk = ready.DurableState
+		c.isSaving = false
+		c.sendMessages(ready.Messages)
+		c.core.Advance()
+		c.performEffects()
+	})
+}
+
+func (c *coordinatorProcess) sendMessages(messages []consensus.OutgoingMessage) {
+	for _, message := range messages {
+		c.send(message.To, failover.ConsensusDatagram, message.Data)
 	}
 }
 
-func (v *coordinatorProcess) send(to string, kind byte, data []byte) {
-	v.sim.datagram(v.machine, membership.Datagram{To: to, Data: append([]byte{kind}, data...)}, coordinatorAddress(v.machine))
+// send sends to another coordinator; these datagrams are not sealed here.
+func (c *coordinatorProcess) send(to string, kind byte, content []byte) {
+	c.sendDatagram(to, append([]byte{kind}, content...))
 }
 
-// receive takes a datagram for a voter; a relay's is sealed, and a voter's word to it as well.
-func (v *coordinatorProcess) receive(from string, data []byte) {
-	relay := strings.HasPrefix(from, "peer-")
-	if relay {
-		body, err := membership.Open(fleetKey, data)
+func (c *coordinatorProcess) sendDatagram(to string, data []byte) {
+	c.sim.datagram(c.machine, membership.Datagram{To: to, Data: data}, coordinatorAddress(c.machine))
+}
+
+// receive takes a datagram from another coordinator, or a sealed one from a relay.
+func (c *coordinatorProcess) receive(from string, data []byte) {
+	isFromRelay := strings.HasPrefix(from, relayAddressPrefix)
+	if isFromRelay {
+		content, err := membership.Open(fleetKey, data)
 		if err != nil {
 			return
 		}
-		data = body
+		data = content
 	}
-	now := v.process.clock()
-	switch data[0] {
+	now := c.process.clock()
+	kind, content := data[0], data[1:]
+	switch kind {
 	case failover.ConsensusDatagram:
-		v.core.ReceiveMessage(now, data[1:])
+		c.core.ReceiveMessage(now, content)
 	case failover.ObservationsDatagram:
-		if word, err := v.core.ReceiveObservations(now, data[1:]); err == nil && relay {
-			v.sim.datagram(v.machine, membership.Datagram{To: from,
-				Data: membership.Seal(fleetKey, append([]byte{failover.AnnouncementDatagram}, word...))}, coordinatorAddress(v.machine))
-		} else if err == nil {
-			v.send(from, failover.AnnouncementDatagram, word)
+		announcement, err := c.core.ReceiveObservations(now, content)
+		if err == nil {
+			c.answer(from, isFromRelay, announcement)
 		}
 	case failover.AnnouncementDatagram:
-		v.core.ReceiveAnnouncement(now, data[1:])
+		c.core.ReceiveAnnouncement(now, content)
+	}
+	c.performEffects()
+}
+
+// answer sends the announcement to whoever reported or asked: sealed to a relay.
+func (c *coordinatorProcess) answer(to string, isRelay bool, announcement []byte) {
+	if !isRelay {
+		c.send(to, failover.AnnouncementDatagram, announcement)
+		return
 	}
-	v.performEffects()
+	content := append([]byte{failover.AnnouncementDatagram}, announcement...)
+	c.sendDatagram(to, membership.Seal(fleetKey, content))
 }
--- a/internal/testbed/sim/mates.go
+++ b/internal/testbed/sim/mates.go
@@ -67,9 +67,9 @@
 	}
 	m := &mates{s: s, i: i, p: p, core: fleet.New(p.clock(), own, seeds, fleetKey, x.Relays.Disk, chance)}
 	if x.Relays.Coordinators > 0 {
-		_, voters := s.coordinators()
-		m.core.FollowCoordinators(own.Name, own.Zone, voters, fleetKey, chance)
-		if i < len(voters) {
+		coordinators := s.coordinatorAddresses()
+		m.core.FollowCoordinators(own.Name, own.Zone, coordinators, fleetKey, chance)
+		if i < len(coordinators) {
 			s.startCoordinator(i, p)
 		}
 	}
