--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -1,330 +1,204 @@
-// Package baseline has the policies that the lab holds the decision module against, behind the module's own
-// calls, so that the same relay runs on them: random choice, round robin, least links of the relay's own, the
-// better of two by those, least links within the own zone, and perfect sight, which knows every server's load
-// at the moment; and perfect sight
-// that keeps the rules, which sends nothing where a server or the store has no room. They serve in no
-// deployment. Each link has as many setup tries as the module's, under the same rules of repeating.
+// Package baseline has the policies that the testbed compares the balancer with. They offer the balancer's own
+// methods, so that the same relay runs on them: random choice; round robin; the backend with the fewest of the
+// relay's own sessions, of all, of two drawn ones or of those in its own zone; the backend with the least true
+// load, as nothing but a simulation can know it; and the same among the backends that have capacity.
+//
+// They serve in no deployment. Each session has as many attempts as the balancer's, under the same rules of
+// what may be retried. A Policy is not safe for concurrent use.
 package baseline
 
 import (
 	"fmt"
 	"math"
 	"math/rand"
-	"slices"
 
 	"valeshift/balancer"
 )
 
-// Policy is one baseline in one relay.
-type Policy struct {
-	policy     string
-	zone       int // the relay's own
-	zones      []int
-	chance     *rand.Rand
-	categories []balancer.Class
-	mostTries  int
-	maxBack    float64
-	truth      func(id uint32) float64 // load, for perfect sight
-	bears      func(id uint32) bool    // one more link, for the one that keeps the rules
-
-	index   map[uint32]int
-	ids     []uint32
-	ready   []bool
-	links   []int
-	mention []bool
-	whole   bool
-	turn    int
-	state   map[*balancer.Session]*link
-	askAt   float64
-	shifts  []int
-}
+// Kind names a policy, as an experiment's file does.
+type Kind string
+
+const (
+	Random           Kind = "random"
+	RoundRobin       Kind = "round-robin"
+	FewestSessions   Kind = "least"
+	BetterOfTwo      Kind = "two"
+	FewestInOwnZone  Kind = "near"
+	TrueLoad         Kind = "sight"
+	TrueLoadInLimits Kind = "sight-kept"
+)
 
-type link struct {
-	server, tries int
-	out, open     bool
-	gone, ran     bool
-}
+// String returns the name of the policy in an experiment's file.
+func (k Kind) String() string { return string(k) }
 
-// New takes the policy's name, the relay's zone, what its chance is drawn from, the categories, the most
-// setup tries of a link, the longest time to come back that may be told, the servers' true loads, which only
-// "sight" reads, and whether they bear one more link, which only "sight-kept" does.
-func New(policy string, zone int, seed uint64, categories []balancer.Class, mostTries int, maxBack float64,
-	truth func(id uint32) float64, bears func(id uint32) bool) (*Policy, error) {
-	switch policy {
-	case "random", "round-robin", "least", "two", "near", "sight", "sight-kept":
+func (k Kind) isKnown() bool {
+	switch k {
+	case Random, RoundRobin, FewestSessions, BetterOfTwo, FewestInOwnZone, TrueLoad, TrueLoadInLimits:
+		return true
 	default:
-		return nil, fmt.Errorf("variants: no baseline is called %q", policy)
+		return false
 	}
-	return &Policy{policy: policy, zone: zone, chance: rand.New(rand.NewSource(int64(seed))),
-		categories: categories,
-		mostTries:  mostTries, maxBack: maxBack, truth: truth, bears: bears, index: map[uint32]int{},
-		state: map[*balancer.Session]*link{}, askAt: math.Inf(1)}, nil
 }
 
-// Assign says where the link goes, or that it is given up.
-func (m *Policy) Assign(now float64, l *balancer.Session) balancer.Decision {
-	s := m.state[l]
-	if s == nil {
-		s = &link{server: -1}
-		m.state[l] = s
-	}
-	once := s.ran && m.categories[l.Class].Idempotency != balancer.Idempotent
-	if s.tries >= m.mostTries || now >= l.Deadline || once {
-		return m.end(l, s)
-	}
-	server := m.choose(s.server)
-	if server < 0 {
-		return m.end(l, s)
-	}
-	s.server, s.out = server, true
-	s.tries++
-	m.links[server]++
-	return balancer.Decision{Kind: balancer.Assign, Backend: m.ids[server], Timeout: l.Deadline - now, Attempt: s.tries - 1}
-}
+// Config is what a Policy is made from.
+type Config struct {
+	Kind        Kind
+	Zone        int // the relay's own
+	Seed        uint64
+	Classes     []balancer.Class
+	MaxAttempts int     // of one session
+	RetryAfter  float64 // ms that a rejected client is told to wait
 
-func (m *Policy) end(l *balancer.Session, s *link) balancer.Decision {
-	delete(m.state, l)
-	if !s.ran || m.categories[l.Class].Idempotency == balancer.Idempotent {
-		return balancer.Decision{Kind: balancer.Reject, Wait: m.maxBack}
-	}
-	return balancer.Decision{Kind: balancer.Fail}
+	LoadOf      func(backend uint32) float64 // the true load, for TrueLoad and TrueLoadInLimits
+	HasCapacity func(backend uint32) bool    // for one more session, for TrueLoadInLimits
 }
 
-// choose picks among the servers that are ready, but for the one that the link was tried on last.
-func (m *Policy) choose(not int) int {
-	some := m.shifts[:0]
-	for s, ready := range m.ready {
-		if ready && s != not && (m.policy != "sight-kept" || m.bears(m.ids[s])) {
-			some = append(some, s)
-		}
-	}
-	m.shifts = some
-	if len(some) == 0 {
-		return -1
-	}
-	least := func(of []int, figure func(s int) float64) int {
-		best, by := -1, math.Inf(1)
-		from := m.chance.Intn(len(of)) // so that equal ones take turns
-		for i := range of {
-			if s := of[(from+i)%len(of)]; figure(s) < by {
-				best, by = s, figure(s)
-			}
-		}
-		return best
-	}
-	own := func(s int) float64 { return float64(m.links[s]) }
-	switch m.policy {
-	case "round-robin":
-		m.turn++
-		return some[m.turn%len(some)]
-	case "least":
-		return least(some, own)
-	case "near":
-		home := slices.DeleteFunc(slices.Clone(some), func(s int) bool { return m.zones[s] != m.zone })
-		if len(home) == 0 {
-			home = some
-		}
-		return least(home, own)
-	case "two":
-		return least([]int{some[m.chance.Intn(len(some))], some[m.chance.Intn(len(some))]}, own)
-	case "sight", "sight-kept":
-		return least(some, func(s int) float64 { return m.truth(m.ids[s]) })
+// Policy is one policy in one relay.
+type Policy struct {
+	config    Config
+	rng       *rand.Rand
+	endpoints endpointSet
+	sessions  map[*balancer.Session]*session
+	turn      int // of RoundRobin
+
+	candidates    []int   // reused between choices
+	resubscribeAt float64 // when to subscribe to the endpoint list again; +Inf: not
+}
+
+// session is what a policy knows of one session.
+type session struct {
+	endpoint      int // index of the latest; noEndpoint: none yet
+	attempts      int
+	isReserved    bool // its endpoint counts it
+	isEstablished bool
+	isClientGone  bool
+	mayHaveRun    bool // an attempt may have had an effect at its backend
+}
+
+// New makes a policy. Its error names the experiment's field that is wrong.
+func New(config Config) (*Policy, error) {
+	if !config.Kind.isKnown() {
+		return nil, fmt.Errorf("variants: no baseline is called %q", config.Kind.String())
+	}
+	return &Policy{
+		config:        config,
+		rng:           rand.New(rand.NewSource(int64(config.Seed))),
+		endpoints:     endpointSet{indices: map[uint32]int{}},
+		sessions:      map[*balancer.Session]*session{},
+		resubscribeAt: math.Inf(1),
+	}, nil
+}
+
+// Assign decides where a session goes next, or that it fails.
+func (p *Policy) Assign(now float64, s *balancer.Session) balancer.Decision {
+	known := p.sessions[s]
+	if known == nil {
+		known = &session{endpoint: noEndpoint}
+		p.sessions[s] = known
+	}
+	if known.attempts >= p.config.MaxAttempts || now >= s.Deadline || !p.mayRetry(s, known) {
+		return p.giveUp(s, known)
+	}
+	chosen := p.choose(known.endpoint)
+	if chosen == noEndpoint {
+		return p.giveUp(s, known)
+	}
+	known.endpoint = chosen
+	known.isReserved = true
+	known.attempts++
+	endpoint := &p.endpoints.all[chosen]
+	endpoint.sessions++
+	return balancer.Decision{
+		Kind:    balancer.Assign,
+		Backend: endpoint.id,
+		Timeout: s.Deadline - now,
+		Attempt: known.attempts - 1,
+	}
+}
+
+// mayRetry reports whether another attempt can do no harm.
+func (p *Policy) mayRetry(s *balancer.Session, known *session) bool {
+	return !known.mayHaveRun || p.config.Classes[s.Class].Idempotency == balancer.Idempotent
+}
+
+// giveUp rejects a session that can be retried later, and fails one that can't.
+func (p *Policy) giveUp(s *balancer.Session, known *session) balancer.Decision {
+	delete(p.sessions, s)
+	if p.mayRetry(s, known) {
+		return balancer.Decision{Kind: balancer.Reject, Wait: p.config.RetryAfter}
 	}
-	return some[m.chance.Intn(len(some))]
+	return balancer.Decision{Kind: balancer.Fail}
 }
 
-// AttemptFinished says what follows the outcome of a setup try, or of its link.
-func (m *Policy) AttemptFinished(now float64, l *balancer.Session, outcome balancer.AttemptOutcome, last bool) balancer.Decision {
-	s := m.state[l]
-	if s == nil || !s.out {
+// AttemptFinished decides what follows the outcome of an attempt, or the end of an established session.
+func (p *Policy) AttemptFinished(now float64, s *balancer.Session, outcome balancer.AttemptOutcome,
+	last bool) balancer.Decision {
+	known := p.sessions[s]
+	if known == nil || !known.isReserved {
 		return balancer.Decision{}
 	}
-	s.out = false
-	m.links[s.server]--
-	if last || s.open || s.gone {
-		delete(m.state, l)
+	known.isReserved = false
+	p.endpoints.all[known.endpoint].sessions--
+	if last || known.isEstablished || known.isClientGone {
+		delete(p.sessions, s)
 		return balancer.Decision{}
 	}
-	s.ran = s.ran || (outcome != balancer.OutcomeRejected && outcome != balancer.OutcomeUnreachable && outcome != balancer.OutcomeNotSent)
-	return m.Assign(now, l)
-}
-
-// NextAction asks for the list where it has failed. Baselines send no probes.
-func (m *Policy) NextAction(now float64) balancer.Action {
-	if now >= m.askAt {
-		m.askAt = math.Inf(1)
-		return balancer.Action{Subscribe: true}
-	}
-	return balancer.Action{Wait: m.askAt - now}
-}
-
-// BeginEndpointUpdate starts news of the list.
-func (m *Policy) BeginEndpointUpdate(whole bool) {
-	m.whole = whole
-	clear(m.mention)
+	known.mayHaveRun = known.mayHaveRun || mayHaveRun(outcome)
+	return p.Assign(now, s)
 }
 
-// UpdateEndpoint takes one entry.
-func (m *Policy) UpdateEndpoint(id uint32, zone int, cond balancer.EndpointState, _ int, _, _ float64) {
-	s, known := m.index[id]
-	if !known {
-		s = len(m.ids)
-		m.index[id] = s
-		m.ids, m.ready, m.links = append(m.ids, id), append(m.ready, false), append(m.links, 0)
-		m.mention, m.zones = append(m.mention, false), append(m.zones, zone)
+func mayHaveRun(outcome balancer.AttemptOutcome) bool {
+	switch outcome {
+	case balancer.OutcomeRejected, balancer.OutcomeUnreachable, balancer.OutcomeNotSent:
+		return false
+	default:
+		return true
 	}
-	m.zones[s] = zone
-	m.ready[s], m.mention[s] = cond == balancer.Ready, true
 }
 
-// EndEndpointUpdate closes the news.
-func (m *Policy) EndEndpointUpdate(float64) {
-	for s, mentioned := range m.mention {
-		m.ready[s] = m.ready[s] && (mentioned || !m.whole)
+// SessionEstablished takes note that a session is established.
+func (p *Policy) SessionEstablished(_ float64, s *balancer.Session) {
+	if known := p.sessions[s]; known != nil {
+		known.isEstablished = true
 	}
-	m.askAt = math.Inf(1)
 }
 
-// WatchFailed has the list asked for again soon.
-func (m *Policy) WatchFailed(now float64) { m.askAt = now + 200 + 200*m.chance.Float64() }
-
-// PollFinished takes nothing.
-func (m *Policy) PollFinished(float64, uint32, bool, []float64) {}
-
-// LoadReported takes nothing.
-func (m *Policy) LoadReported(float64, uint32, []float64) {}
-
-// SessionEstablished takes that a link stands.
-func (m *Policy) SessionEstablished(_ float64, l *balancer.Session) {
-	if s := m.state[l]; s != nil {
-		s.open = true
+// SessionResumed takes over a session that was established before.
+func (p *Policy) SessionResumed(_ float64, s *balancer.Session, backend uint32) {
+	index, isListed := p.endpoints.indices[backend]
+	if !isListed {
+		return
 	}
+	p.sessions[s] = &session{endpoint: index, isReserved: true, isEstablished: true}
+	p.endpoints.all[index].sessions++
 }
 
-// LoadMeasured takes nothing.
-func (m *Policy) LoadMeasured(*balancer.Session, float64) {}
-
-// SessionResumed takes a link that stood before.
-func (m *Policy) SessionResumed(_ float64, l *balancer.Session, id uint32) {
-	if s, known := m.index[id]; known {
-		m.state[l] = &link{server: s, out: true, open: true}
-		m.links[s]++
-	}
+// SessionReceived takes over a session that was established at another process.
+func (p *Policy) SessionReceived(now float64, s *balancer.Session, backend uint32, _ float64, _ bool) {
+	p.SessionResumed(now, s, backend)
 }
 
-// ClientDisconnected takes that the client has left.
-func (m *Policy) ClientDisconnected(l *balancer.Session) bool {
-	s := m.state[l]
-	if s == nil {
+// ClientDisconnected takes note that the client is gone, and reports whether an attempt or an established
+// session is left to end.
+func (p *Policy) ClientDisconnected(s *balancer.Session) bool {
+	known := p.sessions[s]
+	if known == nil {
 		return false
 	}
-	s.gone = true
-	if !s.out {
-		delete(m.state, l)
-	}
-	return s.out
-}
-
-// DrainDelay spreads what must go over a second and a half, to the end of the time there is.
-func (m *Policy) DrainDelay(nth, of int, within float64) float64 {
-	return max(within-1500, 0) + 1500*float64(nth)/float64(of)
-}
-
-// IsUnresponsive is never held of a server.
-func (m *Policy) IsUnresponsive(uint32, float64) bool { return false }
-
-// BackendStatus tells the links booked on a server.
-func (m *Policy) BackendStatus(id uint32) (int, float64, bool) {
-	s, known := m.index[id]
-	if !known {
-		return 0, math.Inf(-1), true
+	known.isClientGone = true
+	if !known.isReserved {
+		delete(p.sessions, s)
 	}
-	return m.links[s], math.Inf(-1), !m.ready[s]
+	return known.isReserved
 }
 
-// HasClass tells whether there is such a category.
-func (m *Policy) HasClass(category int) bool { return category < len(m.categories) }
+// drainSpread is the time over which sessions are closed in a drain, in milliseconds.
+const drainSpread = 1500
 
-// Counts counts the servers listed, and those of them that no link is sent to.
-func (m *Policy) Counts() (listed, avoided int) {
-	for s := range m.ids {
-		if !m.ready[s] {
-			avoided++
-		}
-	}
-	return len(m.ids), avoided
+// DrainDelay spreads the sessions of a drain over the last part of the time that there is.
+func (p *Policy) DrainDelay(nth, of int, within float64) float64 {
+	return max(within-drainSpread, 0) + drainSpread*float64(nth)/float64(of)
 }
 
-// IsReady, Yield, Record and Inherit are of two processes of one relay, which the baselines know nothing of.
-func (m *Policy) IsReady(float64) bool { return true }
-
-// SetDraining does nothing: there is no budget of cold servers.
-func (m *Policy) SetDraining(bool) {}
-
-// Snapshot is empty: nothing is learnt.
-func (m *Policy) Snapshot(now float64) balancer.Snapshot { return balancer.Snapshot{TakenAt: now} }
-
-// Restore takes nothing.
-func (m *Policy) Restore(float64, *balancer.Snapshot) error { return nil }
-
-// SessionReceived takes a link that stood at another process.
-func (m *Policy) SessionReceived(now float64, l *balancer.Session, id uint32, _ float64, _ bool) {
-	m.SessionResumed(now, l, id)
-}
-
-// PollNotSent takes that a probe was not sent; the baselines send none.
-func (m *Policy) PollNotSent(uint32) {}
-
-// Estimates and what follows are of a fleet that recovers, which baselines know nothing of.
-func (m *Policy) Estimates() balancer.Estimates { return balancer.Estimates{} }
-
-// RestoreEstimates takes nothing.
-func (m *Policy) RestoreEstimates(balancer.Estimates) bool { return false }
-
-// SetRecovering changes nothing.
-func (m *Policy) SetRecovering(bool, float64) {}
-
-// WarmingUp says that all are warm.
-func (m *Policy) WarmingUp(float64) (cold, usable int) { return 0, len(m.ids) }
-
-// AssumeRetriesSpent changes nothing.
-func (m *Policy) AssumeRetriesSpent(float64) {}
-
-// AssumeEndpoints changes nothing.
-func (m *Policy) AssumeEndpoints(float64) {}
-
-// ShiftStartTimes changes nothing.
-func (m *Policy) ShiftStartTimes(float64) {}
-
-// Pause changes nothing.
-func (m *Policy) Pause(float64) {}
-
-// SetMaxReportAge changes nothing.
-func (m *Policy) SetMaxReportAge(float64) {}
-
-// UnreportedLoad is nothing, as figures are not looked at so.
-func (m *Policy) UnreportedLoad() float64 { return 0 }
-
-// SetRemoteLoad changes nothing.
-func (m *Policy) SetRemoteLoad(float64) {}
-
-// SetZoneWeights changes nothing: no policy here knows of zones decided in common.
-func (m *Policy) SetZoneWeights([]balancer.ZoneWeight) {}
-
-// ZoneObservations gives nothing.
-func (m *Policy) ZoneObservations(float64) ([]balancer.ZoneObservation, float64) { return nil, 0 }
-
-// RecordEarlierAttempt changes nothing: no policy here hears of others' tries.
-func (m *Policy) RecordEarlierAttempt(*balancer.Session, uint32, float64) {}
-
-// PreferBackend changes nothing either.
-func (m *Policy) PreferBackend(*balancer.Session, uint32) {}
-
-// DropReservation changes nothing.
-func (m *Policy) DropReservation(uint64) {}
-
-// Reservations is nobody.
-func (m *Policy) Reservations(float64) map[uint64]float64 { return nil }
-
-// RestoreReservations takes nothing.
-func (m *Policy) RestoreReservations(float64, map[uint64]float64) {}
+// HasClass reports whether there is such a class.
+func (p *Policy) HasClass(class int) bool { return class < len(p.config.Classes) }
--- a/internal/testbed/sim/sim.go
+++ b/internal/testbed/sim/sim.go
@@ -246,8 +246,16 @@
 		categories = append(categories, balancer.Class{LatencyObjective: float64(t.LatencyObjective), PriorityWeight: t.PriorityWeight,
 			Idempotency: effect})
 	}
-	return baseline.New(variant, zone, told.Seed, categories, x.Relays.MaxAttempts, float64(x.Relays.MaxRetryAfter), truth,
-		bears)
+	return baseline.New(baseline.Config{
+		Kind:        baseline.Kind(variant),
+		Zone:        zone,
+		Seed:        told.Seed,
+		Classes:     categories,
+		MaxAttempts: x.Relays.MaxAttempts,
+		RetryAfter:  float64(x.Relays.MaxRetryAfter),
+		LoadOf:      truth,
+		HasCapacity: bears,
+	})
 }
 
 // truth is a server's true load, for perfect sight; one that is dead or dark is full.
