--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -34,8 +34,8 @@
 	rejections rejectionRate
 	remoteLoad remoteLoad
 
-	coordinators *council          // nil: no voters are named
-	replication  *replicationState // nil: nothing is replicated
+	coordinators *coordinatorClient // nil: no voters are named
+	replication  *replicationState  // nil: nothing is replicated
 }
 
 // New starts a relay's part in the fleet. Without an address in own there are no other relays; without a disk,
