--- a/cmd/valeshift/fleet.go
+++ b/cmd/valeshift/fleet.go
@@ -27,11 +27,11 @@
 		Show  fleetShow  `cmd:"" name:"show" default:"withargs" help:"What relays keep and hear of each other."`
 		Leave fleetLeave `cmd:"" name:"leave" help:"Have a relay hand over all that it has, and say when it can be switched off."`
 	}
-	return words(&l, "valeshift fleet", c.Words)
+	return runSubcommand(&l, "valeshift fleet", c.Words)
 }
 
-// words reads a command's own words, and does what they say.
-func words(line any, name string, all []string) error {
+// runSubcommand reads a command's own words, and does what they say.
+func runSubcommand(line any, name string, all []string) error {
 	parser, err := kong.New(line, kong.Name(name), kong.UsageOnError())
 	if err != nil {
 		return err
@@ -53,11 +53,11 @@
 
 // Run asks each relay, and shows what it says of itself and of the others.
 func (c *fleetShow) Run() error {
-	client := calls(c.Within)
+	client := newAdminClient(c.Within)
 	var failed error
 	for _, address := range c.Addresses {
 		var s fleet.Status
-		text, err := ask(client, address, "/_fleet", &s)
+		text, err := fetchJSON(client, address, "/_fleet", &s)
 		switch {
 		case err != nil:
 			fmt.Fprintf(os.Stderr, "valeshift fleet: %s: %v\n", address, err)
@@ -65,19 +65,19 @@
 		case c.JSON:
 			fmt.Printf("%s\n", text)
 		default:
-			show(os.Stdout, address, &s)
+			printFleetStatus(os.Stdout, address, &s)
 		}
 	}
 	return failed
 }
 
-// calls is how operators' calls are made: each on a connection of its own.
-func calls(within time.Duration) *http.Client {
+// newAdminClient is how operators' calls are made: each on a connection of its own.
+func newAdminClient(within time.Duration) *http.Client {
 	return &http.Client{Timeout: within, Transport: &http.Transport{DisableKeepAlives: true}}
 }
 
-// ask reads what a relay says.
-func ask(client *http.Client, address, path string, into any) ([]byte, error) {
+// fetchJSON reads what a relay says.
+func fetchJSON(client *http.Client, address, path string, into any) ([]byte, error) {
 	answer, err := client.Get("http://" + address + path)
 	if err != nil {
 		return nil, err
@@ -86,14 +86,14 @@
 	if answer.StatusCode == http.StatusNotFound {
 		return nil, errors.New("the relay keeps nothing of that kind, as its operators' file does not name it")
 	}
-	text, err := io.ReadAll(io.LimitReader(answer.Body, mostSaid))
+	text, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes))
 	if err != nil {
 		return nil, err
 	}
 	return text, json.Unmarshal(text, into)
 }
 
-const mostSaid = 64 << 20 // bytes of an answer
+const maxAnswerBytes = 64 << 20 // bytes of an answer
 
 type fleetLeave struct {
 	Address string        `arg:"" name:"address" help:"Where operators call the relay, address:port."`
@@ -104,12 +104,12 @@
 // Run has the relay empty itself, and waits until nothing rests on it: no link that stands, nothing that it
 // holds for others.
 func (c *fleetLeave) Run() error {
-	client := calls(3 * time.Second)
+	client := newAdminClient(3 * time.Second)
 	answer, err := client.Post("http://"+c.Address+"/_lameduck/on", "", nil)
 	if err != nil {
 		return err
 	}
-	text, _ := io.ReadAll(io.LimitReader(answer.Body, mostSaid))
+	text, _ := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes))
 	answer.Body.Close()
 	said := bytes.TrimSpace(text)
 	if answer.StatusCode != http.StatusOK { // it may hold all the same, and not yet lie where it is to
@@ -118,7 +118,7 @@
 	last := ""
 	for until := time.Now().Add(c.Within); ; time.Sleep(c.Every) {
 		var s fleet.Status
-		if _, err := ask(client, c.Address, "/_fleet", &s); err != nil {
+		if _, err := fetchJSON(client, c.Address, "/_fleet", &s); err != nil {
 			return fmt.Errorf("it was told to leave, and says no more: %w", err)
 		}
 		if !s.Draining {
@@ -145,7 +145,7 @@
 	}
 }
 
-func show(to io.Writer, address string, s *fleet.Status) {
+func printFleetStatus(to io.Writer, address string, s *fleet.Status) {
 	p := s.Recovery
 	fmt.Fprintf(to, "%s  %s for %.1f s: %s\n", address, p.Phase, p.PhaseMillis/1000, p.Reason)
 	fmt.Fprintf(to, "  start %d, order %d, empty %t, %d links, %d turned away in the last second\n", s.Boot,
--- a/cmd/valeshift/fleet_test.go
+++ b/cmd/valeshift/fleet_test.go
@@ -29,7 +29,7 @@
 	var s fleet.Status
 	require.NoError(t, json.Unmarshal(status, &s))
 	var shown bytes.Buffer
-	show(&shown, "ADDRESS", &s)
+	printFleetStatus(&shown, "ADDRESS", &s)
 	if *update {
 		require.NoError(t, os.WriteFile(path, shown.Bytes(), 0o600))
 	}
--- a/cmd/valeshift/replication.go
+++ b/cmd/valeshift/replication.go
@@ -27,7 +27,7 @@
 		Export replicationExport  `cmd:"" name:"export" help:"Each record that relays store, as a line of JSON."`
 		Verify replicationVerify  `cmd:"" name:"verify" help:"Compare the records that relays store, and fail where they contradict each other."`
 	}
-	return words(&subcommands, "valeshift holdings", c.Words)
+	return runSubcommand(&subcommands, "valeshift holdings", c.Words)
 }
 
 // relayAddresses are the arguments of all subcommands.
@@ -38,7 +38,7 @@
 
 // fetch reads a JSON document from a relay.
 func (a *relayAddresses) fetch(address, path string, into any) error {
-	if _, err := ask(calls(a.Within), address, path, into); err != nil {
+	if _, err := fetchJSON(newAdminClient(a.Within), address, path, into); err != nil {
 		return fmt.Errorf("%s: %w", address, err)
 	}
 	return nil
--- a/cmd/valeshift/zone.go
+++ b/cmd/valeshift/zone.go
@@ -30,7 +30,7 @@
 
 // Run parses the words and does what they say.
 func (c *zoneCommand) Run() error {
-	return words(&zoneArguments{}, "valeshift zone", c.Words)
+	return runSubcommand(&zoneArguments{}, "valeshift zone", c.Words)
 }
 
 // zoneArguments is the command line of `valeshift zone`. Action is one of failover's order actions, or shows
--- a/cmd/valeshift/zone_test.go
+++ b/cmd/valeshift/zone_test.go
@@ -93,7 +93,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			leader.order = nil
-			text, err := printed(t, names, func() error { return words(&zoneArguments{}, "valeshift zone", append(args, council...)) })
+			text, err := printed(t, names, func() error { return runSubcommand(&zoneArguments{}, "valeshift zone", append(args, council...)) })
 			require.NoError(t, err)
 			assert.Equal(t, zoneGolden(t, name+".txt"), text)
 			if leader.order != nil {
@@ -109,7 +109,7 @@
 	address := leader.start(t)
 	before := time.Now().Add(time.Hour).UnixMilli()
 	_, err := printed(t, nil, func() error {
-		return words(&zoneArguments{}, "valeshift zone", []string{"hold", "d", "--for=1h", "--council", address})
+		return runSubcommand(&zoneArguments{}, "valeshift zone", []string{"hold", "d", "--for=1h", "--council", address})
 	})
 	require.NoError(t, err)
 	var order failover.OperatorOrder
@@ -133,7 +133,7 @@
 		"an order that is not accepted": {[]string{"empty", "refuse-me", "--id=1", "--council", leaderAddress}, "order 1: refused: no such zone"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := printed(t, nil, func() error { return words(&zoneArguments{}, "valeshift zone", c.args) })
+			_, err := printed(t, nil, func() error { return runSubcommand(&zoneArguments{}, "valeshift zone", c.args) })
 			assert.EqualError(t, err, c.want)
 		})
 	}
