--- a/cmd/valeshift/fleet.go
+++ b/cmd/valeshift/fleet.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -11,147 +10,166 @@
 	"text/tabwriter"
 	"time"
 
-	"github.com/alecthomas/kong"
-
 	"valeshift/internal/fleet"
 )
 
-// fleetCommand passes its words on, as zoneCommand does.
+// fleetCommand is "valeshift fleet". It parses its arguments by itself, as zoneCommand does.
 type fleetCommand struct {
 	Words []string `arg:"" name:"words" optional:"" help:"Addresses, or leave and one: docs/recovery.md tells."`
 }
 
-// Run reads the words, and does what they say.
+// Run runs the subcommand.
 func (c *fleetCommand) Run() error {
-	var l struct {
-		Show  fleetShow  `cmd:"" name:"show" default:"withargs" help:"What relays keep and hear of each other."`
-		Leave fleetLeave `cmd:"" name:"leave" help:"Have a relay hand over all that it has, and say when it can be switched off."`
-	}
-	return runSubcommand(&l, "valeshift fleet", c.Words)
-}
-
-// runSubcommand reads a command's own words, and does what they say.
-func runSubcommand(line any, name string, all []string) error {
-	parser, err := kong.New(line, kong.Name(name), kong.UsageOnError())
-	if err != nil {
-		return err
-	}
-	said, err := parser.Parse(all)
-	parser.FatalIfErrorf(err)
-	err = said.Run()
-	if err != nil {
-		fmt.Fprintln(os.Stderr, name+":", err)
+	var subcommands struct {
+		Show  fleetShow  `cmd:"" name:"show" default:"withargs" help:"What relays store, and what they know of each other."`
+		Leave fleetLeave `cmd:"" name:"leave" help:"Drain a relay, and say when it can be switched off."`
 	}
-	return err
+	return runSubcommand(&subcommands, "valeshift fleet", c.Words)
 }
 
+// fleetShow prints relays' statuses.
 type fleetShow struct {
 	Addresses []string      `arg:"" name:"addresses" help:"Where operators call the relays, address:port each."`
-	JSON      bool          `name:"json" help:"Print what each relay says, as it says it."`
-	Within    time.Duration `name:"within" default:"1s" help:"How long a relay is waited for."`
+	JSON      bool          `name:"json" help:"Print what each relay answers, as it is."`
+	Within    time.Duration `name:"within" default:"1s" help:"How long a relay's answer is waited for."`
 }
 
-// Run asks each relay, and shows what it says of itself and of the others.
+// errNotAllAnswered tells that some relay's status could not be had.
+var errNotAllAnswered = errors.New("not all relays have answered")
+
+// Run prints the status of each relay that answers, and fails where one doesn't.
 func (c *fleetShow) Run() error {
 	client := newAdminClient(c.Within)
 	var failed error
 	for _, address := range c.Addresses {
-		var s fleet.Status
-		text, err := fetchJSON(client, address, "/_fleet", &s)
+		var status fleet.Status
+		text, err := fetchJSON(client, address, "/_fleet", &status)
 		switch {
 		case err != nil:
 			fmt.Fprintf(os.Stderr, "valeshift fleet: %s: %v\n", address, err)
-			failed = errors.New("not all relays have answered")
+			failed = errNotAllAnswered
 		case c.JSON:
 			fmt.Printf("%s\n", text)
 		default:
-			printFleetStatus(os.Stdout, address, &s)
+			printFleetStatus(os.Stdout, address, &status)
 		}
 	}
 	return failed
 }
 
-// newAdminClient is how operators' calls are made: each on a connection of its own.
-func newAdminClient(within time.Duration) *http.Client {
-	return &http.Client{Timeout: within, Transport: &http.Transport{DisableKeepAlives: true}}
-}
-
-// fetchJSON reads what a relay says.
-func fetchJSON(client *http.Client, address, path string, into any) ([]byte, error) {
-	answer, err := client.Get("http://" + address + path)
-	if err != nil {
-		return nil, err
-	}
-	defer answer.Body.Close()
-	if answer.StatusCode == http.StatusNotFound {
-		return nil, errors.New("the relay keeps nothing of that kind, as its operators' file does not name it")
-	}
-	text, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes))
-	if err != nil {
-		return nil, err
-	}
-	return text, json.Unmarshal(text, into)
-}
-
-const maxAnswerBytes = 64 << 20 // bytes of an answer
-
+// fleetLeave drains a relay.
 type fleetLeave struct {
 	Address string        `arg:"" name:"address" help:"Where operators call the relay, address:port."`
 	Within  time.Duration `name:"within" default:"60s" help:"How long it has for it. It goes on after that as well."`
 	Every   time.Duration `name:"every" default:"500ms" hidden:""`
 }
 
-// Run has the relay empty itself, and waits until nothing rests on it: no link that stands, nothing that it
-// holds for others.
+// drainCallTimeout is for each call of a relay that drains: an order is answered once it is durable.
+const drainCallTimeout = 3 * time.Second
+
+// Run orders the relay to drain, and waits until nothing depends on it: no established session, and no record that
+// it holds for others.
 func (c *fleetLeave) Run() error {
-	client := newAdminClient(3 * time.Second)
-	answer, err := client.Post("http://"+c.Address+"/_lameduck/on", "", nil)
+	client := newAdminClient(drainCallTimeout)
+	answer, err := c.orderDrain(client)
 	if err != nil {
 		return err
 	}
-	text, _ := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes))
-	answer.Body.Close()
-	said := bytes.TrimSpace(text)
-	if answer.StatusCode != http.StatusOK { // it may hold all the same, and not yet lie where it is to
-		fmt.Printf("%s: %s\n", c.Address, said)
-	}
-	last := ""
-	for until := time.Now().Add(c.Within); ; time.Sleep(c.Every) {
-		var s fleet.Status
-		if _, err := fetchJSON(client, c.Address, "/_fleet", &s); err != nil {
-			return fmt.Errorf("it was told to leave, and says no more: %w", err)
+	deadline := time.Now().Add(c.Within)
+	printed := ""
+	for {
+		status, err := c.fetchDraining(client, answer)
+		if err != nil {
+			return err
 		}
-		if !s.Draining {
-			return fmt.Errorf("it does not leave: %s", said)
-		}
-		left, held := s.Sessions, 0
-		if s.Replication != nil {
-			for _, k := range s.Replication.Kinds {
-				held += k.Stored
-			}
-		}
-		if left == 0 && held == 0 {
+		left := remaining(status)
+		if left.isNone() {
 			fmt.Printf("%s: nothing rests on it any more: it can be switched off\n", c.Address)
 			return nil
 		}
-		what := fmt.Sprintf("%d links and %d records of others are left", left, held)
-		if time.Now().After(until) {
-			return fmt.Errorf("%s; it goes on with that", what)
+		if time.Now().After(deadline) {
+			return fmt.Errorf("%s; it goes on with that", left)
 		}
-		if what != last {
-			fmt.Printf("%s: %s\n", c.Address, what)
-			last = what
+		if text := left.String(); text != printed {
+			fmt.Printf("%s: %s\n", c.Address, text)
+			printed = text
+		}
+		time.Sleep(c.Every)
+	}
+}
+
+// orderDrain gives the order, and returns what the relay answers. An answer other than 200 is printed: the order may
+// be in effect all the same, and not be as safe yet as it is to be.
+func (c *fleetLeave) orderDrain(client *http.Client) ([]byte, error) {
+	answer, err := client.Post("http://"+c.Address+"/_lameduck/on", "", nil)
+	if err != nil {
+		return nil, err
+	}
+	defer answer.Body.Close()
+	text, _ := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes)) // what came of it is printed
+	text = bytes.TrimSpace(text)
+	if answer.StatusCode != http.StatusOK {
+		fmt.Printf("%s: %s\n", c.Address, text)
+	}
+	return text, nil
+}
+
+// fetchDraining reads the relay's status, and fails where the relay doesn't drain; answer is what it gave to the
+// order.
+func (c *fleetLeave) fetchDraining(client *http.Client, answer []byte) (*fleet.Status, error) {
+	var status fleet.Status
+	if _, err := fetchJSON(client, c.Address, "/_fleet", &status); err != nil {
+		return nil, fmt.Errorf("it was told to leave, and says no more: %w", err)
+	}
+	if !status.Draining {
+		return nil, fmt.Errorf("it does not leave: %s", answer)
+	}
+	return &status, nil
+}
+
+// remainder is what still depends on a relay that drains.
+type remainder struct {
+	sessions int
+	records  int // of other relays
+}
+
+func remaining(s *fleet.Status) remainder {
+	left := remainder{sessions: s.Sessions}
+	if s.Replication != nil {
+		for _, kind := range s.Replication.Kinds {
+			left.records += kind.Stored
 		}
 	}
+	return left
+}
+
+func (r remainder) isNone() bool { return r == remainder{} }
+
+func (r remainder) String() string {
+	return fmt.Sprintf("%d links and %d records of others are left", r.sessions, r.records)
 }
 
+// printFleetStatus prints a relay's status for people.
 func printFleetStatus(to io.Writer, address string, s *fleet.Status) {
-	p := s.Recovery
-	fmt.Fprintf(to, "%s  %s for %.1f s: %s\n", address, p.Phase, p.PhaseMillis/1000, p.Reason)
+	printRelay(to, address, s)
+	printReplication(to, s.Replication)
+	for _, line := range s.Recovery.Accepted {
+		fmt.Fprintf(to, "  believed: %s\n", line)
+	}
+	for _, line := range s.Recovery.Discarded {
+		fmt.Fprintf(to, "  left out: %s\n", line)
+	}
+	printMembers(to, s.Members)
+}
+
+// printRelay prints what a relay says of itself.
+func printRelay(to io.Writer, address string, s *fleet.Status) {
+	recovery := s.Recovery
+	fmt.Fprintf(to, "%s  %s for %.1f s: %s\n", address, recovery.Phase, recovery.PhaseMillis/1000, recovery.Reason)
 	fmt.Fprintf(to, "  start %d, order %d, empty %t, %d links, %d turned away in the last second\n", s.Boot,
 		s.Order, s.Draining, s.Sessions, s.RejectedLastSecond)
 	fmt.Fprintf(to, "  list told by discovery %t, %d of %d servers cold, this relay's part of what they bear %.3f\n",
-		p.EndpointsConfirmed, s.WarmingUp, s.Usable, p.CapacityShare)
+		recovery.EndpointsConfirmed, s.WarmingUp, s.Usable, recovery.CapacityShare)
 	if s.DiskFault != "" {
 		fmt.Fprintf(to, "  disk: %s\n", s.DiskFault)
 	}
@@ -161,27 +179,33 @@
 	if s.HasDuplicate {
 		fmt.Fprintln(to, "  ANOTHER PROCESS SERVES UNDER THIS RELAY'S NAME")
 	}
-	if h := s.Replication; h != nil {
-		n := h.Counts["places"]
-		fmt.Fprintf(to, "  holds %d places, %d marks and %d orders for others; enough relays for a promise %t\n",
-			h.Kinds["places"].Stored, h.Kinds["marks"].Stored, h.Kinds["orders"].Stored, h.HasEnoughMembers)
-		fmt.Fprintf(to, "  places held by others %d, not in time %d; taken %d, used before %d, not got in time %d\n",
-			n.Replicated, n.NotReplicated, n.Found, n.AlreadyUsed, n.Missed)
-		n = h.Counts["marks"]
-		fmt.Fprintf(to, "  tries marked at others %d, not in time %d; clients' further tries that met a mark %d\n",
-			n.Replicated, n.NotReplicated, n.Found)
-		fmt.Fprintf(to, "  the latest words took %.1f ms to be held in the middle, %.1f ms at p99\n", h.P50Millis, h.P99Millis)
-	}
-	for _, line := range p.Accepted {
-		fmt.Fprintf(to, "  believed: %s\n", line)
-	}
-	for _, line := range p.Discarded {
-		fmt.Fprintf(to, "  left out: %s\n", line)
-	}
-	w := tabwriter.NewWriter(to, 2, 8, 2, ' ', 0)
-	for _, m := range s.Members {
-		fmt.Fprintf(w, "  %s\t%s\t%s\tstart %d\tup %.0f s\theard %.1f s ago\tzone %s\tlist %d\t%d links\n",
-			m.Name, m.State, m.Phase, m.Boot, m.AgeMillis/1000, m.SilentMillis/1000, m.Zone, m.EndpointsVersion, m.Sessions)
-	}
-	w.Flush()
+}
+
+// printReplication prints what a relay holds for others, and others for it; nothing where replication is off.
+func printReplication(to io.Writer, s *fleet.ReplicationStatus) {
+	if s == nil {
+		return
+	}
+	fmt.Fprintf(to, "  holds %d places, %d marks and %d orders for others; enough relays for a promise %t\n",
+		s.Kinds["places"].Stored, s.Kinds["marks"].Stored, s.Kinds["orders"].Stored, s.HasEnoughMembers)
+	reservations := s.Counts["places"]
+	fmt.Fprintf(to, "  places held by others %d, not in time %d; taken %d, used before %d, not got in time %d\n",
+		reservations.Replicated, reservations.NotReplicated, reservations.Found, reservations.AlreadyUsed,
+		reservations.Missed)
+	markers := s.Counts["marks"]
+	fmt.Fprintf(to, "  tries marked at others %d, not in time %d; clients' further tries that met a mark %d\n",
+		markers.Replicated, markers.NotReplicated, markers.Found)
+	fmt.Fprintf(to, "  the latest words took %.1f ms to be held in the middle, %.1f ms at p99\n", s.P50Millis,
+		s.P99Millis)
+}
+
+// printMembers prints the other relays as a relay sees them.
+func printMembers(to io.Writer, members []fleet.MemberStatus) {
+	table := tabwriter.NewWriter(to, 2, 8, 2, ' ', 0)
+	for _, m := range members {
+		fmt.Fprintf(table, "  %s\t%s\t%s\tstart %d\tup %.0f s\theard %.1f s ago\tzone %s\tlist %d\t%d links\n",
+			m.Name, m.State, m.Phase, m.Boot, m.AgeMillis/1000, m.SilentMillis/1000, m.Zone, m.EndpointsVersion,
+			m.Sessions)
+	}
+	table.Flush()
 }
