--- a/cmd/valeshift-testbed/main.go
+++ b/cmd/valeshift-testbed/main.go
@@ -273,14 +273,14 @@
 		return err
 	}
 	r := report.New(x)
-	run := r.AddRun(x, experiment.Policies[0], "on sockets", result.Tally, result.Marks, result.Audit, result.Fallen)
-	run.Late, run.Memory, run.CPU = result.Late, result.Memory, result.CPU
-	broken := say(run, !result.Late, fmt.Sprintf("(%.0f ms behind its schedule at the most)",
-		result.Tally.MaxLag))
+	run := r.AddRun(x, experiment.Policies[0], "on sockets", result.Metrics, result.FaultSpans, result.Auditor, result.ColdOverloads)
+	run.Late, run.Memory, run.CPU = result.BehindSchedule, result.Memory, result.CPU
+	broken := say(run, !result.BehindSchedule, fmt.Sprintf("(%.0f ms behind its schedule at the most)",
+		result.Metrics.MaxLag))
 	if err := c.write(r); err != nil {
 		return err
 	}
-	if result.Late {
+	if result.BehindSchedule {
 		return fmt.Errorf("the machine was too slow for the schedule: the run is not counted")
 	}
 	return broken
@@ -381,10 +381,10 @@
 			return nil
 		case err != nil:
 			return &explore.Finding{Experiment: x, Panic: err.Error()}
-		case r.Late:
+		case r.BehindSchedule:
 			continue
 		}
-		found := explore.NewFinding(x, r.Audit)
+		found := explore.NewFinding(x, r.Auditor)
 		if found == nil {
 			os.RemoveAll(dir) // logs and disks are kept of what broke a rule
 		}
--- a/internal/testbed/live/council.go
+++ b/internal/testbed/live/council.go
@@ -22,10 +22,10 @@
 // council makes the voters' files, with a way of its own to each other, and gives where each relay reaches
 // them.
 func (r *Run) council() (voters [][]string, err error) {
-	n := r.x.Relays.Coordinators
+	n := r.experiment.Relays.Coordinators
 	hears := make([]string, n)
 	for k := range hears {
-		if hears[k], err = r.free(k); err != nil {
+		if hears[k], err = r.freeAddress(k); err != nil {
 			return nil, err
 		}
 	}
@@ -33,12 +33,12 @@
 		if from == to {
 			return hears[to], nil
 		}
-		w, err := netem.New(r.road(from), hears[to], r.x.Rand("way", 100000*(from+1)+to))
+		w, err := netem.New(r.proxyHostAddress(from), hears[to], r.experiment.Rand("way", 100000*(from+1)+to))
 		if err != nil {
 			return "", err
 		}
 		context.AfterFunc(r.ctx, w.Close)
-		r.forwards[[2]int{from, to}] = append(r.forwards[[2]int{from, to}], w)
+		r.proxies[[2]int{from, to}] = append(r.proxies[[2]int{from, to}], w)
 		return w.Address, nil
 	}
 	for k := range n {
@@ -46,7 +46,7 @@
 		if err := os.MkdirAll(folder, 0o700); err != nil {
 			return nil, err
 		}
-		ops, err := r.free(k)
+		ops, err := r.freeAddress(k)
 		if err != nil {
 			return nil, err
 		}
@@ -60,8 +60,8 @@
 			}
 			text += fmt.Sprintf("[[voter]]\nname = \"v%d\"\naddress = %q\n", to, at)
 		}
-		for z := range r.x.Fleet.Zones {
-			text += fmt.Sprintf("[[zone]]\nname = %q\nregion = %q\n", experiment.Zone(z), r.x.Region(z))
+		for z := range r.experiment.Fleet.Zones {
+			text += fmt.Sprintf("[[zone]]\nname = %q\nregion = %q\n", experiment.Zone(z), r.experiment.Region(z))
 		}
 		s := &seat{file: filepath.Join(r.dir, fmt.Sprintf("voter-%d.toml", k))}
 		if err := os.WriteFile(s.file, []byte(text), 0o600); err != nil {
@@ -96,8 +96,8 @@
 	}
 	defer log.Close()
 	// Of the same build as the relays, beside them.
-	name := strings.Replace(filepath.Base(r.binary), "valeshift", "valeshift-coordinator", 1)
-	s.cmd = exec.Command(filepath.Join(filepath.Dir(r.binary), name), s.file)
+	name := strings.Replace(filepath.Base(r.relayBinary), "valeshift", "valeshift-coordinator", 1)
+	s.cmd = exec.Command(filepath.Join(filepath.Dir(r.relayBinary), name), s.file)
 	s.cmd.Stderr = log
 	if err := s.cmd.Start(); err != nil {
 		s.cmd = nil
--- a/internal/testbed/live/live_test.go
+++ b/internal/testbed/live/live_test.go
@@ -177,11 +177,11 @@
 	defer stop()
 	r, err := Play(ctx, x, binary, t.TempDir())
 	require.NoError(t, err)
-	for _, b := range r.Audit.Violations {
+	for _, b := range r.Auditor.Violations {
 		t.Log(b)
 	}
-	if r.Late {
-		t.Logf("%.0f ms behind the schedule: the machine is too slow for this run to count", r.Tally.MaxLag)
+	if r.BehindSchedule {
+		t.Logf("%.0f ms behind the schedule: the machine is too slow for this run to count", r.Metrics.MaxLag)
 		return nil
 	}
 	return r
@@ -192,11 +192,11 @@
 	if r == nil {
 		return
 	}
-	assert.Zero(t, r.Audit.ViolationCount())
-	assert.Greater(t, r.Tally.Answers["UP"], 100)
-	assert.Greater(t, r.Tally.ServedShare(3000, 15000), least)
+	assert.Zero(t, r.Auditor.ViolationCount())
+	assert.Greater(t, r.Metrics.Answers["UP"], 100)
+	assert.Greater(t, r.Metrics.ServedShare(3000, 15000), least)
 	var kinds []string
-	for _, m := range r.Marks {
+	for _, m := range r.FaultSpans {
 		kinds = append(kinds, m.Text)
 	}
 	assert.ElementsMatch(t, want, kinds)
--- a/internal/testbed/live/machines_test.go
+++ b/internal/testbed/live/machines_test.go
@@ -95,10 +95,10 @@
 			if r == nil {
 				return
 			}
-			assert.Zero(t, r.Audit.ViolationCount(), "%v", r.Audit.Violations)
-			assert.Zero(t, r.Fallen, "servers pushed over")
-			assert.Greater(t, r.Tally.ServedShare(17000, 20000), 0.8)
-			for i, text := range r.Fleet {
+			assert.Zero(t, r.Auditor.ViolationCount(), "%v", r.Auditor.Violations)
+			assert.Zero(t, r.ColdOverloads, "servers pushed over")
+			assert.Greater(t, r.Metrics.ServedShare(17000, 20000), 0.8)
+			for i, text := range r.FleetStatus {
 				var s fleet.Status
 				require.NoError(t, json.Unmarshal(text, &s))
 				assert.Equal(t, "normal", s.Recovery.Phase, "relay %d: %s", i, s.Recovery.Reason)
@@ -138,10 +138,10 @@
 			if r == nil {
 				return
 			}
-			assert.Zero(t, r.Audit.ViolationCount(), "%v", r.Audit.Violations)
-			assert.Zero(t, r.Fallen, "servers pushed over")
+			assert.Zero(t, r.Auditor.ViolationCount(), "%v", r.Auditor.Violations)
+			assert.Zero(t, r.ColdOverloads, "servers pushed over")
 			var promised, took, again, missed uint64
-			for _, text := range r.Fleet {
+			for _, text := range r.FleetStatus {
 				var s fleet.Status
 				require.NoError(t, json.Unmarshal(text, &s))
 				n := s.Replication.Counts["places"]
@@ -185,23 +185,23 @@
 			if r == nil {
 				return
 			}
-			assert.Zero(t, r.Audit.ViolationCount(), "%v", r.Audit.Violations)
+			assert.Zero(t, r.Auditor.ViolationCount(), "%v", r.Auditor.Violations)
 			if c.stood {
-				t.Logf("returned to where they stood %d of %d", r.Audit.AffineReconnects, r.Audit.Reconnects)
-				assert.Greater(t, r.Audit.Reconnects, 5)
-				assert.GreaterOrEqual(t, float64(r.Audit.AffineReconnects), 0.3*float64(r.Audit.Reconnects))
+				t.Logf("returned to where they stood %d of %d", r.Auditor.AffineReconnects, r.Auditor.Reconnects)
+				assert.Greater(t, r.Auditor.Reconnects, 5)
+				assert.GreaterOrEqual(t, float64(r.Auditor.AffineReconnects), 0.3*float64(r.Auditor.Reconnects))
 			}
 			met := 0
-			for _, text := range r.Fleet {
+			for _, text := range r.FleetStatus {
 				var s fleet.Status
 				require.NoError(t, json.Unmarshal(text, &s))
 				n := s.Replication.Counts["marks"]
 				t.Logf("relay: marks %+v, held after %.1f ms, p99 %.1f", n, s.Replication.P50Millis, s.Replication.P99Millis)
 				met += int(n.Found)
 			}
-			t.Logf("further tries that met a mark %d, begun again %d", met, r.Audit.RepeatedEffects)
+			t.Logf("further tries that met a mark %d, begun again %d", met, r.Auditor.RepeatedEffects)
 			assert.Greater(t, met, 10)
-			assert.LessOrEqual(t, float64(r.Audit.RepeatedEffects), 1+c.repeated*float64(met))
+			assert.LessOrEqual(t, float64(r.Auditor.RepeatedEffects), 1+c.repeated*float64(met))
 		})
 	}
 }
--- a/internal/testbed/live/mates.go
+++ b/internal/testbed/live/mates.go
@@ -20,7 +20,7 @@
 // mates gives the machines their sides of the fleet: an operators' file each, with a folder as its disk and a
 // way of its own to every other.
 func (r *Run) mates() error {
-	x := r.x
+	x := r.experiment
 	if !x.Relays.Membership && !x.Relays.Disk && !x.Relays.AnnouncesReportAge {
 		return nil
 	}
@@ -31,7 +31,7 @@
 	hears := make([]string, len(r.relays))
 	for i := range r.relays {
 		var err error
-		if hears[i], err = r.free(i); err != nil {
+		if hears[i], err = r.freeAddress(i); err != nil {
 			return err
 		}
 	}
@@ -47,12 +47,12 @@
 				if j == i {
 					continue
 				}
-				w, err := netem.New(r.road(i), to, x.Rand("way", 1000*(i+1)+j))
+				w, err := netem.New(r.proxyHostAddress(i), to, x.Rand("way", 1000*(i+1)+j))
 				if err != nil {
 					return err
 				}
 				context.AfterFunc(r.ctx, w.Close)
-				r.forwards[[2]int{i, j}] = append(r.forwards[[2]int{i, j}], w)
+				r.proxies[[2]int{i, j}] = append(r.proxies[[2]int{i, j}], w)
 				seeds = append(seeds, fmt.Sprintf("%q", w.Address))
 			}
 			text += fmt.Sprintf("[peers]\nlisten = %q\nkey-file = %q\nzone = %q\nseeds = [%s]\nseeds-only = true\n",
@@ -66,14 +66,14 @@
 				float64(x.Relays.MarkerRetention), x.Relays.ReplicatesAffinity)
 		}
 		if x.Relays.Disk {
-			p.disk = filepath.Join(r.dir, fmt.Sprintf("disk-%d", i))
-			if err := os.MkdirAll(p.disk, 0o700); err != nil {
+			p.diskFolder = filepath.Join(r.dir, fmt.Sprintf("disk-%d", i))
+			if err := os.MkdirAll(p.diskFolder, 0o700); err != nil {
 				return err
 			}
-			text += fmt.Sprintf("[disk]\nfolder = %q\n", p.disk)
+			text += fmt.Sprintf("[disk]\nfolder = %q\n", p.diskFolder)
 		}
-		p.operator = filepath.Join(r.dir, fmt.Sprintf("operator-%d.toml", i))
-		if err := os.WriteFile(p.operator, []byte(text), 0o600); err != nil {
+		p.operatorFile = filepath.Join(r.dir, fmt.Sprintf("operator-%d.toml", i))
+		if err := os.WriteFile(p.operatorFile, []byte(text), 0o600); err != nil {
 			return err
 		}
 	}
@@ -83,8 +83,8 @@
 // early keeps a copy of each disk, for machines that come back with an older one.
 func (r *Run) early() {
 	for _, p := range r.relays {
-		if p.disk != "" {
-			copyDisk(p.disk, p.disk+".older")
+		if p.diskFolder != "" {
+			copyDisk(p.diskFolder, p.diskFolder+".older")
 		}
 	}
 }
@@ -113,14 +113,14 @@
 // DamageDisk does something to the disk of a relay that is down.
 func (r *Run) DamageDisk(i int, what string) {
 	p := r.relays[i]
-	if p.disk == "" {
+	if p.diskFolder == "" {
 		return
 	}
-	chance := rand.New(rand.NewSource(r.x.Rand("disk", 1000*i+p.turn).Int63()))
-	os.WriteFile(filepath.Join(p.disk, faultdisk.FaultsFile), []byte(what), 0o600)
+	chance := rand.New(rand.NewSource(r.experiment.Rand("disk", 1000*i+p.launches).Int63()))
+	os.WriteFile(filepath.Join(p.diskFolder, faultdisk.FaultsFile), []byte(what), 0o600)
 	each := func(change func(data []byte) []byte) {
-		for _, name := range files(p.disk) {
-			path := filepath.Join(p.disk, name)
+		for _, name := range files(p.diskFolder) {
+			path := filepath.Join(p.diskFolder, name)
 			if data, err := os.ReadFile(path); err == nil && len(data) > 0 {
 				os.WriteFile(path, change(data), 0o600)
 			}
@@ -128,8 +128,8 @@
 	}
 	switch what {
 	case "wiped":
-		for _, name := range files(p.disk) {
-			os.Remove(filepath.Join(p.disk, name))
+		for _, name := range files(p.diskFolder) {
+			os.Remove(filepath.Join(p.diskFolder, name))
 		}
 	case "torn":
 		each(func(data []byte) []byte { return data[:chance.Intn(len(data))] })
@@ -141,9 +141,9 @@
 			return data
 		})
 	case "older":
-		copyDisk(p.disk+".older", p.disk)
+		copyDisk(p.diskFolder+".older", p.diskFolder)
 	case "another's":
-		copyDisk(r.relays[(i+1)%len(r.relays)].disk, p.disk)
+		copyDisk(r.relays[(i+1)%len(r.relays)].diskFolder, p.diskFolder)
 	}
 }
 
@@ -151,10 +151,10 @@
 func (r *Run) fleets() map[int][]byte {
 	all := map[int][]byte{}
 	for _, p := range r.relays {
-		if !p.alive || p.operator == "" {
+		if !p.alive || p.operatorFile == "" {
 			continue
 		}
-		if answer, err := http.Get("http://" + p.ops + "/_fleet"); err == nil {
+		if answer, err := http.Get("http://" + p.adminAddress + "/_fleet"); err == nil {
 			all[p.number], _ = io.ReadAll(answer.Body)
 			answer.Body.Close()
 		}
--- /dev/null
+++ b/internal/testbed/live/relayprocess.go
@@ -0,0 +1,390 @@
+package live
+
+import (
+	"bytes"
+	"cmp"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"syscall"
+	"time"
+
+	"valeshift/internal/testbed/experiment"
+)
+
+const (
+	startTimeout       = 10 * time.Second
+	startCheckInterval = 20 * time.Millisecond
+	readyCheckInterval = 20.0 // milliseconds
+	maxLogTailBytes    = 400
+)
+
+// relayProcess is one relay over all its starts.
+type relayProcess struct {
+	number             int
+	address            string
+	discoveryAddresses [2]string
+	currentDiscovery   int // of those
+	cmd                *exec.Cmd
+	alive              bool
+	launches           int
+	log                *os.File
+	listenSocket       *os.File  // the clients', owned here where a process can be replaced; else nil
+	parent             *exec.Cmd // the old process, while it is being replaced
+	adminAddress       string
+	knownEndpoints     []byte // the list that the platform keeps for it, in discovery's form
+	earlyExit          string // why it ended before the run began
+	diskFolder         string // empty: none
+	operatorFile       string // empty: none
+}
+
+// prepare gives a relay its address, its log and two discovery servers of its own, so that each knows whom it
+// notifies.
+func (r *Run) prepare(p *relayProcess) error {
+	if err := r.assignAddress(p); err != nil {
+		return err
+	}
+	for i := range p.discoveryAddresses {
+		if err := r.serveDiscovery(p, i); err != nil {
+			return err
+		}
+	}
+	r.mutex.Lock()
+	r.saveKnownEndpoints(p)
+	r.mutex.Unlock()
+	var err error
+	p.log, err = os.Create(filepath.Join(r.dir, fmt.Sprintf("relay-%d.log", p.number)))
+	return err
+}
+
+// assignAddress picks the clients' address; where relays are replaced, the listening socket stays open here.
+func (r *Run) assignAddress(p *relayProcess) error {
+	isReplaced := slices.ContainsFunc(r.experiment.Faults, func(f experiment.Fault) bool {
+		return f.Kind == "relay-replace"
+	})
+	var err error
+	if !isReplaced {
+		p.address, err = r.freeAddress(p.number)
+		return err
+	}
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return err
+	}
+	defer listener.Close() // the file keeps the socket open
+	p.address = listener.Addr().String()
+	if p.listenSocket, err = listener.(*net.TCPListener).File(); err != nil {
+		return err
+	}
+	context.AfterFunc(r.ctx, func() { p.listenSocket.Close() })
+	return nil
+}
+
+// serveDiscovery starts the relay's discovery server of that index behind a proxy.
+func (r *Run) serveDiscovery(p *relayProcess, index int) error {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return err
+	}
+	proxy, err := r.newProxy(p.number, experiment.Discovery, listener.Addr().String(), 10*p.number+index)
+	if err != nil {
+		return err
+	}
+	p.discoveryAddresses[index] = proxy.Address
+	server := &http.Server{Handler: &discoveryServer{run: r, relayNumber: p.number}}
+	go server.Serve(listener)
+	context.AfterFunc(r.ctx, func() { server.Close() })
+	return nil
+}
+
+// saveKnownEndpoints has the platform keep the endpoint list as it is now for a relay, where the experiment says
+// that it does.
+func (r *Run) saveKnownEndpoints(p *relayProcess) {
+	if r.experiment.Relays.KnowsEndpoints {
+		p.knownEndpoints = encodeUpdate(r.environment.Discovery.FullUpdate())
+	}
+}
+
+// relayConfig is a relay's configuration file.
+type relayConfig struct {
+	Name      string          `json:"name"`
+	Listen    string          `json:"listen"`
+	Discovery string          `json:"discovery"`
+	Ops       string          `json:"ops"`
+	Seed      string          `json:"seed"` // hexadecimal
+	Limits    relayLimits     `json:"limits"`
+	Settings  any             `json:"settings"`
+	Known     json.RawMessage `json:"known,omitempty"`
+}
+
+type relayLimits struct {
+	Cores    float64 `json:"cores"`
+	MemoryMB int     `json:"memory_mb"`
+	Sockets  int     `json:"sockets"`
+}
+
+func (r *Run) writeConfig(p *relayProcess) error {
+	seed := r.experiment.Rand("relay", p.number*1000+p.launches).Uint64()
+	text, err := json.Marshal(relayConfig{
+		Name:      fmt.Sprintf("relay-%d", p.number),
+		Listen:    p.address,
+		Discovery: p.discoveryAddresses[p.currentDiscovery],
+		Ops:       p.adminAddress,
+		Seed:      strconv.FormatUint(seed, 16),
+		Limits:    relayLimits{Cores: 1, Sockets: r.experiment.Relays.MaxDescriptors},
+		Settings:  r.experiment.RelaySettings(p.number % r.experiment.Fleet.Zones),
+		Known:     p.knownEndpoints,
+	})
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(r.configFile(p), text, 0o600)
+}
+
+func (r *Run) configFile(p *relayProcess) string {
+	return filepath.Join(r.dir, fmt.Sprintf("relay-%d.json", p.number))
+}
+
+// sharedDir is the folder that two processes of one relay share.
+func (r *Run) sharedDir(p *relayProcess) string {
+	return filepath.Join(r.dir, fmt.Sprintf("relay-%d", p.number))
+}
+
+// launch starts a process of the relay.
+func (r *Run) launch(p *relayProcess) error {
+	p.launches++
+	if err := r.vote(p.number); err != nil {
+		return err
+	}
+	var err error
+	if p.adminAddress, err = r.freeAddress(p.number); err != nil {
+		return err
+	}
+	if err := r.writeConfig(p); err != nil {
+		return err
+	}
+	p.cmd = exec.Command(r.relayBinary)
+	p.cmd.Stderr = p.log
+	p.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+r.configFile(p), "RELAY_NAME=", "RELAY_LISTEN=",
+		"RELAY_DISCOVERY=", "RELAY_OPS=",
+		"VALESHIFT_OPERATOR="+p.operatorFile, "VALELAB_CLOCK="+r.clockFile(p.number))
+	if p.listenSocket != nil {
+		p.cmd.ExtraFiles = []*os.File{p.listenSocket}
+		p.cmd.Env = append(p.cmd.Env, "RELAY_SOCKET_FD=3", "TMPDIR="+r.sharedDir(p))
+		if err := os.MkdirAll(r.sharedDir(p), 0o700); err != nil {
+			return err
+		}
+	}
+	if err := p.cmd.Start(); err != nil {
+		return fmt.Errorf("relay: %w", err)
+	}
+	p.alive = true
+	go r.awaitExit(p, p.cmd, p.launches)
+	return nil
+}
+
+// awaitExit waits for a process to end, and tells the model if it ended by itself: a shutdown or a crash.
+func (r *Run) awaitExit(p *relayProcess, cmd *exec.Cmd, launch int) {
+	err := cmd.Wait()
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if r.closed || p.launches != launch || !p.alive {
+		return
+	}
+	p.alive = false
+	if r.environment.Workload == nil { // the run is over before it begins
+		p.earlyExit = fmt.Sprint(cmp.Or(err, errors.New("exit status 0")))
+		return
+	}
+	r.saveKnownEndpoints(p)
+	r.environment.RelayExited(p.number)
+}
+
+// awaitReady waits until a relay answers PING.
+func (r *Run) awaitReady(ctx context.Context, p *relayProcess) error {
+	for until := time.Now().Add(startTimeout); time.Now().Before(until); time.Sleep(startCheckInterval) {
+		r.mutex.Lock()
+		earlyExit := p.earlyExit
+		r.mutex.Unlock()
+		if earlyExit != "" {
+			return fmt.Errorf("relay %d ended before the run began (%s): %s", p.number, earlyExit, r.logTail(p))
+		}
+		isReady, err := answersPing(p.address)
+		if err != nil {
+			continue
+		}
+		if isReady {
+			return nil
+		}
+		if ctx.Err() != nil {
+			return ctx.Err()
+		}
+	}
+	return fmt.Errorf("relay %d does not serve: %s", p.number, r.logTail(p))
+}
+
+// answersPing reports whether a relay answers PING; an error: it can't be reached.
+func answersPing(address string) (bool, error) {
+	const pong = "PONG\r\n"
+	c, err := net.DialTimeout("tcp", address, time.Second)
+	if err != nil {
+		return false, err
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(time.Second))
+	c.Write([]byte("PING\r\n"))
+	var answer [len(pong)]byte
+	n, _ := c.Read(answer[:])
+	return string(answer[:n]) == pong, nil
+}
+
+// logTail is the end of a relay's log.
+func (r *Run) logTail(p *relayProcess) string {
+	text, _ := os.ReadFile(p.log.Name())
+	text = bytes.TrimSpace(text)
+	return string(text[max(len(text)-maxLogTailBytes, 0):])
+}
+
+// KillRelay ends a relay at once, and the voter on its machine.
+func (r *Run) KillRelay(i int) {
+	p := r.relays[i]
+	p.alive = false
+	r.saveKnownEndpoints(p)
+	r.unseat(i)
+	p.cmd.Process.Kill()
+	if p.parent != nil {
+		p.parent.Process.Kill()
+	}
+}
+
+// FreezeRelay stops a machine's processes by SIGSTOP, or has them go on.
+func (r *Run) FreezeRelay(i int, on bool) {
+	signal := syscall.SIGCONT
+	if on {
+		signal = syscall.SIGSTOP
+	}
+	if p := r.relays[i]; p.alive {
+		p.cmd.Process.Signal(signal)
+	}
+	if i < len(r.seats) && r.seats[i].cmd != nil {
+		r.seats[i].cmd.Process.Signal(signal)
+	}
+}
+
+// SetClockOffset sets a machine's clock ahead by so many milliseconds.
+func (r *Run) SetClockOffset(i int, aheadMillis float64) {
+	file := r.clockFile(i)
+	os.WriteFile(file+".new", fmt.Append(nil, aheadMillis), 0o600)
+	os.Rename(file+".new", file) // so that nobody reads half of it
+}
+
+// callAdmin calls a relay's admin API in the background; then is called under the mutex with whether it succeeded.
+func (r *Run) callAdmin(address, method, path string, then func(succeeded bool)) {
+	go func() {
+		succeeded := r.requestAdmin(address, method, path)
+		r.mutex.Lock()
+		defer r.mutex.Unlock()
+		if !r.closed {
+			then(succeeded)
+		}
+	}()
+}
+
+func (r *Run) requestAdmin(address, method, path string) bool {
+	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	request, err := http.NewRequestWithContext(r.ctx, method, "http://"+address+path, nil)
+	if err != nil {
+		return false
+	}
+	answer, err := client.Do(request)
+	if err != nil {
+		return false
+	}
+	answer.Body.Close()
+	return answer.StatusCode < 300
+}
+
+// DrainRelay has operators drain a relay, or take it back to work.
+func (r *Run) DrainRelay(i int, on bool) {
+	path := "/_lameduck/off"
+	if on {
+		path = "/_lameduck/on"
+	}
+	r.callAdmin(r.relays[i].adminAddress, http.MethodPost, path, func(bool) {})
+}
+
+// ReplaceRelay starts a new process beside a relay's; once that is ready, the old one is stopped.
+func (r *Run) ReplaceRelay(i int, done func()) {
+	p := r.relays[i]
+	parent := p.cmd
+	if err := r.launch(p); err != nil {
+		panic(err)
+	}
+	p.parent = parent
+	launch := p.launches
+	var checkReady func()
+	checkReady = func() {
+		r.callAdmin(p.adminAddress, http.MethodGet, "/_ready", func(isReady bool) {
+			switch {
+			case p.launches != launch || !p.alive:
+			case isReady:
+				r.stopParent(p, parent, launch, done)
+			default:
+				r.after(readyCheckInterval, checkReady)
+			}
+		})
+	}
+	checkReady()
+}
+
+// stopParent ends the old process of a relay; done is called once the platform would have killed it.
+func (r *Run) stopParent(p *relayProcess, parent *exec.Cmd, launch int, done func()) {
+	parent.Process.Signal(syscall.SIGTERM)
+	r.killLater(p, parent, launch)
+	r.after(r.experiment.KillAfter(), func() {
+		if p.launches == launch {
+			p.parent = nil
+			done()
+		}
+	})
+}
+
+// StopRelay has a relay shut down gracefully, and kills it when the platform would.
+func (r *Run) StopRelay(i int) {
+	p := r.relays[i]
+	p.cmd.Process.Signal(syscall.SIGTERM)
+	r.killLater(p, p.cmd, p.launches)
+}
+
+// killLater kills a process that was told to stop, if it has not by the time that the platform gives.
+func (r *Run) killLater(p *relayProcess, cmd *exec.Cmd, launch int) {
+	r.after(r.experiment.KillAfter(), func() {
+		if p.launches == launch && (p.alive || cmd != p.cmd) {
+			cmd.Process.Kill()
+		}
+	})
+}
+
+// StartRelay starts a relay again.
+func (r *Run) StartRelay(i int) {
+	if err := r.launch(r.relays[i]); err != nil {
+		panic(err)
+	}
+}
+
+// ReloadRelay gives a relay the other address of discovery, by SIGHUP.
+func (r *Run) ReloadRelay(i int) {
+	p := r.relays[i]
+	p.currentDiscovery = 1 - p.currentDiscovery
+	if r.writeConfig(p) == nil && p.alive {
+		p.cmd.Process.Signal(syscall.SIGHUP)
+	}
+}
--- a/internal/testbed/live/zones_test.go
+++ b/internal/testbed/live/zones_test.go
@@ -149,9 +149,9 @@
 			if r == nil {
 				return
 			}
-			assert.Zero(t, r.Audit.ViolationCount(), "%v", r.Audit.Violations)
-			assert.Zero(t, r.Fallen, "servers pushed over")
-			assert.Greater(t, r.Tally.ServedShare(19000, 24000), c.service)
+			assert.Zero(t, r.Auditor.ViolationCount(), "%v", r.Auditor.Violations)
+			assert.Zero(t, r.ColdOverloads, "servers pushed over")
+			assert.Greater(t, r.Metrics.ServedShare(19000, 24000), c.service)
 			pictures := map[uint64]string{}
 			emptied := false
 			for i := range 9 {
