--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -31,8 +31,8 @@
 	goldenFrom = "10.0.0.1:7000"
 )
 
-// goldenWords are a sender's own state and what it passes on of two others, with no field left zero.
-func goldenWords() (own, second, third MemberState) {
+// goldenStates are a sender's own state and what it passes on of two others, with no field left zero.
+func goldenStates() (own, second, third MemberState) {
 	own = MemberState{Name: "relay-1", Zone: "a", Region: "north", Address: goldenFrom, Boot: 7, Incarnation: 0x0102030405060708,
 		Phase: 2, EndpointsVersion: 314, PlacedLoad: 123456, WaitingClients: 21, Sessions: 1999, OrderNumber: 5, Draining: true}
 	second = MemberState{Name: "relay-2", Zone: "b", Region: "south", Address: "10.0.0.2:7000", Boot: 300,
@@ -45,13 +45,13 @@
 
 // goldenSender is a relay that has heard of two others and sends at goldenTime.
 func goldenSender() *View {
-	own, second, third := goldenWords()
-	p := New(1000, own, []string{"10.0.0.9:7000"}, key, rand.New(rand.NewSource(1)))
-	p.own.Heartbeat = 44
-	p.ClockOffset = 1700000000000
-	p.hear(89200, third, false)
-	p.hear(89500, second, true)
-	return p
+	own, second, third := goldenStates()
+	v := New(1000, own, []string{"10.0.0.9:7000"}, key, rand.New(rand.NewSource(1)))
+	v.local.Heartbeat = 44
+	v.ClockOffset = 1700000000000
+	v.merge(89200, third, false)
+	v.merge(89500, second, true)
+	return v
 }
 
 // Datagrams are read as what the golden file was written from, and written as the same bytes.
@@ -65,7 +65,7 @@
 		{"answer", "datagram-answer.bin", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			sent := goldenSender().frame(goldenTime, "10.0.0.4:7000", c.asks)
+			sent := goldenSender().composeDatagram(goldenTime, "10.0.0.4:7000", c.asks)
 			want := golden(t, c.file, sent.Data)
 			assert.Equal(t, want, sent.Data)
 
@@ -73,7 +73,7 @@
 				rand.New(rand.NewSource(1)))
 			answers := receiver.Receive(50, goldenFrom, want)
 			assert.Equal(t, c.asks, len(answers) == 1)
-			own, second, third := goldenWords()
+			own, second, third := goldenStates()
 			own.Heartbeat, own.AgeMillis = 44, goldenTime-1000
 			second.AgeMillis += 500
 			third.AgeMillis += 800
@@ -90,17 +90,17 @@
 
 // A datagram's plain part: the states alone, without the header and the seal.
 func TestGoldenStates(t *testing.T) {
-	own, second, third := goldenWords()
+	own, second, third := goldenStates()
 	own.Heartbeat, own.AgeMillis = 44, 89000
 	var plain []byte
-	for _, w := range []MemberState{own, second, third} {
-		plain = appendWord(plain, w)
+	for _, s := range []MemberState{own, second, third} {
+		plain = appendState(plain, s)
 	}
 	want := golden(t, "states.bin", plain)
 	assert.Equal(t, want, plain)
-	words, err := readWords(want, 3)
+	states, err := decodeStates(want, 3)
 	require.NoError(t, err)
-	assert.Equal(t, []MemberState{own, second, third}, words)
+	assert.Equal(t, []MemberState{own, second, third}, states)
 }
 
 // A sealed request to another relay.
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -1,7 +1,6 @@
 package membership
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand"
 	"slices"
@@ -12,309 +11,251 @@
 	"pgregory.net/rapid"
 )
 
-var key = []byte("a key of the fleet's")
-
-// net carries datagrams between relays under virtual time.
-type net struct {
-	now     float64
-	chance  *rand.Rand
-	queue   events
-	seq     int
-	relays  map[string]*View // by address
-	stopped map[string]bool
-	loss    float64
-	double  float64
-	cut     func(from, to string) bool
-}
-
-type event struct {
-	at  float64
-	seq int
-	do  func()
-}
-
-type events []event
-
-func (q events) Len() int { return len(q) }
-func (q events) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
-}
-func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *events) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *events) Pop() any {
-	last := (*q)[len(*q)-1]
-	*q = (*q)[:len(*q)-1]
-	return last
-}
-
-func newNet(seed int64) *net {
-	return &net{now: 1e6, chance: rand.New(rand.NewSource(seed)), relays: map[string]*View{},
-		stopped: map[string]bool{}, cut: func(string, string) bool { return false }}
-}
-
-func (n *net) after(wait float64, do func()) {
-	n.seq++
-	heap.Push(&n.queue, event{n.now + wait, n.seq, do})
-}
-
-func (n *net) run(for_ float64) {
-	for until := n.now + for_; ; {
-		if len(n.queue) == 0 || n.queue[0].at > until {
-			n.now = until
-			return
-		}
-		e := heap.Pop(&n.queue).(event)
-		n.now = e.at
-		e.do()
-	}
-}
-
-func address(i int) string { return fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250) }
-
-// start begins a life; all know the first three relays as seeds.
-func (n *net) start(i int, boot uint64) *View {
-	at := address(i)
-	var seeds []string
-	for s := range 3 {
-		if s != i {
-			seeds = append(seeds, address(s))
-		}
-	}
-	p := New(n.now, MemberState{Name: fmt.Sprintf("r%d", i), Zone: "a", Address: at, Boot: boot,
-		Incarnation: n.chance.Uint64()},
-		seeds, key, rand.New(rand.NewSource(n.chance.Int63())))
-	n.relays[at] = p
-	n.tick(at, p)
-	return p
-}
-
-func (n *net) tick(at string, p *View) {
-	n.after(max(p.NextTick()-n.now, 1), func() {
-		if n.relays[at] != p {
-			return
-		}
-		if !n.stopped[at] {
-			n.send(at, p.Tick(n.now))
-		}
-		n.tick(at, p)
-	})
-}
-
-func (n *net) send(from string, all []Datagram) {
-	for _, d := range all {
-		times := 1
-		if n.chance.Float64() < n.loss {
-			times = 0
-		} else if n.chance.Float64() < n.double {
-			times = 2
-		}
-		for range times {
-			n.after(0.2+5*n.chance.Float64(), func() {
-				if to := n.relays[d.To]; to != nil && !n.stopped[d.To] && !n.cut(from, d.To) {
-					n.send(d.To, to.Receive(n.now, from, d.Data))
-				}
-			})
-		}
-	}
-}
-
-func states(p *View, now float64) (all [3]int) {
-	for _, m := range p.Members(now) {
-		all[m.Liveness]++
-	}
-	return all
-}
-
-func TestDeathIsKnown(t *testing.T) {
+func TestDeathIsDetectedByAll(t *testing.T) {
 	for _, c := range []struct {
+		name     string
 		relays   int
-		loss     float64
-		joined   float64 // ms until all know all
-		detected float64 // ms until all hold one that died to be gone
-	}{{3, 0, 2000, 4000}, {12, 0, 2000, 4000}, {12, 0.2, 3000, 6000}, {60, 0.2, 8000, 16000}} {
-		n := newNet(int64(c.relays))
-		n.loss, n.double = c.loss, 0.1
-		for i := range c.relays {
-			n.start(i, 1)
-		}
-		n.run(c.joined)
-		for at, p := range n.relays {
-			require.Equal(t, c.relays-1, states(p, n.now)[Alive]+states(p, n.now)[Suspected], "%s of %d", at, c.relays)
-		}
-		bad := 0
-		for range 100 { // 20 s without a false word
-			n.run(200)
-			for _, p := range n.relays {
-				bad += states(p, n.now)[Gone]
+		lossRate float64
+		joined   float64 // milliseconds until all know all
+		detected float64 // milliseconds until all see as gone one that died
+	}{
+		{"three relays", 3, 0, 2000, 4000},
+		{"twelve relays", 12, 0, 2000, 4000},
+		{"twelve relays, a fifth of the datagrams lost", 12, 0.2, 3000, 6000},
+		{"sixty relays, a fifth of the datagrams lost", 60, 0.2, 8000, 16000},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			n := newNetwork(int64(c.relays))
+			n.lossRate = c.lossRate
+			n.doubleRate = 0.1
+			n.startAll(c.relays)
+			n.run(c.joined)
+			for at, v := range n.relays {
+				counts := countByLiveness(v, n.now)
+				require.Equal(t, c.relays-1, counts[Alive]+counts[Suspected], at)
 			}
-		}
-		assert.Zero(t, bad, "false deaths of %d at loss %v", c.relays, c.loss)
-		delete(n.relays, address(c.relays-1))
-		n.run(c.detected)
-		for at, p := range n.relays {
-			assert.Equal(t, 1, states(p, n.now)[Gone], "%s of %d", at, c.relays)
-			assert.Equal(t, Gone, find(p, n.now, fmt.Sprintf("r%d", c.relays-1)).Liveness)
-		}
+			falseDeaths := 0
+			for range 100 {
+				n.run(200)
+				for _, v := range n.relays {
+					falseDeaths += countByLiveness(v, n.now)[Gone]
+				}
+			}
+			assert.Zero(t, falseDeaths, "in 20 s")
+			dead := c.relays - 1
+			delete(n.relays, address(dead))
+			n.run(c.detected)
+			for at, v := range n.relays {
+				assert.Equal(t, 1, countByLiveness(v, n.now)[Gone], at)
+				assert.Equal(t, Gone, find(v, n.now, name(dead)).Liveness)
+			}
+		})
 	}
 }
 
-// A relay that was stopped and goes on holds nobody else for gone, and is back at once for the others.
-func TestStopped(t *testing.T) {
-	n := newNet(3)
-	for i := range 9 {
-		n.start(i, 1)
-	}
+// A relay that was stopped and goes on sees nobody else as gone, and is back at once for the others.
+func TestStoppedProcessResumes(t *testing.T) {
+	n := newNetwork(3)
+	n.startAll(9)
 	n.run(3000)
 	n.stopped[address(4)] = true
 	n.run(8000)
-	assert.Equal(t, Gone, find(n.relays[address(0)], n.now, "r4").Liveness)
+	assert.Equal(t, Gone, find(n.relays[address(0)], n.now, name(4)).Liveness)
 	n.stopped[address(4)] = false
 	n.run(300)
-	assert.Equal(t, [3]int{8, 0, 0}, states(n.relays[address(4)], n.now))
+	assert.Equal(t, [3]int{8, 0, 0}, countByLiveness(n.relays[address(4)], n.now))
 	n.run(1500)
-	assert.Equal(t, Alive, find(n.relays[address(0)], n.now, "r4").Liveness)
-}
-
-func find(p *View, now float64, name string) Member {
-	for _, m := range p.Members(now) {
-		if m.Name == name {
-			return m
-		}
-	}
-	return Member{Liveness: Gone}
+	assert.Equal(t, Alive, find(n.relays[address(0)], n.now, name(4)).Liveness)
 }
 
-// Two islands hold each other for gone, and find each other again without a seed's help.
-func TestIslands(t *testing.T) {
-	n := newNet(4)
-	for i := range 12 {
-		n.start(i, 1)
-	}
+// Two islands see each other as gone, and find each other again without a seed's help.
+func TestSeparatedIslandsMeetAgain(t *testing.T) {
+	n := newNetwork(4)
+	n.startAll(12)
 	n.run(3000)
-	island := func(at string) bool { return at < address(6) && len(at) == len(address(1)) }
-	n.cut = func(from, to string) bool { return island(from) != island(to) }
+	isOnIsland := func(at string) bool { return at < address(6) && len(at) == len(address(1)) }
+	n.isCut = func(from, to string) bool { return isOnIsland(from) != isOnIsland(to) }
 	n.run(8000)
-	assert.NotZero(t, states(n.relays[address(11)], n.now)[Gone])
-	n.cut = func(string, string) bool { return false }
+	assert.NotZero(t, countByLiveness(n.relays[address(11)], n.now)[Gone])
+	n.isCut = func(string, string) bool { return false }
 	n.run(8000)
-	for _, p := range n.relays {
-		assert.Equal(t, [3]int{11, 0, 0}, states(p, n.now))
+	for _, v := range n.relays {
+		assert.Equal(t, [3]int{11, 0, 0}, countByLiveness(v, n.now))
 	}
 }
 
-// A life that has forgotten its former ones takes a boot above them, and the order that it had.
-func TestForgottenLives(t *testing.T) {
-	n := newNet(5)
-	for i := range 5 {
-		n.start(i, 1)
-	}
-	p := n.relays[address(4)]
-	w := p.LocalState()
-	w.OrderNumber, w.Draining = 7, true
-	p.SetLocalState(w)
+// setOrder gives a relay an operators' order.
+func setOrder(v *View, number uint64, draining bool) {
+	s := v.LocalState()
+	s.OrderNumber = number
+	s.Draining = draining
+	v.SetLocalState(s)
+}
+
+// A relay that has forgotten its former incarnations takes a boot above them, and the order that it had.
+func TestForgottenStateIsLearnedFromOthers(t *testing.T) {
+	n := newNetwork(5)
+	n.startAll(5)
+	setOrder(n.relays[address(4)], 7, true)
 	n.run(3000)
+	var v *View
 	for range 3 {
-		old := n.relays[address(4)].LocalState().Boot
+		oldBoot := n.relays[address(4)].LocalState().Boot
 		delete(n.relays, address(4))
 		n.run(1000)
-		p = n.start(4, 1) // a wiped disk
+		v = n.start(4, 1) // a wiped disk
 		n.run(1000)
-		assert.Greater(t, p.LocalState().Boot, old)
-		assert.Equal(t, uint64(7), p.LocalState().OrderNumber)
-		assert.True(t, p.LocalState().Draining)
+		assert.Greater(t, v.LocalState().Boot, oldBoot)
+		assert.Equal(t, uint64(7), v.LocalState().OrderNumber)
+		assert.True(t, v.LocalState().Draining)
 	}
-	w = p.LocalState()
-	w.OrderNumber, w.Draining = 8, false // taken back
-	p.SetLocalState(w)
+	setOrder(v, 8, false)
 	n.run(1000)
 	delete(n.relays, address(4))
-	p = n.start(4, 1)
-	p.own.OrderNumber, p.own.Draining = 7, true // from an older copy of the disk
+	v = n.start(4, 1)
+	v.local.OrderNumber = 7 // from an older copy of the disk
+	v.local.Draining = true
 	n.run(2000)
-	assert.Equal(t, uint64(8), p.LocalState().OrderNumber)
-	assert.False(t, p.LocalState().Draining)
+	assert.Equal(t, uint64(8), v.LocalState().OrderNumber)
+	assert.False(t, v.LocalState().Draining)
 }
 
-// Two processes under one name see each other, and neither is taken for the other by its later word alone.
-func TestTwins(t *testing.T) {
-	n := newNet(6)
-	for i := range 5 {
-		n.start(i, 1)
-	}
-	twin := New(n.now, MemberState{Name: "r4", Address: address(9), Boot: 1, Incarnation: 99}, []string{address(0),
-		address(4)}, key,
-		rand.New(rand.NewSource(1)))
-	n.relays[address(9)] = twin
-	n.tick(address(9), twin)
+// Two processes under one name see each other, and no third relay is told of a duplicate by what is passed on.
+func TestDuplicateProcessIsSeen(t *testing.T) {
+	n := newNetwork(6)
+	n.startAll(5)
+	local := MemberState{Name: name(4), Address: address(9), Boot: 1, Incarnation: 99}
+	seeds := []string{address(0), address(4)}
+	duplicate := New(n.now, local, seeds, key, rand.New(rand.NewSource(1)))
+	n.relays[address(9)] = duplicate
+	n.scheduleTick(address(9), duplicate)
 	n.run(4000)
-	assert.NotZero(t, twin.DuplicateSeenAt)
+	assert.NotZero(t, duplicate.DuplicateSeenAt)
 	assert.NotZero(t, n.relays[address(4)].DuplicateSeenAt)
 	assert.Zero(t, n.relays[address(1)].DuplicateSeenAt)
 }
 
-func TestRefused(t *testing.T) {
-	n := newNet(7)
-	p := n.start(0, 1)
-	other := New(n.now, MemberState{Name: "x", Address: address(1), Incarnation: 5}, nil, []byte("another key"), n.chance)
-	good := New(n.now, MemberState{Name: "y", Address: address(2), Incarnation: 6}, nil, key, n.chance)
-	frame := good.frame(n.now, address(0), true).Data
-	spoil := func(at int, to byte) []byte {
-		data := slices.Clone(frame)
-		data[at] = to
+func TestBadDatagramsAreRejected(t *testing.T) {
+	n := newNetwork(7)
+	v := n.start(0, 1)
+	stranger := New(n.now, MemberState{Name: "x", Address: address(1), Incarnation: 5}, nil,
+		[]byte("another key"), n.rng)
+	friend := New(n.now, MemberState{Name: "y", Address: address(2), Incarnation: 6}, nil, key, n.rng)
+	good := friend.composeDatagram(n.now, address(0), true).Data
+	withByte := func(at int, value byte) []byte {
+		data := slices.Clone(good)
+		data[at] = value
 		return data
 	}
-	for name, data := range map[string][]byte{"another key": other.frame(n.now, "", true).Data, "nothing": nil,
-		"another version": spoil(3, 9), "a bit": spoil(30, frame[30]^1), "too long": make([]byte, 3000),
-		"cut": frame[:len(frame)-1]} {
-		assert.Empty(t, p.Receive(n.now, address(1), data), name)
-		assert.Empty(t, p.Members(n.now), name)
+	for _, c := range []struct {
+		name string
+		data []byte
+		want Counts // but for what was received
+	}{
+		{"another key", stranger.composeDatagram(n.now, "", true).Data, Counts{Unauthenticated: 1}},
+		{"nothing", nil, Counts{Malformed: 1}},
+		{"another version", withByte(3, 9), Counts{Malformed: 1}},
+		{"one bit flipped", withByte(30, good[30]^1), Counts{Unauthenticated: 1}},
+		{"too long", make([]byte, 3000), Counts{Malformed: 1}},
+		{"cut short", good[:len(good)-1], Counts{Unauthenticated: 1}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			before := v.Counts
+			assert.Empty(t, v.Receive(n.now, address(1), c.data))
+			assert.Empty(t, v.Members(n.now))
+			assert.Equal(t, c.want.Unauthenticated, v.Counts.Unauthenticated-before.Unauthenticated)
+			assert.Equal(t, c.want.Malformed, v.Counts.Malformed-before.Malformed)
+		})
 	}
-	assert.NotEmpty(t, p.Receive(n.now, address(2), frame))
+}
+
+// A flood of datagrams is answered no more often than the budget allows.
+func TestAnswersAreLimited(t *testing.T) {
+	n := newNetwork(7)
+	v := n.start(0, 1)
+	friend := New(n.now, MemberState{Name: "y", Address: address(2), Incarnation: 6}, nil, key, n.rng)
+	good := friend.composeDatagram(n.now, address(0), true).Data
+	assert.NotEmpty(t, v.Receive(n.now, address(2), good))
 	answers := 0
-	for range 1000 { // a flood of good ones is answered no more often than a bound has it
-		answers += len(p.Receive(n.now, address(2), frame))
+	for range 1000 {
+		answers += len(v.Receive(n.now, address(2), good))
 	}
-	assert.Less(t, answers, mostBack)
+	assert.Less(t, answers, maxAnswersPerSecond)
 }
 
-// Words in any order, doubled or lost, come to the same as in order: the last of each relay.
-func TestOrderDoesNotMatter(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		words := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) MemberState {
-			life := rapid.Uint64Range(1, 3).Draw(t, "life")
-			return MemberState{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"), Boot: life, Incarnation: life,
-				Heartbeat: rapid.Uint64Range(1, 5).Draw(t, "beat")}
-		}), 1, 20).Draw(t, "words")
-		shuffled := rapid.Permutation(append(slices.Clone(words), words...)).Draw(t, "order")
-		last := func(all []MemberState) (out []MemberState) {
-			p := New(0, MemberState{Name: "self", Incarnation: 1}, nil, key, rand.New(rand.NewSource(1)))
-			for _, w := range all {
-				p.hear(0, w, false)
-			}
-			for _, m := range p.Members(0) {
-				out = append(out, m.MemberState)
-			}
-			return out
+// States in any order, duplicated or lost, come to the same as in order: the last of each relay.
+func TestOrderOfStatesDoesNotMatter(t *testing.T) {
+	drawState := rapid.Custom(func(t *rapid.T) MemberState {
+		boot := rapid.Uint64Range(1, 3).Draw(t, "boot")
+		return MemberState{
+			Name:        rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"),
+			Boot:        boot,
+			Incarnation: boot,
+			Heartbeat:   rapid.Uint64Range(1, 5).Draw(t, "heartbeat"),
 		}
-		assert.Equal(t, last(words), last(shuffled))
 	})
+	mergeAll := func(states []MemberState) (merged []MemberState) {
+		v := New(0, MemberState{Name: "self", Incarnation: 1}, nil, key, rand.New(rand.NewSource(1)))
+		for _, s := range states {
+			v.merge(0, s, false)
+		}
+		for _, m := range v.Members(0) {
+			merged = append(merged, m.MemberState)
+		}
+		return merged
+	}
+	rapid.Check(t, func(t *rapid.T) {
+		states := rapid.SliceOfN(drawState, 1, 20).Draw(t, "states")
+		shuffled := rapid.Permutation(append(slices.Clone(states), states...)).Draw(t, "order")
+		assert.Equal(t, mergeAll(states), mergeAll(shuffled))
+	})
+}
+
+func TestOpen(t *testing.T) {
+	body := []byte("what do you hold?")
+	sealed := Seal(key, body)
+	changed := slices.Clone(sealed)
+	changed[0] ^= 1
+	for _, c := range []struct {
+		name   string
+		key    []byte
+		sealed []byte
+		want   error
+	}{
+		{"intact", key, sealed, nil},
+		{"another key", []byte("another key"), sealed, ErrWrongKey},
+		{"changed", key, changed, ErrWrongKey},
+		{"too short", key, sealed[:10], ErrNotSealed},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			opened, err := Open(c.key, c.sealed)
+			if c.want != nil {
+				assert.ErrorIs(t, err, c.want)
+				return
+			}
+			require.NoError(t, err)
+			assert.Equal(t, body, opened)
+		})
+	}
 }
 
-func FuzzTake(f *testing.F) {
-	p := New(0, MemberState{Name: "a", Address: "1.1.1.1:1", Incarnation: 3}, nil, key, rand.New(rand.NewSource(1)))
-	f.Add(p.frame(0, "", true).Data[header:])
+func FuzzReceive(f *testing.F) {
+	local := MemberState{Name: "a", Address: "1.1.1.1:1", Incarnation: 3}
+	v := New(0, local, nil, key, rand.New(rand.NewSource(1)))
+	f.Add(v.composeDatagram(0, "", true).Data[headerBytes:])
 	f.Add([]byte{1, 'x'})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		words, err := readWords(data, 1+len(data)%3)
+		states, err := decodeStates(data, 1+len(data)%3)
 		if err == nil {
-			for _, w := range words {
-				if back, err := readWords(appendWord(nil, w), 1); err != nil || back[0] != w {
-					t.Fatal(back, w, err)
+			for _, s := range states {
+				back, err := decodeStates(appendState(nil, s), 1)
+				if err != nil || back[0] != s {
+					t.Fatal(back, s, err)
 				}
 			}
 		}
-		sealed := p.seal(append(append(append([]byte{}, magic[:]...), 1, 1, 0), data...))
-		p.Receive(1, "x", sealed)
+		datagram := append(slices.Clone(magic[:]), 1, 1, 0)
+		v.Receive(1, "x", sealDatagram(key, append(datagram, data...)))
 	})
 }
 
@@ -322,44 +263,53 @@
 // docs/design/recovery.md.
 func BenchmarkFleet(b *testing.B) {
 	for _, c := range []struct {
-		relays int
-		loss   float64
+		relays   int
+		lossRate float64
 	}{{10, 0}, {100, 0}, {300, 0}, {300, 0.2}} {
-		b.Run(fmt.Sprint(c.relays, " loss ", c.loss), func(b *testing.B) {
+		b.Run(fmt.Sprint(c.relays, " loss ", c.lossRate), func(b *testing.B) {
 			for b.Loop() {
-				n := newNet(1)
-				n.loss = c.loss
-				for i := range c.relays {
-					n.start(i, 1)
-				}
+				n := newNetwork(1)
+				n.lossRate = c.lossRate
+				n.startAll(c.relays)
+				watched := n.relays[address(9)]
 				joined := 0.0
-				for ; joined < 60000 && states(n.relays[address(9)], n.now)[Alive] < c.relays-1; joined += 100 {
+				for joined < 60000 && countByLiveness(watched, n.now)[Alive] < c.relays-1 {
 					n.run(100)
+					joined += 100
 				}
 				n.run(5000)
-				before, bad := n.relays[address(9)].Counts, 0
+				before := watched.Counts
+				falseDeaths := 0
 				for range 20 {
 					n.run(500)
 					for i := range 10 {
-						bad += states(n.relays[address(i)], n.now)[Gone]
+						falseDeaths += countByLiveness(n.relays[address(i)], n.now)[Gone]
 					}
 				}
-				after := n.relays[address(9)].Counts
+				after := watched.Counts
 				b.ReportMetric(float64(after.SentBytes-before.SentBytes)/10000, "kB/s")
 				b.ReportMetric(float64(after.Received-before.Received)/10, "heard/s")
-				b.ReportMetric(float64(bad), "false")
+				b.ReportMetric(float64(falseDeaths), "false")
 				b.ReportMetric(joined/1000, "s/join")
 				delete(n.relays, address(5))
-				took := 0.0
-				for known := false; !known && took < 90000; took += 200 {
-					n.run(200)
-					known = true
-					for _, p := range n.relays {
-						known = known && find(p, n.now, "r5").Liveness == Gone
-					}
-				}
-				b.ReportMetric(took/1000, "s/death")
+				b.ReportMetric(detectionTime(n, name(5))/1000, "s/death")
 			}
 		})
 	}
 }
+
+// detectionTime runs until all see a relay as gone, and returns the milliseconds that it took, 90 s at most.
+func detectionTime(n *network, name string) (took float64) {
+	for took < 90000 {
+		n.run(200)
+		took += 200
+		known := true
+		for _, v := range n.relays {
+			known = known && find(v, n.now, name).Liveness == Gone
+		}
+		if known {
+			break
+		}
+	}
+	return took
+}
