--- /dev/null
+++ b/internal/store/dirfs.go
@@ -0,0 +1,66 @@
+package store
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"syscall"
+)
+
+const lockName = "lock"
+
+// DirFS is a folder of the file system, as an FS.
+type DirFS string
+
+func (f DirFS) path(name string) string { return filepath.Join(string(f), name) }
+
+// ListFiles returns the names of all files.
+func (f DirFS) ListFiles() (names []string, err error) {
+	entries, err := os.ReadDir(string(f))
+	for _, e := range entries {
+		names = append(names, e.Name())
+	}
+	return names, err
+}
+
+// ReadFile returns a file's content.
+func (f DirFS) ReadFile(name string) ([]byte, error) { return os.ReadFile(f.path(name)) }
+
+// OpenAppend opens a file to write at its end, and makes it where there is none.
+func (f DirFS) OpenAppend(name string) (File, error) {
+	return os.OpenFile(f.path(name), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+}
+
+// Rename gives a file another name.
+func (f DirFS) Rename(from, to string) error { return os.Rename(f.path(from), f.path(to)) }
+
+// Remove deletes a file.
+func (f DirFS) Remove(name string) error { return os.Remove(f.path(name)) }
+
+// SyncNames makes the files' names durable.
+func (f DirFS) SyncNames() error {
+	dir, err := os.Open(string(f))
+	if err != nil {
+		return err
+	}
+	defer dir.Close()
+	return dir.Sync()
+}
+
+// Lock holds the folder for this process. The kernel releases it when the process ends, however it does.
+func (f DirFS) Lock() (release func() error, err error) {
+	file, err := os.OpenFile(f.path(lockName), os.O_CREATE|os.O_RDWR, 0o600)
+	if err != nil {
+		return nil, err
+	}
+	err = syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
+	if err == nil {
+		return file.Close, nil
+	}
+	file.Close()
+	if errors.Is(err, syscall.EWOULDBLOCK) {
+		return nil, fmt.Errorf("%w: %s", ErrLocked, f)
+	}
+	return nil, err
+}
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -31,9 +31,9 @@
 // one deleted.
 func writeGolden(t *testing.T, folder DirFS) {
 	t.Helper()
-	s, found, err := Open(folder, "relay-1", plenty)
+	s, recovery, err := Open(folder, owner, plenty)
 	require.NoError(t, err)
-	require.True(t, found.IsNew)
+	require.True(t, recovery.IsNew)
 	put := func(r Record) {
 		s.Put(r, nil)
 		require.NoError(t, s.Flush())
@@ -73,10 +73,10 @@
 	require.NoError(t, err)
 	folder := DirFS(t.TempDir())
 	require.NoError(t, os.WriteFile(filepath.Join(string(folder), "log-00000001"), want, 0o600))
-	s, found, err := Open(folder, "relay-1", plenty)
+	s, recovery, err := Open(folder, owner, plenty)
 	require.NoError(t, err)
 	defer s.Close()
-	assert.Equal(t, Recovery{Records: len(goldenRecords()), LastBoot: 1 << 40}, found)
+	assert.Equal(t, Recovery{Records: len(goldenRecords()), LastBoot: 1 << 40}, recovery)
 	for _, r := range goldenRecords() {
 		got, isThere := s.Get(r.Kind, r.Key)
 		assert.True(t, isThere, r.Key)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -6,6 +6,7 @@
 	"math/rand"
 	"os"
 	"os/exec"
+	"slices"
 	"testing"
 	"time"
 
@@ -13,20 +14,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-const plenty = 64 << 20
+const (
+	owner    = "relay-1"
+	plenty   = 64 << 20
+	openPath = "STORE_FOLDER" // names the folder for TestHelperOpens
+)
 
 func open(t *testing.T, fs FS) (*Store, Recovery) {
 	t.Helper()
-	s, found, err := Open(fs, "relay-1", plenty)
+	s, recovery, err := Open(fs, owner, plenty)
 	require.NoError(t, err)
-	return s, found
+	return s, recovery
 }
 
 func put(s *Store, key, value string) {
 	s.Put(Record{Kind: KindOrder, Key: key, Boot: 1, Body: []byte(value)}, nil)
 }
 
-func holds(s *Store) map[string]string {
+// contents returns what put has put, by key.
+func contents(s *Store) map[string]string {
 	all := map[string]string{}
 	for _, r := range s.Records(KindOrder) {
 		all[r.Key] = string(r.Body)
@@ -34,146 +40,179 @@
 	return all
 }
 
-// Power is lost at each call of the disk in turn, and each call fails in turn: what was promised is there,
-// and every key has a value that was put and not one from before the last promise.
-func TestLossAtEveryWrite(t *testing.T) {
+// diskFault is what happens at one call of the disk.
+type diskFault uint8
+
+const (
+	powerLoss diskFault = iota
+	callFails
+)
+
+// The disk fails at each of its calls in turn: what was promised as durable is there, and every key has a value
+// that was put and not one from before the last promise. A disk whose syncs do nothing must be caught.
+func TestFaultAtEveryCall(t *testing.T) {
 	for _, c := range []struct {
-		name         string
-		fails, lying bool // a disk whose syncs do nothing must be caught
-	}{{"power is lost", false, false}, {"a call fails", true, false}, {"planted: syncs do nothing", false,
-		true}} {
-		var wrong []string
-		stop := 0
-		for reached := true; reached; stop++ {
-			var more []string
-			reached, more = lossAt(t, stop, c.fails, c.lying)
-			wrong = append(wrong, more...)
-		}
-		require.Greater(t, stop, 30, c.name)
-		if c.lying {
-			assert.NotEmpty(t, wrong, c.name)
-		} else {
-			assert.Empty(t, wrong, c.name)
-		}
+		name        string
+		fault       diskFault
+		ignoresSync bool
+	}{
+		{"power is lost", powerLoss, false},
+		{"a call fails", callFails, false},
+		{"planted: syncs do nothing", powerLoss, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var wrong []string
+			call := 0
+			for reached := true; reached; call++ {
+				var more []string
+				reached, more = playFaultAt(t, call, c.fault, c.ignoresSync)
+				wrong = append(wrong, more...)
+			}
+			require.Greater(t, call, 30)
+			if c.ignoresSync {
+				assert.NotEmpty(t, wrong)
+			} else {
+				assert.Empty(t, wrong)
+			}
+		})
 	}
 }
 
-type lost struct{}
+// lostPower is what a call of a disk panics with that loses power.
+type lostPower struct{}
 
-// lossAt plays one history up to that call of the disk; false where the history has fewer.
-func lossAt(t *testing.T, stop int, fails, lying bool) (reached bool, wrong []string) {
+// history is what a play has put, by key.
+type history struct {
+	promised map[string]string   // the last value that was reported as durable
+	putSince map[string][]string // the values put after that
+}
+
+// playFaultAt plays one history with a fault at that call of the disk. It returns false where the history has
+// fewer calls, and a text for each key with a wrong value after the recovery.
+func playFaultAt(t *testing.T, faultyCall int, fault diskFault, ignoresSync bool) (reached bool, wrong []string) {
+	t.Helper()
 	disk := NewMemoryFS()
-	disk.IgnoresSync = lying
-	chance := rand.New(rand.NewSource(int64(stop)))
+	disk.IgnoresSync = ignoresSync
+	rng := rand.New(rand.NewSource(int64(faultyCall)))
 	calls := 0
 	disk.InjectFault = func(string) error {
-		if calls++; calls != stop+1 {
+		calls++
+		if calls != faultyCall+1 {
 			return nil
 		}
 		reached = true
-		if fails {
+		if fault == callFails {
 			return ErrNoSpace
 		}
-		panic(lost{})
+		panic(lostPower{})
 	}
-	promised, since := map[string]string{}, map[string][]string{} // what was put after the promise, by key
-	func() {
-		defer func() {
-			if p := recover(); p != nil && p != (lost{}) {
-				panic(p)
-			}
-		}()
-		s, _, err := Open(disk, "relay-1", plenty)
-		require.NoError(t, err)
-		for i := range 40 {
-			key, value := fmt.Sprint(chance.Intn(6)), fmt.Sprint("v", i)
-			if chance.Intn(5) == 0 {
-				value = ""
-			}
-			since[key] = append(since[key], value)
-			said := false
-			s.Put(Record{Kind: KindOrder, Key: key, Body: []byte(value)}, func(err error) {
-				if err == nil && !said {
-					promised[key], since[key], said = value, nil, true
-				}
-			})
-			if i == 20 {
-				s.failed = true // so that it is written anew once in the middle
-			}
-			if chance.Intn(2) == 0 {
-				s.Flush()
-			}
-		}
-	}()
+	h := history{promised: map[string]string{}, putSince: map[string][]string{}}
+	playUntilPowerLoss(t, disk, rng, h)
 	disk.mutex.TryLock() // a panic under the disk's lock leaves it held
 	disk.mutex.Unlock()
 	disk.InjectFault = nil
-	disk.LosePower(func(unsynced int) int { return chance.Intn(unsynced + 1) })
-	s, found := open(t, disk)
-	got := holds(s)
-	for key := range since {
-		ok := got[key] == promised[key]
-		for _, v := range since[key] {
-			ok = ok || got[key] == v
-		}
-		if !ok {
-			wrong = append(wrong, fmt.Sprintf("stop %d, fails %t: %s is %q, promised %q, later %q (%+v)", stop, fails,
-				key, got[key], promised[key], since[key], found))
+	disk.LosePower(func(unsynced int) int { return rng.Intn(unsynced + 1) })
+
+	s, recovery := open(t, disk)
+	got := contents(s)
+	for key, putSince := range h.putSince {
+		if got[key] != h.promised[key] && !slices.Contains(putSince, got[key]) {
+			wrong = append(wrong, fmt.Sprintf("fault at call %d: %s is %q, promised %q, later %q (%+v)", faultyCall,
+				key, got[key], h.promised[key], putSince, recovery))
 		}
 	}
 	put(s, "after", "x") // and it can be written to again
 	require.NoError(t, s.Flush())
 	require.NoError(t, s.Close())
 	s, _ = open(t, disk)
-	assert.Equal(t, "x", holds(s)["after"])
+	assert.Equal(t, "x", contents(s)["after"])
 	return reached, wrong
 }
 
-func TestDamage(t *testing.T) {
-	build := func() *MemoryFS {
-		disk := NewMemoryFS()
-		s, _ := open(t, disk)
-		for i := range 20 {
-			put(s, fmt.Sprint(i), fmt.Sprint("value ", i))
-			require.NoError(t, s.Flush())
+// playUntilPowerLoss puts and deletes random keys, with a compaction in the middle.
+func playUntilPowerLoss(t *testing.T, disk *MemoryFS, rng *rand.Rand, h history) {
+	t.Helper()
+	defer func() {
+		if p := recover(); p != nil && p != (lostPower{}) {
+			panic(p)
+		}
+	}()
+	s, _, err := Open(disk, owner, plenty)
+	require.NoError(t, err)
+	for i := range 40 {
+		key := fmt.Sprint(rng.Intn(6))
+		value := fmt.Sprint("v", i)
+		if rng.Intn(5) == 0 {
+			value = ""
+		}
+		h.putSince[key] = append(h.putSince[key], value)
+		isPromised := false
+		s.Put(Record{Kind: KindOrder, Key: key, Body: []byte(value)}, func(err error) {
+			if err == nil && !isPromised {
+				isPromised = true
+				h.promised[key] = value
+				h.putSince[key] = nil
+			}
+		})
+		if i == 20 {
+			s.fileFailed = true // has the next flush compact
+		}
+		if rng.Intn(2) == 0 {
+			s.Flush()
 		}
-		require.NoError(t, s.Close())
-		return disk
 	}
+}
+
+func TestDamagedFiles(t *testing.T) {
+	const records = 20
 	for _, c := range []struct {
-		name    string
-		change  func(name string, data []byte) []byte
-		least   int // records left
-		most    int
-		damaged bool
+		name      string
+		damage    func(name string, data []byte) []byte
+		minLeft   int
+		maxLeft   int
+		isDamaged bool
 	}{
 		{"whole", func(_ string, d []byte) []byte { return d }, 20, 20, false},
 		{"torn tail", func(_ string, d []byte) []byte { return d[:len(d)-5] }, 19, 19, false},
-		{"one bit in the middle", func(_ string, d []byte) []byte { d[len(d)/2] ^= 4; return d }, 18, 19, true},
-		{"a length that can't be", func(_ string, d []byte) []byte { d[len(d)/2+1] = 255; return d }, 17, 19, true},
-		{"zeros at the end", func(_ string, d []byte) []byte { return append(d, make([]byte, 4096)...) }, 20, 20,
-			false},
+		{"one bit in the middle", func(_ string, d []byte) []byte {
+			d[len(d)/2] ^= 4
+			return d
+		}, 18, 19, true},
+		{"an impossible length", func(_ string, d []byte) []byte {
+			d[len(d)/2+1] = 255
+			return d
+		}, 17, 19, true},
+		{"zeros at the end", func(_ string, d []byte) []byte { return append(d, make([]byte, 4096)...) },
+			20, 20, false},
 		{"emptied", func(string, []byte) []byte { return nil }, 0, 0, false},
-		{"other things", func(string, []byte) []byte { return []byte("not a log at all, whatever it is") }, 0, 0,
-			false},
+		{"not a log", func(string, []byte) []byte { return []byte("not a log at all, whatever it is") },
+			0, 0, false},
 	} {
-		disk := build()
-		disk.MutateFiles(c.change)
-		s, found := open(t, disk)
-		assert.LessOrEqual(t, c.least, found.Records, c.name)
-		assert.GreaterOrEqual(t, c.most, found.Records, c.name)
-		assert.Equal(t, c.damaged, found.Damaged > 0, c.name)
-		for key, v := range holds(s) {
-			assert.Equal(t, "value "+key, v, c.name)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			disk := NewMemoryFS()
+			s, _ := open(t, disk)
+			for i := range records {
+				put(s, fmt.Sprint(i), fmt.Sprint("value ", i))
+				require.NoError(t, s.Flush())
+			}
+			require.NoError(t, s.Close())
+			disk.MutateFiles(c.damage)
+			s, recovery := open(t, disk)
+			assert.LessOrEqual(t, c.minLeft, recovery.Records)
+			assert.GreaterOrEqual(t, c.maxLeft, recovery.Records)
+			assert.Equal(t, c.isDamaged, recovery.Damaged > 0)
+			for key, value := range contents(s) {
+				assert.Equal(t, "value "+key, value)
+			}
+		})
 	}
 }
 
-func TestFolderKeptApart(t *testing.T) {
+func TestFolderHasOneOwner(t *testing.T) {
 	disk := NewMemoryFS()
-	s, found := open(t, disk)
-	assert.True(t, found.IsNew)
-	_, _, err := Open(disk, "relay-1", plenty)
+	s, recovery := open(t, disk)
+	assert.True(t, recovery.IsNew)
+	_, _, err := Open(disk, owner, plenty)
 	assert.ErrorIs(t, err, ErrLocked)
 	put(s, "a", "1")
 	require.NoError(t, s.Close())
@@ -182,25 +221,26 @@
 	assert.ErrorIs(t, err, ErrOtherOwner)
 	assert.ErrorContains(t, err, `"relay-1"`)
 	assert.Equal(t, before.files, disk.files)
-	_, found = open(t, disk)
-	assert.Equal(t, 1, found.Records)
-	assert.Equal(t, uint64(1), found.LastBoot)
+	_, recovery = open(t, disk)
+	assert.Equal(t, 1, recovery.Records)
+	assert.Equal(t, uint64(1), recovery.LastBoot)
 }
 
-func TestBounded(t *testing.T) {
+func TestSizeIsLimited(t *testing.T) {
 	disk := NewMemoryFS()
-	s, _, err := Open(disk, "relay-1", 10000)
+	s, _, err := Open(disk, owner, 10000)
 	require.NoError(t, err)
-	var full error
+	var lastErr error
 	for i := range 1000 {
-		s.Put(Record{Kind: KindAttemptMarker, Key: fmt.Sprint(i), Body: make([]byte, 20)}, func(err error) {
+		r := Record{Kind: KindAttemptMarker, Key: fmt.Sprint(i), Body: make([]byte, 20)}
+		s.Put(r, func(err error) {
 			if err != nil {
-				full = err
+				lastErr = err
 			}
 		})
 	}
 	require.NoError(t, s.Flush())
-	assert.ErrorIs(t, full, ErrFull)
+	assert.ErrorIs(t, lastErr, ErrFull)
 	for i := range 40000 { // one record put over and over does not make the files grow without end
 		s.Put(Record{Kind: KindAttemptMarker, Key: "1", Body: make([]byte, 20), Boot: uint64(i)}, nil)
 		if i%500 == 0 {
@@ -212,11 +252,11 @@
 	for _, f := range disk.files {
 		total += len(f.data)
 	}
-	assert.Less(t, total, 2*compact)
+	assert.Less(t, total, 2*compactAboveBytes)
 }
 
-// A disk that is full, or slow, stops nobody: Put returns at once, and what holds is written once it can be.
-func TestFullThenWell(t *testing.T) {
+// A disk that is full stops nobody: Put returns at once, and the live records are written once they can be.
+func TestFullDiskRecovers(t *testing.T) {
 	disk := NewMemoryFS()
 	disk.InjectFault = func(call string) error {
 		if call == "write" || call == "append" {
@@ -225,50 +265,53 @@
 		return nil
 	}
 	s, _ := open(t, disk)
-	var said []error
-	s.Put(Record{Kind: KindOrder, Key: "a", Body: []byte("1")}, func(err error) { said = append(said, err) })
-	assert.Error(t, s.Flush())
+	var results []error
+	s.Put(Record{Kind: KindOrder, Key: "a", Body: []byte("1")}, func(err error) { results = append(results, err) })
+	assert.ErrorIs(t, s.Flush(), ErrNoSpace)
 	disk.InjectFault = nil
 	require.NoError(t, s.Flush())
-	assert.Equal(t, []error{ErrNoSpace}, said)
+	require.Len(t, results, 1, "the caller is told once")
+	assert.ErrorIs(t, results[0], ErrNoSpace)
 	require.NoError(t, s.Close())
 	s, _ = open(t, disk)
-	assert.Equal(t, map[string]string{"a": "1"}, holds(s))
+	assert.Equal(t, map[string]string{"a": "1"}, contents(s))
 }
 
-// A process that is killed lets go of its folder; one that lives keeps others out.
-func TestFolder(t *testing.T) {
+// A process that ends releases its folder; one that lives keeps others out.
+func TestFolderIsLockedByProcess(t *testing.T) {
 	dir := DirFS(t.TempDir())
 	s, _ := open(t, dir)
 	put(s, "a", "1")
 	require.NoError(t, s.Flush())
 	other := exec.Command(os.Args[0], "-test.run=TestHelperOpens")
-	other.Env = append(os.Environ(), "STORE_FOLDER="+string(dir))
-	said, err := other.CombinedOutput()
+	other.Env = append(os.Environ(), openPath+"="+string(dir))
+	output, err := other.CombinedOutput()
 	require.NoError(t, err)
-	assert.Contains(t, string(said), "held by another process")
+	assert.Contains(t, string(output), "held by another process")
 	require.NoError(t, s.Close())
-	s, found := open(t, dir)
-	assert.Equal(t, map[string]string{"a": "1"}, holds(s))
-	assert.Zero(t, found.Damaged+found.TornBytes)
+	s, recovery := open(t, dir)
+	assert.Equal(t, map[string]string{"a": "1"}, contents(s))
+	assert.Zero(t, recovery.Damaged+recovery.TornBytes)
 }
 
 func TestHelperOpens(t *testing.T) {
-	dir := os.Getenv("STORE_FOLDER")
+	dir := os.Getenv(openPath)
 	if dir == "" {
 		t.Skip("is run by another test, as a process of its own")
 	}
-	_, _, err := Open(DirFS(dir), "relay-1", plenty)
+	_, _, err := Open(DirFS(dir), owner, plenty)
 	fmt.Println(err)
 }
 
-// Against a plain map, over random orders with reopening.
+// The store holds the same as a plain map, over random puts and deletes with reopening.
 func TestAgainstMap(t *testing.T) {
-	chance := rand.New(rand.NewSource(7))
-	disk, want := NewMemoryFS(), map[string]string{}
+	rng := rand.New(rand.NewSource(7))
+	disk := NewMemoryFS()
+	want := map[string]string{}
 	s, _ := open(t, disk)
 	for i := range 3000 {
-		switch key := fmt.Sprint(chance.Intn(50)); chance.Intn(12) {
+		key := fmt.Sprint(rng.Intn(50))
+		switch rng.Intn(12) {
 		case 0:
 			delete(want, key)
 			put(s, key, "")
@@ -280,41 +323,42 @@
 			want[key] = fmt.Sprint(i)
 			put(s, key, want[key])
 		}
-		assert.True(t, maps.Equal(want, holds(s)))
+		assert.True(t, maps.Equal(want, contents(s)))
 	}
 }
 
 func FuzzRead(f *testing.F) {
-	whole := encode(encode(nil, "relay-1", Record{Kind: KindHeader, Key: "copy"}), "relay-1",
-		Record{Kind: KindOrder, Key: "a", Body: []byte("1")})
-	f.Add(whole)
-	f.Add(whole[:len(whole)-3])
+	log := appendFrame(nil, owner, Record{Kind: KindHeader, Key: copyHeader})
+	log = appendFrame(log, owner, Record{Kind: KindOrder, Key: "a", Body: []byte("1")})
+	f.Add(log)
+	f.Add(log[:len(log)-3])
 	f.Fuzz(func(t *testing.T, data []byte) {
 		disk := NewMemoryFS()
-		disk.files[fileName(1)] = &memoryFile{data, len(data)}
-		s, _, err := Open(disk, "relay-1", plenty)
-		if err == nil {
-			put(s, "b", "2")
-			if s.Flush() != nil || holds(s)["b"] != "2" {
-				t.Fatal("can't be written to")
-			}
+		disk.files[fileName(1)] = &memoryFile{data: data, durableBytes: len(data)}
+		s, _, err := Open(disk, owner, plenty)
+		if err != nil {
+			return
+		}
+		put(s, "b", "2")
+		if s.Flush() != nil || contents(s)["b"] != "2" {
+			t.Fatal("can't be written to")
 		}
 	})
 }
 
-// A million records back: the figure is in docs/design/recovery.md.
+// A million records are recovered: the figure is in docs/design/recovery.md.
 func BenchmarkMillion(b *testing.B) {
 	disk := NewMemoryFS()
-	s, _, _ := Open(disk, "relay-1", 1<<30)
+	s, _, _ := Open(disk, owner, 1<<30)
 	for i := range 1000000 {
 		s.Put(Record{Kind: KindAttemptMarker, Key: fmt.Sprintf("%016x", i), Boot: 3, Body: make([]byte, 24)}, nil)
 	}
 	s.Close()
 	for b.Loop() {
 		began := time.Now()
-		s, found, err := Open(disk, "relay-1", 1<<30)
-		if err != nil || found.Records != 1000000 {
-			b.Fatal(err, found)
+		s, recovery, err := Open(disk, owner, 1<<30)
+		if err != nil || recovery.Records != 1000000 {
+			b.Fatal(err, recovery)
 		}
 		b.ReportMetric(time.Since(began).Seconds(), "s/open")
 		s.Close()
