--- a/internal/testbed/faultdisk/faultdisk.go
+++ b/internal/testbed/faultdisk/faultdisk.go
@@ -1,5 +1,6 @@
-// Package faultdisk is a disk for the lab's build of the relay: what was not synced is gone when the process is
-// killed, as at a power loss, and a file beside the store's, named faults, has it be full, read-only or slow.
+// Package faultdisk is the disk of the programs that are built with the tag faultdisk. What was not synced is
+// gone when the process is killed, as at a power loss, and a file beside the store's own has the disk be full,
+// read-only or slow.
 package faultdisk
 
 import (
@@ -13,95 +14,111 @@
 	"valeshift/internal/store"
 )
 
-// FaultsFile is the file that says what is wrong with the disk, in words: full, read-only, slow.
+// FaultsFile is the name of the file, in the store's folder, that names what is wrong with the disk: any of the
+// words full, read-only and slow.
 const FaultsFile = "faults"
 
-const slow = 10 * time.Second
+// fault is a word of the faults file.
+type fault string
 
+const (
+	faultFull     fault = "full"
+	faultReadOnly fault = "read-only"
+	faultSlow     fault = "slow"
+)
+
+const slowDelay = 10 * time.Second
+
+// folder is a folder of the file system that fails as its faults file says.
 type folder struct{ store.DirFS }
 
-// Folder is a folder with these faults.
-func Folder(path string) store.FS { return folder{store.DirFS(path)} }
+// New returns the folder at a path as a disk with faults.
+func New(path string) store.FS { return folder{store.DirFS(path)} }
 
-func (f folder) faulty(what string) bool {
+func (f folder) has(wanted fault) bool {
 	text, err := os.ReadFile(filepath.Join(string(f.DirFS), FaultsFile))
-	return err == nil && strings.Contains(string(text), what)
+	return err == nil && strings.Contains(string(text), string(wanted))
+}
+
+// writeError returns the error that a write gets, or nil.
+func (f folder) writeError() error {
+	switch {
+	case f.has(faultFull):
+		return syscall.ENOSPC
+	case f.has(faultReadOnly):
+		return syscall.EROFS
+	}
+	return nil
 }
 
-// ListFiles leaves the lab's own file out, and takes its time on a slow disk.
+// ListFiles leaves the faults file out. It is the call that a slow disk delays.
 func (f folder) ListFiles() (names []string, err error) {
-	if f.faulty("slow") {
-		time.Sleep(slow)
+	if f.has(faultSlow) {
+		time.Sleep(slowDelay)
 	}
 	all, err := f.DirFS.ListFiles()
-	for _, n := range all {
-		if n != FaultsFile {
-			names = append(names, n)
+	for _, name := range all {
+		if name != FaultsFile {
+			names = append(names, name)
 		}
 	}
 	return names, err
 }
 
-func (f folder) writes() error {
-	switch {
-	case f.faulty("full"):
-		return syscall.ENOSPC
-	case f.faulty("read-only"):
-		return syscall.EROFS
-	}
-	return nil
-}
-
 func (f folder) OpenAppend(name string) (store.File, error) {
-	if err := f.writes(); err != nil {
+	if err := f.writeError(); err != nil {
+		return nil, err
+	}
+	opened, err := f.DirFS.OpenAppend(name)
+	if err != nil {
 		return nil, err
 	}
-	inner, err := f.DirFS.OpenAppend(name)
-	return &file{f, inner, nil}, err
+	return &file{File: opened, folder: f}, nil
 }
 
 func (f folder) Rename(from, to string) error {
-	if err := f.writes(); err != nil {
+	if err := f.writeError(); err != nil {
 		return err
 	}
 	return f.DirFS.Rename(from, to)
 }
 
-// file holds what is written back until it is synced.
+// file holds back what is written until it is synced.
 type file struct {
-	folder folder
 	store.File
-	held []byte
+	folder   folder
+	unsynced []byte
 }
 
 func (f *file) Write(data []byte) (int, error) {
-	if err := f.folder.writes(); err != nil {
+	if err := f.folder.writeError(); err != nil {
 		return 0, err
 	}
-	f.held = append(f.held, data...)
+	f.unsynced = append(f.unsynced, data...)
 	return len(data), nil
 }
 
 func (f *file) Sync() error {
-	if err := f.folder.writes(); err != nil {
+	if err := f.folder.writeError(); err != nil {
 		return err
 	}
-	if _, err := f.File.Write(f.held); err != nil {
+	if _, err := f.File.Write(f.unsynced); err != nil {
 		return err
 	}
-	f.held = nil
+	f.unsynced = nil
 	return f.File.Sync()
 }
 
-// Clock is how far a machine's clock is off: milliseconds in a file. None where it can't be read.
-func Clock(path string) time.Duration {
+// ReadClockOffset returns by how much a machine's clock is off: the milliseconds that the file at the path
+// holds, or zero where it can't be read.
+func ReadClockOffset(path string) time.Duration {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return 0
 	}
-	ms, err := strconv.ParseFloat(strings.TrimSpace(string(text)), 64)
+	millis, err := strconv.ParseFloat(strings.TrimSpace(string(text)), 64)
 	if err != nil {
 		return 0
 	}
-	return time.Duration(ms * float64(time.Millisecond))
+	return time.Duration(millis * float64(time.Millisecond))
 }
--- a/internal/testbed/netem/netem_test.go
+++ b/internal/testbed/netem/netem_test.go
@@ -5,6 +5,8 @@
 	"io"
 	"math/rand"
 	"net"
+	"os"
+	"slices"
 	"testing"
 	"time"
 
@@ -12,110 +14,125 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echo answers bytes and datagrams with themselves.
-func echo(t *testing.T) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// echoServer answers TCP connections and datagrams with what they say, at the address that it returns.
+func echoServer(t *testing.T) (address string) {
+	t.Helper()
+	listener, socket, err := listenBoth("127.0.0.1")
 	require.NoError(t, err)
-	u, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(l.Addr().(*net.TCPAddr).AddrPort()))
-	require.NoError(t, err)
-	t.Cleanup(func() { l.Close(); u.Close() })
+	t.Cleanup(func() {
+		listener.Close()
+		socket.Close()
+	})
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go func() { io.Copy(c, c); c.Close() }()
+			go func() {
+				io.Copy(c, c)
+				c.Close()
+			}()
 		}
 	}()
 	go func() {
-		b := make([]byte, 2048)
+		buffer := make([]byte, 2048)
 		for {
-			n, from, err := u.ReadFromUDP(b)
+			n, from, err := socket.ReadFromUDP(buffer)
 			if err != nil {
 				return
 			}
-			u.WriteToUDP(b[:n], from)
+			socket.WriteToUDP(buffer[:n], from)
 		}
 	}()
-	return l.Addr().String()
+	return listener.Addr().String()
+}
+
+// startProxy returns a proxy to an echo server.
+func startProxy(t *testing.T) *Proxy {
+	t.Helper()
+	p, err := New("127.0.0.1", echoServer(t), rand.New(rand.NewSource(1)))
+	require.NoError(t, err)
+	t.Cleanup(p.Close)
+	return p
 }
 
 func TestTCP(t *testing.T) {
 	const size = 4000
 	for _, c := range []struct {
-		name        string
-		there, back Impairment
-		least, most time.Duration
-		fails       bool
+		name    string
+		out     Impairment
+		in      Impairment
+		minTime time.Duration
+		maxTime time.Duration
+		isLost  bool
 	}{
-		{name: "open", most: 900 * time.Millisecond},
-		{name: "pieces", there: Impairment{MaxPiece: 100}, most: 2 * time.Second},
-		{name: "delay both ways", there: Impairment{Delay: 60}, back: Impairment{Delay: 60},
-			least: 110 * time.Millisecond, most: 2 * time.Second},
-		{name: "trickle", back: Impairment{BytesPerSecond: 10000}, least: 300 * time.Millisecond, most: 2 * time.Second},
-		{name: "cut there", there: Impairment{Cut: true}, fails: true},
-		{name: "cut back", back: Impairment{Cut: true}, fails: true},
-		{name: "reset", there: Impairment{Reset: true}, fails: true},
+		{name: "open", maxTime: 900 * time.Millisecond},
+		{name: "pieces", out: Impairment{MaxPiece: 100}, maxTime: 2 * time.Second},
+		{name: "delay both ways", out: Impairment{Delay: 60}, in: Impairment{Delay: 60},
+			minTime: 110 * time.Millisecond, maxTime: 2 * time.Second},
+		{name: "limited rate", in: Impairment{BytesPerSecond: 10000},
+			minTime: 300 * time.Millisecond, maxTime: 2 * time.Second},
+		{name: "cut outbound", out: Impairment{Cut: true}, isLost: true},
+		{name: "cut inbound", in: Impairment{Cut: true}, isLost: true},
+		{name: "reset", out: Impairment{Reset: true}, isLost: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w, err := New("127.0.0.1", echo(t), rand.New(rand.NewSource(1)))
-			require.NoError(t, err)
-			defer w.Close()
-			w.SetImpairments(c.there, c.back)
+			p := startProxy(t)
+			p.SetImpairments(c.out, c.in)
 			began := time.Now()
-			conn, err := net.Dial("tcp", w.Address)
+			conn, err := net.Dial("tcp", p.Address)
 			require.NoError(t, err)
 			defer conn.Close()
 			conn.SetDeadline(began.Add(3 * time.Second))
-			if c.fails {
+			if c.isLost {
 				conn.SetDeadline(began.Add(200 * time.Millisecond))
 			}
 			sent := bytes.Repeat([]byte("x"), size)
 			conn.Write(sent)
 			got := make([]byte, size)
 			_, err = io.ReadFull(conn, got)
-			if c.fails {
+			if c.isLost {
 				assert.Error(t, err)
 				return
 			}
 			require.NoError(t, err)
 			assert.Equal(t, sent, got)
-			assert.GreaterOrEqual(t, time.Since(began), c.least)
-			assert.Less(t, time.Since(began), c.most)
+			assert.GreaterOrEqual(t, time.Since(began), c.minTime)
+			assert.Less(t, time.Since(began), c.maxTime)
 		})
 	}
 }
 
-// What is cut comes once the way is open again: a connection is half open, not lost.
-func TestCutAndBack(t *testing.T) {
-	w, err := New("127.0.0.1", echo(t), rand.New(rand.NewSource(1)))
-	require.NoError(t, err)
-	defer w.Close()
-	conn, err := net.Dial("tcp", w.Address)
+// What is cut comes once the direction is open again: a connection is half open, not lost.
+func TestConnectionSurvivesCut(t *testing.T) {
+	p := startProxy(t)
+	conn, err := net.Dial("tcp", p.Address)
 	require.NoError(t, err)
 	defer conn.Close()
-	one := make([]byte, 1)
+	answer := make([]byte, 1)
 	conn.Write([]byte("a"))
-	_, err = io.ReadFull(conn, one)
+	_, err = io.ReadFull(conn, answer)
 	require.NoError(t, err)
-	w.SetImpairments(Impairment{Cut: true}, Impairment{})
+	p.SetImpairments(Impairment{Cut: true}, Impairment{})
 	conn.Write([]byte("b"))
 	conn.SetReadDeadline(time.Now().Add(60 * time.Millisecond))
-	_, err = conn.Read(one)
-	assert.Error(t, err)
-	w.SetImpairments(Impairment{}, Impairment{})
+	_, err = conn.Read(answer)
+	assert.ErrorIs(t, err, os.ErrDeadlineExceeded)
+	p.SetImpairments(Impairment{}, Impairment{})
 	conn.SetReadDeadline(time.Now().Add(2 * time.Second))
-	_, err = io.ReadFull(conn, one)
+	_, err = io.ReadFull(conn, answer)
 	require.NoError(t, err)
-	assert.Equal(t, "b", string(one))
+	assert.Equal(t, "b", string(answer))
 }
 
 func TestDatagrams(t *testing.T) {
+	const sent = 100
 	for _, c := range []struct {
-		name        string
-		there       Impairment
-		least, most int // answers to a hundred
+		name       string
+		out        Impairment
+		minAnswers int
+		maxAnswers int
 	}{
 		{"open", Impairment{}, 100, 100},
 		{"half lost", Impairment{Loss: 0.5}, 20, 80},
@@ -124,37 +141,33 @@
 		{"overtaken", Impairment{Reorder: 0.5}, 100, 100},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w, err := New("127.0.0.1", echo(t), rand.New(rand.NewSource(1)))
-			require.NoError(t, err)
-			defer w.Close()
-			w.SetImpairments(c.there, Impairment{})
-			conn, err := net.Dial("udp", w.Address)
+			p := startProxy(t)
+			p.SetImpairments(c.out, Impairment{})
+			conn, err := net.Dial("udp", p.Address)
 			require.NoError(t, err)
 			defer conn.Close()
-			order := []byte{}
-			b := make([]byte, 10)
-			read := func(wait time.Duration) {
-				for {
-					conn.SetReadDeadline(time.Now().Add(wait))
-					n, err := conn.Read(b)
-					if err != nil {
-						return
-					}
-					order = append(order, b[:n]...)
-				}
-			}
-			for i := range 100 { // one by one, against a socket's buffer running over
+			var answers []byte    // a number each
+			for i := range sent { // one by one, so that no socket's buffer runs over
 				conn.Write([]byte{byte(i)})
-				read(2 * time.Millisecond)
-			}
-			read(200 * time.Millisecond)
-			assert.GreaterOrEqual(t, len(order), c.least)
-			assert.LessOrEqual(t, len(order), c.most)
-			sorted := true
-			for i := 1; i < len(order); i++ {
-				sorted = sorted && order[i] >= order[i-1]
+				answers = append(answers, readAnswers(conn, 2*time.Millisecond)...)
 			}
-			assert.Equal(t, c.there.Reorder == 0, sorted)
+			answers = append(answers, readAnswers(conn, 200*time.Millisecond)...)
+			assert.GreaterOrEqual(t, len(answers), c.minAnswers)
+			assert.LessOrEqual(t, len(answers), c.maxAnswers)
+			assert.Equal(t, c.out.Reorder == 0, slices.IsSorted(answers))
 		})
 	}
 }
+
+// readAnswers returns what comes until nothing has come for that time.
+func readAnswers(conn net.Conn, wait time.Duration) (answers []byte) {
+	buffer := make([]byte, 10)
+	for {
+		conn.SetReadDeadline(time.Now().Add(wait))
+		n, err := conn.Read(buffer)
+		if err != nil {
+			return answers
+		}
+		answers = append(answers, buffer[:n]...)
+	}
+}
--- a/internal/testbed/procstat/procstat.go
+++ b/internal/testbed/procstat/procstat.go
@@ -1,5 +1,5 @@
-// Package procstat has what the lab needs of the machine to run programs beside itself: a free port, and what a
-// process has used.
+// Package procstat has what the testbed needs of the machine to run programs beside itself: a free port, and
+// what a process has used.
 package procstat
 
 import (
@@ -10,10 +10,20 @@
 	"strconv"
 )
 
-// FreeAddress gives an address on loopback whose port is free; it is given back to whoever listens there next.
+// The fields of /proc/PID/stat that are read, counted from the one behind the program's name (see proc(5)).
+const (
+	userTicksField     = 11
+	systemTicksField   = 12
+	residentPagesField = 21
+
+	ticksPerSecond = 100 // USER_HZ, the same on all Linux platforms that Go runs on
+)
+
+// FreeAddress returns a loopback address whose port is free. The port is released at once, so another process
+// may take it first.
 func FreeAddress() (string, error) { return FreeAddressOn("127.0.0.1") }
 
-// FreeAddressOn does so at that address of loopback.
+// FreeAddressOn does as FreeAddress for another loopback host.
 func FreeAddressOn(host string) (string, error) {
 	l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -23,17 +33,19 @@
 	return l.Addr().String(), nil
 }
 
-// Usage reads what a process has used of CPU, in seconds, and what memory it holds, in bytes; nothing of one
-// that is over.
-func Usage(pid int) (cpu float64, resident int64) {
+// Usage returns the CPU time that a process has used, in seconds, and the memory that it holds, in bytes; zeros
+// for a process that has ended.
+func Usage(pid int) (cpuSeconds float64, residentBytes int64) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, 0
 	}
+	// The program's name is in parentheses and may hold any character.
 	fields := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:])
-	number := func(i int) int64 {
-		v, _ := strconv.ParseInt(string(fields[i]), 10, 64)
-		return v
+	number := func(field int) int64 {
+		n, _ := strconv.ParseInt(string(fields[field]), 10, 64)
+		return n
 	}
-	return float64(number(11)+number(12)) / 100, number(21) * int64(os.Getpagesize())
+	ticks := number(userTicksField) + number(systemTicksField)
+	return float64(ticks) / ticksPerSecond, number(residentPagesField) * int64(os.Getpagesize())
 }
