--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -17,10 +17,10 @@
 
 const (
 	// MaxDescriptors is how many descriptors the operators' calls may hold, their listener included.
-	MaxDescriptors = mostOpen + 2 // one while the next is accepted and the longest open is let go
-	mostOpen       = 16
-	callTime       = 2 * time.Second // for a call to come, and again for its answer to be taken; callers wait one
-	headSize       = 4 << 10
+	MaxDescriptors = maxConns + 2 // one while the next is accepted and the longest open is let go
+	maxConns       = 16
+	callTimeout    = 2 * time.Second // for a call to come, and again for its answer to be taken; callers wait one
+	maxHeaderBytes = 4 << 10
 )
 
 // Metric is one published figure. A counter only grows; any other goes up and down.
@@ -44,16 +44,16 @@
 
 // Serve answers calls at the listener until that is closed.
 func Serve(listener net.Listener, relay Relay, log *slog.Logger) {
-	open := &callers{}
-	server := &http.Server{Handler: handler(relay), ReadTimeout: callTime, WriteTimeout: callTime,
-		MaxHeaderBytes: headSize, ConnState: open.changed,
+	open := &connLimiter{}
+	server := &http.Server{Handler: newHandler(relay), ReadTimeout: callTimeout, WriteTimeout: callTimeout,
+		MaxHeaderBytes: maxHeaderBytes, ConnState: open.observe,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
 	server.SetKeepAlivesEnabled(false)
 	log.Info("operators' calls", "listen", listener.Addr().String())
 	log.Warn("no more operators' calls", "err", server.Serve(listener))
 }
 
-func handler(relay Relay) http.Handler {
+func newHandler(relay Relay) http.Handler {
 	calls := http.NewServeMux() // another path is 404, another method 405
 	calls.HandleFunc("GET /_ready", func(w http.ResponseWriter, _ *http.Request) {
 		if relay.IsReady() {
@@ -100,19 +100,19 @@
 	return calls
 }
 
-// callers are the open connections in the order they came. Against some that finish no call keeping out the
+// connLimiter are the open connections in the order they came. Against some that finish no call keeping out the
 // next one: beyond the bound the one that has been open longest is closed, as a call takes milliseconds.
-type callers struct {
+type connLimiter struct {
 	mutex sync.Mutex
 	open  []net.Conn
 }
 
-func (c *callers) changed(conn net.Conn, state http.ConnState) {
+func (c *connLimiter) observe(conn net.Conn, state http.ConnState) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	switch state {
 	case http.StateNew:
-		if c.open = append(c.open, conn); len(c.open) > mostOpen {
+		if c.open = append(c.open, conn); len(c.open) > maxConns {
 			c.open[0].Close()
 			c.open = slices.Delete(c.open, 0, 1)
 		}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -106,7 +106,7 @@
 	s, address := serve(t)
 	s.ready.Store(true)
 	var stalled []net.Conn
-	for i := range 4 * mostOpen {
+	for i := range 4 * maxConns {
 		c, err := net.Dial("tcp", address)
 		require.NoError(t, err)
 		defer c.Close()
@@ -125,9 +125,9 @@
 			_, err = c.Read(make([]byte, 1))
 		}
 		assert.False(t, strings.Contains(err.Error(), "timeout"), "%d is still open", i)
-		if i < len(stalled)-mostOpen {
-			assert.Less(t, time.Since(from), callTime/2, "%d", i) // let go for those that came later
+		if i < len(stalled)-maxConns {
+			assert.Less(t, time.Since(from), callTimeout/2, "%d", i) // let go for those that came later
 		}
 	}
-	assert.Less(t, time.Since(from), callTime+2*time.Second)
+	assert.Less(t, time.Since(from), callTimeout+2*time.Second)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -37,7 +37,7 @@
 	Affinity        bool         `toml:"stood"`
 }
 
-const mostCopies = 7
+const maxCopies = 7
 
 // Coordinators says which voters decide in common on zones; without any each relay decides alone.
 type Coordinators struct {
@@ -62,13 +62,13 @@
 // Milliseconds is milliseconds, written like "250ms".
 type Milliseconds float64
 
-const mostAge = time.Minute
+const maxLength = time.Minute
 
 // UnmarshalText reads an age.
 func (a *Milliseconds) UnmarshalText(text []byte) error {
-	ms, ok := ParseMilliseconds(text, mostAge)
+	ms, ok := ParseMilliseconds(text, maxLength)
 	if !ok {
-		return fmt.Errorf("a length from 0 to %s expected, such as \"250ms\", got %q", mostAge, text)
+		return fmt.Errorf("a length from 0 to %s expected, such as \"250ms\", got %q", maxLength, text)
 	}
 	*a = Milliseconds(ms)
 	return nil
@@ -86,10 +86,10 @@
 	MaxMegabytes int    `toml:"most-mb"`
 }
 
-const mostMB = 64
+const defaultDiskMegabytes = 64
 
-// complete fills in and checks what the sections say, field by field.
-func (f *File) complete() error {
+// validate fills in and checks what the sections say, field by field.
+func (f *File) validate() error {
 	p := &f.Peers
 	for i, address := range append([]string{p.Listen}, p.Seeds...) {
 		field := "peers.listen"
@@ -108,8 +108,8 @@
 		return errors.New("peers.key-file: the path of a file expected, got nothing")
 	}
 	for _, name := range []struct{ field, value string }{{"peers.zone", p.Zone}, {"peers.region", p.Region}} {
-		if len(name.value) > mostName {
-			return fmt.Errorf("%s: %d bytes at the most expected, got %d", name.field, mostName, len(name.value))
+		if len(name.value) > maxNameBytes {
+			return fmt.Errorf("%s: %d bytes at the most expected, got %d", name.field, maxNameBytes, len(name.value))
 		}
 	}
 	for i, address := range f.Coordinators.Voters {
@@ -120,8 +120,8 @@
 	if len(f.Coordinators.Voters) > 0 && (p.Listen == "" || p.Zone == "") {
 		return errors.New("council.voters: peers.listen and peers.zone expected beside it, got nothing")
 	}
-	if n := f.Replication.Copies; n < 0 || n > mostCopies || (n > 0 && n%2 == 0) {
-		return fmt.Errorf("holdings.copies: 0, 1, 3, 5 or %d expected, got %d", mostCopies, n)
+	if n := f.Replication.Copies; n < 0 || n > maxCopies || (n > 0 && n%2 == 0) {
+		return fmt.Errorf("holdings.copies: 0, 1, 3, 5 or %d expected, got %d", maxCopies, n)
 	} else if n > 0 && (p.Listen == "" || f.Disk.Folder == "") {
 		return errors.New("holdings.copies: peers.listen and disk.folder expected beside it, got nothing")
 	}
@@ -129,12 +129,12 @@
 		return fmt.Errorf("disk.most-mb: no less than 0 expected, got %d", f.Disk.MaxMegabytes)
 	}
 	if f.Disk.Folder != "" && f.Disk.MaxMegabytes == 0 {
-		f.Disk.MaxMegabytes = mostMB
+		f.Disk.MaxMegabytes = defaultDiskMegabytes
 	}
 	return nil
 }
 
-const mostName = 64
+const maxNameBytes = 64
 
 // Log says what is logged to standard error, and how.
 type Log struct {
@@ -190,7 +190,7 @@
 	if err := DecodeStrict(text, f); err != nil {
 		return nil, err
 	}
-	if err := f.complete(); err != nil {
+	if err := f.validate(); err != nil {
 		return nil, fmt.Errorf(" %w", err)
 	}
 	return f, nil
--- a/internal/config/log.go
+++ b/internal/config/log.go
@@ -9,13 +9,13 @@
 
 // Logger is a log whose form and level can be changed while it is in use: the file is read again on SIGHUP.
 type Logger struct {
-	to  io.Writer
-	now atomic.Pointer[slog.Handler]
+	writer  io.Writer
+	current atomic.Pointer[slog.Handler]
 }
 
 // NewLogger logs to the writer as the section says.
 func NewLogger(to io.Writer, l Log) *Logger {
-	g := &Logger{to: to}
+	g := &Logger{writer: to}
 	g.Configure(l)
 	return g
 }
@@ -23,44 +23,46 @@
 // Configure has what is logged from now on follow the section.
 func (g *Logger) Configure(l Log) {
 	options := &slog.HandlerOptions{Level: l.Level, AddSource: l.Source}
-	var h slog.Handler = slog.NewTextHandler(g.to, options)
+	var h slog.Handler = slog.NewTextHandler(g.writer, options)
 	if l.Format == FormatJSON {
-		h = slog.NewJSONHandler(g.to, options)
+		h = slog.NewJSONHandler(g.writer, options)
 	}
-	g.now.Store(&h)
+	g.current.Store(&h)
 }
 
 // Slog is the log for those who write to it.
-func (g *Logger) Slog() *slog.Logger { return slog.New(&handler{from: g}) }
+func (g *Logger) Slog() *slog.Logger { return slog.New(&currentHandler{logger: g}) }
 
-// handler looks the present handler up at each record, and puts on it what it was given since it was made.
-type handler struct {
-	from *Logger
-	with []func(slog.Handler) slog.Handler
+// currentHandler looks the present handler up at each record, and puts on it what it was given since it was made.
+type currentHandler struct {
+	logger   *Logger
+	wrappers []func(slog.Handler) slog.Handler
 }
 
-func (h *handler) present() slog.Handler {
-	p := *h.from.now.Load()
-	for _, add := range h.with {
+func (h *currentHandler) resolve() slog.Handler {
+	p := *h.logger.current.Load()
+	for _, add := range h.wrappers {
 		p = add(p)
 	}
 	return p
 }
 
-func (h *handler) Enabled(ctx context.Context, l slog.Level) bool {
-	return (*h.from.now.Load()).Enabled(ctx, l)
+func (h *currentHandler) Enabled(ctx context.Context, l slog.Level) bool {
+	return (*h.logger.current.Load()).Enabled(ctx, l)
 }
 
-func (h *handler) Handle(ctx context.Context, r slog.Record) error { return h.present().Handle(ctx, r) }
+func (h *currentHandler) Handle(ctx context.Context, r slog.Record) error {
+	return h.resolve().Handle(ctx, r)
+}
 
-func (h *handler) and(add func(slog.Handler) slog.Handler) slog.Handler {
-	return &handler{h.from, append(h.with[:len(h.with):len(h.with)], add)}
+func (h *currentHandler) with(add func(slog.Handler) slog.Handler) slog.Handler {
+	return &currentHandler{h.logger, append(h.wrappers[:len(h.wrappers):len(h.wrappers)], add)}
 }
 
-func (h *handler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return h.and(func(p slog.Handler) slog.Handler { return p.WithAttrs(attrs) })
+func (h *currentHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return h.with(func(p slog.Handler) slog.Handler { return p.WithAttrs(attrs) })
 }
 
-func (h *handler) WithGroup(name string) slog.Handler {
-	return h.and(func(p slog.Handler) slog.Handler { return p.WithGroup(name) })
+func (h *currentHandler) WithGroup(name string) slog.Handler {
+	return h.with(func(p slog.Handler) slog.Handler { return p.WithGroup(name) })
 }
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -38,11 +38,11 @@
 // What this build leaves in the folder has the names and bytes that every build reads.
 func TestGoldenFilesAreWritten(t *testing.T) {
 	g, dir := readGolden(t), t.TempDir()
-	first, second := sit(t, dir), sit(t, dir)
+	first, second := acquire(t, dir), acquire(t, dir)
 	require.NoError(t, second.MarkReady())
 	require.NoError(t, first.SendHandoff(2, []byte(`{"Version":1}`)))
 	require.NoError(t, first.SendMessage(2, []byte{0, 1, 0xff}))
-	require.NoError(t, second.ServeSessions(func([]byte, [FilesPerSession]*os.File) (bool, func()) { return false, nil }))
+	require.NoError(t, second.ReceiveSessions(func([]byte, [FilesPerSession]*os.File) (bool, func()) { return false, nil }))
 	content := map[string]string{}
 	entries, err := os.ReadDir(dir)
 	require.NoError(t, err)
@@ -63,7 +63,7 @@
 // What another build has left is read.
 func TestGoldenFilesAreRead(t *testing.T) {
 	g, dir := readGolden(t), t.TempDir()
-	first := sit(t, dir)
+	first := acquire(t, dir)
 	require.NoError(t, os.WriteFile(filepath.Join(dir, g.Slot), []byte(g.Ready), 0o600))
 	other, err := os.Open(filepath.Join(dir, g.Slot))
 	require.NoError(t, err)
@@ -138,7 +138,7 @@
 	g, dir := readGolden(t), t.TempDir()
 	s := &Slot{dir: dir, number: 2}
 	alone := make(chan struct{}, 1)
-	require.NoError(t, s.ServeSessions(func(record []byte, _ [FilesPerSession]*os.File) (bool, func()) {
+	require.NoError(t, s.ReceiveSessions(func(record []byte, _ [FilesPerSession]*os.File) (bool, func()) {
 		switch string(record) {
 		case "taken":
 			return true, nil
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	most = 4 << 20 // bytes that one may leave, against a file of another's filling the memory
-	gap  = 10 * time.Millisecond
-	name = "valeshift.%d.%s"
-	seat = "seat"
-	left = "left" // for the process of that number
-	told = "told" // to it, by another
+	maxRecordBytes = 4 << 20 // bytes that one may leave, against a file of another's filling the memory
+	pollInterval   = 10 * time.Millisecond
+	name           = "valeshift.%d.%s"
+	slotKind       = "seat"
+	handoffKind    = "left" // for the process of that number
+	messageKind    = "told" // to it, by another
 )
 
 // Slot is this process's place.
@@ -54,7 +54,7 @@
 	}
 	for range 1000 {
 		s := &Slot{dir: dir, number: 1, file: file}
-		all, err := s.files()
+		all, err := s.slotFiles()
 		if err != nil {
 			file.Close()
 			return nil, err
@@ -62,7 +62,7 @@
 		for n := range all {
 			s.number = max(s.number, n+1)
 		}
-		switch err := os.Link(file.Name(), s.path(s.number, seat)); {
+		switch err := os.Link(file.Name(), s.path(s.number, slotKind)); {
 		case err == nil:
 			return s, nil
 		case !errors.Is(err, os.ErrExist): // taken by another meanwhile
@@ -80,8 +80,8 @@
 	return filepath.Join(s.dir, fmt.Sprintf(name, number, kind))
 }
 
-// files are the seats there are, dead or alive.
-func (s *Slot) files() (map[int]string, error) {
+// slotFiles are the seats there are, dead or alive.
+func (s *Slot) slotFiles() (map[int]string, error) {
 	entries, err := os.ReadDir(s.dir)
 	if err != nil {
 		return nil, fmt.Errorf("seat: %w", err)
@@ -89,7 +89,7 @@
 	all := map[int]string{}
 	for _, e := range entries {
 		part := strings.Split(e.Name(), ".")
-		if len(part) != 3 || part[0] != "valeshift" || part[2] != seat {
+		if len(part) != 3 || part[0] != "valeshift" || part[2] != slotKind {
 			continue
 		}
 		if n, err := strconv.Atoi(part[1]); err == nil && n > 0 {
@@ -102,7 +102,7 @@
 // Siblings are the elder and the younger processes that are alive: of each the nearest, with number 0 for none.
 // Files of dead ones are taken away, but for the highest number, so that none is given twice.
 func (s *Slot) Siblings() (elder, younger Process) {
-	all, err := s.files()
+	all, err := s.slotFiles()
 	if err != nil {
 		return elder, younger
 	}
@@ -110,12 +110,12 @@
 		if n == s.number {
 			continue
 		}
-		alive, ready := look(path)
+		alive, ready := inspectSlot(path)
 		switch o := (Process{n, ready}); {
 		case !alive && n < s.number:
 			os.Remove(path)
-			os.Remove(s.path(n, left))
-			os.Remove(s.path(n, told))
+			os.Remove(s.path(n, handoffKind))
+			os.Remove(s.path(n, messageKind))
 		case !alive:
 		case n < s.number && n > elder.Number:
 			elder = o
@@ -126,8 +126,8 @@
 	return elder, younger
 }
 
-// look tells whether the seat's owner lives, and whether it has said that it is ready.
-func look(path string) (alive, ready bool) {
+// inspectSlot tells whether the seat's owner lives, and whether it has said that it is ready.
+func inspectSlot(path string) (alive, ready bool) {
 	f, err := os.Open(path)
 	if err != nil {
 		return false, false
@@ -148,20 +148,26 @@
 }
 
 // SendHandoff leaves a record to the process of that number, whole or not at all.
-func (s *Slot) SendHandoff(number int, record []byte) error { return s.put(number, left, record) }
+func (s *Slot) SendHandoff(number int, record []byte) error {
+	return s.send(number, handoffKind, record)
+}
 
 // SendMessage tells something to the process of that number; what it has not heard yet is forgotten.
-func (s *Slot) SendMessage(number int, record []byte) error { return s.put(number, told, record) }
+func (s *Slot) SendMessage(number int, record []byte) error {
+	return s.send(number, messageKind, record)
+}
 
 // ReceiveHandoff waits for what an elder process leaves to this one, and takes it away.
-func (s *Slot) ReceiveHandoff(within time.Duration) ([]byte, error) { return s.get(left, within) }
+func (s *Slot) ReceiveHandoff(within time.Duration) ([]byte, error) {
+	return s.receive(handoffKind, within)
+}
 
 // ReceiveMessage takes what another process has told, where there is something new.
-func (s *Slot) ReceiveMessage() ([]byte, error) { return s.get(told, 0) }
+func (s *Slot) ReceiveMessage() ([]byte, error) { return s.receive(messageKind, 0) }
 
-func (s *Slot) put(number int, kind string, record []byte) error {
-	if len(record) > most {
-		return fmt.Errorf("record: %d bytes, %d at the most", len(record), most)
+func (s *Slot) send(number int, kind string, record []byte) error {
+	if len(record) > maxRecordBytes {
+		return fmt.Errorf("record: %d bytes, %d at the most", len(record), maxRecordBytes)
 	}
 	f, err := os.CreateTemp(s.dir, "valeshift.new.*")
 	if err != nil {
@@ -179,9 +185,9 @@
 	return nil
 }
 
-func (s *Slot) get(kind string, within time.Duration) ([]byte, error) {
+func (s *Slot) receive(kind string, within time.Duration) ([]byte, error) {
 	path := s.path(s.number, kind)
-	for until := time.Now().Add(within); ; time.Sleep(gap) {
+	for until := time.Now().Add(within); ; time.Sleep(pollInterval) {
 		f, err := os.Open(path)
 		if errors.Is(err, os.ErrNotExist) && time.Now().Before(until) {
 			continue
@@ -190,9 +196,9 @@
 		}
 		defer f.Close()
 		defer os.Remove(path)
-		record, err := io.ReadAll(io.LimitReader(f, most+1))
-		if err == nil && len(record) > most {
-			err = fmt.Errorf("more than %d bytes", most)
+		record, err := io.ReadAll(io.LimitReader(f, maxRecordBytes+1))
+		if err == nil && len(record) > maxRecordBytes {
+			err = fmt.Errorf("more than %d bytes", maxRecordBytes)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("record: %w", err)
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func sit(t *testing.T, dir string) *Slot {
+func acquire(t *testing.T, dir string) *Slot {
 	s, err := Acquire(dir)
 	require.NoError(t, err)
 	t.Cleanup(func() { s.file.Close() })
@@ -21,10 +21,10 @@
 
 func TestSeats(t *testing.T) {
 	dir := t.TempDir()
-	a := sit(t, dir)
+	a := acquire(t, dir)
 	elder, younger := a.Siblings()
 	assert.Equal(t, [2]Process{}, [2]Process{elder, younger}, "alone")
-	b := sit(t, dir)
+	b := acquire(t, dir)
 	_, younger = a.Siblings()
 	assert.Equal(t, Process{2, false}, younger)
 	elder, _ = b.Siblings()
@@ -32,7 +32,7 @@
 	require.NoError(t, b.MarkReady())
 	_, younger = a.Siblings()
 	assert.Equal(t, Process{2, true}, younger)
-	c := sit(t, dir)
+	c := acquire(t, dir)
 	elder, _ = c.Siblings()
 	assert.Equal(t, 2, elder.Number, "the nearest")
 	_, younger = a.Siblings()
@@ -45,7 +45,7 @@
 	elder, younger = c.Siblings()
 	assert.Equal(t, [2]Process{}, [2]Process{elder, younger})
 	assert.NoFileExists(t, filepath.Join(dir, "valeshift.1.seat"), "taken away")
-	assert.Equal(t, 4, sit(t, dir).number, "no number twice")
+	assert.Equal(t, 4, acquire(t, dir).number, "no number twice")
 
 	for _, name := range []string{"valeshift.x.seat", "valeshift.9.other", "other.9.seat", "valeshift.-3.seat"} {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), nil, 0o600))
@@ -78,7 +78,7 @@
 
 func TestLeft(t *testing.T) {
 	dir := t.TempDir()
-	a, b := sit(t, dir), sit(t, dir)
+	a, b := acquire(t, dir), acquire(t, dir)
 	from := time.Now()
 	_, err := b.ReceiveHandoff(50 * time.Millisecond)
 	assert.ErrorIs(t, err, os.ErrNotExist)
@@ -92,8 +92,8 @@
 	assert.Equal(t, "what I know", string(record))
 	_, err = b.ReceiveHandoff(0)
 	assert.ErrorIs(t, err, os.ErrNotExist, "taken once")
-	assert.ErrorContains(t, a.SendHandoff(2, make([]byte, most+1)), "at the most")
-	require.NoError(t, os.WriteFile(b.path(2, left), make([]byte, most+1), 0o600))
+	assert.ErrorContains(t, a.SendHandoff(2, make([]byte, maxRecordBytes+1)), "at the most")
+	require.NoError(t, os.WriteFile(b.path(2, handoffKind), make([]byte, maxRecordBytes+1), 0o600))
 	_, err = b.ReceiveHandoff(0)
 	assert.ErrorContains(t, err, "more than")
 	entries, err := os.ReadDir(dir)
@@ -139,13 +139,13 @@
 // have them.
 func TestPass(t *testing.T) {
 	dir := t.TempDir()
-	a, b := sit(t, dir), sit(t, dir)
+	a, b := acquire(t, dir), acquire(t, dir)
 	_, err := a.OpenChannel(2)
 	assert.Error(t, err, "nobody listens there")
 	var got []string
 	var kept [FilesPerSession]*os.File
 	alone := make(chan bool, 1)
-	require.NoError(t, b.ServeSessions(func(record []byte, files [FilesPerSession]*os.File) (bool, func()) {
+	require.NoError(t, b.ReceiveSessions(func(record []byte, files [FilesPerSession]*os.File) (bool, func()) {
 		got = append(got, string(record))
 		if string(record) != "good" {
 			return false, nil
@@ -169,7 +169,7 @@
 	gone, err := way.SendSession([]byte("bad"), fds)
 	assert.ErrorIs(t, err, ErrRejected)
 	assert.False(t, gone)
-	gone, err = way.SendSession(make([]byte, packet+1), fds)
+	gone, err = way.SendSession(make([]byte, maxPacketBytes+1), fds)
 	assert.ErrorContains(t, err, "at the most")
 	assert.False(t, gone)
 	_, _, err = way.conn.WriteMsgUnix([]byte("alone"), syscall.UnixRights(fds[0]), nil)
@@ -177,7 +177,7 @@
 	answer := make([]byte, 100)
 	n, err := way.conn.Read(answer)
 	require.NoError(t, err)
-	assert.Equal(t, refused, string(answer[:n]), "one descriptor")
+	assert.Equal(t, packetRejected, string(answer[:n]), "one descriptor")
 	gone, err = way.SendSession([]byte("good"), fds)
 	require.NoError(t, err)
 	assert.True(t, gone)
--- a/internal/hotrestart/pass.go
+++ b/internal/hotrestart/pass.go
@@ -13,13 +13,13 @@
 const FilesPerSession = 2
 
 const (
-	packet   = 16 << 10
-	passTime = 500 * time.Millisecond // for the other process's answer
-	way      = "way"                  // the socket of packets that the process of that number listens on
-	taken    = "taken"
-	waits    = "waits" // taken, and not touched until the elder has let go of its own descriptors
-	refused  = "refused"
-	free     = "free" // it has
+	maxPacketBytes = 16 << 10
+	answerTimeout  = 500 * time.Millisecond // for the other process's answer
+	socketKind     = "way"                  // the socket of packets that the process of that number listens on
+	packetAccepted = "taken"
+	packetWaiting  = "waits" // taken, and not touched until the elder has let go of its own descriptors
+	packetRejected = "refused"
+	packetReleased = "free" // it has
 )
 
 // ErrRejected says that the other process left the connections to this one.
@@ -29,10 +29,10 @@
 // alone, that is called once no other process holds the connections, or after a while.
 type SessionHandler func(record []byte, files [FilesPerSession]*os.File) (has bool, alone func())
 
-// ServeSessions has the packets that an elder process passes given to take; where that won't have them, the
+// ReceiveSessions has the packets that an elder process passes given to take; where that won't have them, the
 // descriptors are closed here and stay the elder's alone. It ends with the process.
-func (s *Slot) ServeSessions(take SessionHandler) error {
-	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Net: "unixpacket", Name: s.path(s.number, way)})
+func (s *Slot) ReceiveSessions(take SessionHandler) error {
+	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Net: "unixpacket", Name: s.path(s.number, socketKind)})
 	if err != nil {
 		return fmt.Errorf("way: %w", err)
 	}
@@ -44,7 +44,7 @@
 			}
 			go func() {
 				defer c.Close()
-				for takeOne(c, take) {
+				for receiveSession(c, take) {
 				}
 			}()
 		}
@@ -52,8 +52,8 @@
 	return nil
 }
 
-func takeOne(c *net.UnixConn, take SessionHandler) bool {
-	record, rights := make([]byte, packet), make([]byte, syscall.CmsgSpace(4*FilesPerSession))
+func receiveSession(c *net.UnixConn, take SessionHandler) bool {
+	record, rights := make([]byte, maxPacketBytes), make([]byte, syscall.CmsgSpace(4*FilesPerSession))
 	n, m, flags, _, err := c.ReadMsgUnix(record, rights)
 	if err != nil || n == 0 {
 		return false
@@ -66,12 +66,12 @@
 			files[i] = f
 		}
 	}
-	answer := refused
+	answer := packetRejected
 	var alone func()
 	if len(got) == FilesPerSession && flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) == 0 {
 		var has bool
 		if has, alone = take(record[:n], files); has {
-			answer = taken
+			answer = packetAccepted
 		}
 	}
 	for _, f := range files { // whoever took them has others of its own
@@ -84,9 +84,9 @@
 		return err == nil
 	}
 	defer alone()
-	c.SetDeadline(time.Now().Add(passTime))
+	c.SetDeadline(time.Now().Add(answerTimeout))
 	defer c.SetDeadline(time.Time{})
-	if _, err = c.Write([]byte(waits)); err == nil {
+	if _, err = c.Write([]byte(packetWaiting)); err == nil {
 		_, err = c.Read(record) // the word; or its end, which closes all that it had
 	}
 	return err == nil
@@ -107,13 +107,13 @@
 
 // Channel leads to a younger process.
 type Channel struct {
-	conn  *net.UnixConn
-	waits bool // the other process does, for this one to let go of what it passed
+	conn          *net.UnixConn
+	awaitsRelease bool // the other process does, for this one to let go of what it passed
 }
 
 // OpenChannel opens the way to the process of that number.
 func (s *Slot) OpenChannel(number int) (*Channel, error) {
-	c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Net: "unixpacket", Name: s.path(number, way)})
+	c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Net: "unixpacket", Name: s.path(number, socketKind)})
 	if err != nil {
 		return nil, fmt.Errorf("way: %w", err)
 	}
@@ -123,22 +123,22 @@
 // SendSession passes two connections on. ErrRefused, or an error from before they went out, leaves them here; after
 // any other they may be the other process's.
 func (w *Channel) SendSession(record []byte, fds [FilesPerSession]int) (gone bool, err error) {
-	if len(record) > packet {
-		return false, fmt.Errorf("pass: %d bytes, %d at the most", len(record), packet)
+	if len(record) > maxPacketBytes {
+		return false, fmt.Errorf("pass: %d bytes, %d at the most", len(record), maxPacketBytes)
 	}
-	w.conn.SetDeadline(time.Now().Add(passTime))
+	w.conn.SetDeadline(time.Now().Add(answerTimeout))
 	if _, _, err := w.conn.WriteMsgUnix(record, syscall.UnixRights(fds[:]...), nil); err != nil {
 		return false, fmt.Errorf("pass: %w", err)
 	}
-	answer := make([]byte, len(refused))
+	answer := make([]byte, len(packetRejected))
 	n, err := w.conn.Read(answer)
 	if err != nil {
 		return true, fmt.Errorf("pass: %w", err)
 	}
 	switch string(answer[:n]) {
-	case taken:
-	case waits:
-		w.waits = true
+	case packetAccepted:
+	case packetWaiting:
+		w.awaitsRelease = true
 	default:
 		return false, ErrRejected
 	}
@@ -149,11 +149,11 @@
 // poller's set keeping what it has closed for as long as one is, and telling that of whatever connection has
 // the number next (nbio takes no connection out of the set by itself).
 func (w *Channel) ConfirmRelease() error {
-	if !w.waits {
+	if !w.awaitsRelease {
 		return nil
 	}
-	w.waits = false
-	if _, err := w.conn.Write([]byte(free)); err != nil {
+	w.awaitsRelease = false
+	if _, err := w.conn.Write([]byte(packetReleased)); err != nil {
 		return fmt.Errorf("pass: %w", err)
 	}
 	return nil
--- a/internal/jsonstream/jsonstream.go
+++ b/internal/jsonstream/jsonstream.go
@@ -15,71 +15,71 @@
 // ErrNesting says that a bracket closes another kind of bracket.
 var ErrNesting = errors.New("brackets that do not match")
 
-// MaxObject is the size in bytes from which on an object is refused with bufio.ErrTooLong.
-const MaxObject = 16 << 20
+// MaxObjectBytes is the size in bytes from which on an object is refused with bufio.ErrTooLong.
+const MaxObjectBytes = 16 << 20
 
-const firstBuffer = 4096
+const initialBufferBytes = 4096
 
 // Scanner reads one object or blank line after the other.
 type Scanner struct {
-	lines   *bufio.Scanner
-	scanned int    // bytes of the pending object that were looked at already
-	nesting []byte // the brackets that are open, by those that close them
-	quoted  bool
-	escaped bool
-	ended   bool // an object ended on the current line, whose end is no blank line
+	tokens      *bufio.Scanner
+	scanned     int    // bytes of the pending object that were looked at already
+	closers     []byte // the brackets that are open, by those that close them
+	inString    bool
+	escaped     bool
+	objectEnded bool // an object ended on the current line, whose end is no blank line
 }
 
 // NewScanner reads from r.
 func NewScanner(r io.Reader) *Scanner {
-	s := &Scanner{lines: bufio.NewScanner(r)}
-	s.lines.Buffer(make([]byte, 0, firstBuffer), MaxObject)
-	s.lines.Split(s.split)
+	s := &Scanner{tokens: bufio.NewScanner(r)}
+	s.tokens.Buffer(make([]byte, 0, initialBufferBytes), MaxObjectBytes)
+	s.tokens.Split(s.split)
 	return s
 }
 
 // Scan advances to the next object or blank line, and tells whether there is one.
-func (s *Scanner) Scan() bool { return s.lines.Scan() }
+func (s *Scanner) Scan() bool { return s.tokens.Scan() }
 
 // Object is the object found by the last Scan, good until the next; it is empty for a blank line.
-func (s *Scanner) Object() []byte { return s.lines.Bytes() }
+func (s *Scanner) Object() []byte { return s.tokens.Bytes() }
 
 // Err is why Scan found nothing more; nil at the end of the stream.
-func (s *Scanner) Err() error { return s.lines.Err() }
+func (s *Scanner) Err() error { return s.tokens.Err() }
 
 // split is a bufio.SplitFunc that keeps where it got to, so that each byte is looked at once.
 func (s *Scanner) split(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	start := 0
-	if len(s.nesting) == 0 {
+	if len(s.closers) == 0 {
 		blank := false
-		if start, blank, err = s.skip(data); err != nil || blank {
+		if start, blank, err = s.skipSpace(data); err != nil || blank {
 			return start, data[:0], err
 		}
 	}
 	for i := max(s.scanned, start); i < len(data); i++ {
-		last, err := s.take(data[i])
+		last, err := s.consume(data[i])
 		if err != nil {
 			return i, nil, err
 		}
 		if last {
-			s.scanned, s.ended = 0, true
+			s.scanned, s.objectEnded = 0, true
 			return i + 1, data[start : i+1], nil
 		}
 	}
 	s.scanned = len(data) - start
-	if atEOF && len(s.nesting) > 0 {
+	if atEOF && len(s.closers) > 0 {
 		return 0, nil, io.ErrUnexpectedEOF
 	}
 	return start, nil, nil
 }
 
-// skip passes over white space before an object, up to the end of a blank line.
-func (s *Scanner) skip(data []byte) (n int, blank bool, err error) {
+// skipSpace passes over white space before an object, up to the end of a blank line.
+func (s *Scanner) skipSpace(data []byte) (n int, blank bool, err error) {
 	for i, c := range data {
 		switch c {
 		case ' ', '\t', '\r':
 		case '\n':
-			blank, s.ended = !s.ended, false
+			blank, s.objectEnded = !s.objectEnded, false
 			if blank {
 				return i + 1, true, nil
 			}
@@ -92,25 +92,25 @@
 	return len(data), false, nil
 }
 
-// take takes one byte of an object and tells whether it is the last.
-func (s *Scanner) take(c byte) (last bool, err error) {
+// consume takes one byte of an object and tells whether it is the last.
+func (s *Scanner) consume(c byte) (last bool, err error) {
 	switch {
 	case s.escaped:
 		s.escaped = false
-	case s.quoted:
-		s.escaped, s.quoted = c == '\\', c != '"'
+	case s.inString:
+		s.escaped, s.inString = c == '\\', c != '"'
 	case c == '"':
-		s.quoted = true
+		s.inString = true
 	case c == '{':
-		s.nesting = append(s.nesting, '}')
+		s.closers = append(s.closers, '}')
 	case c == '[':
-		s.nesting = append(s.nesting, ']')
+		s.closers = append(s.closers, ']')
 	case c == '}' || c == ']':
-		inner := len(s.nesting) - 1
-		if s.nesting[inner] != c {
+		inner := len(s.closers) - 1
+		if s.closers[inner] != c {
 			return false, ErrNesting
 		}
-		s.nesting = s.nesting[:inner]
+		s.closers = s.closers[:inner]
 		return inner == 0, nil
 	}
 	return false, nil
--- a/internal/jsonstream/jsonstream_test.go
+++ b/internal/jsonstream/jsonstream_test.go
@@ -21,7 +21,7 @@
 }
 
 func TestScanner(t *testing.T) {
-	long := `{"a":"` + strings.Repeat("x", 3*firstBuffer) + `"}`
+	long := `{"a":"` + strings.Repeat("x", 3*initialBufferBytes) + `"}`
 	for _, c := range []struct {
 		name, text string
 		want       []string
--- a/internal/relay/sockets.go
+++ b/internal/relay/sockets.go
@@ -147,7 +147,7 @@
 		s.board = newBoard(reducer)
 	}
 	if s.seat != nil {
-		s.said(s.seat.ServeSessions(s.adopt))
+		s.said(s.seat.ReceiveSessions(s.adopt))
 	}
 	s.take(Event{Kind: TimerFired})
 	if s.mates = mates; mates != nil {
--- a/internal/settings/flatten.go
+++ b/internal/settings/flatten.go
@@ -37,7 +37,7 @@
 			if _, nested := below.(map[string]any); nested {
 				flatten(values, fmt.Sprintf("%s.%d", path, i), below)
 			} else {
-				plain = append(plain, text(below))
+				plain = append(plain, plainText(below))
 			}
 		}
 		if len(plain) < len(v) {
@@ -47,11 +47,11 @@
 		}
 	case nil:
 	default:
-		values[path] = text(v)
+		values[path] = plainText(v)
 	}
 }
 
-func text(v any) string {
+func plainText(v any) string {
 	if v == nil {
 		return ""
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -91,15 +91,15 @@
 	for i := range int(min(p.FloatOr(path+".count", 0), 1e6)) {
 		names = append(names, p.values[fmt.Sprintf("%s.%d.name", path, i)])
 	}
-	return places(names)
+	return indexes(names)
 }
 
 // ListIndexes reads a plain list of names as the place of each.
 func (p *Reader) ListIndexes(path string) map[string]int {
-	return places(strings.Split(p.values[path], ","))
+	return indexes(strings.Split(p.values[path], ","))
 }
 
-func places(names []string) map[string]int {
+func indexes(names []string) map[string]int {
 	m := make(map[string]int, len(names))
 	for i, name := range names {
 		m[name] = i
@@ -123,8 +123,8 @@
 	return 0
 }
 
-// budget reads the budget of setup tries beyond a link's first; without its three settings there is none.
-func (p *Reader) budget() *balancer.RetryBudget {
+// retryBudget reads the budget of setup tries beyond a link's first; without its three settings there is none.
+func (p *Reader) retryBudget() *balancer.RetryBudget {
 	paths := [...]string{"contract.free-resends", "contract.extra-share", "contract.extra-window-ms"}
 	there := 0
 	for _, path := range paths {
@@ -186,7 +186,7 @@
 	warmup := balancer.NewSlowStart(p.Float("contract.cold-from"), p.Float("contract.cold-ms"),
 		p.Float("contract.tip-multiple"), p.Float("contract.fall-ms"), relays)
 	probing := balancer.NewLoadPoller(p.Bool("limits.probes"), p.FloatOr("fees.probe", 0), fields)
-	effects := balancer.NewAttemptPolicy(categories, p.Count("limits.most-setup-tries"), maxBack, relays, p.budget())
+	effects := balancer.NewAttemptPolicy(categories, p.Count("limits.most-setup-tries"), maxBack, relays, p.retryBudget())
 	shares := balancer.NewQuotas(categories, quotas, p.FloatOr("beyond-share-gain", 1), relays)
 	zone := p.Count("zone")
 	if p.err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -70,7 +70,7 @@
 		{"without the free ones", map[string]string{share: "0.1", window: "5000"}, free},
 	} {
 		p := NewReader(c.values)
-		b := p.budget()
+		b := p.retryBudget()
 		if c.wrong == "" {
 			require.NoError(t, p.Err(), c.name)
 			assert.Equal(t, len(c.values) == 0, b == nil, c.name)
