--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -42,7 +42,7 @@
 	require.NoError(t, second.MarkReady())
 	require.NoError(t, first.SendHandoff(2, []byte(`{"Version":1}`)))
 	require.NoError(t, first.SendMessage(2, []byte{0, 1, 0xff}))
-	require.NoError(t, second.ReceiveSessions(func([]byte, [FilesPerSession]*os.File) (bool, func()) { return false, nil }))
+	receive(t, second, func([]byte, [FilesPerSession]*os.File) (bool, func()) { return false, nil })
 	content := map[string]string{}
 	entries, err := os.ReadDir(dir)
 	require.NoError(t, err)
@@ -69,8 +69,8 @@
 	require.NoError(t, err)
 	defer other.Close()
 	require.NoError(t, syscall.Flock(int(other.Fd()), syscall.LOCK_EX))
-	_, younger := first.Siblings()
-	assert.Equal(t, Process{2, true}, younger)
+	_, child := first.Siblings()
+	assert.Equal(t, Process{2, true}, child)
 
 	second := &Slot{dir: dir, number: 2}
 	require.NoError(t, os.WriteFile(filepath.Join(dir, g.Handoff), []byte("left"), 0o600))
@@ -86,23 +86,23 @@
 // A receiver of another build answers with the golden packets, and gets the golden one.
 func TestGoldenPacketsAreUnderstood(t *testing.T) {
 	g, dir := readGolden(t), t.TempDir()
-	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Net: "unixpacket", Name: filepath.Join(dir, g.Socket)})
+	listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Net: "unixpacket", Name: filepath.Join(dir, g.Socket)})
 	require.NoError(t, err)
-	defer l.Close()
-	w, err := (&Slot{dir: dir, number: 1}).OpenChannel(2)
+	defer listener.Close()
+	channel, err := (&Slot{dir: dir, number: 1}).OpenChannel(2)
 	require.NoError(t, err)
-	defer w.Close()
-	c, err := l.AcceptUnix()
+	defer channel.Close()
+	conn, err := listener.AcceptUnix()
 	require.NoError(t, err)
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(10 * time.Second))
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(10 * time.Second))
 	pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 	require.NoError(t, err)
 	defer syscall.Close(pair[0])
 	defer syscall.Close(pair[1])
-	for _, c2 := range []struct {
+	for _, tt := range []struct {
 		name, answer string
-		gone         bool
+		sent         bool
 		err          error
 		after        string
 	}{
@@ -110,25 +110,25 @@
 		{"rejected", g.Rejected, false, ErrRejected, ""},
 		{"waits", g.Waits, true, nil, g.Released},
 	} {
-		_, err := c.Write([]byte(c2.answer)) // is there when the packet has gone out
+		_, err := conn.Write([]byte(tt.answer)) // is there when the packet has gone out
 		require.NoError(t, err)
-		gone, err := w.SendSession([]byte(c2.name), pair)
-		assert.Equal(t, c2.gone, gone, c2.name)
-		assert.ErrorIs(t, err, c2.err, c2.name)
+		sent, err := channel.SendSession([]byte(tt.name), pair)
+		assert.Equal(t, tt.sent, sent, tt.name)
+		assert.ErrorIs(t, err, tt.err, tt.name)
 		packet, rights := make([]byte, 100), make([]byte, 100)
-		n, m, _, _, err := c.ReadMsgUnix(packet, rights)
+		n, m, _, _, err := conn.ReadMsgUnix(packet, rights)
 		require.NoError(t, err)
-		assert.Equal(t, c2.name, string(packet[:n]))
+		assert.Equal(t, tt.name, string(packet[:n]))
 		fds := descriptors(rights[:m])
-		assert.Len(t, fds, 2, c2.name)
+		assert.Len(t, fds, 2, tt.name)
 		for _, fd := range fds {
 			syscall.Close(fd)
 		}
-		require.NoError(t, w.ConfirmRelease())
-		if c2.after != "" {
-			n, err := c.Read(packet)
+		require.NoError(t, channel.ConfirmRelease())
+		if tt.after != "" {
+			n, err := conn.Read(packet)
 			require.NoError(t, err)
-			assert.Equal(t, c2.after, string(packet[:n]))
+			assert.Equal(t, tt.after, string(packet[:n]))
 		}
 	}
 }
@@ -137,35 +137,35 @@
 func TestGoldenPacketsAreSent(t *testing.T) {
 	g, dir := readGolden(t), t.TempDir()
 	s := &Slot{dir: dir, number: 2}
-	alone := make(chan struct{}, 1)
-	require.NoError(t, s.ReceiveSessions(func(record []byte, _ [FilesPerSession]*os.File) (bool, func()) {
+	released := make(chan struct{}, 1)
+	receive(t, s, func(record []byte, _ [FilesPerSession]*os.File) (bool, func()) {
 		switch string(record) {
 		case "taken":
 			return true, nil
 		case "waits":
-			return true, func() { alone <- struct{}{} }
+			return true, func() { released <- struct{}{} }
 		}
 		return false, nil
-	}))
-	c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Net: "unixpacket", Name: filepath.Join(dir, g.Socket)})
+	})
+	conn, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Net: "unixpacket", Name: filepath.Join(dir, g.Socket)})
 	require.NoError(t, err)
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(10 * time.Second))
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(10 * time.Second))
 	pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 	require.NoError(t, err)
 	defer syscall.Close(pair[0])
 	defer syscall.Close(pair[1])
 	for record, want := range map[string]string{"taken": g.Taken, "other": g.Rejected, "waits": g.Waits} {
-		_, _, err := c.WriteMsgUnix([]byte(record), syscall.UnixRights(pair[:]...), nil)
+		_, _, err := conn.WriteMsgUnix([]byte(record), syscall.UnixRights(pair[:]...), nil)
 		require.NoError(t, err)
 		answer := make([]byte, 100)
-		n, err := c.Read(answer)
+		n, err := conn.Read(answer)
 		require.NoError(t, err)
 		assert.Equal(t, want, string(answer[:n]), record)
 		if record == "waits" {
-			_, err := c.Write([]byte(g.Released))
+			_, err := conn.Write([]byte(g.Released))
 			require.NoError(t, err)
-			<-alone
+			<-released
 		}
 	}
 }
--- a/internal/relay/sockets.go
+++ b/internal/relay/sockets.go
@@ -147,7 +147,11 @@
 		s.board = newBoard(reducer)
 	}
 	if s.seat != nil {
-		s.said(s.seat.ReceiveSessions(s.adopt))
+		receiver, err := s.seat.ReceiveSessions(s.adopt)
+		s.said(err)
+		if err == nil {
+			defer receiver.Close()
+		}
 	}
 	s.take(Event{Kind: TimerFired})
 	if s.mates = mates; mates != nil {
