--- a/cmd/valeshift/main_test.go
+++ b/cmd/valeshift/main_test.go
@@ -356,7 +356,7 @@
 	l := newList(t, b)
 	l.ops = "127.0.0.1:0"
 	r := run(t, l.config(200))
-	address := r.wait(`msg="operators' calls" listen=(\S+)`)[1]
+	address := r.wait(`msg="admin API listening" listen=(\S+)`)[1]
 	r.address = r.wait(`msg=serving .*listen=(\S+)`)[1]
 	client, _ := r.stands(b)
 	for range 20 {
--- a/cmd/valeshift/upgrade_test.go
+++ b/cmd/valeshift/upgrade_test.go
@@ -44,7 +44,7 @@
 	g.t.Helper()
 	r := run(g.t, g.list.config(300), g.socket, "RELAY_SOCKET_FD=3", "TMPDIR="+g.dir)
 	r.address, r.list = g.list.listen, g.list
-	return r, r.wait(`msg="operators' calls" listen=(\S+)`)[1]
+	return r, r.wait(`msg="admin API listening" listen=(\S+)`)[1]
 }
 
 // yes waits until the process says that it is ready.
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"errors"
 	"io"
 	"log/slog"
@@ -16,46 +17,63 @@
 	"github.com/stretchr/testify/require"
 )
 
-type stub struct {
-	ready, lame, stopping atomic.Bool
+// stubRelay has no replicated records in part 0, and no fleet while it drains.
+type stubRelay struct {
+	ready, draining, stopping atomic.Bool
 }
 
-func (s *stub) IsReady() bool { return s.ready.Load() }
-func (s *stub) Metrics() []Metric {
+func (s *stubRelay) IsReady() bool { return s.ready.Load() }
+func (s *stubRelay) Metrics() []Metric {
 	return []Metric{{"served.chat", 812, true}, {"refused.chat", 0, true}, {"in_flight", 14, false}}
 }
-func (s *stub) SetDraining(on bool) error {
+func (s *stubRelay) SetDraining(draining bool) error {
 	if s.stopping.Load() {
 		return errors.New("stopping")
 	}
-	s.lame.Store(on)
+	s.draining.Store(draining)
 	return nil
 }
 
-func (s *stub) FleetStatus() any {
-	if s.lame.Load() {
+func (s *stubRelay) FleetStatus() any {
+	if s.draining.Load() {
 		return nil
 	}
 	return map[string]int{"Boot": 3}
 }
 
-func (s *stub) ReplicatedRecords(part int) any {
+func (s *stubRelay) ReplicatedRecords(part int) any {
 	if part == 0 {
 		return nil
 	}
 	return map[string]int{"Part": part}
 }
 
-func serve(t *testing.T) (*stub, string) {
+// serve serves a stub until the test ends.
+func serve(t *testing.T) (*stubRelay, string) {
+	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { listener.Close() })
-	s := &stub{}
-	go Serve(listener, s, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan error, 1)
+	s := &stubRelay{}
+	go func() { ended <- Serve(ctx, listener, s, slog.New(slog.DiscardHandler)) }()
+	t.Cleanup(func() {
+		cancel()
+		assert.NoError(t, <-ended)
+	})
 	return s, listener.Addr().String()
 }
 
-// call makes one call, with a second for it as operators have, and gives its status and body.
+// A listener that fails ends the API with its error.
+func TestServeReportsTheListenersError(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	listener.Close()
+	err = Serve(context.Background(), listener, &stubRelay{}, slog.New(slog.DiscardHandler))
+	assert.ErrorIs(t, err, net.ErrClosed)
+}
+
+// call makes one call, within the second that operators wait, and returns its status and body.
 func call(t *testing.T, address, method, path string) (int, string) {
 	t.Helper()
 	request, err := http.NewRequest(method, "http://"+address+path, nil)
@@ -70,39 +88,39 @@
 	return answer.StatusCode, string(body)
 }
 
-func TestCalls(t *testing.T) {
+func TestAnswers(t *testing.T) {
 	s, address := serve(t)
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name         string
-		set          func()
+		prepare      func()
 		method, path string
 		status       int
 		body         string
 	}{
 		{"not ready", func() {}, "GET", "/_ready", 503, "not ready\n"},
 		{"ready", func() { s.ready.Store(true) }, "GET", "/_ready", 200, "ready\n"},
-		{"figures", func() {}, "GET", "/_vars", 200,
+		{"metrics", func() {}, "GET", "/_vars", 200,
 			"relay.served.chat:812|c\nrelay.refused.chat:0|c\nrelay.in_flight:14|g\n"},
-		{"on", func() {}, "POST", "/_lameduck/on", 200, "on\n"},
-		{"off", func() {}, "POST", "/_lameduck/off", 200, "off\n"},
-		{"refused", func() { s.stopping.Store(true) }, "POST", "/_lameduck/off", 409, "stopping\n"},
-		{"holdings", func() {}, "GET", "/_holdings?part=7", 200, "{\"Part\":7}\n"},
-		{"nothing held", func() {}, "GET", "/_holdings?part=0", 404, "404 page not found\n"},
-		{"no part", func() {}, "GET", "/_holdings?part=-1", 400, "part: a number from 0 on expected\n"},
-		{"other method", func() {}, "GET", "/_lameduck/on", 405, "Method Not Allowed\n"},
-		{"other method", func() {}, "POST", "/_vars", 405, "Method Not Allowed\n"},
+		{"drain", func() {}, "POST", "/_lameduck/on", 200, "on\n"},
+		{"back into service", func() {}, "POST", "/_lameduck/off", 200, "off\n"},
+		{"back into service while it stops", func() { s.stopping.Store(true) }, "POST", "/_lameduck/off", 409, "stopping\n"},
+		{"replicated records", func() {}, "GET", "/_holdings?part=7", 200, "{\"Part\":7}\n"},
+		{"no replicated records", func() {}, "GET", "/_holdings?part=0", 404, "404 page not found\n"},
+		{"not a part", func() {}, "GET", "/_holdings?part=-1", 400, "part: a number from 0 on expected\n"},
+		{"wrong method of a drain", func() {}, "GET", "/_lameduck/on", 405, "Method Not Allowed\n"},
+		{"wrong method of the metrics", func() {}, "POST", "/_vars", 405, "Method Not Allowed\n"},
 		{"other path", func() {}, "GET", "/_lameduck", 404, "404 page not found\n"},
 	} {
-		c.set()
-		status, body := call(t, address, c.method, c.path)
-		assert.Equal(t, c.status, status, c.name)
-		assert.Equal(t, c.body, body, c.name)
+		tt.prepare()
+		status, body := call(t, address, tt.method, tt.path)
+		assert.Equal(t, tt.status, status, tt.name)
+		assert.Equal(t, tt.body, body, tt.name)
 	}
-	assert.False(t, s.lame.Load())
+	assert.False(t, s.draining.Load())
 }
 
-// Against callers that never finish a call keeping out those that do, or holding their descriptors for good.
-func TestStalledCallers(t *testing.T) {
+// Callers that never finish a call don't keep out those that do, nor hold their descriptors for good.
+func TestStalledCallersAreClosed(t *testing.T) {
 	s, address := serve(t)
 	s.ready.Store(true)
 	var stalled []net.Conn
@@ -117,7 +135,7 @@
 			assert.Equal(t, 200, status)
 		}
 	}
-	from := time.Now()
+	start := time.Now()
 	for i, c := range stalled {
 		c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		_, err := bufio.NewReader(c).ReadString('\n')
@@ -126,8 +144,8 @@
 		}
 		assert.False(t, strings.Contains(err.Error(), "timeout"), "%d is still open", i)
 		if i < len(stalled)-maxConns {
-			assert.Less(t, time.Since(from), callTimeout/2, "%d", i) // let go for those that came later
+			assert.Less(t, time.Since(start), callTimeout/2, "%d", i) // closed for those that came later
 		}
 	}
-	assert.Less(t, time.Since(from), callTimeout+2*time.Second)
+	assert.Less(t, time.Since(start), callTimeout+2*time.Second)
 }
--- a/internal/admin/main_test.go
+++ b/internal/admin/main_test.go
@@ -6,7 +6,4 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain fails when a test leaves a goroutine behind.
-func TestMain(m *testing.M) {
-	goleak.VerifyTestMain(m)
-}
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/jsonstream/jsonstream.go
+++ b/internal/jsonstream/jsonstream.go
@@ -1,6 +1,6 @@
 // Package jsonstream splits a byte stream into JSON objects and blank lines, whatever the layout of the objects:
-// one a line, indented over several lines, or several on one line. It checks nesting only, so that an object which
-// can never end is found out at once; whether one is valid JSON is for its reader to find out.
+// one a line, indented over several lines, or several on one line. It checks nesting only, so that an object that
+// can never end is found at once; whether an object is valid JSON is for its decoder to find out.
 package jsonstream
 
 import (
@@ -9,13 +9,13 @@
 	"io"
 )
 
-// ErrNotObject says that the stream holds something else than objects and white space.
+// ErrNotObject reports that the stream holds something else than objects and white space.
 var ErrNotObject = errors.New("a JSON object expected")
 
-// ErrNesting says that a bracket closes another kind of bracket.
+// ErrNesting reports a bracket that closes another kind of bracket.
 var ErrNesting = errors.New("brackets that do not match")
 
-// MaxObjectBytes is the size in bytes from which on an object is refused with bufio.ErrTooLong.
+// MaxObjectBytes is the size from which on an object ends the stream with bufio.ErrTooLong.
 const MaxObjectBytes = 16 << 20
 
 const initialBufferBytes = 4096
@@ -23,14 +23,14 @@
 // Scanner reads one object or blank line after the other.
 type Scanner struct {
 	tokens      *bufio.Scanner
-	scanned     int    // bytes of the pending object that were looked at already
-	closers     []byte // the brackets that are open, by those that close them
+	scanned     int    // bytes of the pending object that were examined already
+	closers     []byte // the brackets that close the open ones, the innermost last
 	inString    bool
-	escaped     bool
-	objectEnded bool // an object ended on the current line, whose end is no blank line
+	escaped     bool // the next byte of the string stands for itself
+	objectEnded bool // an object ended on the current line, so that the line's end is no blank line
 }
 
-// NewScanner reads from r.
+// NewScanner returns a scanner that reads from r.
 func NewScanner(r io.Reader) *Scanner {
 	s := &Scanner{tokens: bufio.NewScanner(r)}
 	s.tokens.Buffer(make([]byte, 0, initialBufferBytes), MaxObjectBytes)
@@ -38,31 +38,34 @@
 	return s
 }
 
-// Scan advances to the next object or blank line, and tells whether there is one.
+// Scan advances to the next object or blank line, and reports whether there is one.
 func (s *Scanner) Scan() bool { return s.tokens.Scan() }
 
-// Object is the object found by the last Scan, good until the next; it is empty for a blank line.
+// Object returns what the last Scan found, empty for a blank line. It is valid until the next Scan.
 func (s *Scanner) Object() []byte { return s.tokens.Bytes() }
 
-// Err is why Scan found nothing more; nil at the end of the stream.
+// Err returns why Scan found nothing more: nil at the end of the stream, io.ErrUnexpectedEOF where that came
+// within an object, ErrNotObject, ErrNesting, bufio.ErrTooLong, or the reader's error.
 func (s *Scanner) Err() error { return s.tokens.Err() }
 
-// split is a bufio.SplitFunc that keeps where it got to, so that each byte is looked at once.
+// split is a bufio.SplitFunc that remembers how far it got, so that each byte is examined once.
 func (s *Scanner) split(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	start := 0
 	if len(s.closers) == 0 {
-		blank := false
-		if start, blank, err = s.skipSpace(data); err != nil || blank {
-			return start, data[:0], err
+		skipped, blankLine, err := s.skipSpace(data)
+		if err != nil || blankLine {
+			return skipped, data[:0], err
 		}
+		start = skipped
 	}
 	for i := max(s.scanned, start); i < len(data); i++ {
-		last, err := s.consume(data[i])
+		complete, err := s.consume(data[i])
 		if err != nil {
 			return i, nil, err
 		}
-		if last {
-			s.scanned, s.objectEnded = 0, true
+		if complete {
+			s.scanned = 0
+			s.objectEnded = true
 			return i + 1, data[start : i+1], nil
 		}
 	}
@@ -74,13 +77,14 @@
 }
 
 // skipSpace passes over white space before an object, up to the end of a blank line.
-func (s *Scanner) skipSpace(data []byte) (n int, blank bool, err error) {
+func (s *Scanner) skipSpace(data []byte) (skipped int, blankLine bool, err error) {
 	for i, c := range data {
 		switch c {
 		case ' ', '\t', '\r':
 		case '\n':
-			blank, s.objectEnded = !s.objectEnded, false
-			if blank {
+			blankLine := !s.objectEnded
+			s.objectEnded = false
+			if blankLine {
 				return i + 1, true, nil
 			}
 		case '{':
@@ -92,13 +96,14 @@
 	return len(data), false, nil
 }
 
-// consume takes one byte of an object and tells whether it is the last.
-func (s *Scanner) consume(c byte) (last bool, err error) {
+// consume examines one byte of an object, and reports whether it completes it.
+func (s *Scanner) consume(c byte) (complete bool, err error) {
 	switch {
 	case s.escaped:
 		s.escaped = false
 	case s.inString:
-		s.escaped, s.inString = c == '\\', c != '"'
+		s.escaped = c == '\\'
+		s.inString = c != '"'
 	case c == '"':
 		s.inString = true
 	case c == '{':
@@ -106,12 +111,17 @@
 	case c == '[':
 		s.closers = append(s.closers, ']')
 	case c == '}' || c == ']':
-		inner := len(s.closers) - 1
-		if s.closers[inner] != c {
-			return false, ErrNesting
-		}
-		s.closers = s.closers[:inner]
-		return inner == 0, nil
+		return s.closeBracket(c)
 	}
 	return false, nil
 }
+
+// closeBracket reports whether the bracket closes the object's first one.
+func (s *Scanner) closeBracket(c byte) (outermost bool, err error) {
+	innermost := len(s.closers) - 1
+	if s.closers[innermost] != c {
+		return false, ErrNesting
+	}
+	s.closers = s.closers[:innermost]
+	return innermost == 0, nil
+}
--- a/internal/jsonstream/jsonstream_test.go
+++ b/internal/jsonstream/jsonstream_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// read gives what the stream holds, blank lines as empty texts.
+// read returns what the stream holds, blank lines as empty texts.
 func read(r io.Reader) (all []string, err error) {
 	s := NewScanner(r)
 	for s.Scan() {
@@ -22,7 +22,7 @@
 
 func TestScanner(t *testing.T) {
 	long := `{"a":"` + strings.Repeat("x", 3*initialBufferBytes) + `"}`
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name, text string
 		want       []string
 		err        error
@@ -36,23 +36,23 @@
 		{"brackets and quotes in a string", `{"a":"}]\"{"}`, []string{`{"a":"}]\"{"}`}, nil},
 		{"no newline at the end", "{}", []string{"{}"}, nil},
 		{"longer than the first buffer", long + "\n{}", []string{long, "{}"}, nil},
-		{"cut off", "{}\n{\"a\":", []string{"{}"}, io.ErrUnexpectedEOF},
+		{"cut off within an object", "{}\n{\"a\":", []string{"{}"}, io.ErrUnexpectedEOF},
 		{"no object", "{}\nnull\n", []string{"{}"}, ErrNotObject},
 		{"a stray bracket", "]", nil, ErrNotObject},
 		{"brackets that do not match", "{}\n{\"a\":[{]}\n", []string{"{}"}, ErrNesting},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			for way, r := range map[string]io.Reader{"whole": strings.NewReader(c.text),
-				"byte by byte": iotest.OneByteReader(strings.NewReader(c.text))} {
+		t.Run(tt.name, func(t *testing.T) {
+			for reading, r := range map[string]io.Reader{"at once": strings.NewReader(tt.text),
+				"byte by byte": iotest.OneByteReader(strings.NewReader(tt.text))} {
 				all, err := read(r)
-				assert.Equal(t, c.want, all, way)
-				assert.ErrorIs(t, err, c.err, way)
+				assert.Equal(t, tt.want, all, reading)
+				assert.ErrorIs(t, err, tt.err, reading)
 			}
 		})
 	}
 }
 
-// A blank line is told as soon as it has come, as it is what shows that a watch is alive.
+// A blank line is returned as soon as it has come, as it shows that a watch is alive.
 func TestBlankLineIsNotHeldBack(t *testing.T) {
 	r, w := io.Pipe()
 	defer w.Close()
--- a/internal/relay/sockets.go
+++ b/internal/relay/sockets.go
@@ -27,7 +27,6 @@
 	"github.com/lesismal/nbio/logging"
 
 	"valeshift/balancer"
-	"valeshift/internal/admin"
 	"valeshift/internal/hotrestart"
 )
 
@@ -154,6 +153,8 @@
 		}
 	}
 	s.take(Event{Kind: TimerFired})
+	stopAdmin := func() {}
+	defer func() { stopAdmin() }() // after the fleet's end: calls are answered until then
 	if s.mates = mates; mates != nil {
 		if err := mates.Start(s.now(), s.take, s.looks, s.keeps, s.lookedAt); err != nil {
 			return err
@@ -161,7 +162,7 @@
 		defer mates.Stop()
 	}
 	if called != nil { // once all that is asked there has begun
-		go admin.Serve(called, calls{s, s.board}, log)
+		stopAdmin = s.serveAdmin(called)
 	}
 	go s.accept()
 	log.Info("serving", "name", t.Name, "listen", s.listener.Addr().String(), "backends", len(t.InitialEndpoints.Endpoints))
