--- /dev/null
+++ b/internal/config/logger.go
@@ -0,0 +1,76 @@
+package config
+
+import (
+	"context"
+	"io"
+	"log/slog"
+	"slices"
+	"sync/atomic"
+)
+
+// Logger is a log whose format and level can be changed while it is in use, as SIGHUP has the file read again.
+type Logger struct {
+	writer  io.Writer
+	current atomic.Pointer[slog.Handler]
+}
+
+// NewLogger returns a logger that writes as the section says.
+func NewLogger(writer io.Writer, section Log) *Logger {
+	logger := &Logger{writer: writer}
+	logger.Configure(section)
+	return logger
+}
+
+// Configure has all later records follow the section.
+func (l *Logger) Configure(section Log) {
+	options := &slog.HandlerOptions{Level: section.Level, AddSource: section.Source}
+	var handler slog.Handler = slog.NewTextHandler(l.writer, options)
+	if section.Format == FormatJSON {
+		handler = slog.NewJSONHandler(l.writer, options)
+	}
+	l.current.Store(&handler)
+}
+
+// Slog returns the log for those who write to it.
+func (l *Logger) Slog() *slog.Logger { return slog.New(&currentHandler{logger: l}) }
+
+// currentHandler writes each record by the handler that the logger has by then, with the attributes and groups
+// that this one was given.
+type currentHandler struct {
+	logger   *Logger
+	wrappers []func(slog.Handler) slog.Handler
+}
+
+func (h *currentHandler) resolve() slog.Handler {
+	resolved := *h.logger.current.Load()
+	for _, wrap := range h.wrappers {
+		resolved = wrap(resolved)
+	}
+	return resolved
+}
+
+// Enabled implements slog.Handler.
+func (h *currentHandler) Enabled(ctx context.Context, level slog.Level) bool {
+	return (*h.logger.current.Load()).Enabled(ctx, level)
+}
+
+// Handle implements slog.Handler.
+func (h *currentHandler) Handle(ctx context.Context, record slog.Record) error {
+	return h.resolve().Handle(ctx, record)
+}
+
+// WithAttrs implements slog.Handler.
+func (h *currentHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return h.with(func(handler slog.Handler) slog.Handler { return handler.WithAttrs(attrs) })
+}
+
+// WithGroup implements slog.Handler.
+func (h *currentHandler) WithGroup(name string) slog.Handler {
+	return h.with(func(handler slog.Handler) slog.Handler { return handler.WithGroup(name) })
+}
+
+// with returns a handler of its own: several may be made from one.
+func (h *currentHandler) with(wrap func(slog.Handler) slog.Handler) slog.Handler {
+	wrappers := append(slices.Clip(h.wrappers), wrap)
+	return &currentHandler{logger: h.logger, wrappers: wrappers}
+}
--- a/internal/settings/flatten.go
+++ b/internal/settings/flatten.go
@@ -8,52 +8,60 @@
 	"strings"
 )
 
-// Flatten puts nested JSON under the paths that the wire's pairs use: a list of records has its length under
-// "count" and each record under its number; a list of plain values is joined by commas.
+// Flatten puts nested JSON under the paths that the pairs of the wire use. A list of records has its length
+// under "count" and each record under its index; a list of plain values is joined by commas.
 func Flatten(nested []byte) (map[string]string, error) {
-	in := json.NewDecoder(bytes.NewReader(nested))
-	in.UseNumber() // against large numbers losing digits on their way through a float
+	decoder := json.NewDecoder(bytes.NewReader(nested))
+	decoder.UseNumber() // a float would lose digits of large numbers
 	var tree map[string]any
-	if err := in.Decode(&tree); err != nil {
+	if err := decoder.Decode(&tree); err != nil {
 		return nil, fmt.Errorf("settings: an object expected: %w", err)
 	}
 	values := map[string]string{}
-	flatten(values, "", tree)
+	flattenObject(values, "", tree)
 	return values, nil
 }
 
-func flatten(values map[string]string, path string, node any) {
-	switch v := node.(type) {
+func flattenNode(values map[string]string, path string, node any) {
+	switch node := node.(type) {
+	case nil:
 	case map[string]any:
-		for name, below := range v {
-			if path != "" {
-				name = path + "." + name
-			}
-			flatten(values, name, below)
-		}
+		flattenObject(values, path, node)
 	case []any:
-		var plain []string
-		for i, below := range v {
-			if _, nested := below.(map[string]any); nested {
-				flatten(values, fmt.Sprintf("%s.%d", path, i), below)
-			} else {
-				plain = append(plain, plainText(below))
-			}
+		flattenList(values, path, node)
+	default:
+		values[path] = plainText(node)
+	}
+}
+
+func flattenObject(values map[string]string, path string, object map[string]any) {
+	for name, node := range object {
+		if path != "" {
+			name = path + "." + name
 		}
-		if len(plain) < len(v) {
-			values[path+".count"] = strconv.Itoa(len(v))
+		flattenNode(values, name, node)
+	}
+}
+
+func flattenList(values map[string]string, path string, list []any) {
+	var plain []string
+	for i, node := range list {
+		if record, ok := node.(map[string]any); ok {
+			flattenObject(values, fmt.Sprintf("%s.%d", path, i), record)
 		} else {
-			values[path] = strings.Join(plain, ",")
+			plain = append(plain, plainText(node))
 		}
-	case nil:
-	default:
-		values[path] = plainText(v)
 	}
+	if len(plain) < len(list) {
+		values[path+".count"] = strconv.Itoa(len(list))
+		return
+	}
+	values[path] = strings.Join(plain, ",")
 }
 
-func plainText(v any) string {
-	if v == nil {
+func plainText(value any) string {
+	if value == nil {
 		return ""
 	}
-	return fmt.Sprint(v)
+	return fmt.Sprint(value)
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 
 // Nested JSON and the wire's pairs are the same settings.
 func TestFlatten(t *testing.T) {
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		text string
 		want map[string]string
 	}{
@@ -22,9 +22,9 @@
 			map[string]string{"stats.fields": "cpu,x0", "quota": "22.0,3", "none": ""}},
 		{`{"large":9007199254740993}`, map[string]string{"large": "9007199254740993"}},
 	} {
-		got, err := Flatten([]byte(c.text))
+		got, err := Flatten([]byte(tt.text))
 		require.NoError(t, err)
-		assert.Equal(t, c.want, got)
+		assert.Equal(t, tt.want, got)
 	}
 	for _, text := range []string{``, `[]`, `{"a":`, `7`} {
 		_, err := Flatten([]byte(text))
@@ -32,50 +32,67 @@
 	}
 }
 
+// assertWrongSetting checks that the reader's error names the path.
+func assertWrongSetting(t *testing.T, r *Reader, path, name string) {
+	t.Helper()
+	var wrong *Error
+	if assert.ErrorAs(t, r.Err(), &wrong, name) {
+		assert.Equal(t, path, wrong.Path, name)
+	}
+	assert.ErrorContains(t, r.Err(), "settings: "+path+":", name)
+}
+
 func TestFirstWrongSettingIsNamed(t *testing.T) {
-	p := NewReader(map[string]string{"a": "1.5", "b": "-1", "c": "yes", "d": "odd", "e": "NaN"})
-	assert.Equal(t, 1.5, p.Float("a"))
-	assert.Equal(t, 7.0, p.FloatOr("absent", 7))
-	require.NoError(t, p.Err())
-	for path, ask := range map[string]func(*Reader){
-		"b": func(p *Reader) { p.Float("b") }, "c": func(p *Reader) { p.Bool("c") },
-		"e": func(p *Reader) { p.Float("e") },
-		"d": func(p *Reader) { p.Enum("d", "even") }, "a": func(p *Reader) { p.Count("a") },
-		"absent": func(p *Reader) { p.Float("absent") },
+	values := map[string]string{"a": "1.5", "b": "-1", "c": "yes", "d": "odd", "e": "NaN"}
+	r := NewReader(values)
+	assert.Equal(t, 1.5, r.Float("a"))
+	assert.Equal(t, 7.0, r.FloatOr("absent", 7))
+	require.NoError(t, r.Err())
+	for _, tt := range []struct {
+		name string
+		path string
+		read func(*Reader)
+	}{
+		{"negative", "b", func(r *Reader) { r.Float("b") }},
+		{"no flag", "c", func(r *Reader) { r.Bool("c") }},
+		{"no number", "e", func(r *Reader) { r.Float("e") }},
+		{"none of the words", "d", func(r *Reader) { r.Enum("d", "even") }},
+		{"no whole number", "a", func(r *Reader) { r.Count("a") }},
+		{"missing", "absent", func(r *Reader) { r.Float("absent") }},
 	} {
-		p := NewReader(p.values)
-		ask(p)
-		p.Float("z")
-		assert.ErrorContains(t, p.Err(), "settings: "+path+":")
+		r := NewReader(values)
+		tt.read(r)
+		r.Float("z")
+		assertWrongSetting(t, r, tt.path, tt.name)
 	}
 }
 
-// The budget of setup tries comes whole or not at all.
-func TestBudgetSettings(t *testing.T) {
-	const free, share, window = "contract.free-resends", "contract.extra-share", "contract.extra-window-ms"
-	for _, c := range []struct {
+// The settings of the retry budget come all or not at all.
+func TestRetryBudgetSettings(t *testing.T) {
+	const free, ratio, window = "contract.free-resends", "contract.extra-share", "contract.extra-window-ms"
+	for _, tt := range []struct {
 		name   string
 		values map[string]string
 		wrong  string
 	}{
 		{"none", map[string]string{}, ""},
-		{"whole", map[string]string{free: "3", share: "0.1", window: "5000"}, ""},
-		{"nothing given", map[string]string{free: "0", share: "0", window: "5000"}, ""},
-		{"negative", map[string]string{free: "-1", share: "0.1", window: "5000"}, free},
-		{"no number", map[string]string{free: "3", share: "some", window: "5000"}, share},
-		{"endless", map[string]string{free: "3", share: "Inf", window: "5000"}, share},
-		{"no window", map[string]string{free: "3", share: "0.1", window: "0"}, window},
-		{"without the window", map[string]string{free: "3", share: "0.1"}, window},
-		{"without the share", map[string]string{free: "3", window: "5000"}, share},
-		{"without the free ones", map[string]string{share: "0.1", window: "5000"}, free},
+		{"all", map[string]string{free: "3", ratio: "0.1", window: "5000"}, ""},
+		{"no retries", map[string]string{free: "0", ratio: "0", window: "5000"}, ""},
+		{"negative", map[string]string{free: "-1", ratio: "0.1", window: "5000"}, free},
+		{"no number", map[string]string{free: "3", ratio: "some", window: "5000"}, ratio},
+		{"endless", map[string]string{free: "3", ratio: "Inf", window: "5000"}, ratio},
+		{"no window", map[string]string{free: "3", ratio: "0.1", window: "0"}, window},
+		{"without the window", map[string]string{free: "3", ratio: "0.1"}, window},
+		{"without the share", map[string]string{free: "3", window: "5000"}, ratio},
+		{"without the free ones", map[string]string{ratio: "0.1", window: "5000"}, free},
 	} {
-		p := NewReader(c.values)
-		b := p.retryBudget()
-		if c.wrong == "" {
-			require.NoError(t, p.Err(), c.name)
-			assert.Equal(t, len(c.values) == 0, b == nil, c.name)
+		r := NewReader(tt.values)
+		budget := r.retryBudget()
+		if tt.wrong == "" {
+			require.NoError(t, r.Err(), tt.name)
+			assert.Equal(t, len(tt.values) == 0, budget == nil, tt.name)
 		} else {
-			assert.ErrorContains(t, p.Err(), "settings: "+c.wrong+":", c.name)
+			assertWrongSetting(t, r, tt.wrong, tt.name)
 		}
 	}
 }
