--- a/internal/relay/sockets_test.go
+++ b/internal/relay/sockets_test.go
@@ -95,7 +95,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.write(1, parts)
-	s.end(1, Close)
+	s.end(1, gracefully)
 }
 
 // serving gives them a relay with one backend, to which it can't connect.
@@ -153,7 +153,7 @@
 	_, err = in.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, os.ErrDeadlineExceeded, "nothing is written, nothing closed")
 	s.mutex.Lock()
-	s.polls([2]*socket{k, {conn: 2}})
+	s.startPolling([2]*socket{k, {conn: 2}})
 	s.mutex.Unlock()
 	in.SetDeadline(time.Now().Add(5 * time.Second))
 	all, err := io.ReadAll(in)
@@ -223,7 +223,7 @@
 func TestClosingConnectionsAreBounded(t *testing.T) {
 	s, connect := narrow(t)
 	serving(t, s)
-	s.reducer.most = 0
+	s.reducer.ownDescriptors = 0
 	var clients []net.Conn
 	for i := range 3 * spareClosing {
 		k, in := connect()
@@ -231,7 +231,7 @@
 		delete(s.open, 1)
 		k.conn = uint64(i + 1)
 		s.open[k.conn] = k
-		s.end(k.conn, Close)
+		s.end(k.conn, gracefully)
 		assert.LessOrEqual(t, len(s.open), spareClosing)
 		s.mutex.Unlock()
 		clients = append(clients, in)
@@ -272,9 +272,9 @@
 			defer backend.Close()
 			s.reducer.backends["b1"].Address = backend.Addr().String()
 			in := connectUnpolled(t, s)
-			s.take(Event{Kind: ConnAccepted, Conn: 1})
+			s.take(ConnAccepted{Conn: 1})
 			c.leave(in)
-			s.take(Event{Kind: DataReceived, Conn: 1, Data: []byte("OPEN a 1f c=feed,t=one,d=2000\r\n")})
+			s.take(DataReceived{Conn: 1, Data: []byte("OPEN a 1f c=feed,t=one,d=2000\r\n")})
 			server, err := backend.Accept()
 			require.NoError(t, err)
 			server.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -326,7 +326,7 @@
 	}
 	silent, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
-	s.reducer.quit = true
+	s.reducer.exiting = true
 	s.endAll()
 	_, err = net.Dial("tcp", listener.Addr().String())
 	assert.ErrorIs(t, err, syscall.ECONNREFUSED)
