--- a/internal/relay/closing.go
+++ b/internal/relay/closing.go
@@ -11,154 +11,154 @@
 )
 
 const (
-	flushTimeout   = 2 * time.Second        // for a peer to take what was written before the close
-	lingerTimeout  = time.Second            // for a client to close after its connection was closed for sending
-	spareClosing   = 8                      // descriptors beyond those of open connections that closing ones may use
-	mostClosing    = 1024                   // closing connections, where descriptors are not limited
-	backlogGap     = 10 * time.Millisecond  // without a connection from the backlog, after which that is empty
-	backlogTimeout = 100 * time.Millisecond // for the backlog to be emptied at the end of the process
-	lastWrites     = 200 * time.Millisecond // for the last answers to be taken then
-	lastCloses     = 50 * time.Millisecond  // and for the clients to close
-	lastCheck      = time.Millisecond
+	flushTimeout            = 2 * time.Second        // for a peer to take what was written before the close
+	lingerTimeout           = time.Second            // for a client to close after its connection was closed for sending
+	spareClosingDescriptors = 8                      // descriptors beyond those of open connections that closing ones may use
+	maxClosing              = 1024                   // closing connections, where descriptors are not limited
+	backlogIdleTimeout      = 10 * time.Millisecond  // without a connection from the backlog, after which that is empty
+	backlogTimeout          = 100 * time.Millisecond // for the backlog to be emptied at the end of the process
+	finalWriteTimeout       = 200 * time.Millisecond // for the last answers to be taken then
+	finalCloseTimeout       = 50 * time.Millisecond  // and for the clients to close
+	finalCheckInterval      = time.Millisecond
 )
 
-// end closes a connection that the reducer is done with, or stops it from being dialed. The lock is held.
-func (s *Sockets) end(conn uint64, how closeMode) {
-	if d := s.dialing[conn]; d != nil {
-		delete(s.dialing, conn)
-		d.giveUp()
+// closeOrReset closes a connection that the reducer is done with, or stops it from being dialed. The lock is held.
+func (s *driver) closeOrReset(conn uint64, how closeMode) {
+	if d := s.dials[conn]; d != nil {
+		delete(s.dials, conn)
+		d.cancel()
 		return
 	}
-	c := s.open[conn]
+	c := s.sockets[conn]
 	switch {
 	case c == nil:
 	case how == byReset:
-		delete(s.open, conn)
-		c.nb.SetLinger(1, 0)
-		c.nb.Close()
+		delete(s.sockets, conn)
+		c.nbConn.SetLinger(1, 0)
+		c.nbConn.Close()
 	default:
 		s.close(c)
 	}
 }
 
 // close closes a connection once all that was written is out.
-func (s *Sockets) close(c *socket) {
+func (s *driver) close(c *socket) {
 	c.closing.Store(true)
 	if c.unsent.Load() == 0 {
-		s.flushed(c)
-	} else if !c.early { // nbio has no deadlines before it polls
-		c.startFlush()
+		s.finishClose(c)
+	} else if !c.awaitsRelease { // nbio has no deadlines before it polls
+		c.setFlushDeadline()
 	}
-	if s.open[c.conn] == c {
+	if s.sockets[c.conn] == c {
 		s.closing = append(s.closing, c)
-		s.limitClosing(0)
+		s.evictClosing(0)
 	}
 }
 
-// startFlush gives the peer some time for what is not written yet. Against one that never takes it holding its
+// setFlushDeadline gives the peer some time for what is not written yet. Against one that never takes it holding its
 // descriptor for ever.
-func (c *socket) startFlush() { c.nb.SetWriteDeadline(time.Now().Add(flushTimeout)) }
+func (c *socket) setFlushDeadline() { c.nbConn.SetWriteDeadline(time.Now().Add(flushTimeout)) }
 
-// flushed takes that all was written to a closing connection.
-func (s *Sockets) flushed(c *socket) {
-	if c.conn < firstDialedID && c.polled && c.closeForSending() {
-		c.nb.SetReadDeadline(time.Now().Add(lingerTimeout))
+// finishClose takes that all was written to a closing connection.
+func (s *driver) finishClose(c *socket) {
+	if c.conn < firstDialedID && c.polled && c.shutdownSend() {
+		c.nbConn.SetReadDeadline(time.Now().Add(lingerTimeout))
 		return
 	}
 	s.closeNow(c)
 }
 
-// closeForSending tells whether it could. nbio marks a connection as closed under the same lock before it gives up
+// shutdownSend tells whether it could. nbio marks a connection as closed under the same lock before it gives up
 // the descriptor, so that the number is not another's.
-func (c *socket) closeForSending() bool {
-	c.nb.Lock()
-	defer c.nb.Unlock()
-	if closed, _ := c.nb.IsClosed(); closed {
+func (c *socket) shutdownSend() bool {
+	c.nbConn.Lock()
+	defer c.nbConn.Unlock()
+	if closed, _ := c.nbConn.IsClosed(); closed {
 		return false
 	}
-	return syscall.Shutdown(c.nb.Hash(), syscall.SHUT_WR) == nil
+	return syscall.Shutdown(c.nbConn.Hash(), syscall.SHUT_WR) == nil
 }
 
 // closeNow closes both ways, less what came up to now.
-func (s *Sockets) closeNow(c *socket) {
-	delete(s.open, c.conn)
-	c.discard()
-	c.nb.Close()
+func (s *driver) closeNow(c *socket) {
+	delete(s.sockets, c.conn)
+	c.discardUnread()
+	c.nbConn.Close()
 }
 
-// discard drops what the peer has sent, up to a bound.
-func (c *socket) discard() {
+// discardUnread drops what the peer has sent, up to a bound.
+func (c *socket) discardUnread() {
 	var piece [4 << 10]byte
-	for range readPiece / len(piece) {
-		if n, err := c.nb.Read(piece[:]); n <= 0 || err != nil {
+	for range readBufferBytes / len(piece) {
+		if n, err := c.nbConn.Read(piece[:]); n <= 0 || err != nil {
 			return
 		}
 	}
 }
 
-// forgetSocket takes that a connection is gone. The lock is held.
-func (s *Sockets) forgetSocket(c *socket) {
-	if s.open[c.conn] == c {
-		delete(s.open, c.conn)
+// removeSocket takes that a connection is gone. The lock is held.
+func (s *driver) removeSocket(c *socket) {
+	if s.sockets[c.conn] == c {
+		delete(s.sockets, c.conn)
 	}
 	if c.closing.Load() {
 		s.closing = slices.DeleteFunc(s.closing, func(other *socket) bool { return other == c })
 	}
 }
 
-// limitClosing closes connections that have been closing for longest where they hold descriptors that so many new
+// evictClosing closes connections that have been closing for longest where they hold descriptors that so many new
 // connections need.
-func (s *Sockets) limitClosing(more int) {
+func (s *driver) evictClosing(more int) {
 	for len(s.closing) > 0 &&
-		(len(s.closing) > mostClosing || len(s.open)+len(s.dialing)+more > s.mostSockets()) {
+		(len(s.closing) > maxClosing || len(s.sockets)+len(s.dials)+more > s.maxOpenSockets()) {
 		oldest := s.closing[0]
 		s.closing = s.closing[1:]
-		if s.open[oldest.conn] == oldest {
+		if s.sockets[oldest.conn] == oldest {
 			s.closeNow(oldest)
 		}
 	}
 }
 
-// mostSockets is how many connections may hold a descriptor, closing ones among them.
-func (s *Sockets) mostSockets() int {
-	if s.reducer == nil || s.reducer.ownDescriptors > maxSockets {
-		return maxSockets
+// maxOpenSockets is how many connections may hold a descriptor, closing ones among them.
+func (s *driver) maxOpenSockets() int {
+	if s.machine == nil || s.machine.ownDescriptors > unlimitedSockets {
+		return unlimitedSockets
 	}
-	return s.reducer.ownDescriptors + spareClosing
+	return s.machine.ownDescriptors + spareClosingDescriptors
 }
 
 // closeListener takes in what waits to be accepted, and then has no more come: the machine has accepted it, so that
 // it is owed an answer. The reducer has said that it is done, and turns away whatever comes from now on. Where a
 // younger process has the listener too, what waits is left to that.
-func (s *Sockets) closeListener() {
+func (s *driver) closeListener() {
 	s.mutex.Lock()
-	s.ending = true
-	yielded := s.reducer.yieldedToChild
-	s.freed.Broadcast()
+	s.acceptEnding = true
+	yielded := s.machine.yieldedToChild
+	s.acceptChanged.Broadcast()
 	s.listener.SetDeadline(time.Unix(1, 0))
 	s.mutex.Unlock()
-	<-s.accepted
+	<-s.acceptDone
 	for until := time.Now().Add(backlogTimeout); !yielded && time.Now().Before(until); {
-		s.listener.SetDeadline(time.Now().Add(backlogGap))
-		if !s.acceptOne() {
+		s.listener.SetDeadline(time.Now().Add(backlogIdleTimeout))
+		if !s.acceptClient() {
 			break
 		}
 	}
 	s.listener.Close()
 }
 
-// endAll answers whoever has no answer yet, and waits for the last answers to be taken.
-func (s *Sockets) endAll() {
+// finish answers whoever has no answer yet, and waits for the last answers to be taken.
+func (s *driver) finish() {
 	s.closeListener()
-	s.waitFor(lastCloses, func() bool { return s.reducer.isIdle() })
-	s.take(ProcessExiting{})
-	s.waitFor(lastWrites, func() bool { return s.unsent() == 0 })
-	s.waitFor(lastCloses, func() bool { return len(s.closing) == 0 })
+	s.waitFor(finalCloseTimeout, func() bool { return s.machine.isIdle() })
+	s.handle(ProcessExiting{})
+	s.waitFor(finalWriteTimeout, func() bool { return s.unsentBytes() == 0 })
+	s.waitFor(finalCloseTimeout, func() bool { return len(s.closing) == 0 })
 }
 
 // waitFor waits until it is done, asked under the lock, but no longer than that.
-func (s *Sockets) waitFor(limit time.Duration, done func() bool) {
-	for until := time.Now().Add(limit); time.Now().Before(until); time.Sleep(lastCheck) {
+func (s *driver) waitFor(limit time.Duration, done func() bool) {
+	for until := time.Now().Add(limit); time.Now().Before(until); time.Sleep(finalCheckInterval) {
 		s.mutex.Lock()
 		over := done()
 		s.mutex.Unlock()
@@ -168,9 +168,9 @@
 	}
 }
 
-// unsent is how many bytes written to open connections the system has not taken.
-func (s *Sockets) unsent() (left int64) {
-	for _, c := range s.open {
+// unsentBytes is how many bytes written to open connections the system has not taken.
+func (s *driver) unsentBytes() (left int64) {
+	for _, c := range s.sockets {
 		left += c.unsent.Load()
 	}
 	return left
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -116,7 +116,7 @@
 	}
 	t.InitialEndpoints = &EndpointUpdate{Complete: true}
 	if len(file.Known) > 0 {
-		if t.InitialEndpoints, err = readNews(file.Known); err != nil {
+		if t.InitialEndpoints, err = parseEndpointUpdate(file.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 		t.InitialEndpoints.Complete = true
--- a/internal/relay/config_golden_test.go
+++ b/internal/relay/config_golden_test.go
@@ -55,7 +55,7 @@
 
 // A list as discovery sends it keeps its keys.
 func TestGoldenListIsRead(t *testing.T) {
-	got, err := readNews(readGoldenText(t, "list.json"))
+	got, err := parseEndpointUpdate(readGoldenText(t, "list.json"))
 	require.NoError(t, err)
 	assert.Equal(t, &EndpointUpdate{Index: 41, Complete: true, Endpoints: goldenEntries(t)}, got)
 }
--- a/internal/relay/counters.go
+++ b/internal/relay/counters.go
@@ -24,7 +24,7 @@
 
 // Log writes them as one record.
 func (c Counters) Log(log *slog.Logger, why string) {
-	endings, bad := counted[EndReason](c.EndReasons[:]), counted[RequestError](c.RequestErrors[:])
+	endings, bad := nonZero[EndReason](c.EndReasons[:]), nonZero[RequestError](c.RequestErrors[:])
 	log.Info("counters", "why", why,
 		slog.Group("in", "accepted", c.Accepted, "pings", c.Pings, "heads", c.Requests,
 			"resumed", c.Reestablished, "handed", c.SessionsReceived, "holds", c.AcceptPauses, "pieces", c.ClientChunks,
@@ -40,8 +40,8 @@
 		slog.Group("sockets", "open", c.OpenConns, "standing", c.Established, "most", c.MaxOpenConns))
 }
 
-// counted are those of the counts that are not 0, under their names.
-func counted[K interface {
+// nonZero are those of the counts that are not 0, under their names.
+func nonZero[K interface {
 	~uint8
 	String() string
 }](counts []uint64) (all []any) {
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -38,7 +38,7 @@
 	DiscoveryTime float64    `json:"-"` // discovery's; 0: not told
 }
 
-func readNews(text []byte) (*EndpointUpdate, error) {
+func parseEndpointUpdate(text []byte) (*EndpointUpdate, error) {
 	var raw struct {
 		Index     *uint64 `json:"index"`
 		Snapshot  *bool   `json:"snapshot"`
@@ -80,8 +80,8 @@
 	return n, nil
 }
 
-// dated is discovery's clock as it answered, to half a second; 0: it does not say.
-func dated(answer *http.Response) float64 {
+// discoveryTime is discovery's clock as it answered, to half a second; 0: it does not say.
+func discoveryTime(answer *http.Response) float64 {
 	at, err := http.ParseTime(answer.Header.Get("Date"))
 	if err != nil {
 		return 0
@@ -92,33 +92,33 @@
 // connectTimeout is for a connection to discovery to come up; a machine that does not answer is asked again.
 const connectTimeout = time.Second
 
-// discovery holds one watch at a time.
-type discovery struct {
+// discoveryWatch holds one watch at a time.
+type discoveryWatch struct {
 	client *http.Client
-	take   func(Event)
+	handle func(Event)
 	stop   context.CancelFunc
 }
 
-func newDiscovery(take func(Event)) *discovery {
+func newDiscoveryWatch(take func(Event)) *discoveryWatch {
 	dialer := &net.Dialer{Timeout: connectTimeout, KeepAlive: -1}
-	return &discovery{take: take, stop: func() {}, client: &http.Client{
+	return &discoveryWatch{handle: take, stop: func() {}, client: &http.Client{
 		Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}}}
 }
 
-// watch opens a watch at the address in place of the one before, whose events are known by their number and
+// start opens a watch at the address in place of the one before, whose events are known by their number and
 // dropped.
-func (d *discovery) watch(address string, number, after uint64) {
+func (d *discoveryWatch) start(address string, number, after uint64) {
 	d.stop()
 	ctx, stop := context.WithCancel(context.Background())
 	d.stop = stop
 	go func() {
 		err := d.follow(ctx, address, number, after)
 		stop()
-		d.take(WatchFailed{Watch: number, Err: err})
+		d.handle(WatchFailed{Watch: number, Err: err})
 	}()
 }
 
-func (d *discovery) follow(ctx context.Context, address string, number, after uint64) error {
+func (d *discoveryWatch) follow(ctx context.Context, address string, number, after uint64) error {
 	url := "http://" + address + "/api/targets?watch=1&after=" + strconv.FormatUint(after, 10)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -132,21 +132,21 @@
 	if answer.StatusCode != http.StatusOK {
 		return fmt.Errorf("watch: status %d", answer.StatusCode)
 	}
-	clock, came := dated(answer), time.Now()
+	clock, came := discoveryTime(answer), time.Now()
 	stream := jsonstream.NewScanner(answer.Body)
 	for stream.Scan() {
 		if len(stream.Object()) == 0 {
-			d.take(WatchHeartbeat{Watch: number})
+			d.handle(WatchHeartbeat{Watch: number})
 			continue
 		}
-		news, err := readNews(stream.Object())
+		news, err := parseEndpointUpdate(stream.Object())
 		if err != nil {
 			return err
 		}
 		if clock > 0 {
 			news.DiscoveryTime = clock + float64(time.Since(came))/float64(time.Millisecond)
 		}
-		d.take(EndpointsUpdated{Watch: number, Update: news})
+		d.handle(EndpointsUpdated{Watch: number, Update: news})
 	}
 	switch err := stream.Err(); {
 	case errors.Is(err, jsonstream.ErrNotObject), errors.Is(err, jsonstream.ErrNesting):
--- a/internal/relay/figures.go
+++ b/internal/relay/figures.go
@@ -39,24 +39,24 @@
 // serving tells whether the relay is fit to be sent clients.
 func (r *StateMachine) serving() bool { return r.isReady && !r.stopping && !r.draining }
 
-// board is what was published last.
-type board struct {
+// metricsBoard is what was published last.
+type metricsBoard struct {
 	names  []admin.Metric
 	values []atomic.Uint64
 	ready  atomic.Bool
-	now    []uint64 // the publisher's own
+	next   []uint64 // the publisher's own
 }
 
-func newBoard(r *StateMachine) *board {
+func newMetricsBoard(r *StateMachine) *metricsBoard {
 	names := r.figureNames()
-	return &board{names: names, values: make([]atomic.Uint64, len(names))}
+	return &metricsBoard{names: names, values: make([]atomic.Uint64, len(names))}
 }
 
 // publish is called under the relay's lock. Against a cost for each line of a busy relay: what stays as it
 // was is not written again.
-func (b *board) publish(r *StateMachine) {
-	b.now = r.figures(b.now[:0])
-	for i, v := range b.now {
+func (b *metricsBoard) publish(r *StateMachine) {
+	b.next = r.figures(b.next[:0])
+	for i, v := range b.next {
 		if b.values[i].Load() != v {
 			b.values[i].Store(v)
 		}
@@ -66,15 +66,15 @@
 
 var errStopping = errors.New("the relay is stopping")
 
-// calls is the relay as operators ask it.
-type calls struct {
-	*Sockets
-	*board
+// adminAPI is the relay as operators ask it.
+type adminAPI struct {
+	*driver
+	*metricsBoard
 }
 
-func (c calls) IsReady() bool { return c.ready.Load() }
+func (c adminAPI) IsReady() bool { return c.ready.Load() }
 
-func (c calls) Metrics() []admin.Metric {
+func (c adminAPI) Metrics() []admin.Metric {
 	all := append([]admin.Metric(nil), c.names...)
 	for i := range all {
 		all[i].Value = c.values[i].Load()
@@ -83,32 +83,32 @@
 }
 
 // SetDraining is answered once the event is taken.
-func (c calls) SetDraining(on bool) error {
-	c.take(DrainRequested{On: on})
+func (c adminAPI) SetDraining(on bool) error {
+	c.handle(DrainRequested{On: on})
 	c.mutex.Lock()
-	stopping := !on && c.reducer.stopping
+	stopping := !on && c.machine.stopping
 	c.mutex.Unlock()
 	if stopping {
 		return errStopping
 	}
-	if c.mates != nil {
-		return c.mates.SetDraining(on)
+	if c.fleet != nil {
+		return c.fleet.SetDraining(on)
 	}
 	return nil
 }
 
 // ReplicatedRecords is one part of what is held for other relays; nil where nothing is.
-func (c calls) ReplicatedRecords(part int) any {
-	if c.mates == nil {
+func (c adminAPI) ReplicatedRecords(part int) any {
+	if c.fleet == nil {
 		return nil
 	}
-	return c.mates.ReplicationPage(part)
+	return c.fleet.ReplicationPage(part)
 }
 
 // FleetStatus is what is kept and heard of others; nil where nothing is.
-func (c calls) FleetStatus() any {
-	if c.mates == nil {
+func (c adminAPI) FleetStatus() any {
+	if c.fleet == nil {
 		return nil
 	}
-	return c.mates.Status()
+	return c.fleet.Status()
 }
--- a/internal/relay/figures_test.go
+++ b/internal/relay/figures_test.go
@@ -139,7 +139,7 @@
 // seenAtNote is a log handler that looks at the board as the reducer's notes are written, in the middle of effects.
 type seenAtNote struct {
 	slog.Handler
-	board func() *board
+	board func() *metricsBoard
 	ready []bool
 }
 
@@ -157,14 +157,14 @@
 func TestFiguresArePublishedBeforeEffects(t *testing.T) {
 	s, _ := narrow(t)
 	serving(t, s)
-	seen := &seenAtNote{board: func() *board { return s.board }}
+	seen := &seenAtNote{board: func() *metricsBoard { return s.metrics }}
 	s.mutex.Lock()
-	s.log, s.board = slog.New(seen), newBoard(s.reducer)
-	s.reducer.becomeReady()
+	s.log, s.metrics = slog.New(seen), newMetricsBoard(s.machine)
+	s.machine.becomeReady()
 	s.mutex.Unlock()
-	s.take(TimerFired{})
-	s.take(DrainRequested{On: true})
-	s.take(DrainRequested{})
+	s.handle(TimerFired{})
+	s.handle(DrainRequested{On: true})
+	s.handle(DrainRequested{})
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	assert.Equal(t, []bool{false, true}, seen.ready, "as its note says")
--- a/internal/relay/sockets_test.go
+++ b/internal/relay/sockets_test.go
@@ -22,7 +22,7 @@
 )
 
 // narrow is Sockets without a relay, and a way to connect them to a peer that takes little in till it reads.
-func narrow(t *testing.T) (s *Sockets, connect func() (*socket, net.Conn)) {
+func narrow(t *testing.T) (s *driver, connect func() (*socket, net.Conn)) {
 	small := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) {
 			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF,
@@ -31,21 +31,21 @@
 	}}
 	listener, err := small.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s = &Sockets{open: map[uint64]*socket{}, dialing: map[uint64]*dialing{}}
-	s.engine = nbio.NewEngine(nbio.Config{NPoller: 1, MaxWriteBufferSize: mostUnread})
-	s.engine.OnWrittenSize(s.written)
+	s = &driver{sockets: map[uint64]*socket{}, dials: map[uint64]*pendingDial{}}
+	s.engine = nbio.NewEngine(nbio.Config{NPoller: 1, MaxWriteBufferSize: maxUnsentBytes})
+	s.engine.OnWrittenSize(s.onWritten)
 	s.engine.OnClose(func(nb *nbio.Conn, _ error) {
 		c, ok := nb.Session().(*socket)
 		if !ok {
 			return
 		}
-		s.work.do(func() {
+		s.workers.run(func() {
 			s.mutex.Lock()
 			defer s.mutex.Unlock()
-			s.forgetSocket(c)
+			s.removeSocket(c)
 		})
 	})
-	buffer := make([]byte, readPiece)
+	buffer := make([]byte, readBufferBytes)
 	polls := make(chan struct{})
 	s.engine.OnRead(func(c *nbio.Conn) {
 		if c.Session() == nil { // the first one, below
@@ -53,7 +53,7 @@
 			close(polls)
 			return
 		}
-		s.read(c, buffer)
+		s.readAvailable(c, buffer)
 	})
 	require.NoError(t, s.engine.Start())
 	// nbio 1.6.8 spins for ever where it is stopped before its poller has begun, so that is waited for.
@@ -79,11 +79,11 @@
 		nb, err := nbio.NBConn(out)
 		require.NoError(t, err)
 		require.NoError(t, nb.SetWriteBuffer(4096))
-		k := &socket{conn: 1, nb: nb, polled: true}
+		k := &socket{conn: 1, nbConn: nb, polled: true}
 		nb.SetSession(k)
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
-		s.open[1] = k
+		s.sockets[1] = k
 		_, err = s.engine.AddConn(nb)
 		require.NoError(t, err)
 		return k, in
@@ -91,15 +91,15 @@
 }
 
 // closeAfter writes to the one connection, and closes it once that is out.
-func closeAfter(s *Sockets, parts ...[]byte) {
+func closeAfter(s *driver, parts ...[]byte) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.write(1, parts)
-	s.end(1, gracefully)
+	s.closeOrReset(1, gracefully)
 }
 
 // serving gives them a relay with one backend, to which it can't connect.
-func serving(t *testing.T, s *Sockets) {
+func serving(t *testing.T, s *driver) {
 	values, err := settings.Flatten([]byte(told))
 	require.NoError(t, err)
 	reducer, err := New(s.now(), &Config{Settings: values, Discovery: "127.0.0.1:1",
@@ -107,9 +107,9 @@
 	require.NoError(t, err)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.reducer, s.log = reducer, slog.New(slog.DiscardHandler)
-	s.freed, s.timer = sync.NewCond(&s.mutex), time.NewTimer(time.Hour)
-	s.discovery = newDiscovery(s.take)
+	s.machine, s.log = reducer, slog.New(slog.DiscardHandler)
+	s.acceptChanged, s.timer = sync.NewCond(&s.mutex), time.NewTimer(time.Hour)
+	s.discovery = newDiscoveryWatch(s.handle)
 }
 
 // Against nbio's Writev, which loses whatever follows the first piece that the kernel did not take whole.
@@ -145,9 +145,9 @@
 	require.NoError(t, err)
 	nb, err := nbio.NBConn(out)
 	require.NoError(t, err)
-	k := &socket{conn: 1, nb: nb, early: true}
+	k := &socket{conn: 1, nbConn: nb, awaitsRelease: true}
 	nb.SetSession(k)
-	s.open[1] = k
+	s.sockets[1] = k
 	closeAfter(s, []byte("MO"), []byte("VE"))
 	in.SetDeadline(time.Now().Add(50 * time.Millisecond))
 	_, err = in.Read(make([]byte, 1))
@@ -170,7 +170,7 @@
 	in.SetWriteDeadline(time.Now().Add(flushTimeout / 2))
 	sent, err := 0, error(nil)
 	for n := 0; err == nil; sent += n {
-		n, err = in.Write(make([]byte, readPiece))
+		n, err = in.Write(make([]byte, readBufferBytes))
 	}
 	assert.NotErrorIs(t, err, os.ErrDeadlineExceeded, "%d bytes were taken", sent)
 }
@@ -207,7 +207,7 @@
 			assert.Eventually(t, func() bool {
 				s.mutex.Lock()
 				defer s.mutex.Unlock()
-				return len(s.open) == 0 && len(s.closing) == 0
+				return len(s.sockets) == 0 && len(s.closing) == 0
 			}, 5*time.Second, time.Millisecond, "its descriptor is free again")
 		})
 	}
@@ -223,16 +223,16 @@
 func TestClosingConnectionsAreBounded(t *testing.T) {
 	s, connect := narrow(t)
 	serving(t, s)
-	s.reducer.ownDescriptors = 0
+	s.machine.ownDescriptors = 0
 	var clients []net.Conn
-	for i := range 3 * spareClosing {
+	for i := range 3 * spareClosingDescriptors {
 		k, in := connect()
 		s.mutex.Lock()
-		delete(s.open, 1)
+		delete(s.sockets, 1)
 		k.conn = uint64(i + 1)
-		s.open[k.conn] = k
-		s.end(k.conn, gracefully)
-		assert.LessOrEqual(t, len(s.open), spareClosing)
+		s.sockets[k.conn] = k
+		s.closeOrReset(k.conn, gracefully)
+		assert.LessOrEqual(t, len(s.sockets), spareClosingDescriptors)
 		s.mutex.Unlock()
 		clients = append(clients, in)
 	}
@@ -244,7 +244,7 @@
 	assert.Eventually(t, func() bool {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
-		return len(s.open) == 0 && len(s.closing) == 0
+		return len(s.sockets) == 0 && len(s.closing) == 0
 	}, 5*time.Second, time.Millisecond)
 }
 
@@ -270,11 +270,11 @@
 			backend, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			defer backend.Close()
-			s.reducer.backends["b1"].Address = backend.Addr().String()
+			s.machine.backends["b1"].Address = backend.Addr().String()
 			in := connectUnpolled(t, s)
-			s.take(ConnAccepted{Conn: 1})
+			s.handle(ConnAccepted{Conn: 1})
 			c.leave(in)
-			s.take(DataReceived{Conn: 1, Data: []byte("OPEN a 1f c=feed,t=one,d=2000\r\n")})
+			s.handle(DataReceived{Conn: 1, Data: []byte("OPEN a 1f c=feed,t=one,d=2000\r\n")})
 			server, err := backend.Accept()
 			require.NoError(t, err)
 			server.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -290,7 +290,7 @@
 }
 
 // connectUnpolled has a client come as connection 1, of which the poller tells nothing.
-func connectUnpolled(t *testing.T, s *Sockets) net.Conn {
+func connectUnpolled(t *testing.T, s *driver) net.Conn {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
@@ -300,11 +300,11 @@
 	require.NoError(t, err)
 	nb, err := nbio.NBConn(out)
 	require.NoError(t, err)
-	k := &socket{conn: 1, nb: nb}
+	k := &socket{conn: 1, nbConn: nb}
 	nb.SetSession(k)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.open[1] = k
+	s.sockets[1] = k
 	return in
 }
 
@@ -315,8 +315,8 @@
 	serving(t, s)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s.listener, s.accepted = listener.(*net.TCPListener), make(chan struct{})
-	close(s.accepted) // the accept loop has not run since these came
+	s.listener, s.acceptDone = listener.(*net.TCPListener), make(chan struct{})
+	close(s.acceptDone) // the accept loop has not run since these came
 	var clients []net.Conn
 	for i := range 5 {
 		in, err := net.Dial("tcp", listener.Addr().String())
@@ -326,8 +326,8 @@
 	}
 	silent, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
-	s.reducer.exiting = true
-	s.endAll()
+	s.machine.exiting = true
+	s.finish()
 	_, err = net.Dial("tcp", listener.Addr().String())
 	assert.ErrorIs(t, err, syscall.ECONNREFUSED)
 	for _, in := range append(clients, silent) {
@@ -337,11 +337,11 @@
 		assert.Equal(t, "BUSY 900\r\n", string(all))
 		in.Close()
 	}
-	s.waitFor(5*time.Second, func() bool { return len(s.open) == 0 })
+	s.waitFor(5*time.Second, func() bool { return len(s.sockets) == 0 })
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	assert.Empty(t, s.open)
-	assert.Zero(t, s.reducer.Attempts)
+	assert.Empty(t, s.sockets)
+	assert.Zero(t, s.machine.Attempts)
 }
 
 // A dial that is given up ends at once, though its peer says nothing: here a listener that is full.
@@ -362,12 +362,12 @@
 		defer c.Close()
 	}
 	for _, early := range []bool{false, true} {
-		d, ended := &dialing{}, make(chan error, 1)
+		d, ended := &pendingDial{}, make(chan error, 1)
 		if early { // before there is a socket
-			d.giveUp()
+			d.cancel()
 		}
 		go func() {
-			dialer := net.Dialer{KeepAlive: -1, Control: d.socket}
+			dialer := net.Dialer{KeepAlive: -1, Control: d.control}
 			_, err := dialer.Dial("tcp", address.String())
 			ended <- err
 		}()
@@ -377,7 +377,7 @@
 				require.Fail(t, "the listener is not full", "%v", err)
 			case <-time.After(50 * time.Millisecond):
 			}
-			d.giveUp()
+			d.cancel()
 		}
 		select {
 		case err := <-ended:
@@ -390,12 +390,12 @@
 
 // Workers take each job at once, also where all are busy, and those that are done take the next.
 func TestWorkers(t *testing.T) {
-	var w workers
-	const jobs = 3 * mostIdle
+	var w workerPool
+	const jobs = 3 * maxIdleWorkers
 	busy, free := make(chan bool, jobs), make(chan bool)
 	for round := range 2 {
 		for range jobs {
-			w.do(func() {
+			w.run(func() {
 				busy <- true
 				<-free
 			})
@@ -409,7 +409,7 @@
 		require.Eventually(t, func() bool {
 			w.mutex.Lock()
 			defer w.mutex.Unlock()
-			return len(w.idle) == mostIdle
+			return len(w.idle) == maxIdleWorkers
 		}, 5*time.Second, time.Millisecond, "round %d", round)
 	}
 }
--- a/internal/relay/statemachine_test.go
+++ b/internal/relay/statemachine_test.go
@@ -642,7 +642,7 @@
 		{`{"index":1,"snapshot":true}`, "", "endpoints expected"},
 		{`{"index":1,"snapshot":true,"endpoints":[`, "", "list"},
 	} {
-		news, err := readNews([]byte(c.text))
+		news, err := parseEndpointUpdate([]byte(c.text))
 		if c.err != "" {
 			assert.ErrorContains(t, err, c.err)
 			continue
--- a/internal/relay/transfer.go
+++ b/internal/relay/transfer.go
@@ -31,21 +31,21 @@
 // transferSession passes one link, and tells the reducer whether it is gone. Both sockets' reads are locked from before
 // the reducer gives the link up until that is known: against bytes read here that belong to the other
 // process.
-func (s *Sockets) transferSession(client, server uint64) {
-	p := &s.passing
+func (s *driver) transferSession(client, server uint64) {
+	p := &s.transfers
 	defer p.pending.Done()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	s.mutex.Lock()
-	c, b, number := s.open[client], s.open[server], s.younger
+	c, b, number := s.sockets[client], s.sockets[server], s.handoffChild
 	s.mutex.Unlock()
 	if c == nil || b == nil || !s.openTransferChannel(number) {
 		return
 	}
-	c.reading.Lock()
-	defer c.reading.Unlock()
-	b.reading.Lock()
-	defer b.reading.Unlock()
+	c.readMutex.Lock()
+	defer c.readMutex.Unlock()
+	b.readMutex.Lock()
+	defer b.readMutex.Unlock()
 	record, fds := s.detachSession(client, c, b)
 	if record == nil {
 		return
@@ -65,29 +65,29 @@
 	}
 	s.mutex.Lock()
 	if gone {
-		c.passed, b.passed = true, true
-		delete(s.open, client)
-		delete(s.open, server)
+		c.transferred, b.transferred = true, true
+		delete(s.sockets, client)
+		delete(s.sockets, server)
 	} else {
 		s.resumePolling(c)
 		s.resumePolling(b)
 	}
 	s.mutex.Unlock()
-	s.take(SessionTransferred{Conn: client, Accepted: gone})
+	s.handle(SessionTransferred{Conn: client, Accepted: gone})
 	if gone { // the other process's descriptors keep them up
-		c.nb.Close()
-		b.nb.Close()
+		c.nbConn.Close()
+		b.nbConn.Close()
 		if err := p.channel.ConfirmRelease(); err != nil && !p.closed {
 			s.log.Warn("can't say that a link was let go", "err", err)
 		}
 	}
 }
 
-func (s *Sockets) openTransferChannel(number int) bool {
-	p := &s.passing
+func (s *driver) openTransferChannel(number int) bool {
+	p := &s.transfers
 	if p.channel == nil && !p.closed {
 		var err error
-		if p.channel, err = s.seat.OpenChannel(number); err != nil {
+		if p.channel, err = s.slot.OpenChannel(number); err != nil {
 			s.log.Warn("no way to the younger process", "err", err)
 			p.closed = true
 		}
@@ -98,28 +98,28 @@
 // detachSession has the reducer give the link up, and takes its sockets out of the poller, with descriptors of their
 // own to be sent. All under the relay's lock: no descriptor's number can come to another connection
 // meanwhile.
-func (s *Sockets) detachSession(client uint64, c, b *socket) (*TransferredSession, [hotrestart.FilesPerSession]int) {
+func (s *driver) detachSession(client uint64, c, b *socket) (*TransferredSession, [hotrestart.FilesPerSession]int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var fds [hotrestart.FilesPerSession]int
 	both := [...]*socket{c, b}
 	for _, k := range both {
-		if k.unsent.Load() > 0 || k.closing.Load() || isClosed(k.nb) {
+		if k.unsent.Load() > 0 || k.closing.Load() || isClosed(k.nbConn) {
 			return nil, fds
 		}
 	}
-	s.parted = nil
-	s.tell(DetachRequested{Conn: client})
-	record := s.parted
+	s.detached = nil
+	s.handleLocked(DetachRequested{Conn: client})
+	record := s.detached
 	if record == nil {
 		return nil, fds
 	}
 	ok := true
 	for i, k := range both {
 		fds[i] = -1
-		if ok = ok && s.stopPolling(k.nb.Hash()) == nil; ok {
-			fd, err := syscall.Dup(k.nb.Hash())
-			if ok = err == nil && !isClosed(k.nb); err == nil {
+		if ok = ok && s.stopPolling(k.nbConn.Hash()) == nil; ok {
+			fd, err := syscall.Dup(k.nbConn.Hash())
+			if ok = err == nil && !isClosed(k.nbConn); err == nil {
 				fds[i] = fd
 			}
 		}
@@ -133,7 +133,7 @@
 		}
 		s.resumePolling(k)
 	}
-	s.tell(SessionTransferred{Conn: client})
+	s.handleLocked(SessionTransferred{Conn: client})
 	return nil, fds
 }
 
@@ -145,17 +145,17 @@
 }
 
 // resumePolling has the poller look after the connection as before.
-func (s *Sockets) resumePolling(c *socket) {
-	if !isClosed(c.nb) {
-		s.engine.AddConn(c.nb)
+func (s *driver) resumePolling(c *socket) {
+	if !isClosed(c.nbConn) {
+		s.engine.AddConn(c.nbConn)
 	}
 }
 
 // stopPolling takes a descriptor out of the poller's set. nbio 1.6.8 leaves that to the kernel, which does so only
 // once no process holds the connection; and it tells nobody its set, which is found as the one that has the
 // descriptor.
-func (s *Sockets) stopPolling(fd int) error {
-	p := &s.passing
+func (s *driver) stopPolling(fd int) error {
+	p := &s.transfers
 	if p.epoll > 0 {
 		return syscall.EpollCtl(p.epoll, syscall.EPOLL_CTL_DEL, fd, nil)
 	}
@@ -170,7 +170,7 @@
 
 // receiveSession takes a link that the elder process passes. Where that says when it has let go, nothing is read or
 // written before.
-func (s *Sockets) receiveSession(text []byte, files [hotrestart.FilesPerSession]*os.File) (bool, func()) {
+func (s *driver) receiveSession(text []byte, files [hotrestart.FilesPerSession]*os.File) (bool, func()) {
 	record := &TransferredSession{}
 	if json.Unmarshal(text, record) != nil {
 		return false, nil
@@ -190,20 +190,20 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.clients++
-	client := s.clients
-	s.adopted = 0
-	s.tell(SessionReceived{Conn: client, Session: record})
-	if s.adopted == 0 {
+	s.lastClientConn++
+	client := s.lastClientConn
+	s.acceptedBackendConn = 0
+	s.handleLocked(SessionReceived{Conn: client, Session: record})
+	if s.acceptedBackendConn == 0 {
 		both[0].Close()
 		both[1].Close()
 		return false, nil
 	}
 	var links [hotrestart.FilesPerSession]*socket
-	for i, conn := range [...]uint64{client, s.adopted} {
-		links[i] = &socket{conn: conn, nb: both[i], early: true}
+	for i, conn := range [...]uint64{client, s.acceptedBackendConn} {
+		links[i] = &socket{conn: conn, nbConn: both[i], awaitsRelease: true}
 		both[i].SetSession(links[i])
-		s.open[conn] = links[i]
+		s.sockets[conn] = links[i]
 	}
 	if record.ConfirmsRelease {
 		return true, func() {
@@ -217,22 +217,22 @@
 }
 
 // startPolling begins to read what was adopted, and writes what is to be written by now.
-func (s *Sockets) startPolling(links [hotrestart.FilesPerSession]*socket) {
+func (s *driver) startPolling(links [hotrestart.FilesPerSession]*socket) {
 	for _, c := range links {
-		if c.early = false; s.open[c.conn] != c {
+		if c.awaitsRelease = false; s.sockets[c.conn] != c {
 			continue
 		}
-		if _, err := s.engine.AddConn(c.nb); err != nil {
-			s.work.do(func() { s.take(ConnClosed{Conn: c.conn, Reset: true}) })
+		if _, err := s.engine.AddConn(c.nbConn); err != nil {
+			s.workers.run(func() { s.handle(ConnClosed{Conn: c.conn, Reset: true}) })
 			continue
 		}
 		c.polled = true
 		if c.closing.Load() {
-			c.startFlush()
+			c.setFlushDeadline()
 		}
-		if len(c.later) > 0 {
-			c.nb.Write(c.later)
-			c.later = nil
+		if len(c.deferredWrites) > 0 {
+			c.nbConn.Write(c.deferredWrites)
+			c.deferredWrites = nil
 		}
 	}
 }
--- a/internal/relay/writing.go
+++ b/internal/relay/writing.go
@@ -10,8 +10,8 @@
 )
 
 // write hands all parts over at once; what the kernel does not take stays with nbio, within its bound.
-func (s *Sockets) write(conn uint64, parts [][]byte) {
-	c := s.open[conn]
+func (s *driver) write(conn uint64, parts [][]byte) {
+	c := s.sockets[conn]
 	if c == nil {
 		return
 	}
@@ -19,20 +19,20 @@
 	for _, p := range parts {
 		size += len(p)
 	}
-	if c.early {
+	if c.awaitsRelease {
 		for _, p := range parts {
-			c.later = append(c.later, p...)
+			c.deferredWrites = append(c.deferredWrites, p...)
 		}
 		c.unsent.Add(int64(size))
 		return
 	}
 	if len(parts) == 1 || c.unsent.Load() > 0 {
 		for _, p := range parts {
-			s.writeOne(c, p)
+			s.writeChunk(c, p)
 		}
 		return
 	}
-	n, err := c.nb.Writev(parts)
+	n, err := c.nbConn.Writev(parts)
 	if err != nil && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR) {
 		c.unsent.Add(int64(size))
 		return
@@ -50,25 +50,25 @@
 			c.unsent.Add(int64(len(p) - n))
 			n = 0
 		default:
-			s.writeOne(c, p)
+			s.writeChunk(c, p)
 		}
 	}
 }
 
-func (s *Sockets) writeOne(c *socket, p []byte) {
+func (s *driver) writeChunk(c *socket, p []byte) {
 	c.unsent.Add(int64(len(p)))
-	c.nb.Write(p) // an error closes it, and is told by that
+	c.nbConn.Write(p) // an error closes it, and is told by that
 }
 
-// written is told what the kernel took; nbio holds its connection's lock meanwhile.
-func (s *Sockets) written(nb *nbio.Conn, _ []byte, n int) {
+// onWritten is told what the kernel took; nbio holds its connection's lock meanwhile.
+func (s *driver) onWritten(nb *nbio.Conn, _ []byte, n int) {
 	c, ok := nb.Session().(*socket)
 	if ok && c.unsent.Add(int64(-n)) == 0 && c.closing.Load() {
-		s.work.do(func() {
+		s.workers.run(func() {
 			s.mutex.Lock()
 			defer s.mutex.Unlock()
-			if s.open[c.conn] == c {
-				s.flushed(c)
+			if s.sockets[c.conn] == c {
+				s.finishClose(c)
 			}
 		})
 	}
