--- a/internal/relay/counters.go
+++ b/internal/relay/counters.go
@@ -9,7 +9,7 @@
 type Counters struct {
 	Accepted, Pings, Requests, Reestablished, AcceptPauses, SessionsReceived uint64 // taken in; Handed: by the elder process
 	Reloads, FailedReloads                                                   uint64
-	RequestErrors                                                            [len(badNames)]uint64
+	RequestErrors                                                            [len(requestErrorNames)]uint64
 	Attempts, RequestsSent, Polls, Watches                                   uint64 // sent; Written: heads
 	Succeeded, Rejected, Failed, Abandoned, Migrated                         uint64 // answered: UP, BUSY, ERR; client gone first; MOVE
 	// BUSY that other relays hold as well; or that they should
@@ -18,13 +18,13 @@
 	AttemptsMarked, AttemptsUnmarked, RepeatsDetected uint64
 	AffinityHits                                      uint64 // clients of whom others knew where they stood
 	ClientChunks, BackendLines                        uint64 // of what standing clients said; passed to them
-	EndReasons                                        [len(endingNames)]uint64
+	EndReasons                                        [len(endReasonNames)]uint64
 	OpenConns, Established, MaxOpenConns              int // now, now, and the most sockets at once
 }
 
 // Log writes them as one record.
 func (c Counters) Log(log *slog.Logger, why string) {
-	endings, bad := counted[EndReason](c.EndReasons[:]), counted[RequestError](c.RequestErrors[:])
+	endings, bad := nonZero[EndReason](c.EndReasons[:]), nonZero[RequestError](c.RequestErrors[:])
 	log.Info("counters", "why", why,
 		slog.Group("in", "accepted", c.Accepted, "pings", c.Pings, "heads", c.Requests,
 			"resumed", c.Reestablished, "handed", c.SessionsReceived, "holds", c.AcceptPauses, "pieces", c.ClientChunks,
@@ -40,8 +40,8 @@
 		slog.Group("sockets", "open", c.OpenConns, "standing", c.Established, "most", c.MaxOpenConns))
 }
 
-// counted are those of the counts that are not 0, under their names.
-func counted[K interface {
+// nonZero are those of the counts that are not 0, under their names.
+func nonZero[K interface {
 	~uint8
 	String() string
 }](counts []uint64) (all []any) {
