--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -70,7 +70,7 @@
 		{"far above the mean is held at the fewest", 50, 0.5, 2},
 		{"a mean near zero tells nothing", 0.02, 0.001, 10},
 	} {
-		assert.Equal(t, c.want, buckets(c.load, c.mean), c.name)
+		assert.Equal(t, c.want, bucketCount(c.load, c.mean), c.name)
 	}
 }
 
@@ -78,18 +78,18 @@
 	starts := map[int]bool{}
 	for seed := range int64(20) {
 		b := fleet{Loads: []float64{0.1, 0.3, 0.3}, Seed: seed}.build(t)
-		b.refresh(start)
-		starts[b.turns.at] = true
+		b.refreshWeights(start)
+		starts[b.roundRobin.position] = true
 		seen := map[int]int{}
 		run, longest := 0, 0
-		for i, k := range b.turns.table {
-			seen[k.server]++
-			if run++; i > 0 && b.turns.table[i-1].server != k.server {
+		for i, k := range b.roundRobin.table {
+			seen[k.backend]++
+			if run++; i > 0 && b.roundRobin.table[i-1].backend != k.backend {
 				run = 1
 			}
 			longest = max(longest, run)
 		}
-		for s, n := range b.turns.counts {
+		for s, n := range b.roundRobin.bucketCounts {
 			assert.Equal(t, n, seen[s])
 		}
 		assert.LessOrEqual(t, longest, 2, "one server's buckets stand apart")
@@ -113,10 +113,10 @@
 		b.LoadReported(start+10, 1, c.report)
 		b.LoadReported(start+10, 77, c.report)
 		if c.name == "good" || c.report == nil {
-			assert.Equal(t, c.want, b.probing.load[0], c.name)
+			assert.Equal(t, c.want, b.poller.loads[0], c.name)
 		} else {
-			assert.False(t, math.IsNaN(b.probing.load[0]) || math.IsInf(b.probing.load[0], 0) ||
-				b.probing.load[0] < 0, c.name)
+			assert.False(t, math.IsNaN(b.poller.loads[0]) || math.IsInf(b.poller.loads[0], 0) ||
+				b.poller.loads[0] < 0, c.name)
 		}
 	}
 }
@@ -133,7 +133,7 @@
 		{[]string{"rps", "active"}, []float64{9, 4}, 2, 2},
 		{[]string{"unheard_of"}, []float64{9}, 2, math.NaN()},
 	} {
-		got := NewLoadPoller(true, 0, c.fields).figure(c.report, c.weight)
+		got := NewLoadPoller(true, 0, c.fields).loadFromReport(c.report, c.weight)
 		assert.Equal(t, math.IsNaN(c.want), math.IsNaN(got), c.fields)
 		if !math.IsNaN(c.want) {
 			assert.Equal(t, c.want, got, c.fields)
@@ -168,7 +168,7 @@
 			Loads: []float64{0.3, 0.3, 0.3, 0.3}}.build(t)
 		l := arrive(start)
 		require.Equal(t, Assign, b.Assign(start, l).Kind, c.name)
-		l.tries = c.tries
+		l.attempts = c.tries
 		assert.Equal(t, c.want, b.AttemptFinished(start+c.after, l, c.outcome, false).Kind, c.name)
 	}
 }
@@ -203,9 +203,9 @@
 		assert.Equal(t, NoDecision, b.AttemptFinished(start+50, l, OutcomeConnectionLost, c.last).Kind, c.name)
 		assert.Equal(t, NoDecision, b.AttemptFinished(start+60, l, OutcomeConnectionLost, false).Kind, c.name)
 		b.SessionEstablished(start+70, l)
-		assert.Zero(t, b.effects.out, c.name)
-		assert.Zero(t, b.links[0]+b.links[1], c.name)
-		assert.Zero(t, b.probing.fresh[0]+b.probing.fresh[1], "a link that is over weighs on nothing")
+		assert.Zero(t, b.attempts.inFlight, c.name)
+		assert.Zero(t, b.sessionCounts[0]+b.sessionCounts[1], c.name)
+		assert.Zero(t, b.poller.unreportedLoads[0]+b.poller.unreportedLoads[1], "a link that is over weighs on nothing")
 	}
 }
 
@@ -232,7 +232,7 @@
 		}},
 	} {
 		b := fleet{Loads: []float64{0.1, 0.4}}.build(t)
-		b.refresh(start)
+		b.refreshWeights(start)
 		c.tell(b)
 		b.EndEndpointUpdate(start)
 		for range 30 {
@@ -258,16 +258,16 @@
 		times := map[int]float64{}
 		for r := range c.relays {
 			b := fleet{Loads: []float64{0.4, 0.4, 0.4, 0}, Cold: start, Relays: c.relays, Seed: int64(r)}.build(t)
-			b.refresh(start)
+			b.refreshWeights(start)
 			for i := range c.links {
-				now := start + c.span*(float64(i)+b.turns.chance.Float64())/float64(c.links)
+				now := start + c.span*(float64(i)+b.roundRobin.rng.Float64())/float64(c.links)
 				l := arrive(now)
 				if sendAsked(b, now, l, []float64{0.4, 0.4, 0.4, 0}).Backend == 4 {
 					times[int((now-start)/2000)]++
 				}
 			}
 		}
-		fill := 1000.0 / quotaPart / 4 // by the quotas of the helper's parties
+		fill := 1000.0 / quotaCapacityShare / 4 // by the quotas of the helper's parties
 		for window, sent := range times {
 			part := 0.2 + 0.8*float64(window)*2000/20000
 			assert.LessOrEqual(t, sent, 3*part*fill/20000*2000+2, "%s, window %d", c.name, window)
@@ -312,7 +312,7 @@
 			b := fleet{Loads: []float64{c.warm, c.warm, c.warm, c.cold}, Cold: start, Relays: c.relays,
 				Seed: seed}.build(t)
 			now := start + c.age
-			b.probing.since[3] = []placed{{now - 100, c.placed / 20}}
+			b.poller.recentAssignments[3] = []assignment{{now - 100, c.placed / 20}}
 			if sendAsked(b, now, arrive(now), []float64{c.warm, c.warm, c.warm, c.cold}).Backend == 4 {
 				sent++
 			}
@@ -332,7 +332,7 @@
 		for d := b.NextAction(now); d.Poll; d = b.NextAction(now) {
 			asked = append(asked, d.Backend)
 		}
-		require.Len(t, asked, drafted)
+		require.Len(t, asked, candidatesPerSession)
 		assert.Equal(t, Queue, b.Assign(now+1, l).Kind, "answers are waited for")
 		b.PollFinished(now+2, asked[2], true, []float64{0, 0.3})
 		a := b.Assign(now+40, l)
@@ -354,7 +354,7 @@
 	for _, relays := range []int{1, 30, 220} {
 		b := fleet{Loads: make([]float64, 20), Relays: relays}.build(t)
 		for s := range b.ids {
-			b.forget(s)
+			b.forgetLoad(s)
 		}
 		asked := 0
 		for now := start; now < start+10000; now += 10 {
@@ -372,8 +372,8 @@
 	b.BeginEndpointUpdate(false)
 	b.UpdateEndpoint(1, 0, Ready, 0, start+5, 1)
 	b.EndEndpointUpdate(start + 10)
-	assert.True(t, math.IsNaN(b.probing.load[0]))
-	assert.Less(t, b.warmup.part(0, start+10), 0.21)
+	assert.True(t, math.IsNaN(b.poller.loads[0]))
+	assert.Less(t, b.slowStart.capacityShare(0, start+10), 0.21)
 }
 
 // A silence in which links broke was a restart; one that links outlived was a cut, and ends warm.
@@ -388,7 +388,7 @@
 			b.AttemptFinished(start+200, l, OutcomeConnectionLost, true)
 		}
 		b.PollFinished(start+9000, 1, true, []float64{0, 0})
-		assert.Equal(t, broke, b.warmup.part(0, start+9000) < 1)
+		assert.Equal(t, broke, b.slowStart.capacityShare(0, start+9000) < 1)
 	}
 }
 
@@ -396,13 +396,13 @@
 func TestHealth(t *testing.T) {
 	b := fleet{Loads: []float64{0.4, 0.4}}.build(t)
 	b.PollFinished(start, 1, false, nil)
-	assert.True(t, b.health.good(0), "one lost probe is not a death")
+	assert.True(t, b.outliers.isHealthy(0), "one lost probe is not a death")
 	b.PollFinished(start+300, 1, false, nil)
 	for range 20 {
 		assert.Equal(t, uint32(2), b.Assign(start+400, arrive(start+400)).Backend)
 	}
 	b.PollFinished(start+600, 1, true, []float64{0, 0.4})
-	assert.True(t, b.health.good(0))
+	assert.True(t, b.outliers.isHealthy(0))
 }
 
 // Against a slow shared store: set-ups that time out everywhere condemn no server.
@@ -415,7 +415,7 @@
 		b.AttemptFinished(now+50, l, OutcomeTimedOut, true)
 	}
 	for s := range b.ids {
-		assert.True(t, b.health.good(s))
+		assert.True(t, b.outliers.isHealthy(s))
 	}
 }
 
@@ -439,10 +439,10 @@
 			l := arrive(now)
 			require.Equal(t, Assign, b.Assign(now, l).Kind, c.name)
 			if c.silent {
-				b.health.failed[l.server] = 1
+				b.outliers.consecutiveFailures[l.backend] = 1
 			}
 			b.AttemptFinished(now+500, l, c.outcome, true)
-			b.health.failed[l.server] = 0
+			b.outliers.consecutiveFailures[l.backend] = 0
 		}
 		sent, now := 0, start+20000
 		for range 100 {
@@ -450,29 +450,29 @@
 				sent++
 			}
 		}
-		assert.Equal(t, float64(c.want), b.effects.width, c.name)
+		assert.Equal(t, float64(c.want), b.attempts.concurrencyLimit, c.name)
 		assert.LessOrEqual(t, sent, c.want, c.name)
 	}
 	crowd := fleet{Loads: []float64{0.3}, Relays: 220}.build(t)
 	for i := range 8 {
-		crowd.effects.judge(&Session{sent: start + float64(i)}, start+float64(i)+0.5, false)
+		crowd.attempts.recordOutcome(&Session{attemptedAt: start + float64(i)}, start+float64(i)+0.5, false)
 	}
 	out := 0
 	for range 300 {
-		if crowd.effects.let(crowd.turns.chance) {
+		if crowd.attempts.allowAttempt(crowd.roundRobin.rng) {
 			out++
 		}
 	}
 	assert.Less(t, out, 20, "one set-up from each of hundreds is a wave, too")
 	b := fleet{Loads: []float64{0.3}}.build(t)
-	b.effects.width = 1
+	b.attempts.concurrencyLimit = 1
 	for i := range 20 {
 		now := start + float64(i)*100
 		l := arrive(now)
 		require.Equal(t, Assign, b.Assign(now, l).Kind)
 		b.SessionEstablished(now+20, l)
 	}
-	assert.Greater(t, b.effects.width, 5.0, "it widens when set-ups stand in good time")
+	assert.Greater(t, b.attempts.concurrencyLimit, 5.0, "it widens when set-ups stand in good time")
 }
 
 // Against links that go round, shed by one full server after the other: one shed soon after it stood narrows
@@ -487,9 +487,9 @@
 		l := arrive(start)
 		b.Assign(start, l)
 		b.SessionEstablished(start+20, l)
-		b.health.failed[l.server] = c.silent
+		b.outliers.consecutiveFailures[l.backend] = c.silent
 		b.AttemptFinished(start+c.after, l, OutcomeConnectionLost, true)
-		assert.InDelta(t, c.want, b.effects.width, 0.1)
+		assert.InDelta(t, c.want, b.attempts.concurrencyLimit, 0.1)
 	}
 }
 
@@ -581,7 +581,7 @@
 		}
 		for range 9 {
 			b.WatchFailed(start + 6000)
-			assert.Less(t, b.askAt-start-6000, 4*10000.0, "from then on it counts as told")
+			assert.Less(t, b.watchAt-start-6000, 4*10000.0, "from then on it counts as told")
 		}
 		b.BeginEndpointUpdate(false)
 		b.EndEndpointUpdate(start + 6000)
@@ -600,9 +600,9 @@
 			now := start + 1000
 			for failure := range 12 {
 				b.WatchFailed(now)
-				assert.LessOrEqual(t, b.askAt-now, 2000.0, "%d relays, failure %d", relays, failure)
-				assert.Greater(t, b.askAt-now, 50.0, "%d relays, failure %d", relays, failure)
-				now = b.askAt
+				assert.LessOrEqual(t, b.watchAt-now, 2000.0, "%d relays, failure %d", relays, failure)
+				assert.Greater(t, b.watchAt-now, 50.0, "%d relays, failure %d", relays, failure)
+				now = b.watchAt
 				assert.True(t, b.NextAction(now).Subscribe)
 			}
 		}
@@ -647,9 +647,9 @@
 		within           float64
 		soonest, slowest float64
 	}{
-		{0, 30, 0, 0, leaveOver / 30}, {15, 30, 0, leaveOver / 2, leaveOver * 16 / 30},
-		{29, 30, 0, leaveOver * 29 / 30, leaveOver},
-		{5, 10, 400, 200, 240}, {5, 10, 4000, 4000 - stopOver/2, 4000 - stopOver*4/10},
+		{0, 30, 0, 0, drainSpread / 30}, {15, 30, 0, drainSpread / 2, drainSpread * 16 / 30},
+		{29, 30, 0, drainSpread * 29 / 30, drainSpread},
+		{5, 10, 400, 200, 240}, {5, 10, 4000, 4000 - shutdownDrainSpread/2, 4000 - shutdownDrainSpread*4/10},
 	} {
 		got := b.DrainDelay(c.nth, c.of, c.within)
 		assert.GreaterOrEqual(t, got, c.soonest, "%v", c)
@@ -662,7 +662,7 @@
 	var at [4]int
 	for seed := range int64(80) {
 		b := fleet{Loads: []float64{0.1, 0.1}, Relays: 80, Seed: seed}.build(t)
-		at[int(b.DrainDelay(0, 1, 0)*float64(len(at))/leaveOver)]++
+		at[int(b.DrainDelay(0, 1, 0)*float64(len(at))/drainSpread)]++
 	}
 	for quarter, n := range at {
 		assert.InDelta(t, 20, n, 12, "quarter %d of the time", quarter)
@@ -719,11 +719,11 @@
 		before := share(b, start, well(b))
 		assert.Greater(t, before, 0.3, "%s: while it is believed", c.name)
 		during := share(b, start+3000, func(l *Session, at float64) {
-			if l.server != 0 {
+			if l.backend != 0 {
 				well(b)(l, at)
 				return
 			}
-			b.effects.width = widest // the store is not what is looked at
+			b.attempts.concurrencyLimit = maxConcurrentAttempts // the store is not what is looked at
 			if c.stood {
 				b.SessionEstablished(at+10, l)
 			}
@@ -734,10 +734,10 @@
 			"%s: later it is tried again, and bears out its word", c.name)
 	}
 	b := fleet{Loads: []float64{0.1, 0.5, 0.5, 0.5}, Tries: 1, Seed: 2}.build(t)
-	b.health.witness(0, start, against)
+	b.outliers.addEvidence(0, start, outlierPenalty)
 	l := &Session{Deadline: start + 2000}
 	b.SessionResumed(start, l, 1)
-	l.sent = start
+	l.attemptedAt = start
 	// One that sheds links and then says that it is full tells the truth, late; errors may be the client's.
 	for _, c := range []struct {
 		name   string
@@ -749,20 +749,20 @@
 		b := fleet{Loads: []float64{0.1, 0.5, 0.5}}.build(t)
 		l := arrive(start)
 		b.SessionResumed(start, l, 1)
-		l.sent = start
+		l.attemptedAt = start
 		b.AttemptFinished(start+100, l, c.end, true)
-		assert.Zero(t, b.health.doubtful(0, start+150), "%s: not before its next report", c.name)
+		assert.Zero(t, b.outliers.score(0, start+150), "%s: not before its next report", c.name)
 		b.LoadReported(start+200, 1, []float64{0, c.report})
-		assert.Equal(t, c.want, b.health.doubtful(0, start+200) > 0, c.name)
+		assert.Equal(t, c.want, b.outliers.score(0, start+200) > 0, c.name)
 	}
-	doubt := b.health.doubtful(0, start+shedSoon)
-	b.AttemptFinished(start+shedSoon, l, OutcomeSucceeded, true)
-	assert.Less(t, b.health.doubtful(0, start+shedSoon), 0.6*doubt, "a link that stood speaks for it")
+	doubt := b.outliers.score(0, start+shedWindow)
+	b.AttemptFinished(start+shedWindow, l, OutcomeSucceeded, true)
+	assert.Less(t, b.outliers.score(0, start+shedWindow), 0.6*doubt, "a link that stood speaks for it")
 	for s := range b.ids {
-		b.health.witness(s, start+shedSoon, against)
-		b.health.witness(s, start+shedSoon, against)
+		b.outliers.addEvidence(s, start+shedWindow, outlierPenalty)
+		b.outliers.addEvidence(s, start+shedWindow, outlierPenalty)
 	}
 	for s := range b.ids {
-		assert.Less(t, b.health.doubtful(s, start+shedSoon), 0.05, "all alike")
+		assert.Less(t, b.outliers.score(s, start+shedWindow), 0.05, "all alike")
 	}
 }
--- a/balancer/budget_test.go
+++ b/balancer/budget_test.go
@@ -37,7 +37,7 @@
 				now += window / 100 * chance.Float64()
 			}
 			if chance.Intn(3) > 0 {
-				b.take(now)
+				b.recordSession(now)
 				taken = append(taken, now)
 			}
 			if chance.Intn(2) > 0 {
@@ -45,10 +45,10 @@
 				if right {
 					could++
 				}
-				if b.allows(now) {
+				if b.allowsRetry(now) {
 					given++
 					require.True(t, right, "seed %d at %v: %v tries, %v links", seed, now, in(tries), in(taken))
-					b.spend(now)
+					b.recordRetry(now)
 					tries = append(tries, now)
 				}
 			}
@@ -58,9 +58,9 @@
 		}
 	}
 	var none *RetryBudget
-	none.take(1)
-	none.spend(1)
-	assert.True(t, none.allows(1), "no rule")
+	none.recordSession(1)
+	none.recordRetry(1)
+	assert.True(t, none.allowsRetry(1), "no rule")
 }
 
 // A try that the budget forbids is answered at once, whatever time is left, with a time to come back.
--- a/balancer/cold_fleet_test.go
+++ b/balancer/cold_fleet_test.go
@@ -117,7 +117,7 @@
 
 func (f *coldFleet) balancer(seed int64) *Balancer {
 	categories := []Class{{LatencyObjective: 500, PriorityWeight: 1}}
-	quota := f.bears * float64(len(f.servers)) * quotaPart
+	quota := f.bears * float64(len(f.servers)) * quotaCapacityShare
 	b := New(NewEndpointSet(false, 10000), NewRoundRobin(rand.New(rand.NewSource(seed))),
 		NewSlowStart(coldFrom, coldLength, coldMultiple, coldSpan, f.balancers),
 		NewLoadPoller(true, 0.002, []string{"x0"}), NewAttemptPolicy(categories, 3, 0, f.balancers, nil),
@@ -235,7 +235,7 @@
 		{"warm servers full", 0.9, 1, 4, 500, false},
 		{"warm servers full, uneven clients", 0.9, 1, 4, 500, true},
 	} {
-		if testing.Short() && load.warmLoad < room {
+		if testing.Short() && load.warmLoad < loadLimit {
 			continue // the hardest alone
 		}
 		for _, balancers := range sizes {
--- a/balancer/due.go
+++ b/balancer/due.go
@@ -9,49 +9,49 @@
 // which are cold, how many can be used. Each change of a server's state that these rest on is followed by
 // touch.
 
-// waiting keeps servers in a heap by when a probe is due at the shortest time between two.
-type waiting struct {
-	heap  []int
-	place []int // in the heap, from 1; 0: not there
-	key   []float64
+// pollQueue keeps servers in a heap by when a probe is due at the shortest time between two.
+type pollQueue struct {
+	heap     []int
+	position []int // in the heap, from 1; 0: not there
+	dueAt    []float64
 }
 
-func (w *waiting) grow(n int) {
-	for len(w.place) < n {
-		w.place, w.key = append(w.place, 0), append(w.key, 0)
+func (w *pollQueue) grow(n int) {
+	for len(w.position) < n {
+		w.position, w.dueAt = append(w.position, 0), append(w.dueAt, 0)
 	}
 }
 
-func (w *waiting) put(s int, key float64) {
-	w.key[s] = key
-	if w.place[s] == 0 {
+func (w *pollQueue) set(s int, key float64) {
+	w.dueAt[s] = key
+	if w.position[s] == 0 {
 		w.heap = append(w.heap, s)
-		w.place[s] = len(w.heap)
+		w.position[s] = len(w.heap)
 	}
-	w.down(w.up(w.place[s] - 1))
+	w.siftDown(w.siftUp(w.position[s] - 1))
 }
 
-func (w *waiting) drop(s int) {
-	i, last := w.place[s]-1, len(w.heap)-1
+func (w *pollQueue) remove(s int) {
+	i, last := w.position[s]-1, len(w.heap)-1
 	if i < 0 {
 		return
 	}
 	w.swap(i, last)
-	w.heap, w.place[s] = w.heap[:last], 0
+	w.heap, w.position[s] = w.heap[:last], 0
 	if i < last {
-		w.down(w.up(i))
+		w.siftDown(w.siftUp(i))
 	}
 }
 
-func (w *waiting) swap(i, j int) {
+func (w *pollQueue) swap(i, j int) {
 	h := w.heap
 	h[i], h[j] = h[j], h[i]
-	w.place[h[i]], w.place[h[j]] = i+1, j+1
+	w.position[h[i]], w.position[h[j]] = i+1, j+1
 }
 
-func (w *waiting) less(i, j int) bool { return w.key[w.heap[i]] < w.key[w.heap[j]] }
+func (w *pollQueue) less(i, j int) bool { return w.dueAt[w.heap[i]] < w.dueAt[w.heap[j]] }
 
-func (w *waiting) up(i int) int {
+func (w *pollQueue) siftUp(i int) int {
 	for i > 0 && w.less(i, (i-1)/2) {
 		w.swap(i, (i-1)/2)
 		i = (i - 1) / 2
@@ -59,7 +59,7 @@
 	return i
 }
 
-func (w *waiting) down(i int) {
+func (w *pollQueue) siftDown(i int) {
 	for {
 		child := 2*i + 1
 		if child >= len(w.heap) {
@@ -76,32 +76,32 @@
 	}
 }
 
-// track is what is kept of all servers.
-type track struct {
-	calm, doubted waiting // that answer, and that failed of late
-	fresh         []int   // never asked, or to be asked as if never, in order
-	isFresh       []bool
-	cold          []int // in order; some may be warm by now
-	usable        int   // ready, and they answer
-	isUsable      []bool
-	listed        int // not gone
-	isListed      []bool
+// backendTracker is what is kept of all servers.
+type backendTracker struct {
+	healthyQueue, failedQueue pollQueue // that answer, and that failed of late
+	neverPolled               []int     // never asked, or to be asked as if never, in order
+	isNeverPolled             []bool
+	warming                   []int // in order; some may be warm by now
+	usable                    int   // ready, and they answer
+	isUsable                  []bool
+	listed                    int // not gone
+	isListed                  []bool
 }
 
-func (t *track) grow(n int) {
-	t.calm.grow(n)
-	t.doubted.grow(n)
-	for len(t.isFresh) < n {
-		t.isFresh, t.isUsable = append(t.isFresh, false), append(t.isUsable, false)
+func (t *backendTracker) grow(n int) {
+	t.healthyQueue.grow(n)
+	t.failedQueue.grow(n)
+	for len(t.isNeverPolled) < n {
+		t.isNeverPolled, t.isUsable = append(t.isNeverPolled, false), append(t.isUsable, false)
 		t.isListed = append(t.isListed, false)
 	}
 }
 
-// touch takes that what is known of the server has changed.
-func (b *Balancer) touch(s int) {
-	t, p := &b.track, b.probing
-	ready := b.condition[s] == Ready
-	if usable := ready && b.health.good(s); usable != t.isUsable[s] {
+// updateTracking takes that what is known of the server has changed.
+func (b *Balancer) updateTracking(s int) {
+	t, p := &b.tracker, b.poller
+	ready := b.states[s] == Ready
+	if usable := ready && b.outliers.isHealthy(s); usable != t.isUsable[s] {
 		t.isUsable[s] = usable
 		if usable {
 			t.usable++
@@ -109,7 +109,7 @@
 			t.usable--
 		}
 	}
-	if listed := b.condition[s] != Gone; listed != t.isListed[s] {
+	if listed := b.states[s] != Gone; listed != t.isListed[s] {
 		t.isListed[s] = listed
 		if listed {
 			t.listed++
@@ -117,65 +117,65 @@
 			t.listed--
 		}
 	}
-	wait := ready && math.IsNaN(p.sentAt[s])
-	fresh := wait && math.IsInf(p.askedAt[s], -1)
-	if fresh != t.isFresh[s] {
-		t.isFresh[s] = fresh
-		if i, at := slices.BinarySearch(t.fresh, s); fresh {
-			t.fresh = slices.Insert(t.fresh, i, s)
+	wait := ready && math.IsNaN(p.pollSentAt[s])
+	fresh := wait && math.IsInf(p.polledAt[s], -1)
+	if fresh != t.isNeverPolled[s] {
+		t.isNeverPolled[s] = fresh
+		if i, at := slices.BinarySearch(t.neverPolled, s); fresh {
+			t.neverPolled = slices.Insert(t.neverPolled, i, s)
 		} else if at {
-			t.fresh = slices.Delete(t.fresh, i, i+1)
+			t.neverPolled = slices.Delete(t.neverPolled, i, i+1)
 		}
 	}
-	in, out := &t.calm, &t.doubted
-	if b.health.failed[s] > 0 {
+	in, out := &t.healthyQueue, &t.failedQueue
+	if b.outliers.consecutiveFailures[s] > 0 {
 		in, out = out, in
 	}
-	out.drop(s)
+	out.remove(s)
 	if wait && !fresh {
-		in.put(s, b.dueAt(s, probeEvery))
+		in.set(s, b.nextPollAt(s, pollInterval))
 	} else {
-		in.drop(s)
+		in.remove(s)
 	}
 }
 
-// chill takes that the server has started cold at that time.
-func (b *Balancer) chill(s int, since float64) {
-	b.warmup.since[s] = since
-	if i, there := slices.BinarySearch(b.track.cold, s); !there {
-		b.track.cold = slices.Insert(b.track.cold, i, s)
+// startSlowStart takes that the server has started cold at that time.
+func (b *Balancer) startSlowStart(s int, since float64) {
+	b.slowStart.startedAt[s] = since
+	if i, there := slices.BinarySearch(b.tracker.warming, s); !there {
+		b.tracker.warming = slices.Insert(b.tracker.warming, i, s)
 	}
 }
 
-// coldOnes are the servers that are cold, in order.
-func (b *Balancer) coldOnes(now float64) []int {
-	b.track.cold = slices.DeleteFunc(b.track.cold, func(s int) bool { return b.warmup.part(s, now) >= 1 })
-	return b.track.cold
+// warmingBackends are the servers that are cold, in order.
+func (b *Balancer) warmingBackends(now float64) []int {
+	b.tracker.warming = slices.DeleteFunc(b.tracker.warming, func(s int) bool { return b.slowStart.capacityShare(s, now) >= 1 })
+	return b.tracker.warming
 }
 
-// look is one look for the server that is to be probed now, the first in order, or when the next is.
-type look struct {
-	now, every, part float64
-	pick             int
-	wait             float64
+// pollSearch is one look for the server that is to be probed now, the first in order, or when the next is.
+type pollSearch struct {
+	now, interval, share float64
+	backend              int
+	wait                 float64
 }
 
-// find looks among those below a place of a heap. Extra is how much later than its key a server is due at the
+// searchQueue looks among those below a place of a heap. Extra is how much later than its key a server is due at the
 // least; a hundredth of a millisecond is left for rounding.
-func (b *Balancer) find(w *waiting, i int, extra float64, l *look) {
+func (b *Balancer) searchQueue(w *pollQueue, i int, extra float64, l *pollSearch) {
 	if i >= len(w.heap) {
 		return
 	}
 	s := w.heap[i]
-	if w.key[s]+extra-0.01 > l.now+max(l.wait, 0) {
+	if w.dueAt[s]+extra-0.01 > l.now+max(l.wait, 0) {
 		return
 	}
-	if b.probing.lots[s] < l.part {
-		wait := b.dueAt(s, l.every) - l.now
-		if l.wait = min(l.wait, wait); wait <= 0 && (l.pick < 0 || s < l.pick) {
-			l.pick = s
+	if b.poller.selectionDraws[s] < l.share {
+		wait := b.nextPollAt(s, l.interval) - l.now
+		if l.wait = min(l.wait, wait); wait <= 0 && (l.backend < 0 || s < l.backend) {
+			l.backend = s
 		}
 	}
-	b.find(w, 2*i+1, extra, l)
-	b.find(w, 2*i+2, extra, l)
+	b.searchQueue(w, 2*i+1, extra, l)
+	b.searchQueue(w, 2*i+2, extra, l)
 }
--- a/balancer/due_test.go
+++ b/balancer/due_test.go
@@ -10,32 +10,32 @@
 
 // nextPlain is Next as it is without bookkeeping: a look at every server.
 func nextPlain(b *Balancer, now float64) Action {
-	d := Action{Wait: b.askAt - now}
+	d := Action{Wait: b.watchAt - now}
 	if d.Wait <= 0 {
-		b.askAt = now + b.silence()
+		b.watchAt = now + b.watchSilence()
 		return Action{Subscribe: true}
 	}
-	p := b.probing
-	if s := p.pop(); s >= 0 {
-		return b.ask(now, s)
+	p := b.poller
+	if s := p.nextRequested(); s >= 0 {
+		return b.startPoll(now, s)
 	}
-	part, every := b.spread()
-	if !p.allowed || part == 0 {
+	part, every := b.pollingPlan()
+	if !p.enabled || part == 0 {
 		return d
 	}
-	for s, c := range b.condition {
-		if c != Ready || p.lots[s] >= part || !math.IsNaN(p.sentAt[s]) {
+	for s, c := range b.states {
+		if c != Ready || p.selectionDraws[s] >= part || !math.IsNaN(p.pollSentAt[s]) {
 			continue
 		}
-		if math.IsInf(p.askedAt[s], -1) {
-			p.askedAt[s] = now + b.turns.chance.Float64()*retryProbe - every
+		if math.IsInf(p.polledAt[s], -1) {
+			p.polledAt[s] = now + b.roundRobin.rng.Float64()*failedPollInterval - every
 		}
-		wait := p.askedAt[s] + every*(0.9+0.2*p.lots[s]) - now
-		if b.health.failed[s] > 0 {
-			wait = p.askedAt[s] + retryProbe - now
+		wait := p.polledAt[s] + every*(0.9+0.2*p.selectionDraws[s]) - now
+		if b.outliers.consecutiveFailures[s] > 0 {
+			wait = p.polledAt[s] + failedPollInterval - now
 		}
 		if wait <= 0 {
-			return b.ask(now, s)
+			return b.startPoll(now, s)
 		}
 		d.Wait = min(d.Wait, wait)
 	}
@@ -77,7 +77,7 @@
 			case k < 6:
 				x, y := &Session{Deadline: now + 2000}, &Session{Deadline: now + 2000}
 				require.Equal(t, b.Assign(now, y), a.Assign(now, x), "seed %d", seed)
-				if x.out {
+				if x.reserved {
 					as, bs = append(as, x), append(bs, y)
 				}
 			case k < 8 && len(as) > 0:
@@ -112,15 +112,15 @@
 				}
 			}
 			usable := 0
-			for s, c := range a.condition {
-				if c == Ready && a.health.good(s) {
+			for s, c := range a.states {
+				if c == Ready && a.outliers.isHealthy(s) {
 					usable++
 				}
-				if a.warmup.part(s, now) < 1 {
-					require.Contains(t, a.coldOnes(now), s)
+				if a.slowStart.capacityShare(s, now) < 1 {
+					require.Contains(t, a.warmingBackends(now), s)
 				}
 			}
-			require.Equal(t, usable, a.track.usable, "seed %d", seed)
+			require.Equal(t, usable, a.tracker.usable, "seed %d", seed)
 		}
 	}
 }
@@ -189,8 +189,8 @@
 		b.ReportAllocs()
 		b.ResetTimer()
 		for range b.N {
-			l.turns.expire()
-			l.refresh(now)
+			l.roundRobin.invalidate()
+			l.refreshWeights(now)
 		}
 	})
 }
--- a/balancer/record.go
+++ b/balancer/record.go
@@ -50,17 +50,17 @@
 	Load float64 `json:"Load"`
 }
 
-const mostEnded = 4096 // keys whose links' loads are left, against a record without bound
+const maxStoredKeys = 4096 // keys whose links' loads are left, against a record without bound
 
-// none has a value that is not there go as -1, which JSON can say.
-func none(x float64) float64 {
+// encodeMissing has a value that is not there go as -1, which JSON can say.
+func encodeMissing(x float64) float64 {
 	if math.IsNaN(x) || math.IsInf(x, 0) {
 		return -1
 	}
 	return x
 }
 
-func some(x, otherwise float64) float64 {
+func decodeMissing(x, otherwise float64) float64 {
 	if x == -1 {
 		return otherwise
 	}
@@ -69,30 +69,30 @@
 
 // Snapshot gives what was learnt until now.
 func (b *Balancer) Snapshot(now float64) Snapshot {
-	b.health.fade(now)
-	e, s, p := b.effects, b.shares, b.probing
-	r := Snapshot{TakenAt: now, ClassLoads: append([]float64{}, s.loads...), ClassSamples: append([]float64{}, s.weighed...),
-		MeanSessionLoad: s.loadMean, LoadSamples: s.known, EstimatedCapacity: b.guessed, ListedBackends: b.listed, EstablishedSessions: e.stood, EstablishedSpan: e.over,
-		EstablishedAsOf: e.asOf, ConcurrencyLimit: e.width, ConcurrencyReducedAt: e.cutAt, SlowStartRequestedAt: b.warmup.asked, EndedSessionLoads: map[uint64]float64{}}
+	b.outliers.decay(now)
+	e, s, p := b.attempts, b.quotas, b.poller
+	r := Snapshot{TakenAt: now, ClassLoads: append([]float64{}, s.classLoads...), ClassSamples: append([]float64{}, s.classSamples...),
+		MeanSessionLoad: s.meanSessionLoad, LoadSamples: s.loadSamples, EstimatedCapacity: b.estimatedCapacity, ListedBackends: b.initialBackends, EstablishedSessions: e.established, EstablishedSpan: e.establishedSpan,
+		EstablishedAsOf: e.establishedAsOf, ConcurrencyLimit: e.concurrencyLimit, ConcurrencyReducedAt: e.concurrencyReducedAt, SlowStartRequestedAt: b.slowStart.requestedAt, EndedSessionLoads: map[uint64]float64{}}
 	if budget := e.budget; budget != nil {
-		r.BudgetSlot = none(budget.at)
-		r.BudgetSessions, r.BudgetRetries = append(r.BudgetSessions, budget.taken[:]...), append(r.BudgetRetries, budget.more[:]...)
+		r.BudgetSlot = encodeMissing(budget.currentSlot)
+		r.BudgetSessions, r.BudgetRetries = append(r.BudgetSessions, budget.sessions[:]...), append(r.BudgetRetries, budget.retries[:]...)
 	}
 	for i, id := range b.ids {
-		if b.condition[i] == Gone {
+		if b.states[i] == Gone {
 			continue
 		}
-		one := BackendSnapshot{ID: id, StartedAt: b.started[i], Load: none(p.load[i]), ReportedAt: none(p.heardAt[i]),
-			PolledAt: none(p.askedAt[i]), SlowStartAt: none(b.warmup.since[i]), ConsecutiveFailures: b.health.failed[i],
-			SessionsLost: b.health.lost[i], OutlierEvidence: b.health.against[i]}
-		for _, x := range p.since[i] {
+		one := BackendSnapshot{ID: id, StartedAt: b.startedAt[i], Load: encodeMissing(p.loads[i]), ReportedAt: encodeMissing(p.reportedAt[i]),
+			PolledAt: encodeMissing(p.polledAt[i]), SlowStartAt: encodeMissing(b.slowStart.startedAt[i]), ConsecutiveFailures: b.outliers.consecutiveFailures[i],
+			SessionsLost: b.outliers.sessionsLost[i], OutlierEvidence: b.outliers.evidence[i]}
+		for _, x := range p.recentAssignments[i] {
 			one.RecentAssignments = append(one.RecentAssignments, AssignmentSnapshot{x.at, x.load})
 		}
 		r.Backends = append(r.Backends, one)
 	}
-	for _, half := range []map[uint64]float64{s.ended.recent, s.ended.older} {
+	for _, half := range []map[uint64]float64{s.endedLoads.recent, s.endedLoads.older} {
 		for key, load := range half {
-			if _, there := r.EndedSessionLoads[key]; !there && len(r.EndedSessionLoads) < mostEnded {
+			if _, there := r.EndedSessionLoads[key]; !there && len(r.EndedSessionLoads) < maxStoredKeys {
 				r.EndedSessionLoads[key] = load
 			}
 		}
@@ -100,8 +100,8 @@
 	return r
 }
 
-// check says what of a record can't be.
-func (r *Snapshot) check(categories int) error {
+// validate says what of a record can't be.
+func (r *Snapshot) validate(categories int) error {
 	bad := func(all ...float64) bool {
 		for _, x := range all {
 			if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
@@ -111,8 +111,8 @@
 		return false
 	}
 	switch {
-	case len(r.BudgetSessions) != len(r.BudgetRetries) || (len(r.BudgetSessions) != 0 && len(r.BudgetSessions) != slots+1) || bad(r.BudgetSessions...) ||
-		bad(r.BudgetRetries...) || bad(some(r.BudgetSlot, 0)):
+	case len(r.BudgetSessions) != len(r.BudgetRetries) || (len(r.BudgetSessions) != 0 && len(r.BudgetSessions) != budgetSlots+1) || bad(r.BudgetSessions...) ||
+		bad(r.BudgetRetries...) || bad(decodeMissing(r.BudgetSlot, 0)):
 		return errors.New("record: the budget's slots can't be")
 	case len(r.ClassLoads) != categories || len(r.ClassSamples) != categories:
 		return errors.New("record: its categories are others")
@@ -121,8 +121,8 @@
 		return errors.New("record: a figure is no number or negative")
 	}
 	for _, s := range r.Backends {
-		times := bad(s.StartedAt, some(s.ReportedAt, 0), some(s.PolledAt, 0), some(s.SlowStartAt, 0))
-		if times || bad(some(s.Load, 0), s.OutlierEvidence) || s.OutlierEvidence > 1 || s.ConsecutiveFailures < 0 {
+		times := bad(s.StartedAt, decodeMissing(s.ReportedAt, 0), decodeMissing(s.PolledAt, 0), decodeMissing(s.SlowStartAt, 0))
+		if times || bad(decodeMissing(s.Load, 0), s.OutlierEvidence) || s.OutlierEvidence > 1 || s.ConsecutiveFailures < 0 {
 			return errors.New("record: a server's figure is no number or negative")
 		}
 		for _, x := range s.RecentAssignments {
@@ -142,45 +142,45 @@
 // Restore takes what another process of this relay has learnt, of those servers that are the same still; a
 // record that can't be is refused whole.
 func (b *Balancer) Restore(now float64, r *Snapshot) error {
-	if err := r.check(len(b.effects.categories)); err != nil {
+	if err := r.validate(len(b.attempts.classes)); err != nil {
 		return err
 	}
-	b.health.fade(now)
-	e, s, p := b.effects, b.shares, b.probing
-	copy(s.loads, r.ClassLoads)
-	copy(s.weighed, r.ClassSamples)
-	s.loadMean, s.known, b.guessed, b.listed = r.MeanSessionLoad, r.LoadSamples, r.EstimatedCapacity, r.ListedBackends
-	e.stood, e.over, e.asOf, e.width, e.cutAt = r.EstablishedSessions, r.EstablishedSpan, min(r.EstablishedAsOf, now), r.ConcurrencyLimit, r.ConcurrencyReducedAt
+	b.outliers.decay(now)
+	e, s, p := b.attempts, b.quotas, b.poller
+	copy(s.classLoads, r.ClassLoads)
+	copy(s.classSamples, r.ClassSamples)
+	s.meanSessionLoad, s.loadSamples, b.estimatedCapacity, b.initialBackends = r.MeanSessionLoad, r.LoadSamples, r.EstimatedCapacity, r.ListedBackends
+	e.established, e.establishedSpan, e.establishedAsOf, e.concurrencyLimit, e.concurrencyReducedAt = r.EstablishedSessions, r.EstablishedSpan, min(r.EstablishedAsOf, now), r.ConcurrencyLimit, r.ConcurrencyReducedAt
 	if e.budget != nil && len(r.BudgetSessions) > 0 {
-		e.budget.at = some(r.BudgetSlot, math.Inf(-1))
-		copy(e.budget.taken[:], r.BudgetSessions)
-		copy(e.budget.more[:], r.BudgetRetries)
+		e.budget.currentSlot = decodeMissing(r.BudgetSlot, math.Inf(-1))
+		copy(e.budget.sessions[:], r.BudgetSessions)
+		copy(e.budget.retries[:], r.BudgetRetries)
 	}
 	// What the other has saved up for cold servers it has not handed out since, and neither is it given twice.
-	b.warmup.asked = max(min(r.SlowStartRequestedAt, now), r.TakenAt)
+	b.slowStart.requestedAt = max(min(r.SlowStartRequestedAt, now), r.TakenAt)
 	for key, load := range r.EndedSessionLoads {
-		s.ended.keep(now, keyMemory, key, load)
+		s.endedLoads.store(now, endedLoadRetention, key, load)
 	}
 	for _, one := range r.Backends {
-		i, known := b.index[one.ID]
-		if !known || b.started[i] != one.StartedAt {
+		i, known := b.indexByID[one.ID]
+		if !known || b.startedAt[i] != one.StartedAt {
 			continue
 		}
-		p.load[i], p.heardAt[i] = some(one.Load, math.NaN()), some(one.ReportedAt, math.Inf(-1))
-		p.askedAt[i] = some(one.PolledAt, math.Inf(-1))
-		b.health.failed[i], b.health.lost[i] = one.ConsecutiveFailures, one.SessionsLost
-		b.health.usual += (one.OutlierEvidence - b.health.against[i]) / float64(len(b.ids))
-		b.health.against[i] = one.OutlierEvidence
+		p.loads[i], p.reportedAt[i] = decodeMissing(one.Load, math.NaN()), decodeMissing(one.ReportedAt, math.Inf(-1))
+		p.polledAt[i] = decodeMissing(one.PolledAt, math.Inf(-1))
+		b.outliers.consecutiveFailures[i], b.outliers.sessionsLost[i] = one.ConsecutiveFailures, one.SessionsLost
+		b.outliers.meanEvidence += (one.OutlierEvidence - b.outliers.evidence[i]) / float64(len(b.ids))
+		b.outliers.evidence[i] = one.OutlierEvidence
 		if one.SlowStartAt >= 0 {
-			b.chill(i, one.SlowStartAt)
+			b.startSlowStart(i, one.SlowStartAt)
 		}
-		p.since[i] = p.since[i][:0]
+		p.recentAssignments[i] = p.recentAssignments[i][:0]
 		for _, x := range one.RecentAssignments {
-			p.since[i] = append(p.since[i], placed{x.At, x.Load})
+			p.recentAssignments[i] = append(p.recentAssignments[i], assignment{x.At, x.Load})
 		}
-		p.outdate(i, p.heardAt[i]-p.lag)
-		b.touch(i)
+		p.dropReported(i, p.reportedAt[i]-p.maxReportAge)
+		b.updateTracking(i)
 	}
-	b.turns.expire()
+	b.roundRobin.invalidate()
 	return nil
 }
--- a/balancer/record_test.go
+++ b/balancer/record_test.go
@@ -40,30 +40,30 @@
 	require.NoError(t, json.Unmarshal(text, &r))
 	b := fleet{Loads: []float64{math.NaN(), math.NaN(), math.NaN(), math.NaN()}, Cold: start - 4000}.build(t)
 	require.NoError(t, b.Restore(now, &r))
-	assert.Equal(t, old.probing.load, b.probing.load)
-	assert.Equal(t, old.probing.heardAt, b.probing.heardAt)
-	assert.Equal(t, old.probing.fresh, b.probing.fresh)
-	assert.Equal(t, old.health.failed, b.health.failed)
-	assert.Equal(t, old.warmup.since, b.warmup.since)
-	assert.Equal(t, old.shares.loads, b.shares.loads)
-	assert.Equal(t, old.effects.width, b.effects.width)
-	load, known := b.shares.ended.find(1)
+	assert.Equal(t, old.poller.loads, b.poller.loads)
+	assert.Equal(t, old.poller.reportedAt, b.poller.reportedAt)
+	assert.Equal(t, old.poller.unreportedLoads, b.poller.unreportedLoads)
+	assert.Equal(t, old.outliers.consecutiveFailures, b.outliers.consecutiveFailures)
+	assert.Equal(t, old.slowStart.startedAt, b.slowStart.startedAt)
+	assert.Equal(t, old.quotas.classLoads, b.quotas.classLoads)
+	assert.Equal(t, old.attempts.concurrencyLimit, b.attempts.concurrencyLimit)
+	load, known := b.quotas.endedLoads.lookup(1)
 	assert.True(t, known)
 	assert.Equal(t, 900.0, load)
 	_, avoided := b.Counts()
 	assert.Equal(t, 1, avoided)
-	old.refresh(now)
-	b.refresh(now)
-	assert.Equal(t, old.health.against, b.health.against)
-	for i, n := range old.turns.counts { // its own links tell the elder more of what a server bears
-		assert.InDelta(t, n, b.turns.counts[i], 1)
+	old.refreshWeights(now)
+	b.refreshWeights(now)
+	assert.Equal(t, old.outliers.evidence, b.outliers.evidence)
+	for i, n := range old.roundRobin.bucketCounts { // its own links tell the elder more of what a server bears
+		assert.InDelta(t, n, b.roundRobin.bucketCounts[i], 1)
 	}
-	assert.GreaterOrEqual(t, b.warmup.asked, now, "what was saved up for cold servers is not given twice")
+	assert.GreaterOrEqual(t, b.slowStart.requestedAt, now, "what was saved up for cold servers is not given twice")
 
 	other := fleet{Loads: []float64{0.5, 0.5}, Cold: start + 500}.build(t)
 	require.NoError(t, other.Restore(now, &r))
-	assert.Equal(t, []int{0, 0}, other.health.failed, "server 2 has started again since")
-	assert.Equal(t, 0.5, other.probing.load[1])
+	assert.Equal(t, []int{0, 0}, other.outliers.consecutiveFailures, "server 2 has started again since")
+	assert.Equal(t, 0.5, other.poller.loads[1])
 }
 
 func TestRecordThatCantBe(t *testing.T) {
@@ -97,7 +97,7 @@
 			b.LoadReported(now, 1, []float64{0, 0.7})
 			b.LoadReported(now, 2, []float64{0, 0.1})
 			l := arrive(now)
-			if a := b.Assign(now, l); a.Kind == Assign && a.Backend == 2 && b.warmup.part(1, now) < 1 {
+			if a := b.Assign(now, l); a.Kind == Assign && a.Backend == 2 && b.slowStart.capacityShare(1, now) < 1 {
 				cold++
 			}
 			b.AttemptFinished(now, l, OutcomeSucceeded, true)
--- a/balancer/recovery.go
+++ b/balancer/recovery.go
@@ -10,7 +10,7 @@
 // discovery has not confirmed, the loss of the whole fleet. What follows of those for cold servers is decided
 // in admit; nothing is decided here.
 
-const mostGrowth = 1.25 // of what was kept, that one life passes on
+const maxEstimateGrowth = 1.25 // of what was kept, that one life passes on
 
 // Estimates is what a relay knows of servers and links in general, not of any one: a hint to one just back.
 type Estimates struct {
@@ -29,22 +29,22 @@
 // it: against guesses of the first seconds, when servers' figures hold few of the links sent there, growing
 // from one life to the next where power is lost over and over.
 func (b *Balancer) Estimates() Estimates {
-	s := b.shares
-	l := Estimates{Capacity: b.capacity, MeanSessionLoad: s.loadMean, ClassLoads: append([]float64{}, s.loads...),
-		ClassSamples: append([]float64{}, s.weighed...)}
-	for i, c := range b.condition {
-		warm := b.warmup.since[i]+b.warmup.length <= b.turns.built
-		if c == Ready && warm && b.health.good(i) && !math.IsNaN(b.probing.load[i]) {
-			l.OwnLoad += max(b.linkLoads[i]-b.probing.fresh[i], 0)
-			l.ReportedLoad += b.probing.load[i]
+	s := b.quotas
+	l := Estimates{Capacity: b.capacity, MeanSessionLoad: s.meanSessionLoad, ClassLoads: append([]float64{}, s.classLoads...),
+		ClassSamples: append([]float64{}, s.classSamples...)}
+	for i, c := range b.states {
+		warm := b.slowStart.startedAt[i]+b.slowStart.duration <= b.roundRobin.builtAt
+		if c == Ready && warm && b.outliers.isHealthy(i) && !math.IsNaN(b.poller.loads[i]) {
+			l.OwnLoad += max(b.sessionLoads[i]-b.poller.unreportedLoads[i], 0)
+			l.ReportedLoad += b.poller.loads[i]
 		}
 	}
 	kept := b.admission.Capacity()
 	switch {
-	case s.known < quotaFaith, kept > 0 && (s.known < 2*quotaFaith || b.admission.ShouldRedraw()):
+	case s.loadSamples < confidentSessions, kept > 0 && (s.loadSamples < 2*confidentSessions || b.admission.ShouldRedraw()):
 		l.Capacity = kept
 	case kept > 0:
-		l.Capacity = min(l.Capacity, mostGrowth*kept)
+		l.Capacity = min(l.Capacity, maxEstimateGrowth*kept)
 	}
 	return l
 }
@@ -52,10 +52,10 @@
 // RestoreEstimates takes what was learnt before this start, here or at another relay; what this life has learnt itself
 // goes before it.
 func (b *Balancer) RestoreEstimates(l Estimates) bool {
-	s := b.shares
+	s := b.quotas
 	good := func(x float64) bool { return x > 0 && !math.IsInf(x, 1) }
-	if !good(l.Capacity) || !good(l.MeanSessionLoad) || s.known >= quotaFaith || len(l.ClassLoads) != len(s.loads) ||
-		len(l.ClassSamples) != len(s.weighed) {
+	if !good(l.Capacity) || !good(l.MeanSessionLoad) || s.loadSamples >= confidentSessions || len(l.ClassLoads) != len(s.classLoads) ||
+		len(l.ClassSamples) != len(s.classSamples) {
 		return false
 	}
 	for i := range l.ClassLoads {
@@ -63,17 +63,17 @@
 			return false
 		}
 	}
-	b.admits().SetCapacity(l.Capacity)
-	copy(s.loads, l.ClassLoads)
+	b.admissionControl().SetCapacity(l.Capacity)
+	copy(s.classLoads, l.ClassLoads)
 	for i, w := range l.ClassSamples {
-		s.weighed[i] = min(w, 50)
+		s.classSamples[i] = min(w, 50)
 	}
-	s.loadMean, s.known = l.MeanSessionLoad, quotaFaith
-	b.turns.expire()
+	s.meanSessionLoad, s.loadSamples = l.MeanSessionLoad, confidentSessions
+	b.roundRobin.invalidate()
 	return true
 }
 
-func (b *Balancer) admits() *admission.Controller {
+func (b *Balancer) admissionControl() *admission.Controller {
 	if b.admission == nil {
 		b.admission = admission.New()
 	}
@@ -84,84 +84,84 @@
 // this relay is to take; 0: an even one. Where servers can't be asked for their load nothing follows of it:
 // their figures are what shows a cold server that it has had enough, whatever was kept.
 func (b *Balancer) SetRecovering(on bool, part float64) {
-	b.admits().SetRecovering(on && b.probing.allowed, part, b.warmup.relays)
+	b.admissionControl().SetRecovering(on && b.poller.enabled, part, b.slowStart.relays)
 }
 
 // WarmingUp counts the servers that links are sent to, and those of them that are cold.
 func (b *Balancer) WarmingUp(now float64) (cold, usable int) {
-	for _, s := range b.coldOnes(now) {
-		if b.condition[s] == Ready && b.health.good(s) {
+	for _, s := range b.warmingBackends(now) {
+		if b.states[s] == Ready && b.outliers.isHealthy(s) {
 			cold++
 		}
 	}
-	return cold, b.track.usable
+	return cold, b.tracker.usable
 }
 
 // AssumeRetriesSpent takes that this relay may have served until just before its start: the tries that its last life may
 // have spent count here, so that the budget holds in a window that covers both.
-func (b *Balancer) AssumeRetriesSpent(now float64) { b.effects.budget.restart(now) }
+func (b *Balancer) AssumeRetriesSpent(now float64) { b.attempts.budget.assumeSpent(now) }
 
 // AssumeEndpoints takes that the servers listed now are from a list that was kept: whether one has restarted since,
 // nobody has told yet, so that each is held to have started now. Against cold servers taken for warm.
 func (b *Balancer) AssumeEndpoints(now float64) {
-	if b.supposed == nil {
-		b.supposed = map[int]bool{}
+	if b.assumedStarts == nil {
+		b.assumedStarts = map[int]bool{}
 	}
-	for s := range b.mentioned {
-		if b.mentioned[s] {
-			b.supposed[s], b.started[s] = true, now
-			b.chill(s, now)
+	for s := range b.inUpdate {
+		if b.inUpdate[s] {
+			b.assumedStarts[s], b.startedAt[s] = true, now
+			b.startSlowStart(s, now)
 		}
 	}
 }
 
-// settle takes discovery's word on when a server started, where that was only supposed.
-func (b *Balancer) settle(s int, started float64) {
-	if !b.supposed[s] {
+// confirmStart takes discovery's word on when a server started, where that was only supposed.
+func (b *Balancer) confirmStart(s int, started float64) {
+	if !b.assumedStarts[s] {
 		return
 	}
-	delete(b.supposed, s)
-	b.started[s], b.warmup.since[s] = started, math.Inf(-1)
+	delete(b.assumedStarts, s)
+	b.startedAt[s], b.slowStart.startedAt[s] = started, math.Inf(-1)
 	if started > 0 {
-		b.chill(s, started)
+		b.startSlowStart(s, started)
 	}
-	b.touch(s)
+	b.updateTracking(s)
 }
 
 // Pause has links wait until then, those that have the time: what this relay knows may be long out of date,
 // and what is new waits to be read. Against a process that was stopped sending on to servers that have left
 // since.
-func (b *Balancer) Pause(until float64) { b.hushed = until }
+func (b *Balancer) Pause(until float64) { b.pausedUntil = until }
 
 // ShiftStartTimes takes that all starts that were told are to be read later by that much, as this relay's clock is off.
 // What it saw of restarts itself is by its own clock and stays.
 func (b *Balancer) ShiftStartTimes(by float64) {
-	for s, started := range b.started {
-		if started == 0 || b.supposed[s] {
+	for s, started := range b.startedAt {
+		if started == 0 || b.assumedStarts[s] {
 			continue
 		}
-		own := b.warmup.since[s]
-		b.started[s] = started + by
+		own := b.slowStart.startedAt[s]
+		b.startedAt[s] = started + by
 		if !(own > started) { // else it was seen to have restarted since
 			own = math.Inf(-1)
 		}
-		b.chill(s, max(own, b.started[s]))
-		b.touch(s)
+		b.startSlowStart(s, max(own, b.startedAt[s]))
+		b.updateTracking(s)
 	}
 }
 
 // SetMaxReportAge takes how old a report may be, where somebody knows.
-func (b *Balancer) SetMaxReportAge(most float64) { b.probing.lag = most }
+func (b *Balancer) SetMaxReportAge(most float64) { b.poller.maxReportAge = most }
 
 // UnreportedLoad is the load that this relay has placed and figures may not hold yet.
-func (b *Balancer) UnreportedLoad() float64 { return b.probing.placed }
+func (b *Balancer) UnreportedLoad() float64 { return b.poller.unreportedTotal }
 
 // SetRemoteLoad takes what the other relays have placed so, by their own words; below 0: they don't say.
-func (b *Balancer) SetRemoteLoad(load float64) { b.probing.others = load }
+func (b *Balancer) SetRemoteLoad(load float64) { b.poller.remoteUnreported = load }
 
 // Reservations gives who was told to come again when, by key; Promised takes whom the last life told so.
 func (b *Balancer) Reservations(now float64) map[uint64]float64 {
-	return b.admission.Reservations(now, mostEnded)
+	return b.admission.Reservations(now, maxStoredKeys)
 }
 
 // DropReservation has it forget whom it told so, by that key.
@@ -170,7 +170,7 @@
 // RestoreReservations takes that.
 func (b *Balancer) RestoreReservations(now float64, told map[uint64]float64) {
 	if len(told) > 0 {
-		b.admits().RestoreReservations(now, b.effects.maxBack, told)
+		b.admissionControl().RestoreReservations(now, b.attempts.maxRetryAfter, told)
 	}
 }
 
@@ -178,9 +178,9 @@
 // at that server, at that time: it is treated as if that had been its own try. Where the server is not known,
 // no scope is.
 func (b *Balancer) RecordEarlierAttempt(l *Session, id uint32, at float64) {
-	l.earlier, l.ranAt, l.ranZone, l.ranCell = 1, at, -1, -1
-	if s, known := b.index[id]; known {
-		l.ranZone, l.ranCell = b.zones[s], b.cells[s]
+	l.earlierAttempt, l.executedAt, l.executedZone, l.executedCell = 1, at, -1, -1
+	if s, known := b.indexByID[id]; known {
+		l.executedZone, l.executedCell = b.zones[s], b.cells[s]
 	}
 }
 
@@ -188,7 +188,7 @@
 // word. It is a hint: it goes before the link's turn at its first try, and only where that server may have
 // it.
 func (b *Balancer) PreferBackend(l *Session, id uint32) {
-	if s, known := b.index[id]; known {
-		l.prefers = s + 1
+	if s, known := b.indexByID[id]; known {
+		l.preferred = s + 1
 	}
 }
--- a/balancer/recovery_test.go
+++ b/balancer/recovery_test.go
@@ -93,15 +93,15 @@
 	b.EndEndpointUpdate(1200)
 	cold, _ = b.WarmingUp(1200)
 	assert.Equal(t, 1, cold)
-	assert.Equal(t, 900.0, b.warmup.since[1])
+	assert.Equal(t, 900.0, b.slowStart.startedAt[1])
 }
 
 // With no word of the window before the start, all that is free in it counts as spent.
 func TestRestartedBudget(t *testing.T) {
 	b := young(2, 2, 1000, 1)
 	b.AssumeRetriesSpent(1000)
-	assert.False(t, b.effects.budget.allows(1001))
-	assert.True(t, b.effects.budget.allows(3000))
+	assert.False(t, b.attempts.budget.allowsRetry(1001))
+	assert.True(t, b.attempts.budget.allowsRetry(3000))
 }
 
 // What a life of some seconds makes of what it was told does not grow from life to life.
@@ -118,8 +118,8 @@
 	assert.Equal(t, 4e6, l.Capacity)
 	b := young(2, 4, 1000, 1)
 	require.True(t, b.RestoreEstimates(l))
-	b.shares.known, b.capacity = 2*quotaFaith, 10*l.Capacity
-	assert.Equal(t, mostGrowth*4e6, b.Estimates().Capacity)
+	b.quotas.loadSamples, b.capacity = 2*confidentSessions, 10*l.Capacity
+	assert.Equal(t, maxEstimateGrowth*4e6, b.Estimates().Capacity)
 }
 
 // What others placed, by their own words, in place of a guess from the few links of this relay's own, which
@@ -148,12 +148,12 @@
 		}
 		now := 2e5
 		for range 2 {
-			b.sent(now, &Session{load: 4e4}, 0)
+			b.startAttempt(now, &Session{load: 4e4}, 0)
 		}
 		b.LoadReported(now+300, 1, []float64{0.2})
-		assert.InDelta(t, c.want, b.figured(0, now), 1e-6, c.name)
+		assert.InDelta(t, c.want, b.loadEstimate(0, now), 1e-6, c.name)
 		fresh := 0.0
-		for _, f := range b.probing.fresh {
+		for _, f := range b.poller.unreportedLoads {
 			fresh += f
 		}
 		assert.InDelta(t, fresh, b.UnreportedLoad(), 1e-6, c.name)
@@ -172,7 +172,7 @@
 	b.ShiftStartTimes(-hour)
 	cold, _ = b.WarmingUp(now)
 	assert.Zero(t, cold)
-	b.chill(1, now) // its links broke, and it answers again
+	b.startSlowStart(1, now) // its links broke, and it answers again
 	b.ShiftStartTimes(-hour)
 	cold, _ = b.WarmingUp(now)
 	assert.Equal(t, 1, cold)
@@ -239,7 +239,7 @@
 		{IdempotentByKey, ScopeAll, 1, 1e6, Fail},   // longer than repeats are remembered
 	} {
 		b := fleet{Loads: []float64{0.1, 0.1, 0.1, 0.1}, Seed: 3}.build(t)
-		cat := &b.effects.categories[0]
+		cat := &b.attempts.classes[0]
 		cat.Idempotency, cat.Scope, cat.DeduplicationWindow = c.effect, c.scope, 5000
 		l := arrive(start)
 		b.RecordEarlierAttempt(l, c.id, start-c.ago)
--- a/balancer/zones.go
+++ b/balancer/zones.go
@@ -28,29 +28,29 @@
 }
 
 // SetZoneWeights has links meant for zones by those parts from now on; none: wherever there is room, as ever.
-func (b *Balancer) SetZoneWeights(parts []ZoneWeight) { b.directions = parts }
+func (b *Balancer) SetZoneWeights(parts []ZoneWeight) { b.zoneWeights = parts }
 
-// shut tells whether no zone is to have anything: an operators' order, as no decision by itself goes so far.
-func (b *Balancer) shut() bool {
-	for _, d := range b.directions {
+// allZonesClosed tells whether no zone is to have anything: an operators' order, as no decision by itself goes so far.
+func (b *Balancer) allZonesClosed() bool {
+	for _, d := range b.zoneWeights {
 		if d.AcceptsOverflow || d.Weight > 0 {
 			return false
 		}
 	}
-	return len(b.directions) > 0
+	return len(b.zoneWeights) > 0
 }
 
-// aim is the zone that a link is meant for, or -1. Groups and keys that are kept together draw together.
-func (b *Balancer) aim(l *Session) int {
-	if len(b.directions) == 0 {
+// targetZone is the zone that a link is meant for, or -1. Groups and keys that are kept together draw together.
+func (b *Balancer) targetZone(l *Session) int {
+	if len(b.zoneWeights) == 0 {
 		return -1
 	}
 	all := 0.0 // the whole, but for what nobody has room for: that takes its chance with the rest
-	for _, d := range b.directions {
+	for _, d := range b.zoneWeights {
 		all += d.Weight
 	}
-	lot := all * (1 - math.Exp(-draw(b.mark(l), 0)))
-	for _, d := range b.directions {
+	lot := all * (1 - math.Exp(-exponentialDraw(b.affinityHash(l), 0)))
+	for _, d := range b.zoneWeights {
 		if lot -= d.Weight; lot < 0 {
 			return d.Zone
 		}
@@ -58,10 +58,10 @@
 	return -1
 }
 
-// may tells whether a server may have a link that is meant for that zone. One whose zone nobody has decided
+// zoneAllows tells whether a server may have a link that is meant for that zone. One whose zone nobody has decided
 // on may have any.
-func (b *Balancer) may(s, aim int) bool {
-	for _, d := range b.directions {
+func (b *Balancer) zoneAllows(s, aim int) bool {
+	for _, d := range b.zoneWeights {
 		if d.Zone == b.zones[s] {
 			return d.AcceptsOverflow || d.Zone == aim
 		}
@@ -69,50 +69,50 @@
 	return true
 }
 
-// tried and asked count how tries and probes end, by zone.
-func (b *Balancer) tried(s int, failed bool) {
-	if look := b.looks(b.zones[s]); look != nil {
+// observeAttempt and asked count how tries and probes end, by zone.
+func (b *Balancer) observeAttempt(s int, failed bool) {
+	if look := b.zoneObservation(b.zones[s]); look != nil {
 		if look.Attempts++; failed {
 			look.FailedAttempts++
 		}
 	}
 }
 
-func (b *Balancer) answered(s int, ok bool) {
-	if look := b.looks(b.zones[s]); look != nil {
+func (b *Balancer) observePoll(s int, ok bool) {
+	if look := b.zoneObservation(b.zones[s]); look != nil {
 		if look.Polls++; !ok {
 			look.UnansweredPolls++
 		}
 	}
 }
 
-const mostZones = 256 // that are counted
+const maxZones = 256 // that are counted
 
-func (b *Balancer) looks(zone int) *ZoneObservation {
-	if zone < 0 || zone >= mostZones {
+func (b *Balancer) zoneObservation(zone int) *ZoneObservation {
+	if zone < 0 || zone >= maxZones {
 		return nil
 	}
-	for len(b.seenZones) <= zone {
-		b.seenZones = append(b.seenZones, ZoneObservation{})
+	for len(b.zoneObservations) <= zone {
+		b.zoneObservations = append(b.zoneObservations, ZoneObservation{})
 	}
-	return &b.seenZones[zone]
+	return &b.zoneObservations[zone]
 }
 
 // ZoneObservations gives what was seen of each zone, by its number, and what this relay's own links weigh together in
 // what one server bears.
 func (b *Balancer) ZoneObservations(now float64) (all []ZoneObservation, demand float64) {
-	all = append(all, b.seenZones...)
-	for s, c := range b.condition {
-		if z := b.zones[s]; c == Ready && z >= 0 && z < mostZones {
+	all = append(all, b.zoneObservations...)
+	for s, c := range b.states {
+		if z := b.zones[s]; c == Ready && z >= 0 && z < maxZones {
 			for len(all) <= z {
 				all = append(all, ZoneObservation{})
 			}
-			if b.health.good(s) {
-				all[z].Load += b.load(s, now)
-				all[z].Capacity += b.warmup.part(s, now)
+			if b.outliers.isHealthy(s) {
+				all[z].Load += b.effectiveLoad(s, now)
+				all[z].Capacity += b.slowStart.capacityShare(s, now)
 			}
 		}
-		demand += b.linkLoads[s]
+		demand += b.sessionLoads[s]
 	}
 	if b.capacity > 0 {
 		return all, demand / b.capacity
--- a/internal/adapter/adapter_test.go
+++ b/internal/adapter/adapter_test.go
@@ -173,8 +173,8 @@
 		require.NotEqual(t, profile, text)
 		in := batch(1000, 1, 5, about, hello(text), page, cached, incoming("01000000"))
 		require.NoError(t, Run(bytes.NewReader(in), &out))
-		r := wire.Over(out.Bytes()[12+4:])
-		assert.Equal(t, wire.InternalError, r.U16())
-		assert.Contains(t, string(r.Bytes(int(r.U16()))), c.key)
+		r := wire.NewFieldReader(out.Bytes()[12+4:])
+		assert.Equal(t, wire.InternalError, r.Uint16())
+		assert.Contains(t, string(r.Bytes(int(r.Uint16()))), c.key)
 	}
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -13,7 +13,7 @@
 type Entry struct {
 	balancer.Session
 	Attempt int     // number of the setup try that is out, or was last
-	again   float64 // when to ask again, while it is held
+	retryAt float64 // when to ask again, while it is held
 }
 
 // DispatchEntry is the link's own part.
@@ -91,10 +91,10 @@
 
 // Dispatcher is what one relay has in hand.
 type Dispatcher[L Session] struct {
-	Balancer Balancer
-	driver   Driver[L]
-	held     []L
-	answered bool // a probe was, for which held links may wait
+	Balancer     Balancer
+	driver       Driver[L]
+	queued       []L
+	pollAnswered bool // a probe was, for which held links may wait
 }
 
 // NewDispatcher joins the module and its driver.
@@ -104,30 +104,30 @@
 
 // Assign asks where the link goes.
 func (t *Dispatcher[L]) Assign(now float64, l L) {
-	t.carry(now, l, t.Balancer.Assign(now, &l.DispatchEntry().Session))
+	t.apply(now, l, t.Balancer.Assign(now, &l.DispatchEntry().Session))
 }
 
 // AttemptFinished tells the outcome of a setup try, or of its link, and does what follows.
 func (t *Dispatcher[L]) AttemptFinished(now float64, l L, outcome balancer.AttemptOutcome, last bool) {
-	t.carry(now, l, t.Balancer.AttemptFinished(now, &l.DispatchEntry().Session, outcome, last))
+	t.apply(now, l, t.Balancer.AttemptFinished(now, &l.DispatchEntry().Session, outcome, last))
 }
 
 // PollFinished tells the answer to a probe.
 func (t *Dispatcher[L]) PollFinished(now float64, id uint32, ok bool, report []float64) {
-	t.answered = true
+	t.pollAnswered = true
 	t.Balancer.PollFinished(now, id, ok, report)
 }
 
 // Forget has nothing asked about the link again.
-func (t *Dispatcher[L]) Forget(l L) { l.DispatchEntry().again = math.Inf(1) }
+func (t *Dispatcher[L]) Forget(l L) { l.DispatchEntry().retryAt = math.Inf(1) }
 
-func (t *Dispatcher[L]) carry(now float64, l L, a balancer.Decision) {
+func (t *Dispatcher[L]) apply(now float64, l L, a balancer.Decision) {
 	h := l.DispatchEntry()
-	h.again = math.Inf(1)
+	h.retryAt = math.Inf(1)
 	switch a.Kind {
 	case balancer.Queue:
-		h.again = now + a.Wait
-		t.held = append(t.held, l)
+		h.retryAt = now + a.Wait
+		t.queued = append(t.queued, l)
 		return
 	case balancer.Assign:
 		h.Attempt = a.Attempt
@@ -137,16 +137,16 @@
 
 // Advance asks again about held links, has sent what is due, and tells when to look again.
 func (t *Dispatcher[L]) Advance(now float64) float64 {
-	waiting := t.held
-	t.held = t.held[len(t.held):]
+	waiting := t.queued
+	t.queued = t.queued[len(t.queued):]
 	for _, l := range waiting {
-		if again := l.DispatchEntry().again; again <= now || (t.answered && !math.IsInf(again, 1)) {
+		if again := l.DispatchEntry().retryAt; again <= now || (t.pollAnswered && !math.IsInf(again, 1)) {
 			t.Assign(now, l)
 		} else if !math.IsInf(again, 1) {
-			t.held = append(t.held, l)
+			t.queued = append(t.queued, l)
 		}
 	}
-	t.answered = false
+	t.pollAnswered = false
 	due := t.Balancer.NextAction(now)
 	for ; due.Poll || due.Subscribe; due = t.Balancer.NextAction(now) {
 		if due.Poll {
@@ -156,8 +156,8 @@
 		}
 	}
 	wake := now + due.Wait
-	for _, l := range t.held {
-		wake = min(wake, l.DispatchEntry().again)
+	for _, l := range t.queued {
+		wake = min(wake, l.DispatchEntry().retryAt)
 	}
 	return wake
 }
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -17,44 +17,44 @@
 // MaxLineBytes is the most bytes of a line, its end included.
 const MaxLineBytes = 4096
 
-// mostID is the most bytes of an id or a key.
-const mostID = 64
+// maxIDBytes is the most bytes of an id or a key.
+const maxIDBytes = 64
 
 // ErrLineTooLong says that a line had no end within the bound.
 var ErrLineTooLong = errors.New("line too long")
 
 // LineSplitter cuts what comes in pieces into lines.
 type LineSplitter struct {
-	tail []byte // of a line whose end has not come
+	pending []byte // of a line whose end has not come
 }
 
 // Next gives the first whole line of data, its end included, and what follows it. Without a whole line it
 // gives nil and keeps the piece. The line is good as long as data is.
 func (s *LineSplitter) Next(data []byte) (line, rest []byte, err error) {
 	n := bytes.IndexByte(data, '\n') + 1
-	if len(s.tail)+max(n, 1) > MaxLineBytes || (n == 0 && len(s.tail)+len(data) >= MaxLineBytes) {
+	if len(s.pending)+max(n, 1) > MaxLineBytes || (n == 0 && len(s.pending)+len(data) >= MaxLineBytes) {
 		return nil, nil, ErrLineTooLong
 	}
 	if n == 0 {
-		s.tail = append(s.tail, data...)
+		s.pending = append(s.pending, data...)
 		return nil, nil, nil
 	}
-	if len(s.tail) == 0 {
+	if len(s.pending) == 0 {
 		return data[:n], data[n:], nil
 	}
-	line = append(s.tail, data[:n]...)
-	s.tail = nil // not emptied: the line handed out stands in it
+	line = append(s.pending, data[:n]...)
+	s.pending = nil // not emptied: the line handed out stands in it
 	return line, data[n:], nil
 }
 
 // Pending is the start of a line whose end has not come, and Resume goes on from it.
-func (s *LineSplitter) Pending() []byte { return s.tail }
+func (s *LineSplitter) Pending() []byte { return s.pending }
 
 // Restore goes on from the start of a line that another splitter kept.
-func (s *LineSplitter) Restore(tail []byte) { s.tail = append([]byte(nil), tail...) }
+func (s *LineSplitter) Restore(tail []byte) { s.pending = append([]byte(nil), tail...) }
 
 // HasPending tells whether the start of a line is kept.
-func (s *LineSplitter) HasPending() bool { return len(s.tail) > 0 }
+func (s *LineSplitter) HasPending() bool { return len(s.pending) > 0 }
 
 // TrimLineEnd is the line without its end.
 func TrimLineEnd(line []byte) []byte {
@@ -67,7 +67,7 @@
 	Key, AffinityGroup               uint64
 	Timeout, LoadHint                float64 // milliseconds
 	IsRetry                          bool    // the client has tried before, or had a connection that is over
-	before, after                    []byte  // of the line, around the figure of the wait
+	beforeTimeout, afterTimeout      []byte  // of the line, around the figure of the wait
 }
 
 // ParseRequest reads a whole line in place. It lets nothing through that a backend could stumble over: one that
@@ -89,7 +89,7 @@
 		return h, errors.New("head: OPEN expected")
 	case len(id) == 0 || len(key) == 0 || !listed || bytes.IndexByte(list, ' ') >= 0:
 		return h, errors.New("head: an id, a key and a list expected")
-	case len(id) > mostID || len(key) > mostID:
+	case len(id) > maxIDBytes || len(key) > maxIDBytes:
 		return h, errors.New("head: id or key too long")
 	}
 	h.ID, h.Key = id, Hash(key)
@@ -120,20 +120,20 @@
 		case "r", "again":
 			h.IsRetry = h.IsRetry || string(value) == "1"
 		case "h":
-			h.LoadHint, err = number(name, value)
+			h.LoadHint, err = parseMillis(name, value)
 		case "d":
-			h.Timeout, err = number(name, value)
+			h.Timeout, err = parseMillis(name, value)
 			from := at + len(name) + 1
-			h.before, h.after = line[:from], line[from+len(value):]
+			h.beforeTimeout, h.afterTimeout = line[:from], line[from+len(value):]
 		}
 		if err != nil {
 			return h, err
 		}
 		at += len(pair) + 1
 	}
-	if h.before == nil && len(h.StickyBackend) > 0 {
-		h.after = line
-	} else if h.before == nil {
+	if h.beforeTimeout == nil && len(h.StickyBackend) > 0 {
+		h.afterTimeout = line
+	} else if h.beforeTimeout == nil {
 		return h, errors.New("head: d expected")
 	}
 	if len(h.Class) == 0 {
@@ -142,7 +142,7 @@
 	return h, nil
 }
 
-func number(name, value []byte) (float64, error) {
+func parseMillis(name, value []byte) (float64, error) {
 	v, err := strconv.ParseFloat(string(value), 64)
 	if err != nil || !(v >= 0) || math.IsInf(v, 0) || v > 1e9 {
 		return 0, fmt.Errorf("head: %s: a number of milliseconds expected", name)
@@ -163,10 +163,10 @@
 
 // EncodeWithTimeout is the head as it goes on, in pieces to be written together: unchanged but for the wait.
 func (h *Request) EncodeWithTimeout(wait float64) [][]byte {
-	if h.before == nil {
-		return [][]byte{h.after}
+	if h.beforeTimeout == nil {
+		return [][]byte{h.afterTimeout}
 	}
-	return [][]byte{h.before, strconv.AppendInt(nil, int64(max(wait, 0)), 10), h.after}
+	return [][]byte{h.beforeTimeout, strconv.AppendInt(nil, int64(max(wait, 0)), 10), h.afterTimeout}
 }
 
 // CutVerb cuts a line's first word from what follows.
@@ -188,7 +188,7 @@
 	for pair := range bytes.SplitSeq(rest, []byte(",")) {
 		name, value, _ := bytes.Cut(pair, []byte("="))
 		for i, field := range fields {
-			if field != string(name) && field != plain(string(name)) {
+			if field != string(name) && field != settingsName(string(name)) {
 				continue
 			}
 			if v, err := strconv.ParseFloat(strings.TrimSpace(string(value)), 64); err == nil {
@@ -202,8 +202,8 @@
 	return report
 }
 
-// plain is a reported value's name as the settings have it.
-func plain(name string) string {
+// settingsName is a reported value's name as the settings have it.
+func settingsName(name string) string {
 	switch name {
 	case "inflight":
 		return "active"
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -50,11 +50,11 @@
 
 const batchHeader, replyHeader = 20, 12
 
-// EntrySize is the length of one list entry, in bytes.
-const EntrySize = 21
+// EndpointSize is the length of one list entry, in bytes.
+const EndpointSize = 21
 
-// ErrEnd says that the input ended between two batches.
-var ErrEnd = errors.New("end of input")
+// ErrEndOfInput says that the input ended between two batches.
+var ErrEndOfInput = errors.New("end of input")
 
 // Reader reads one batch after the other, and the fields of the batch in hand. The first field that is
 // not there whole sets Err; every later read gives zero.
@@ -76,11 +76,11 @@
 	return &Reader{in: bufio.NewReaderSize(in, 1<<16)}
 }
 
-// Next takes the next batch whole, so that nothing is acted on before all of it is here.
-func (r *Reader) Next() error {
+// ReadBatch takes the next batch whole, so that nothing is acted on before all of it is here.
+func (r *Reader) ReadBatch() error {
 	n, err := io.ReadFull(r.in, r.head[:])
 	if err == io.EOF {
-		return ErrEnd
+		return ErrEndOfInput
 	}
 	if err != nil {
 		return fmt.Errorf("offset %d: a batch header of %d bytes expected: %w", n, batchHeader, err)
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// Done tells whether the records filled the frame to its end.
-func (r *Reader) Done() error {
+// CheckEnd tells whether the records filled the frame to its end.
+func (r *Reader) CheckEnd() error {
 	if r.Err == nil && r.offset != len(r.body) {
 		return fmt.Errorf("offset %d: the end of the frame expected, %d bytes are left",
 			r.Offset(), len(r.body)-r.offset)
@@ -134,46 +134,46 @@
 	return b
 }
 
-// U8 reads one byte.
-func (r *Reader) U8() uint8 {
+// Uint8 reads one byte.
+func (r *Reader) Uint8() uint8 {
 	if b := r.Bytes(1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
-// U16 reads two bytes.
-func (r *Reader) U16() uint16 {
+// Uint16 reads two bytes.
+func (r *Reader) Uint16() uint16 {
 	if b := r.Bytes(2); b != nil {
 		return binary.LittleEndian.Uint16(b)
 	}
 	return 0
 }
 
-// U32 reads four bytes.
-func (r *Reader) U32() uint32 {
+// Uint32 reads four bytes.
+func (r *Reader) Uint32() uint32 {
 	if b := r.Bytes(4); b != nil {
 		return binary.LittleEndian.Uint32(b)
 	}
 	return 0
 }
 
-// U64 reads eight bytes.
-func (r *Reader) U64() uint64 {
+// Uint64 reads eight bytes.
+func (r *Reader) Uint64() uint64 {
 	if b := r.Bytes(8); b != nil {
 		return binary.LittleEndian.Uint64(b)
 	}
 	return 0
 }
 
-// F32 reads a short float.
-func (r *Reader) F32() float64 { return float64(math.Float32frombits(r.U32())) }
+// Float32 reads a short float.
+func (r *Reader) Float32() float64 { return float64(math.Float32frombits(r.Uint32())) }
 
-// F64 reads a float.
-func (r *Reader) F64() float64 { return math.Float64frombits(r.U64()) }
+// Float64 reads a float.
+func (r *Reader) Float64() float64 { return math.Float64frombits(r.Uint64()) }
 
-// Counted reads n elements of the given size, n standing before them.
-func (r *Reader) Counted(n int, size int) []byte {
+// Elements reads n elements of the given size, n standing before them.
+func (r *Reader) Elements(n int, size int) []byte {
 	if r.Err == nil && n > (len(r.body)-r.offset)/size {
 		r.Err = fmt.Errorf("offset %d: %d elements of %d bytes expected, %d bytes are left",
 			r.Offset(), n, size, len(r.body)-r.offset)
@@ -182,17 +182,17 @@
 	return r.Bytes(n * size)
 }
 
-// Report reads a load report into buf.
-func (r *Reader) Report(buf []float64) []float64 {
+// LoadReport reads a load report into buf.
+func (r *Reader) LoadReport(buf []float64) []float64 {
 	buf = buf[:0]
-	for n := int(r.U8()); n > 0 && r.Err == nil; n-- {
-		buf = append(buf, r.F32())
+	for n := int(r.Uint8()); n > 0 && r.Err == nil; n-- {
+		buf = append(buf, r.Float32())
 	}
 	return buf
 }
 
-// Over returns a reader of fields over bytes that were read before.
-func Over(b []byte) *Reader { return &Reader{body: b} }
+// NewFieldReader returns a reader of fields over bytes that were read before.
+func NewFieldReader(b []byte) *Reader { return &Reader{body: b} }
 
 // Writer builds one reply.
 type Writer struct {
@@ -206,29 +206,29 @@
 	return &Writer{out: out, buf: make([]byte, replyHeader, 1<<12)}
 }
 
-// Record begins an action.
-func (w *Writer) Record(code uint16) *Writer {
+// Begin begins an action.
+func (w *Writer) Begin(code uint16) *Writer {
 	w.records++
-	return w.U16(code)
+	return w.Uint16(code)
 }
 
-// U8 writes one byte.
-func (w *Writer) U8(v uint8) *Writer { w.buf = append(w.buf, v); return w }
+// Uint8 writes one byte.
+func (w *Writer) Uint8(v uint8) *Writer { w.buf = append(w.buf, v); return w }
 
-// U16 writes two bytes.
-func (w *Writer) U16(v uint16) *Writer {
+// Uint16 writes two bytes.
+func (w *Writer) Uint16(v uint16) *Writer {
 	w.buf = binary.LittleEndian.AppendUint16(w.buf, v)
 	return w
 }
 
-// U32 writes four bytes.
-func (w *Writer) U32(v uint32) *Writer {
+// Uint32 writes four bytes.
+func (w *Writer) Uint32(v uint32) *Writer {
 	w.buf = binary.LittleEndian.AppendUint32(w.buf, v)
 	return w
 }
 
-// F64 writes a float.
-func (w *Writer) F64(v float64) *Writer {
+// Float64 writes a float.
+func (w *Writer) Float64(v float64) *Writer {
 	w.buf = binary.LittleEndian.AppendUint64(w.buf, math.Float64bits(v))
 	return w
 }
@@ -236,13 +236,13 @@
 // Text writes a counted text.
 func (w *Writer) Text(s string) *Writer {
 	s = s[:min(len(s), math.MaxUint16)]
-	w.U16(uint16(len(s)))
+	w.Uint16(uint16(len(s)))
 	w.buf = append(w.buf, s...)
 	return w
 }
 
-// Send sends the reply to batch number and begins the next one.
-func (w *Writer) Send(number uint32) error {
+// SendReply sends the reply to batch number and begins the next one.
+func (w *Writer) SendReply(number uint32) error {
 	binary.LittleEndian.PutUint32(w.buf[0:], uint32(len(w.buf)))
 	binary.LittleEndian.PutUint32(w.buf[4:], w.records)
 	binary.LittleEndian.PutUint32(w.buf[8:], number)
@@ -251,8 +251,8 @@
 	return err
 }
 
-// Pairs reads lines of path=value. A line without '=' says nothing and is passed over.
-func Pairs(text string) map[string]string {
+// ParseSettings reads lines of path=value. A line without '=' says nothing and is passed over.
+func ParseSettings(text string) map[string]string {
 	pairs := make(map[string]string, strings.Count(text, "\n")+1)
 	for line := range strings.Lines(text) {
 		if path, value, ok := strings.Cut(strings.TrimRight(line, "\r\n"), "="); ok {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -21,28 +21,28 @@
 	} {
 		in, err := hex.DecodeString(c.frame)
 		require.NoError(t, err)
-		assert.ErrorContains(t, NewReader(bytes.NewReader(in)).Next(), c.want, c.name)
+		assert.ErrorContains(t, NewReader(bytes.NewReader(in)).ReadBatch(), c.want, c.name)
 	}
 }
 
 func TestFieldsRoundTrip(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out)
-	w.Record(Assign).U32(7).U8(3).F64(1.5).Text("ok")
-	require.NoError(t, w.Send(9))
+	w.Begin(Assign).Uint32(7).Uint8(3).Float64(1.5).Text("ok")
+	require.NoError(t, w.SendReply(9))
 	assert.Equal(t, "1f0000000100000009000000"+"4001"+"07000000"+"03"+"000000000000f83f"+"02006f6b",
 		hex.EncodeToString(out.Bytes()))
-	r := Over(out.Bytes()[12:])
-	assert.Equal(t, Assign, r.U16())
-	assert.Equal(t, uint32(7), r.U32())
-	assert.Equal(t, uint8(3), r.U8())
-	assert.Equal(t, 1.5, r.F64())
-	assert.Equal(t, "ok", string(r.Bytes(int(r.U16()))))
-	assert.NoError(t, r.Done())
-	assert.Zero(t, r.U64())
+	r := NewFieldReader(out.Bytes()[12:])
+	assert.Equal(t, Assign, r.Uint16())
+	assert.Equal(t, uint32(7), r.Uint32())
+	assert.Equal(t, uint8(3), r.Uint8())
+	assert.Equal(t, 1.5, r.Float64())
+	assert.Equal(t, "ok", string(r.Bytes(int(r.Uint16()))))
+	assert.NoError(t, r.CheckEnd())
+	assert.Zero(t, r.Uint64())
 	assert.ErrorContains(t, r.Err, "8 bytes of a record expected, 0 are left")
 }
 
 func TestPairs(t *testing.T) {
-	assert.Equal(t, map[string]string{"a.b": "1", "c": "x=y", "d": ""}, Pairs("a.b=1\r\nc=x=y\nnothing\nd="))
+	assert.Equal(t, map[string]string{"a.b": "1", "c": "x=y", "d": ""}, ParseSettings("a.b=1\r\nc=x=y\nnothing\nd="))
 }
