--- /dev/null
+++ b/balancer/assignment.go
@@ -0,0 +1,241 @@
+package balancer
+
+import (
+	"cmp"
+	"math"
+)
+
+const (
+	loadLimit         = 0.80 // above this a backend has no room for a session of the mean priority
+	priorityLoadRange = 0.08 // how far a session's relative priority moves that limit
+	maxPriorityLog    = 1.0  // doublings of the mean priority, that count for it
+	blindLoadMargin   = 0.15 // less where candidates are polled for each session: others assign meanwhile
+	calmLoadLimit     = 0.45 // below this no backend sits out a turn for being busier than the mean
+	crowdedFactor     = 1.5  // times the mean load, the limit where loads are no shares of a capacity
+
+	localZoneLoad       = 0.40 // below this a backend of the local zone comes first where crossing zones costs
+	localZoneLoadPerFee = 4.0  // by how much more for a fee of one
+
+	queueRetryDelay = 50.0 // until a queued session is asked about again
+	maxQueueShare   = 0.5  // of the time to its deadline, that a session may be queued
+)
+
+// Assign decides where the session goes: to a backend, into the queue, or nowhere.
+func (b *Balancer) Assign(now float64, session *Session) Decision {
+	if !session.known {
+		b.admitSession(now, session)
+	} else if session.warmingBackend < 0 && session.attempts == 0 && b.admission.ShouldRedraw() {
+		b.readmitSession(now, session)
+	}
+	if !b.attempts.canRetry(session, now) {
+		return b.giveUp(session, now)
+	}
+	if wait := b.pausedUntil - now; wait > 0 && now+2*wait < session.Deadline {
+		return queueFor(wait)
+	}
+	backend, full := noBackend, false
+	if session.pollsUntil > 0 || b.allowAttempt() {
+		if !b.awaitPolls(now, session) {
+			return queueFor(session.pollsUntil - now)
+		}
+		session.pollsUntil = 0
+		b.refreshWeights(now)
+		backend, full = b.chooseBackend(session, now)
+		if full && session.warmingBackend >= 0 && session.attempts == 0 && b.admission.ShouldRedraw() {
+			b.returnSlowStartGrant(session)
+			full = false
+		}
+	}
+	if backend >= 0 {
+		return b.startAttempt(now, session, backend)
+	}
+	queuedUntil := session.arrivedAt + maxQueueShare*(session.Deadline-session.arrivedAt)
+	if !full && now+queueRetryDelay < queuedUntil {
+		return queueFor(queueRetryDelay)
+	}
+	return b.giveUp(session, now)
+}
+
+func queueFor(wait float64) Decision { return Decision{Kind: Queue, Wait: wait} }
+
+// admitSession prepares a session that has just come.
+func (b *Balancer) admitSession(now float64, session *Session) {
+	session.known = true
+	session.arrivedAt = now
+	session.backend = noBackend
+	session.hash = b.rng.Uint64()
+	b.attempts.budget.recordSession(now)
+	b.estimateSessionLoad(session)
+	b.activeShare, _ = b.pollingPlan()
+	if b.activeShare < 1 && b.capacity == 0 {
+		// Against a relay's first session, often its only one, finding no budget for slow starts.
+		b.refreshWeights(now)
+	}
+	session.warmingBackend = b.drawWarmingBackend(now, session)
+}
+
+// readmitSession draws again for a queued session while the fleet recovers: it waits for a backend in slow
+// start, as there are no others.
+func (b *Balancer) readmitSession(now float64, session *Session) {
+	if session.LoadHint <= 0 { // against those that came before anything was known counting for nothing now
+		b.estimateSessionLoad(session)
+	}
+	session.warmingBackend = b.drawWarmingBackend(now, session)
+}
+
+// returnSlowStartGrant gives the budget of slow starts back that a session can't use, as the backend drawn
+// for it has no room; it is drawn for anew with another hash.
+func (b *Balancer) returnSlowStartGrant(session *Session) {
+	b.slowStart.requestedAt -= session.slowStartGrant
+	session.warmingBackend = noBackend
+	session.hash = b.rng.Uint64()
+}
+
+// selection is the choice of a backend for one session.
+type selection struct {
+	balancer *Balancer
+	session  *Session
+	now      float64
+	avoided  int // backend of the session's last attempt, or noBackend
+
+	targetZone   int     // that the session is meant for by a decision on zones; -1: none
+	firstZone    int     // whose backends come first
+	firstLimit   float64 // of a backend's load, up to which they do
+	calmLimit    float64 // up to which backends take turns first
+	limit        float64 // above which none takes the session
+	sessionShare float64 // of a warm backend's capacity, that the session takes; 0 while no capacity is known
+}
+
+func (b *Balancer) newSelection(session *Session, now float64) selection {
+	s := selection{
+		balancer:     b,
+		session:      session,
+		now:          now,
+		avoided:      session.backend,
+		targetZone:   b.targetZone(session),
+		firstZone:    b.localZone,
+		firstLimit:   localZoneLoad + localZoneLoadPerFee*b.crossZoneFee,
+		calmLimit:    max(calmLoadLimit, b.meanLoad),
+		sessionShare: session.load / cmp.Or(b.capacity, math.Inf(1)),
+	}
+	priority := min(max(math.Log2(b.quotas.relativePriority(session)), -maxPriorityLog), maxPriorityLog)
+	s.limit = loadLimit - blindLoadMargin*(1-b.activeShare) + priorityLoadRange*priority
+	if s.targetZone >= 0 { // how full a zone gets is decided for all relays
+		s.firstZone = s.targetZone
+		s.firstLimit = s.limit
+	}
+	if !b.poller.hasAbsoluteLoad {
+		s.limit = crowdedFactor * max(b.meanLoad, negligibleLoad)
+		s.firstLimit = s.limit
+		s.calmLimit = s.limit
+	}
+	return s
+}
+
+// isOpen reports whether the backend may have the session, if it has room.
+func (s *selection) isOpen(backend int) bool {
+	b := s.balancer
+	if b.states[backend] != Ready || backend == s.avoided {
+		return false
+	}
+	if !b.isInDeduplicationScope(s.session, backend) || !b.zoneAllows(backend, s.targetZone) {
+		return false
+	}
+	mayWarm := backend == s.session.warmingBackend && s.session.attempts == 0 && !s.session.onlyIfFull
+	return mayWarm || b.slowStart.capacityShare(backend, s.now) >= 1
+}
+
+// fits reports whether the backend may have the session and stays under the limit with it.
+func (s *selection) fits(backend int, limit float64) bool {
+	if !s.isOpen(backend) {
+		return false
+	}
+	b := s.balancer
+	added := s.sessionShare / b.slowStart.capacityShare(backend, s.now)
+	return b.effectiveLoad(backend, s.now)+added < min(limit, s.limit)
+}
+
+// hasRoomAt reports whether a backend named beforehand, which may be noBackend, is in use and fits.
+func (s *selection) hasRoomAt(backend int) bool {
+	return backend >= 0 && s.balancer.roundRobin.bucketCounts[backend] > 0 && s.fits(backend, s.limit)
+}
+
+// chooseBackend returns the backend for the session's next attempt, or noBackend; full reports that there are
+// backends but none has room, so that nothing is worth waiting for.
+func (b *Balancer) chooseBackend(session *Session, now float64) (backend int, full bool) {
+	s := b.newSelection(session, now)
+	if s.hasRoomAt(session.warmingBackend) {
+		return session.warmingBackend, false
+	}
+	// The one departure from turns for a session that returns: its backend, or its group's, if that has room.
+	if preferred := session.preferred - 1; session.attempts == 0 && s.hasRoomAt(preferred) {
+		return preferred, false
+	}
+	if backend = b.chooseByTurn(&s); backend >= 0 {
+		return backend, false
+	}
+	full = b.allZonesClosed() || b.roundRobin.pick(s.isOpen) >= 0
+	if session.onlyIfFull {
+		session.onlyIfFull = false
+		if s.hasRoomAt(session.warmingBackend) {
+			return session.warmingBackend, false
+		}
+	}
+	return noBackend, full
+}
+
+// chooseByTurn walks the table of buckets up to four times, each time with more backends that may have the
+// session.
+func (b *Balancer) chooseByTurn(s *selection) int {
+	// Where nothing is paid for crossing zones and none is decided on, the local zone does not come first.
+	if b.crossZoneFee > 0 || s.targetZone >= 0 {
+		inFirstZone := func(backend int) bool {
+			return b.zones[backend] == s.firstZone && s.fits(backend, s.firstLimit)
+		}
+		if backend := b.pickBackend(s.session, inFirstZone); backend >= 0 {
+			return backend
+		}
+	}
+	isCalm := func(backend int) bool { return s.fits(backend, s.calmLimit) }
+	if backend := b.pickBackend(s.session, isCalm); backend >= 0 {
+		return backend
+	}
+	hasRoom := func(backend int) bool { return s.fits(backend, s.limit) }
+	if backend := b.pickBackend(s.session, hasRoom); backend >= 0 {
+		return backend
+	}
+	s.avoided = noBackend
+	return b.pickBackend(s.session, hasRoom)
+}
+
+// pickBackend takes the next bucket whose backend is accepted, or the one that the session's group or key
+// draws with the same chances: all relays draw alike, so shared work is paid once, and a session that goes on
+// at another relay finds its backend.
+func (b *Balancer) pickBackend(session *Session, accepts func(backend int) bool) int {
+	if !b.usesAffinityGroups && !b.sessionsOutliveRelay {
+		return b.roundRobin.pick(accepts)
+	}
+	picked, least := noBackend, math.Inf(1)
+	hash := b.affinityHash(session)
+	for backend, count := range b.roundRobin.bucketCounts {
+		if count == 0 || !accepts(backend) {
+			continue
+		}
+		if draw := exponentialDraw(hash, b.ids[backend]) / float64(count); draw < least {
+			picked = backend
+			least = draw
+		}
+	}
+	return picked
+}
+
+// affinityHash is what the session's draws depend on: its group or key where that decides, else its own hash.
+func (b *Balancer) affinityHash(session *Session) uint64 {
+	if b.usesAffinityGroups && session.AffinityGroup != 0 {
+		return session.AffinityGroup
+	}
+	if b.sessionsOutliveRelay && !b.usesAffinityGroups && session.Key != 0 {
+		return session.Key
+	}
+	return session.hash
+}
--- /dev/null
+++ b/balancer/attempt_outcome.go
@@ -0,0 +1,90 @@
+package balancer
+
+import "math"
+
+// AttemptFinished takes the outcome of an attempt, or of the session that it established, and decides what
+// follows: another attempt, the queue, or the client's answer. With last the session is over, whatever the
+// outcome.
+func (b *Balancer) AttemptFinished(now float64, session *Session, outcome AttemptOutcome,
+	last bool) Decision {
+	if !session.reserved {
+		return Decision{}
+	}
+	session.reserved = false
+	b.release(session)
+	b.rememberLoad(now, session, outcome)
+	b.collectEvidence(now, session, outcome)
+	b.applyOutcome(now, session, outcome)
+	if !session.established {
+		b.countAttempt(now, session, outcome)
+	}
+	if last || session.established || session.clientGone {
+		return Decision{}
+	}
+	if !outcome.IsUnprocessed() && !session.mayHaveRun {
+		session.setExecuted(session.attemptedAt, b.zones[session.backend], b.cells[session.backend])
+	}
+	return b.Assign(now, session)
+}
+
+// applyOutcome takes what the outcome says of the backend and of the limit of attempts in flight.
+func (b *Balancer) applyOutcome(now float64, session *Session, outcome AttemptOutcome) {
+	backend := session.backend
+	wasSilent := b.outliers.consecutiveFailures[backend] > 0
+	switch {
+	case outcome == OutcomeConnectionLost && session.established && wasSilent:
+		b.outliers.sessionsLost[backend] = true
+	case session.established && session.isShed(now, outcome):
+		// Against sessions that go round: shed by one full backend they all come to the next, at every relay.
+		b.attempts.reduceConcurrency(now, shedConcurrencyFactor)
+	case outcome == OutcomeUnreachable:
+		b.recordFailure(backend)
+	case outcome == OutcomeSucceeded && !session.established: // an answer that ends the session
+		b.recordEstablished(now, session)
+	case outcome == OutcomeTimedOut:
+		// A slow shared store times out everywhere: only the backend's own poll tells, so it is due at once.
+		b.poller.polledAt[backend] = math.Inf(-1)
+		b.updateTracking(backend)
+	}
+}
+
+// countAttempt takes that an attempt which established no session is over.
+func (b *Balancer) countAttempt(now float64, session *Session, outcome AttemptOutcome) {
+	backend := session.backend
+	isLate := outcome == OutcomeFailed || outcome == OutcomeTimedOut
+	// A backend that is silent itself says nothing of the store: against a cut zone being taken for a wave.
+	if isLate && b.outliers.consecutiveFailures[backend] == 0 {
+		b.attempts.recordOutcome(session, now, false)
+	}
+	b.attempts.inFlight--
+	b.observeAttempt(backend, isLate || outcome == OutcomeUnreachable || outcome == OutcomeConnectionLost)
+}
+
+// SessionEstablished takes that the session's attempt was answered and the session goes on.
+func (b *Balancer) SessionEstablished(now float64, session *Session) {
+	if !session.reserved || session.established {
+		return // told twice, or too late
+	}
+	session.established = true
+	b.attempts.inFlight--
+	b.observeAttempt(session.backend, false)
+	b.recordEstablished(now, session)
+}
+
+// recordEstablished takes that an attempt was answered in good order.
+func (b *Balancer) recordEstablished(now float64, session *Session) {
+	b.attempts.countEstablished(now)
+	b.outliers.consecutiveFailures[session.backend] = 0
+	b.updateTracking(session.backend)
+	objective := b.attempts.classes[session.Class].LatencyObjective
+	b.attempts.recordOutcome(session, now, now-session.attemptedAt <= timelyShare*objective)
+}
+
+// giveUp ends the session without another attempt. Against telling a client to repeat what may have been
+// executed: then it is an error.
+func (b *Balancer) giveUp(session *Session, now float64) Decision {
+	if !b.attempts.canBeRepeated(session, now) {
+		return Decision{Kind: Fail}
+	}
+	return Decision{Kind: Reject, Wait: b.retryAfter(session, now)}
+}
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -36,17 +36,30 @@
 		{LatencyObjective: 300, DeduplicationWindow: f.Window, PriorityWeight: 1, Idempotency: f.Effect, Scope: f.Scope},
 		{LatencyObjective: 300, DeduplicationWindow: f.Window, PriorityWeight: 5, Idempotency: f.Effect, Scope: f.Scope},
 	}
-	b := New(NewEndpointSet(f.Asked, 10000), NewRoundRobin(chance), NewSlowStart(0.2, 20000, 3, 2000, relays),
-		NewLoadPoller(true, 0.002, []string{"queue", "x0"}),
-		NewAttemptPolicy(categories, max(f.Tries, 3), f.MaxBack, relays, f.Budget),
-		NewQuotas(categories, []float64{10, 990}, 0.2, relays), 0, f.Crossed, f.Grouped, false)
+	b := New(Config{
+		Endpoints:  NewEndpointSet(f.Asked, 10000),
+		RoundRobin: NewRoundRobin(chance),
+		SlowStart: NewSlowStart(SlowStartConfig{
+			InitialCapacity:  0.2,
+			Duration:         20000,
+			OverloadMultiple: 3,
+			OverloadSpan:     2000,
+			Relays:           relays,
+		}),
+		Poller:             NewLoadPoller(true, 0.002, []string{"queue", "x0"}),
+		Attempts:           NewAttemptPolicy(categories, max(f.Tries, 3), f.MaxBack, relays, f.Budget),
+		Quotas:             NewQuotas(categories, []float64{10, 990}, 0.2, relays),
+		CrossZoneFee:       f.Crossed,
+		UsesAffinityGroups: f.Grouped,
+	})
+
 	b.BeginEndpointUpdate(true)
 	for i := range f.Loads {
 		cold := 0.0
 		if i == len(f.Loads)-1 {
 			cold = f.Cold
 		}
-		b.UpdateEndpoint(uint32(i+1), i%2, Ready, i%2, cold, 1)
+		b.UpdateEndpoint(Endpoint{ID: uint32(i + 1), Zone: i % 2, State: Ready, Cell: i % 2, StartedAt: cold, Weight: 1})
 	}
 	b.EndEndpointUpdate(start)
 	for i, load := range f.Loads {
@@ -222,13 +235,22 @@
 		name string
 		tell func(b *Balancer)
 	}{
-		{"draining", func(b *Balancer) { b.BeginEndpointUpdate(false); b.UpdateEndpoint(1, 0, Draining, 0, 0, 1) }},
-		{"gone", func(b *Balancer) { b.BeginEndpointUpdate(false); b.UpdateEndpoint(1, 0, Gone, 0, 0, 1) }},
-		{"left out", func(b *Balancer) { b.BeginEndpointUpdate(true); b.UpdateEndpoint(2, 1, Ready, 1, 0, 1) }},
+		{"draining", func(b *Balancer) {
+			b.BeginEndpointUpdate(false)
+			b.UpdateEndpoint(Endpoint{ID: 1, State: Draining, Weight: 1})
+		}},
+		{"gone", func(b *Balancer) {
+			b.BeginEndpointUpdate(false)
+			b.UpdateEndpoint(Endpoint{ID: 1, State: Gone, Weight: 1})
+		}},
+		{"left out", func(b *Balancer) {
+			b.BeginEndpointUpdate(true)
+			b.UpdateEndpoint(Endpoint{ID: 2, Zone: 1, State: Ready, Cell: 1, Weight: 1})
+		}},
 		{"never listed", func(b *Balancer) {
 			b.BeginEndpointUpdate(false)
-			b.UpdateEndpoint(9, 0, Gone, 0, 0, 1)
-			b.UpdateEndpoint(1, 0, Gone, 0, 0, 1)
+			b.UpdateEndpoint(Endpoint{ID: 9, State: Gone, Weight: 1})
+			b.UpdateEndpoint(Endpoint{ID: 1, State: Gone, Weight: 1})
 		}},
 	} {
 		b := fleet{Loads: []float64{0.1, 0.4}}.build(t)
@@ -278,7 +300,7 @@
 // sendAsked places a link, with every server that is asked answering at once.
 func sendAsked(b *Balancer, now float64, l *Session, loads []float64) Decision {
 	a := b.Assign(now, l)
-	for d := b.NextAction(now); d.Poll; d = b.NextAction(now) {
+	for d := b.NextAction(now); d.Kind == ActionPoll; d = b.NextAction(now) {
 		b.PollFinished(now, d.Backend, true, []float64{0, loads[d.Backend-1]})
 	}
 	if a.Kind == Queue {
@@ -329,7 +351,7 @@
 		b := fleet{Loads: make([]float64, 60), Relays: 220, Seed: seed}.build(t)
 		now, l, asked := start+20000, arrive(start+20000), []uint32(nil)
 		require.Equal(t, Queue, b.Assign(now, l).Kind)
-		for d := b.NextAction(now); d.Poll; d = b.NextAction(now) {
+		for d := b.NextAction(now); d.Kind == ActionPoll; d = b.NextAction(now) {
 			asked = append(asked, d.Backend)
 		}
 		require.Len(t, asked, candidatesPerSession)
@@ -341,7 +363,7 @@
 		b.SessionEstablished(now+40, l)
 		full := arrive(now)
 		require.Equal(t, Queue, b.Assign(now, full).Kind)
-		for d := b.NextAction(now); d.Poll; d = b.NextAction(now) {
+		for d := b.NextAction(now); d.Kind == ActionPoll; d = b.NextAction(now) {
 			b.PollFinished(now, d.Backend, true, []float64{0, 0.9})
 		}
 		b.PollFinished(now+2, asked[2], true, []float64{0, 0.9})
@@ -358,7 +380,7 @@
 		}
 		asked := 0
 		for now := start; now < start+10000; now += 10 {
-			for d := b.NextAction(now); d.Poll; d = b.NextAction(now) {
+			for d := b.NextAction(now); d.Kind == ActionPoll; d = b.NextAction(now) {
 				asked++
 				b.PollFinished(now, d.Backend, false, nil)
 			}
@@ -370,7 +392,7 @@
 func TestRestartIsCold(t *testing.T) {
 	b := fleet{Loads: []float64{0.4, 0.4}}.build(t)
 	b.BeginEndpointUpdate(false)
-	b.UpdateEndpoint(1, 0, Ready, 0, start+5, 1)
+	b.UpdateEndpoint(Endpoint{ID: 1, State: Ready, StartedAt: start + 5, Weight: 1})
 	b.EndEndpointUpdate(start + 10)
 	assert.True(t, math.IsNaN(b.poller.loads[0]))
 	assert.Less(t, b.slowStart.capacityShare(0, start+10), 0.21)
@@ -459,7 +481,7 @@
 	}
 	out := 0
 	for range 300 {
-		if crowd.attempts.allowAttempt(crowd.roundRobin.rng) {
+		if crowd.allowAttempt() {
 			out++
 		}
 	}
@@ -557,14 +579,14 @@
 
 func TestSubscription(t *testing.T) {
 	b := fleet{Asked: true, Loads: []float64{0.3}}.build(t)
-	assert.True(t, b.NextAction(start).Subscribe, "the cached list is no subscription")
-	assert.False(t, b.NextAction(start).Subscribe)
+	assert.Equal(t, ActionWatch, b.NextAction(start).Kind, "the cached list is no subscription")
+	assert.NotEqual(t, ActionWatch, b.NextAction(start).Kind)
 	b.WatchFailed(start + 50)
-	assert.True(t, b.NextAction(start+350).Subscribe, "a failed call is made again soon")
+	assert.Equal(t, ActionWatch, b.NextAction(start+350).Kind, "a failed call is made again soon")
 	b.BeginEndpointUpdate(false)
 	b.EndEndpointUpdate(start + 400)
-	assert.False(t, b.NextAction(start+5000).Subscribe)
-	assert.True(t, b.NextAction(start+10000).Subscribe, "silence is counted")
+	assert.NotEqual(t, ActionWatch, b.NextAction(start+5000).Kind)
+	assert.Equal(t, ActionWatch, b.NextAction(start+10000).Kind, "silence is counted")
 }
 
 // Against hundreds of relays drowning a list of fixed capacity.
@@ -572,11 +594,11 @@
 	soon, again := 0, 0
 	for seed := range int64(220) {
 		b := fleet{Asked: true, Loads: []float64{0.3}, Relays: 220, Seed: seed}.build(t)
-		if b.NextAction(start + 500).Subscribe {
+		if b.NextAction(start+500).Kind == ActionWatch {
 			soon++
 		}
 		b.WatchFailed(start + 5000)
-		if b.NextAction(start + 5500).Subscribe {
+		if b.NextAction(start+5500).Kind == ActionWatch {
 			again++
 		}
 		for range 9 {
@@ -585,7 +607,7 @@
 		}
 		b.BeginEndpointUpdate(false)
 		b.EndEndpointUpdate(start + 6000)
-		assert.False(t, b.NextAction(start+60000).Subscribe, "its silence is counted by the number of relays")
+		assert.NotEqual(t, ActionWatch, b.NextAction(start+60000).Kind, "its silence is counted by the number of relays")
 	}
 	assert.Less(t, soon, 60)
 	assert.Less(t, again, 60)
@@ -603,7 +625,7 @@
 				assert.LessOrEqual(t, b.watchAt-now, 2000.0, "%d relays, failure %d", relays, failure)
 				assert.Greater(t, b.watchAt-now, 50.0, "%d relays, failure %d", relays, failure)
 				now = b.watchAt
-				assert.True(t, b.NextAction(now).Subscribe)
+				assert.Equal(t, ActionWatch, b.NextAction(now).Kind)
 			}
 		}
 	}
@@ -613,7 +635,7 @@
 	b := fleet{Loads: []float64{0.3, 0.3}}.build(t)
 	last := map[uint32]float64{}
 	for now := start; now < start+20000; now += 50 {
-		for d := b.NextAction(now); d.Poll; d = b.NextAction(now) {
+		for d := b.NextAction(now); d.Kind == ActionPoll; d = b.NextAction(now) {
 			if before, ok := last[d.Backend]; ok {
 				assert.LessOrEqual(t, now-before, 5000.0)
 			}
--- a/balancer/cold_fleet_test.go
+++ b/balancer/cold_fleet_test.go
@@ -118,17 +118,28 @@
 func (f *coldFleet) balancer(seed int64) *Balancer {
 	categories := []Class{{LatencyObjective: 500, PriorityWeight: 1}}
 	quota := f.bears * float64(len(f.servers)) * quotaCapacityShare
-	b := New(NewEndpointSet(false, 10000), NewRoundRobin(rand.New(rand.NewSource(seed))),
-		NewSlowStart(coldFrom, coldLength, coldMultiple, coldSpan, f.balancers),
-		NewLoadPoller(true, 0.002, []string{"x0"}), NewAttemptPolicy(categories, 3, 0, f.balancers, nil),
-		NewQuotas(categories, []float64{quota}, 0.2, f.balancers), 0, 0, false, false)
+	b := New(Config{
+		Endpoints:  NewEndpointSet(false, 10000),
+		RoundRobin: NewRoundRobin(rand.New(rand.NewSource(seed))),
+		SlowStart: NewSlowStart(SlowStartConfig{
+			InitialCapacity:  coldFrom,
+			Duration:         coldLength,
+			OverloadMultiple: coldMultiple,
+			OverloadSpan:     coldSpan,
+			Relays:           f.balancers,
+		}),
+		Poller:   NewLoadPoller(true, 0.002, []string{"x0"}),
+		Attempts: NewAttemptPolicy(categories, 3, 0, f.balancers, nil),
+		Quotas:   NewQuotas(categories, []float64{quota}, 0.2, f.balancers),
+	})
+
 	b.BeginEndpointUpdate(true)
 	for i, s := range f.servers {
 		started := 0.0
 		if s.startedCold {
 			started = start
 		}
-		b.UpdateEndpoint(uint32(i+1), 0, Ready, 0, started, 1)
+		b.UpdateEndpoint(Endpoint{ID: uint32(i + 1), State: Ready, StartedAt: started, Weight: 1})
 	}
 	b.EndEndpointUpdate(start)
 	return b
@@ -162,7 +173,7 @@
 		s.report(now, f.bears)
 	}
 	for _, b := range f.all {
-		for due := b.NextAction(now); due.Poll; due = b.NextAction(now) {
+		for due := b.NextAction(now); due.Kind == ActionPoll; due = b.NextAction(now) {
 			b.PollFinished(now, due.Backend, true, []float64{f.servers[due.Backend-1].visibleFigure(now)})
 		}
 	}
--- a/balancer/due_test.go
+++ b/balancer/due_test.go
@@ -13,7 +13,7 @@
 	d := Action{Wait: b.watchAt - now}
 	if d.Wait <= 0 {
 		b.watchAt = now + b.watchSilence()
-		return Action{Subscribe: true}
+		return Action{Kind: ActionWatch}
 	}
 	p := b.poller
 	if s := p.nextRequested(); s >= 0 {
@@ -45,12 +45,24 @@
 func large(servers, relays int, fee float64, seed int64) *Balancer {
 	chance := rand.New(rand.NewSource(seed))
 	categories := []Class{{LatencyObjective: 300, PriorityWeight: 1}}
-	b := New(NewEndpointSet(false, 0), NewRoundRobin(chance), NewSlowStart(0.2, 9000, 3, 2000, relays),
-		NewLoadPoller(true, fee, []string{"x0"}), NewAttemptPolicy(categories, 3, 900, relays, nil),
-		NewQuotas(categories, nil, 1, relays), 0, 0, false, false)
+	b := New(Config{
+		Endpoints:  NewEndpointSet(false, 0),
+		RoundRobin: NewRoundRobin(chance),
+		SlowStart: NewSlowStart(SlowStartConfig{
+			InitialCapacity:  0.2,
+			Duration:         9000,
+			OverloadMultiple: 3,
+			OverloadSpan:     2000,
+			Relays:           relays,
+		}),
+		Poller:   NewLoadPoller(true, fee, []string{"x0"}),
+		Attempts: NewAttemptPolicy(categories, 3, 900, relays, nil),
+		Quotas:   NewQuotas(categories, nil, 1, relays),
+	})
+
 	b.BeginEndpointUpdate(true)
 	for s := range servers {
-		b.UpdateEndpoint(uint32(s), 0, Ready, 0, 0, 1)
+		b.UpdateEndpoint(Endpoint{ID: uint32(s), State: Ready, Weight: 1})
 	}
 	b.EndEndpointUpdate(0)
 	return b
@@ -97,17 +109,17 @@
 				}
 				for _, of := range []*Balancer{a, b} {
 					of.BeginEndpointUpdate(false)
-					of.UpdateEndpoint(id, 0, cond, 0, since, 1)
+					of.UpdateEndpoint(Endpoint{ID: id, State: cond, StartedAt: since, Weight: 1})
 					of.EndEndpointUpdate(now)
 				}
 			}
 			for {
 				x, y := a.NextAction(now), nextPlain(b, now)
 				require.Equal(t, y, x, "seed %d at %v", seed, now)
-				if !x.Poll && !x.Subscribe {
+				if x.Kind == ActionWait {
 					break
 				}
-				if x.Poll {
+				if x.Kind == ActionPoll {
 					asked = append(asked, x.Backend)
 				}
 			}
@@ -136,7 +148,7 @@
 	l := large(servers, 2, 0, 1)
 	now := 1.0
 	for ; now < 3000; now += 10 {
-		for d := l.NextAction(now); d.Poll; d = l.NextAction(now) {
+		for d := l.NextAction(now); d.Kind == ActionPoll; d = l.NextAction(now) {
 			l.PollFinished(now, d.Backend, true, []float64{0.2 + 0.2*float64(d.Backend%7)/7})
 		}
 	}
--- /dev/null
+++ b/balancer/endpoint_set.go
@@ -0,0 +1,196 @@
+package balancer
+
+import "math"
+
+// EndpointState is what the endpoint list says of a backend.
+type EndpointState uint8
+
+const (
+	// Gone backends are not on the list any more.
+	Gone EndpointState = iota
+	// Ready backends take sessions.
+	Ready
+	// Draining backends keep their sessions for a while and take no new ones.
+	Draining
+)
+
+var endpointStateNames = [...]string{"gone", "ready", "draining"}
+
+// String returns the name for logs and tests.
+func (s EndpointState) String() string { return enumName(endpointStateNames[:], uint8(s)) }
+
+// Endpoint is one entry of the endpoint list.
+type Endpoint struct {
+	ID        uint32
+	Zone      int
+	State     EndpointState
+	Cell      int     // partition cell
+	StartedAt float64 // 0: before anybody watched
+	Weight    float64 // relative capacity
+}
+
+// EndpointSet is what the endpoint list has said. Each backend has a small dense index, under which this and
+// the other parts of the Balancer keep their figures.
+type EndpointSet struct {
+	mustWatch    bool // the list must be asked for
+	watchTimeout float64
+
+	indexByID map[uint32]int
+	ids       []uint32
+	states    []EndpointState
+	zones     []int
+	cells     []int
+	startedAt []float64
+
+	inUpdate      []bool // the backend was mentioned since BeginEndpointUpdate
+	fullUpdate    bool   // what is not mentioned is gone
+	listReceived  bool   // an update has ended
+	watchAt       float64
+	watchFailures int // in a row
+}
+
+// NewEndpointSet takes whether the list must be watched, and after how many milliseconds without a word a
+// watch counts as dead.
+func NewEndpointSet(mustWatch bool, watchTimeout float64) *EndpointSet {
+	if !mustWatch {
+		watchTimeout = math.Inf(1)
+	}
+	return &EndpointSet{
+		mustWatch:    mustWatch,
+		watchTimeout: watchTimeout,
+		watchAt:      math.Inf(1),
+		indexByID:    map[uint32]int{},
+	}
+}
+
+// grow adds a backend.
+func (e *EndpointSet) grow() {
+	e.ids = append(e.ids, 0)
+	e.states = append(e.states, Gone)
+	e.zones = append(e.zones, 0)
+	e.cells = append(e.cells, 0)
+	e.startedAt = append(e.startedAt, 0)
+	e.inUpdate = append(e.inUpdate, false)
+}
+
+// BeginEndpointUpdate begins an update of the list; a full one mentions every backend there is.
+func (b *Balancer) BeginEndpointUpdate(full bool) {
+	b.fullUpdate = full
+	clear(b.inUpdate)
+}
+
+// UpdateEndpoint takes one entry of the update.
+func (b *Balancer) UpdateEndpoint(endpoint Endpoint) {
+	backend, known := b.indexByID[endpoint.ID]
+	if !known {
+		if endpoint.State == Gone {
+			return
+		}
+		backend = b.addBackend(endpoint.ID)
+	}
+	b.confirmStart(backend, endpoint.StartedAt)
+	if endpoint.StartedAt > b.startedAt[backend] {
+		b.recordRestart(backend, endpoint.StartedAt)
+	}
+	b.states[backend] = endpoint.State
+	b.zones[backend] = endpoint.Zone
+	b.cells[backend] = endpoint.Cell
+	b.weights[backend] = endpoint.Weight
+	b.inUpdate[backend] = true
+	b.updateTracking(backend)
+}
+
+// EndEndpointUpdate ends the update.
+func (b *Balancer) EndEndpointUpdate(now float64) {
+	if b.fullUpdate {
+		b.removeUnmentioned()
+	}
+	if !b.listReceived {
+		b.attempts.establishedAsOf = now
+		b.countInitialBackends()
+	}
+	b.roundRobin.invalidate()
+	b.scheduleWatch(now)
+	b.listReceived = true
+}
+
+func (b *Balancer) removeUnmentioned() {
+	for backend, mentioned := range b.inUpdate {
+		if !mentioned {
+			b.states[backend] = Gone
+			b.updateTracking(backend)
+		}
+	}
+}
+
+func (b *Balancer) countInitialBackends() {
+	for _, state := range b.states {
+		if state == Ready {
+			b.initialBackends++
+		}
+	}
+}
+
+// addBackend returns an index for the ID: that of a backend that is gone and has no session left, or a new
+// one.
+func (b *Balancer) addBackend(id uint32) int {
+	backend := b.findFreeIndex()
+	if backend == noBackend {
+		backend = len(b.ids)
+		b.growParts()
+	}
+	delete(b.indexByID, b.ids[backend])
+	b.indexByID[id] = backend
+	b.ids[backend] = id
+	b.startedAt[backend] = 0
+	b.outliers.reset(backend)
+	b.slowStart.startedAt[backend] = math.Inf(-1)
+	b.poller.pollSentAt[backend] = math.NaN()
+	b.poller.polledAt[backend] = math.Inf(-1)
+	b.poller.selectionDraws[backend] = b.rng.Float64()
+	b.forgetLoad(backend)
+	b.updateTracking(backend)
+	return backend
+}
+
+func (b *Balancer) findFreeIndex() int {
+	for backend, state := range b.states {
+		if state == Gone && b.sessionCounts[backend] == 0 {
+			return backend
+		}
+	}
+	return noBackend
+}
+
+// growParts has every part keep figures of one more backend.
+func (b *Balancer) growParts() {
+	b.EndpointSet.grow()
+	b.outliers.grow()
+	b.slowStart.grow()
+	b.poller.grow()
+	b.sessionLoads = append(b.sessionLoads, 0)
+	b.sessionCounts = append(b.sessionCounts, 0)
+	b.weights = append(b.weights, 1)
+	b.roundRobin.bucketCounts = append(b.roundRobin.bucketCounts, 0)
+	b.tracker.grow(len(b.ids))
+}
+
+// BackendStatus is what a Balancer knows of a backend.
+type BackendStatus struct {
+	Sessions   int     // of this relay, those being established included
+	ReportedAt float64 // when it last reported its load; -Inf: never
+	IsAvoided  bool    // no new session is assigned to it, as it is not ready or does not answer
+}
+
+// BackendStatus returns what is known of the backend.
+func (b *Balancer) BackendStatus(id uint32) BackendStatus {
+	backend, known := b.indexByID[id]
+	if !known {
+		return BackendStatus{ReportedAt: math.Inf(-1), IsAvoided: true}
+	}
+	return BackendStatus{
+		Sessions:   b.sessionCounts[backend],
+		ReportedAt: b.poller.reportedAt[backend],
+		IsAvoided:  b.states[backend] != Ready || !b.outliers.isHealthy(backend),
+	}
+}
--- a/balancer/recovery_test.go
+++ b/balancer/recovery_test.go
@@ -15,13 +15,24 @@
 	for _, g := range gains {
 		categories = append(categories, Class{LatencyObjective: 500, PriorityWeight: g})
 	}
-	b := New(NewEndpointSet(true, 10000), NewRoundRobin(rand.New(rand.NewSource(1))), NewSlowStart(0.2, 9000, 3, 2000,
-		relays),
-		NewLoadPoller(true, 0, []string{"x0"}), NewAttemptPolicy(categories, 3, 1000, relays, NewRetryBudget(5, 0.1, 1000)),
-		NewQuotas(categories, nil, 1, relays), 0, 0, false, false)
+	b := New(Config{
+		Endpoints:  NewEndpointSet(true, 10000),
+		RoundRobin: NewRoundRobin(rand.New(rand.NewSource(1))),
+		SlowStart: NewSlowStart(SlowStartConfig{
+			InitialCapacity:  0.2,
+			Duration:         9000,
+			OverloadMultiple: 3,
+			OverloadSpan:     2000,
+			Relays:           relays,
+		}),
+		Poller:   NewLoadPoller(true, 0, []string{"x0"}),
+		Attempts: NewAttemptPolicy(categories, 3, 1000, relays, NewRetryBudget(5, 0.1, 1000)),
+		Quotas:   NewQuotas(categories, nil, 1, relays),
+	})
+
 	b.BeginEndpointUpdate(true)
 	for i := range servers {
-		b.UpdateEndpoint(uint32(i+1), 0, Ready, 0, now, 1)
+		b.UpdateEndpoint(Endpoint{ID: uint32(i + 1), State: Ready, StartedAt: now, Weight: 1})
 	}
 	b.EndEndpointUpdate(now)
 	return b
@@ -81,15 +92,15 @@
 func TestSupposed(t *testing.T) {
 	b := young(2, 0, 1000, 1)
 	b.BeginEndpointUpdate(true)
-	b.UpdateEndpoint(1, 0, Ready, 0, 0, 1)
-	b.UpdateEndpoint(2, 0, Ready, 0, 0, 1)
+	b.UpdateEndpoint(Endpoint{ID: 1, State: Ready, Weight: 1})
+	b.UpdateEndpoint(Endpoint{ID: 2, State: Ready, Weight: 1})
 	b.EndEndpointUpdate(1000)
 	b.AssumeEndpoints(1000)
 	cold, usable := b.WarmingUp(1100)
 	assert.Equal(t, [2]int{2, 2}, [2]int{cold, usable})
 	b.BeginEndpointUpdate(true)
-	b.UpdateEndpoint(1, 0, Ready, 0, 0, 1)   // it never went
-	b.UpdateEndpoint(2, 0, Ready, 0, 900, 1) // it did, earlier than was held
+	b.UpdateEndpoint(Endpoint{ID: 1, State: Ready, Weight: 1})                 // it never went
+	b.UpdateEndpoint(Endpoint{ID: 2, State: Ready, StartedAt: 900, Weight: 1}) // it did, earlier than was held
 	b.EndEndpointUpdate(1200)
 	cold, _ = b.WarmingUp(1200)
 	assert.Equal(t, 1, cold)
@@ -140,7 +151,7 @@
 		{"reports are young", -1, 250, 0, 0.2},
 	} {
 		b := young(4, 4, 0, 1)
-		b.UpdateEndpoint(1, 0, Ready, 0, c.cold, 1)
+		b.UpdateEndpoint(Endpoint{ID: 1, State: Ready, StartedAt: c.cold, Weight: 1})
 		b.capacity = 4e6
 		b.SetRemoteLoad(c.others)
 		if c.late > 0 {
@@ -187,9 +198,15 @@
 		there  bool
 	}{
 		{"as it is", func(*Balancer) {}, true},
-		{"it drains", func(b *Balancer) { b.UpdateEndpoint(3, 0, Draining, 0, 0, 1) }, false},
-		{"it is gone", func(b *Balancer) { b.UpdateEndpoint(3, 0, Gone, 0, 0, 1) }, false},
-		{"it has just started", func(b *Balancer) { b.UpdateEndpoint(3, 0, Ready, 0, start-1, 1) }, false},
+		{"it drains", func(b *Balancer) {
+			b.UpdateEndpoint(Endpoint{ID: 3, State: Draining, Weight: 1})
+		}, false},
+		{"it is gone", func(b *Balancer) {
+			b.UpdateEndpoint(Endpoint{ID: 3, State: Gone, Weight: 1})
+		}, false},
+		{"it has just started", func(b *Balancer) {
+			b.UpdateEndpoint(Endpoint{ID: 3, State: Ready, StartedAt: start - 1, Weight: 1})
+		}, false},
 		{"it is full", func(b *Balancer) { b.PollFinished(start, 3, true, []float64{0, 1.2}) }, false},
 		{"it does not answer", func(b *Balancer) { b.PollFinished(start, 3, false, nil); b.PollFinished(start, 3, false, nil) },
 			false},
--- /dev/null
+++ b/balancer/slow_start.go
@@ -0,0 +1,133 @@
+package balancer
+
+import "math"
+
+const (
+	savedSlowStartSpans  = 1.0 // overload spans, for which a slow-start budget that is not used is saved
+	observedPaceFactor   = 3.0 // times the budget of a backend whose report includes what all relays sent it
+	minRelativeSlowStart = 0.1 // of the mean session's load, that a session counts for at the least
+)
+
+// SlowStart bounds what a backend that has just started is sent, and how much of its capacity it has.
+type SlowStart struct {
+	SlowStartConfig
+	relays float64
+
+	startedAt   []float64 // when the backend's slow start began; -Inf: never
+	requestedAt float64   // when a session last drew on the budget
+}
+
+// SlowStartConfig is what the settings say of backends that have just started.
+type SlowStartConfig struct {
+	InitialCapacity  float64 // share of its capacity that a backend starts with
+	Duration         float64 // milliseconds until it has all; 0: there is no slow start
+	OverloadMultiple float64 // times its present capacity, at which it fails ...
+	OverloadSpan     float64 // ... when that much comes within these milliseconds
+	Relays           int     // that share the budget
+}
+
+// NewSlowStart returns a SlowStart without backends.
+func NewSlowStart(config SlowStartConfig) *SlowStart {
+	return &SlowStart{SlowStartConfig: config, relays: float64(config.Relays)}
+}
+
+// grow adds a backend.
+func (s *SlowStart) grow() { s.startedAt = append(s.startedAt, math.Inf(-1)) }
+
+// capacityShare is the share of its capacity that the backend has; 1 once it is warm.
+func (s *SlowStart) capacityShare(backend int, now float64) float64 {
+	if s.Duration <= 0 {
+		return 1
+	}
+	elapsed := max(0, now-s.startedAt[backend])
+	return min(1, s.InitialCapacity+(1-s.InitialCapacity)*elapsed/s.Duration)
+}
+
+// recordRestart takes that the backend restarted under the same ID, which begins a slow start: reports from
+// before say nothing of it.
+func (b *Balancer) recordRestart(backend int, startedAt float64) {
+	b.forgetLoad(backend)
+	b.startedAt[backend] = startedAt
+	b.outliers.consecutiveFailures[backend] = 0
+	b.startSlowStart(backend, startedAt)
+}
+
+// warmingDraw is one backend drawn among those that warm up and may have a session.
+type warmingDraw struct {
+	backend       int     // or noBackend
+	count         float64 // of the backends it was drawn among
+	capacityShare float64 // the sum of theirs
+}
+
+// drawWarmingBackend returns the backend in slow start that the session may go to, or noBackend. Against
+// hundreds of relays that each spend a session at once: over the time since the last session, the chance
+// comes to this relay's part of what fills such backends over their slow start. To an even share at most;
+// beyond it the session may go there only where no warm backend has room. Little is saved up, for the same
+// reason. Once the span in which a backend can be overloaded is over, and a report's age, what all relays
+// sent it shows in its report; where that is polled for each session the budget is wider, against relays that
+// seldom have a session leaving backends idle while they reject clients.
+func (b *Balancer) drawWarmingBackend(now float64, session *Session) int {
+	s := b.slowStart
+	drawn := b.drawAmongWarming(now, session)
+
+	class := b.attempts.classes[session.Class]
+	savedTime := b.admission.SavedTimeLimit(s.OverloadSpan, savedSlowStartSpans*s.OverloadSpan)
+	elapsed := min(now-s.requestedAt, savedTime)
+	offered := elapsed * b.admission.OfferedShare(class.PriorityWeight, session.Key, now)
+	relativeLoad := max(session.load/b.quotas.meanSessionLoad, minRelativeSlowStart)
+	due := drawn.capacityShare * b.slowStartPace(drawn.count) * offered / relativeLoad
+	s.requestedAt = now - b.admission.UnusedTime(elapsed, offered, due)
+
+	chance := b.rng.Float64()
+	if b.attempts.draining || drawn.backend == noBackend || !(chance < due) {
+		return noBackend
+	}
+	withinEvenShare := chance < drawn.count/float64(b.tracker.usable)
+	if !withinEvenShare && !b.isLoadObserved(drawn.backend, now) {
+		return noBackend
+	}
+	session.onlyIfFull = !withinEvenShare
+	session.slowStartGrant = offered / due
+	return drawn.backend
+}
+
+// drawAmongWarming draws a backend in slow start, each with a chance by the capacity that it has now.
+func (b *Balancer) drawAmongWarming(now float64, session *Session) warmingDraw {
+	drawn := warmingDraw{backend: noBackend}
+	hash := b.affinityHash(session)
+	zone := b.targetZone(session)
+	least := math.Inf(1)
+	for _, backend := range b.warmingBackends(now) {
+		if b.states[backend] != Ready || !b.outliers.isHealthy(backend) || !b.zoneAllows(backend, zone) {
+			continue
+		}
+		share := b.slowStart.capacityShare(backend, now)
+		if b.isLoadObserved(backend, now) {
+			share *= 1 + (observedPaceFactor-1)*(1-b.activeShare)
+		}
+		drawn.count++
+		drawn.capacityShare += share
+		if d := exponentialDraw(hash, b.ids[backend]) / share; d < least {
+			drawn.backend = backend
+			least = d
+		}
+	}
+	return drawn
+}
+
+// slowStartPace is this relay's budget, in sessions of the mean load a millisecond, for the whole capacity of
+// one backend, while that many backends warm up.
+func (b *Balancer) slowStartPace(warming float64) float64 {
+	s := b.slowStart
+	sessions := max(b.capacity/b.quotas.meanSessionLoad, 1)
+	usual := s.OverloadMultiple / 2 * sessions / s.Duration / s.relays
+	return b.admission.SlowStartBudget(sessions, s.OverloadMultiple, s.InitialCapacity, s.OverloadSpan, usual,
+		warming, float64(b.tracker.usable))
+}
+
+// isLoadObserved reports whether the report of a backend in slow start includes what all relays sent it, and
+// is new as candidates are polled for each session.
+func (b *Balancer) isLoadObserved(backend int, now float64) bool {
+	s := b.slowStart
+	return b.activeShare < 1 && now >= s.startedAt[backend]+s.OverloadSpan+b.poller.maxReportAge
+}
--- /dev/null
+++ b/balancer/snapshot.go
@@ -0,0 +1,258 @@
+package balancer
+
+import (
+	"errors"
+	"fmt"
+	"math"
+)
+
+// Snapshot is what one process of a relay leaves to the next: what it has learnt, none of the sessions it
+// has. All times are milliseconds on the relay's clock; -1 stands for a value that is not there.
+type Snapshot struct {
+	TakenAt              float64            `json:"At"`
+	Backends             []BackendSnapshot  `json:"Servers"`
+	ClassLoads           []float64          `json:"Loads"`   // mean session load, by class
+	ClassSamples         []float64          `json:"Weighed"` // sessions that those rest on
+	MeanSessionLoad      float64            `json:"LoadMean"`
+	LoadSamples          float64            `json:"Known"`   // sessions that the mean rests on
+	EstimatedCapacity    float64            `json:"Guessed"` // of a backend, by the relay's own sessions
+	ListedBackends       float64            `json:"Listed"`  // ready backends of the first endpoint list
+	EstablishedSessions  float64            `json:"Stood"`   // fading count
+	EstablishedSpan      float64            `json:"Over"`    // time over which it was counted, fading alike
+	EstablishedAsOf      float64            `json:"AsOf"`
+	ConcurrencyLimit     float64            `json:"Width"` // of attempts in flight
+	ConcurrencyReducedAt float64            `json:"CutAt"`
+	SlowStartRequestedAt float64            `json:"Asked"` // when a session last drew on that budget
+	BudgetSlot           float64            `json:"Slot"`  // number of the retry budget's latest slot
+	BudgetSessions       []float64          `json:"Taken"` // by slot; none: there is no budget
+	BudgetRetries        []float64          `json:"More"`
+	EndedSessionLoads    map[uint64]float64 `json:"Ended"` // by client key
+}
+
+// BackendSnapshot is what was learnt of one backend.
+type BackendSnapshot struct {
+	ID                  uint32               `json:"ID"`
+	StartedAt           float64              `json:"Started"`
+	Load                float64              `json:"Load"`
+	ReportedAt          float64              `json:"HeardAt"`
+	PolledAt            float64              `json:"AskedAt"`
+	SlowStartAt         float64              `json:"WarmFrom"`
+	ConsecutiveFailures int                  `json:"Failed"`
+	SessionsLost        bool                 `json:"Lost"` // while the backend was silent
+	OutlierEvidence     float64              `json:"Against"`
+	RecentAssignments   []AssignmentSnapshot `json:"Placed"`
+}
+
+// AssignmentSnapshot is a session assigned to a backend whose report may not include it yet.
+type AssignmentSnapshot struct {
+	At   float64 `json:"At"`
+	Load float64 `json:"Load"`
+}
+
+// missing stands for a value that is not there, as JSON knows no NaN and no infinity.
+const missing = -1
+
+func encodeMissing(value float64) float64 {
+	if math.IsNaN(value) || math.IsInf(value, 0) {
+		return missing
+	}
+	return value
+}
+
+func decodeMissing(value, otherwise float64) float64 {
+	if value == missing {
+		return otherwise
+	}
+	return value
+}
+
+// Snapshot returns what was learnt until now.
+func (b *Balancer) Snapshot(now float64) Snapshot {
+	b.outliers.decay(now)
+	snapshot := Snapshot{
+		TakenAt:              now,
+		ClassLoads:           append([]float64{}, b.quotas.classLoads...),
+		ClassSamples:         append([]float64{}, b.quotas.classSamples...),
+		MeanSessionLoad:      b.quotas.meanSessionLoad,
+		LoadSamples:          b.quotas.loadSamples,
+		EstimatedCapacity:    b.estimatedCapacity,
+		ListedBackends:       b.initialBackends,
+		EstablishedSessions:  b.attempts.established,
+		EstablishedSpan:      b.attempts.establishedSpan,
+		EstablishedAsOf:      b.attempts.establishedAsOf,
+		ConcurrencyLimit:     b.attempts.concurrencyLimit,
+		ConcurrencyReducedAt: b.attempts.limitReducedAt,
+		SlowStartRequestedAt: b.slowStart.requestedAt,
+		EndedSessionLoads:    b.quotas.endedLoads.newest(maxStoredKeys),
+	}
+	if budget := b.attempts.budget; budget != nil {
+		snapshot.BudgetSlot = encodeMissing(budget.currentSlot)
+		snapshot.BudgetSessions = append(snapshot.BudgetSessions, budget.sessions[:]...)
+		snapshot.BudgetRetries = append(snapshot.BudgetRetries, budget.retries[:]...)
+	}
+	for backend, state := range b.states {
+		if state != Gone {
+			snapshot.Backends = append(snapshot.Backends, b.backendSnapshot(backend))
+		}
+	}
+	return snapshot
+}
+
+func (b *Balancer) backendSnapshot(backend int) BackendSnapshot {
+	snapshot := BackendSnapshot{
+		ID:                  b.ids[backend],
+		StartedAt:           b.startedAt[backend],
+		Load:                encodeMissing(b.poller.loads[backend]),
+		ReportedAt:          encodeMissing(b.poller.reportedAt[backend]),
+		PolledAt:            encodeMissing(b.poller.polledAt[backend]),
+		SlowStartAt:         encodeMissing(b.slowStart.startedAt[backend]),
+		ConsecutiveFailures: b.outliers.consecutiveFailures[backend],
+		SessionsLost:        b.outliers.sessionsLost[backend],
+		OutlierEvidence:     b.outliers.evidence[backend],
+	}
+	for _, a := range b.poller.recentAssignments[backend] {
+		snapshot.RecentAssignments = append(snapshot.RecentAssignments,
+			AssignmentSnapshot{At: a.at, Load: a.load})
+	}
+	return snapshot
+}
+
+// Restore takes what another process of this relay has learnt, of those backends that have not restarted
+// since. A snapshot that can't be is refused whole, with an error that says why.
+func (b *Balancer) Restore(now float64, snapshot *Snapshot) error {
+	if err := snapshot.validate(len(b.attempts.classes)); err != nil {
+		return fmt.Errorf("restore snapshot: %w", err)
+	}
+	b.outliers.decay(now)
+	b.restoreLoads(now, snapshot)
+	b.attempts.restore(now, snapshot)
+	// What the other process has saved up for slow starts it has not handed out since, and neither is it
+	// given twice.
+	b.slowStart.requestedAt = max(min(snapshot.SlowStartRequestedAt, now), snapshot.TakenAt)
+	for i := range snapshot.Backends {
+		b.restoreBackend(&snapshot.Backends[i])
+	}
+	b.roundRobin.invalidate()
+	return nil
+}
+
+func (b *Balancer) restoreLoads(now float64, snapshot *Snapshot) {
+	copy(b.quotas.classLoads, snapshot.ClassLoads)
+	copy(b.quotas.classSamples, snapshot.ClassSamples)
+	b.quotas.meanSessionLoad = snapshot.MeanSessionLoad
+	b.quotas.loadSamples = snapshot.LoadSamples
+	b.estimatedCapacity = snapshot.EstimatedCapacity
+	b.initialBackends = snapshot.ListedBackends
+	for key, load := range snapshot.EndedSessionLoads {
+		b.quotas.endedLoads.store(now, key, load)
+	}
+}
+
+func (p *AttemptPolicy) restore(now float64, snapshot *Snapshot) {
+	p.established = snapshot.EstablishedSessions
+	p.establishedSpan = snapshot.EstablishedSpan
+	p.establishedAsOf = min(snapshot.EstablishedAsOf, now)
+	p.concurrencyLimit = snapshot.ConcurrencyLimit
+	p.limitReducedAt = snapshot.ConcurrencyReducedAt
+	if p.budget != nil && len(snapshot.BudgetSessions) > 0 {
+		p.budget.currentSlot = decodeMissing(snapshot.BudgetSlot, math.Inf(-1))
+		copy(p.budget.sessions[:], snapshot.BudgetSessions)
+		copy(p.budget.retries[:], snapshot.BudgetRetries)
+	}
+}
+
+func (b *Balancer) restoreBackend(snapshot *BackendSnapshot) {
+	backend, known := b.indexByID[snapshot.ID]
+	if !known || b.startedAt[backend] != snapshot.StartedAt {
+		return
+	}
+	b.poller.loads[backend] = decodeMissing(snapshot.Load, math.NaN())
+	b.poller.reportedAt[backend] = decodeMissing(snapshot.ReportedAt, math.Inf(-1))
+	b.poller.polledAt[backend] = decodeMissing(snapshot.PolledAt, math.Inf(-1))
+	b.outliers.restore(backend, snapshot)
+	if snapshot.SlowStartAt >= 0 {
+		b.startSlowStart(backend, snapshot.SlowStartAt)
+	}
+	b.poller.recentAssignments[backend] = b.poller.recentAssignments[backend][:0]
+	for _, a := range snapshot.RecentAssignments {
+		b.poller.recentAssignments[backend] = append(b.poller.recentAssignments[backend],
+			assignment{at: a.At, load: a.Load})
+	}
+	b.poller.dropReported(backend, b.poller.reportedAt[backend]-b.poller.maxReportAge)
+	b.updateTracking(backend)
+}
+
+func (d *OutlierDetector) restore(backend int, snapshot *BackendSnapshot) {
+	d.consecutiveFailures[backend] = snapshot.ConsecutiveFailures
+	d.sessionsLost[backend] = snapshot.SessionsLost
+	d.meanEvidence += (snapshot.OutlierEvidence - d.evidence[backend]) / float64(len(d.evidence))
+	d.evidence[backend] = snapshot.OutlierEvidence
+}
+
+// validate returns what of a snapshot can't be, for a relay with that many classes.
+func (s *Snapshot) validate(classes int) error {
+	if err := s.validateBudget(); err != nil {
+		return err
+	}
+	if len(s.ClassLoads) != classes || len(s.ClassSamples) != classes {
+		return fmt.Errorf("%d classes expected, got loads of %d and samples of %d", classes,
+			len(s.ClassLoads), len(s.ClassSamples))
+	}
+	single := areAmounts(s.MeanSessionLoad, s.LoadSamples, s.EstimatedCapacity, s.ListedBackends,
+		s.EstablishedSessions, s.EstablishedSpan, s.EstablishedAsOf, s.ConcurrencyLimit,
+		s.ConcurrencyReducedAt, s.SlowStartRequestedAt, s.TakenAt)
+	if !single || !areAmounts(s.ClassLoads...) || !areAmounts(s.ClassSamples...) {
+		return errors.New("a figure is no number or negative")
+	}
+	for i := range s.Backends {
+		if err := s.Backends[i].validate(); err != nil {
+			return fmt.Errorf("backend %d: %w", s.Backends[i].ID, err)
+		}
+	}
+	for key, load := range s.EndedSessionLoads {
+		if !areAmounts(load) {
+			return fmt.Errorf("load of the ended session %x is no number or negative", key)
+		}
+	}
+	return nil
+}
+
+func (s *Snapshot) validateBudget() error {
+	slots := len(s.BudgetSessions)
+	if slots != len(s.BudgetRetries) || (slots != 0 && slots != budgetSlots+1) {
+		return fmt.Errorf("%d slots of the retry budget or none expected, got %d and %d", budgetSlots+1,
+			slots, len(s.BudgetRetries))
+	}
+	if !areAmounts(s.BudgetSessions...) || !areAmounts(s.BudgetRetries...) ||
+		!areAmounts(decodeMissing(s.BudgetSlot, 0)) {
+		return errors.New("a figure of the retry budget's slots is no number or negative")
+	}
+	return nil
+}
+
+func (s *BackendSnapshot) validate() error {
+	times := areAmounts(s.StartedAt, decodeMissing(s.ReportedAt, 0), decodeMissing(s.PolledAt, 0),
+		decodeMissing(s.SlowStartAt, 0))
+	if !times || !areAmounts(decodeMissing(s.Load, 0), s.OutlierEvidence) {
+		return errors.New("a figure is no number or negative")
+	}
+	if s.OutlierEvidence > 1 || s.ConsecutiveFailures < 0 {
+		return errors.New("a figure is out of range")
+	}
+	for _, a := range s.RecentAssignments {
+		if !areAmounts(a.At, a.Load) {
+			return errors.New("an assignment's figure is no number or negative")
+		}
+	}
+	return nil
+}
+
+// areAmounts reports whether all figures are finite and not negative.
+func areAmounts(figures ...float64) bool {
+	for _, figure := range figures {
+		if math.IsNaN(figure) || math.IsInf(figure, 0) || figure < 0 {
+			return false
+		}
+	}
+	return true
+}
--- a/balancer/zones.go
+++ b/balancer/zones.go
@@ -2,14 +2,11 @@
 
 import "math"
 
-// This file is the balancer's side of a decision in common on zones: what it has seen of each, and which
-// part of its links is meant for which. The paper's buckets (section IV-B) know servers of one place; the
-// departure is that each link draws a zone by the decision's parts first, and takes its turn among that
-// zone's servers as ever. It acts only while Direct holds parts. What is decided comes from outside; nothing
-// is decided here.
+// maxZones is how many zones are observed.
+const maxZones = 256
 
-// ZoneObservation is what this relay has seen of a zone: tries and probes since its start, those without an answer
-// in time, and what its servers hold and bear now, in what one of them bears.
+// ZoneObservation is what this relay has seen of a zone: attempts and polls since its start, and the load and
+// capacity of its backends now, in what one warm backend bears.
 type ZoneObservation struct {
 	Attempts        float64 `json:"Tries"`
 	FailedAttempts  float64 `json:"Failed"`
@@ -19,103 +16,121 @@
 	Capacity        float64 `json:"Room"`
 }
 
-// ZoneWeight is a zone that a part of the links is meant for. An open one also takes links meant for others
-// that find no room there.
+// ZoneWeight is a zone that a share of the sessions is meant for.
 type ZoneWeight struct {
 	Zone            int     `json:"Zone"`
-	Weight          float64 `json:"Part"`
-	AcceptsOverflow bool    `json:"Open"`
+	Weight          float64 `json:"Part"` // share of all sessions, from 0 to 1
+	AcceptsOverflow bool    `json:"Open"` // the zone takes sessions meant for others that find no room there
 }
 
-// SetZoneWeights has links meant for zones by those parts from now on; none: wherever there is room, as ever.
-func (b *Balancer) SetZoneWeights(parts []ZoneWeight) { b.zoneWeights = parts }
+// SetZoneWeights has sessions meant for zones by those weights from now on; none: wherever there is room. The
+// weights are decided elsewhere, for all relays. The paper's buckets (section IV-B) know servers of one
+// place; the departure, while there are weights, is that each session draws a zone first and takes its turn
+// among that zone's backends.
+func (b *Balancer) SetZoneWeights(weights []ZoneWeight) { b.zoneWeights = weights }
 
-// allZonesClosed tells whether no zone is to have anything: an operators' order, as no decision by itself goes so far.
+// allZonesClosed reports whether no zone is to have anything: an operators' order, as no decision by itself
+// goes so far.
 func (b *Balancer) allZonesClosed() bool {
-	for _, d := range b.zoneWeights {
-		if d.AcceptsOverflow || d.Weight > 0 {
+	for _, zone := range b.zoneWeights {
+		if zone.AcceptsOverflow || zone.Weight > 0 {
 			return false
 		}
 	}
 	return len(b.zoneWeights) > 0
 }
 
-// targetZone is the zone that a link is meant for, or -1. Groups and keys that are kept together draw together.
-func (b *Balancer) targetZone(l *Session) int {
+// targetZone is the zone that the session is meant for, or -1. Sessions of a group or key that decides draw
+// alike.
+func (b *Balancer) targetZone(session *Session) int {
 	if len(b.zoneWeights) == 0 {
 		return -1
 	}
-	all := 0.0 // the whole, but for what nobody has room for: that takes its chance with the rest
-	for _, d := range b.zoneWeights {
-		all += d.Weight
+	total := 0.0 // 1, but for what nobody has room for: that takes its chance with the rest
+	for _, zone := range b.zoneWeights {
+		total += zone.Weight
 	}
-	lot := all * (1 - math.Exp(-exponentialDraw(b.affinityHash(l), 0)))
-	for _, d := range b.zoneWeights {
-		if lot -= d.Weight; lot < 0 {
-			return d.Zone
+	left := total * (1 - math.Exp(-exponentialDraw(b.affinityHash(session), 0)))
+	for _, zone := range b.zoneWeights {
+		left -= zone.Weight
+		if left < 0 {
+			return zone.Zone
 		}
 	}
 	return -1
 }
 
-// zoneAllows tells whether a server may have a link that is meant for that zone. One whose zone nobody has decided
-// on may have any.
-func (b *Balancer) zoneAllows(s, aim int) bool {
-	for _, d := range b.zoneWeights {
-		if d.Zone == b.zones[s] {
-			return d.AcceptsOverflow || d.Zone == aim
+// zoneAllows reports whether the backend may have a session that is meant for the zone. One in a zone that
+// nobody has decided on may have any.
+func (b *Balancer) zoneAllows(backend, targetZone int) bool {
+	for _, zone := range b.zoneWeights {
+		if zone.Zone == b.zones[backend] {
+			return zone.AcceptsOverflow || zone.Zone == targetZone
 		}
 	}
 	return true
 }
 
-// observeAttempt and asked count how tries and probes end, by zone.
-func (b *Balancer) observeAttempt(s int, failed bool) {
-	if look := b.zoneObservation(b.zones[s]); look != nil {
-		if look.Attempts++; failed {
-			look.FailedAttempts++
-		}
+// observeAttempt counts the end of an attempt for its zone.
+func (b *Balancer) observeAttempt(backend int, failed bool) {
+	zone := b.zoneObservation(b.zones[backend])
+	if zone == nil {
+		return
+	}
+	zone.Attempts++
+	if failed {
+		zone.FailedAttempts++
 	}
 }
 
-func (b *Balancer) observePoll(s int, ok bool) {
-	if look := b.zoneObservation(b.zones[s]); look != nil {
-		if look.Polls++; !ok {
-			look.UnansweredPolls++
-		}
+// observePoll counts the end of a poll for its zone.
+func (b *Balancer) observePoll(backend int, answered bool) {
+	zone := b.zoneObservation(b.zones[backend])
+	if zone == nil {
+		return
+	}
+	zone.Polls++
+	if !answered {
+		zone.UnansweredPolls++
 	}
 }
 
-const maxZones = 256 // that are counted
-
+// zoneObservation returns the zone's counts, or nil for a number that is not observed.
 func (b *Balancer) zoneObservation(zone int) *ZoneObservation {
-	if zone < 0 || zone >= maxZones {
+	if !isObservedZone(zone) {
 		return nil
 	}
-	for len(b.zoneObservations) <= zone {
-		b.zoneObservations = append(b.zoneObservations, ZoneObservation{})
-	}
+	b.zoneObservations = growToZone(b.zoneObservations, zone)
 	return &b.zoneObservations[zone]
 }
 
-// ZoneObservations gives what was seen of each zone, by its number, and what this relay's own links weigh together in
-// what one server bears.
-func (b *Balancer) ZoneObservations(now float64) (all []ZoneObservation, demand float64) {
-	all = append(all, b.zoneObservations...)
-	for s, c := range b.states {
-		if z := b.zones[s]; c == Ready && z >= 0 && z < maxZones {
-			for len(all) <= z {
-				all = append(all, ZoneObservation{})
-			}
-			if b.outliers.isHealthy(s) {
-				all[z].Load += b.effectiveLoad(s, now)
-				all[z].Capacity += b.slowStart.capacityShare(s, now)
-			}
+func isObservedZone(zone int) bool { return zone >= 0 && zone < maxZones }
+
+func growToZone(zones []ZoneObservation, zone int) []ZoneObservation {
+	for len(zones) <= zone {
+		zones = append(zones, ZoneObservation{})
+	}
+	return zones
+}
+
+// ZoneObservations returns what was seen of each zone, by its number, and the load of this relay's own
+// sessions in what one warm backend bears (0: not known).
+func (b *Balancer) ZoneObservations(now float64) (zones []ZoneObservation, demand float64) {
+	zones = append(zones, b.zoneObservations...)
+	for backend, state := range b.states {
+		demand += b.sessionLoads[backend]
+		zone := b.zones[backend]
+		if state != Ready || !isObservedZone(zone) {
+			continue
+		}
+		zones = growToZone(zones, zone)
+		if b.outliers.isHealthy(backend) {
+			zones[zone].Load += b.effectiveLoad(backend, now)
+			zones[zone].Capacity += b.slowStart.capacityShare(backend, now)
 		}
-		demand += b.sessionLoads[s]
 	}
 	if b.capacity > 0 {
-		return all, demand / b.capacity
+		return zones, demand / b.capacity
 	}
-	return all, 0
+	return zones, 0
 }
--- a/internal/adapter/adapter_test.go
+++ b/internal/adapter/adapter_test.go
@@ -174,7 +174,7 @@
 		in := batch(1000, 1, 5, about, hello(text), page, cached, incoming("01000000"))
 		require.NoError(t, Run(bytes.NewReader(in), &out))
 		r := wire.NewFieldReader(out.Bytes()[12+4:])
-		assert.Equal(t, wire.InternalError, r.Uint16())
+		assert.Equal(t, wire.InternalError, wire.ActionCode(r.Uint16()))
 		assert.Contains(t, string(r.Bytes(int(r.Uint16()))), c.key)
 	}
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,8 @@
-// Package dispatch keeps the links that a driver has in hand for one relay: it puts them to the module, asks
-// again about those held, and asks what is due until nothing is. Both drivers, the wire's and the sockets',
-// stand on it, so that the same decisions come of the same news. It decides nothing and knows no wire.
+// Package dispatch keeps the sessions that a driver has for one relay: it puts them to the balancer, asks
+// again about those that are queued, and has actions carried out until none is due. Both drivers, the
+// simulator's (package adapter) and the relay's state machine (package relay), use it, so that the same
+// decisions follow from the same observations. It decides nothing and knows no transport. Times and durations
+// are milliseconds.
 package dispatch
 
 import (
@@ -9,155 +11,119 @@
 	"valeshift/balancer"
 )
 
-// Entry is the part of a driver's link that stands here; the driver embeds it.
+// Entry is what a Dispatcher keeps of a driver's session; the driver embeds it.
 type Entry struct {
 	balancer.Session
-	Attempt int     // number of the setup try that is out, or was last
-	retryAt float64 // when to ask again, while it is held
+	Attempt int     // number of the attempt in flight or of the latest one, from 0
+	retryAt float64 // when to ask about the session again; +Inf: it is not queued
 }
 
-// DispatchEntry is the link's own part.
-func (l *Entry) DispatchEntry() *Entry { return l }
+// DispatchEntry returns the entry, for a Dispatcher that knows the driver's session as a Session only.
+func (e *Entry) DispatchEntry() *Entry { return e }
 
-// Session is a driver's link.
+// Session is a driver's session, which embeds an Entry.
 type Session interface {
 	comparable
 	DispatchEntry() *Entry
 }
 
-// Driver does what the module answers.
-type Driver[L Session] interface {
-	// Execute does an answer that isn't to hold; after any but a send the link is no longer in hand.
-	Execute(l L, a balancer.Decision)
+// Driver carries out what the balancer decides.
+type Driver[S Session] interface {
+	// Execute carries out a decision, which is none to queue the session. After any but Assign the session is
+	// over.
+	Execute(session S, decision balancer.Decision)
+	// Poll asks the backend of that ID for its load.
 	Poll(id uint32)
+	// Subscribe asks for the endpoint list.
 	Subscribe()
 }
 
-// Balancer decides. In service it is the balancer package; the testbed compares others with it.
-type Balancer interface {
-	Assign(now float64, l *balancer.Session) balancer.Decision
-	AttemptFinished(now float64, l *balancer.Session, outcome balancer.AttemptOutcome, last bool) balancer.Decision
-	NextAction(now float64) balancer.Action
-
-	BeginEndpointUpdate(whole bool)
-	UpdateEndpoint(id uint32, zone int, cond balancer.EndpointState, cell int, started, weight float64)
-	EndEndpointUpdate(now float64)
-	WatchFailed(now float64)
-	PollFinished(now float64, id uint32, ok bool, report []float64)
-	PollNotSent(id uint32)
-	LoadReported(now float64, id uint32, report []float64)
-	SessionEstablished(now float64, l *balancer.Session)
-	LoadMeasured(l *balancer.Session, load float64)
-	SessionResumed(now float64, l *balancer.Session, id uint32)
-	SessionReceived(now float64, l *balancer.Session, id uint32, load float64, measured bool)
-	ClientDisconnected(l *balancer.Session) bool
-
-	DrainDelay(nth, of int, within float64) float64
-	IsUnresponsive(id uint32, quiet float64) bool
-	BackendStatus(id uint32) (links int, heard float64, out bool)
-	HasClass(category int) bool
-	Counts() (listed, avoided int)
-	IsReady(now float64) bool
-	SetDraining(on bool)
-	Snapshot(now float64) balancer.Snapshot
-	Estimates() balancer.Estimates
-	RestoreEstimates(l balancer.Estimates) bool
-	SetRecovering(on bool, part float64)
-	WarmingUp(now float64) (cold, usable int)
-	AssumeRetriesSpent(now float64)
-	AssumeEndpoints(now float64)
-	// ShiftStartTimes takes that starts which were told are to be read later by that much.
-	ShiftStartTimes(by float64)
-	// Pause has links wait until then, those that have the time.
-	Pause(until float64)
-	// SetMaxReportAge takes how old a server's report may be, ms.
-	SetMaxReportAge(most float64)
-	// UnreportedLoad and Others are the load that figures may not hold yet, of this relay and of the others together.
-	UnreportedLoad() float64
-	SetRemoteLoad(load float64)
-	// SetZoneWeights has links meant for zones by those parts; Zones gives what was seen of each zone, and this
-	// relay's load.
-	SetZoneWeights(parts []balancer.ZoneWeight)
-	ZoneObservations(now float64) (all []balancer.ZoneObservation, demand float64)
-	Reservations(now float64) map[uint64]float64
-	RestoreReservations(now float64, told map[uint64]float64)
-	DropReservation(key uint64)
-	// RecordEarlierAttempt takes, before the link is placed, that an earlier one of its client's may have run there and then.
-	RecordEarlierAttempt(l *balancer.Session, id uint32, at float64)
-	// PreferBackend takes, before the link is placed, where it or its group stood: a hint.
-	PreferBackend(l *balancer.Session, id uint32)
-	Restore(now float64, r *balancer.Snapshot) error
-}
-
-// Dispatcher is what one relay has in hand.
-type Dispatcher[L Session] struct {
+// Dispatcher keeps the sessions of one relay. It is not safe for concurrent use.
+type Dispatcher[S Session] struct {
 	Balancer     Balancer
-	driver       Driver[L]
-	queued       []L
-	pollAnswered bool // a probe was, for which held links may wait
+	driver       Driver[S]
+	queued       []S  // some may have been forgotten since
+	pollAnswered bool // since the last Advance: queued sessions may wait for it
 }
 
-// NewDispatcher joins the module and its driver.
-func NewDispatcher[L Session](b Balancer, driver Driver[L]) *Dispatcher[L] {
-	return &Dispatcher[L]{Balancer: b, driver: driver}
+// NewDispatcher returns a Dispatcher without sessions.
+func NewDispatcher[S Session](b Balancer, driver Driver[S]) *Dispatcher[S] {
+	return &Dispatcher[S]{Balancer: b, driver: driver}
 }
 
-// Assign asks where the link goes.
-func (t *Dispatcher[L]) Assign(now float64, l L) {
-	t.apply(now, l, t.Balancer.Assign(now, &l.DispatchEntry().Session))
+// Assign has the balancer decide where the session goes, and carries that out.
+func (d *Dispatcher[S]) Assign(now float64, session S) {
+	d.apply(now, session, d.Balancer.Assign(now, &session.DispatchEntry().Session))
 }
 
-// AttemptFinished tells the outcome of a setup try, or of its link, and does what follows.
-func (t *Dispatcher[L]) AttemptFinished(now float64, l L, outcome balancer.AttemptOutcome, last bool) {
-	t.apply(now, l, t.Balancer.AttemptFinished(now, &l.DispatchEntry().Session, outcome, last))
+// AttemptFinished reports the outcome of an attempt, or of the session that it established, and carries out
+// what follows. With last the session is over.
+func (d *Dispatcher[S]) AttemptFinished(now float64, session S, outcome balancer.AttemptOutcome, last bool) {
+	d.apply(now, session, d.Balancer.AttemptFinished(now, &session.DispatchEntry().Session, outcome, last))
 }
 
-// PollFinished tells the answer to a probe.
-func (t *Dispatcher[L]) PollFinished(now float64, id uint32, ok bool, report []float64) {
-	t.pollAnswered = true
-	t.Balancer.PollFinished(now, id, ok, report)
+// PollFinished reports the end of a load poll.
+func (d *Dispatcher[S]) PollFinished(now float64, id uint32, ok bool, report []float64) {
+	d.pollAnswered = true
+	d.Balancer.PollFinished(now, id, ok, report)
 }
 
-// Forget has nothing asked about the link again.
-func (t *Dispatcher[L]) Forget(l L) { l.DispatchEntry().retryAt = math.Inf(1) }
+// Forget has the balancer not asked about the session again.
+func (d *Dispatcher[S]) Forget(session S) { session.DispatchEntry().retryAt = math.Inf(1) }
 
-func (t *Dispatcher[L]) apply(now float64, l L, a balancer.Decision) {
-	h := l.DispatchEntry()
-	h.retryAt = math.Inf(1)
-	switch a.Kind {
+func (d *Dispatcher[S]) apply(now float64, session S, decision balancer.Decision) {
+	entry := session.DispatchEntry()
+	entry.retryAt = math.Inf(1)
+	switch decision.Kind {
 	case balancer.Queue:
-		h.retryAt = now + a.Wait
-		t.queued = append(t.queued, l)
+		entry.retryAt = now + decision.Wait
+		d.queued = append(d.queued, session)
 		return
 	case balancer.Assign:
-		h.Attempt = a.Attempt
+		entry.Attempt = decision.Attempt
 	}
-	t.driver.Execute(l, a)
+	d.driver.Execute(session, decision)
 }
 
-// Advance asks again about held links, has sent what is due, and tells when to look again.
-func (t *Dispatcher[L]) Advance(now float64) float64 {
-	waiting := t.queued
-	t.queued = t.queued[len(t.queued):]
-	for _, l := range waiting {
-		if again := l.DispatchEntry().retryAt; again <= now || (t.pollAnswered && !math.IsInf(again, 1)) {
-			t.Assign(now, l)
-		} else if !math.IsInf(again, 1) {
-			t.queued = append(t.queued, l)
-		}
+// Advance asks about the queued sessions that are due, has due actions carried out, and returns when to call
+// it again.
+func (d *Dispatcher[S]) Advance(now float64) float64 {
+	d.retryQueued(now)
+	wake := now + d.runActions(now)
+	for _, session := range d.queued {
+		wake = min(wake, session.DispatchEntry().retryAt)
 	}
-	t.pollAnswered = false
-	due := t.Balancer.NextAction(now)
-	for ; due.Poll || due.Subscribe; due = t.Balancer.NextAction(now) {
-		if due.Poll {
-			t.driver.Poll(due.Backend)
-		} else {
-			t.driver.Subscribe()
+	return wake
+}
+
+// retryQueued asks about queued sessions: those whose time has come, or all of them after an answered poll.
+func (d *Dispatcher[S]) retryQueued(now float64) {
+	waiting := d.queued
+	d.queued = d.queued[len(d.queued):] // sessions queued anew go behind those that are walked over
+	for _, session := range waiting {
+		retryAt := session.DispatchEntry().retryAt
+		isForgotten := math.IsInf(retryAt, 1)
+		switch {
+		case retryAt <= now || (d.pollAnswered && !isForgotten):
+			d.Assign(now, session)
+		case !isForgotten:
+			d.queued = append(d.queued, session)
 		}
 	}
-	wake := now + due.Wait
-	for _, l := range t.queued {
-		wake = min(wake, l.DispatchEntry().retryAt)
+	d.pollAnswered = false
+}
+
+// runActions has actions carried out until none is due, and returns how long to wait for the next.
+func (d *Dispatcher[S]) runActions(now float64) float64 {
+	for {
+		action := d.Balancer.NextAction(now)
+		switch action.Kind {
+		case balancer.ActionPoll:
+			d.driver.Poll(action.Backend)
+		case balancer.ActionWatch:
+			d.driver.Subscribe()
+		default:
+			return action.Wait
+		}
 	}
-	return wake
 }
--- a/internal/relay/backends.go
+++ b/internal/relay/backends.go
@@ -55,9 +55,9 @@
 	}
 	var all []BackendStatus
 	for _, b := range r.backends {
-		links, heard, out := r.table.Balancer.BackendStatus(b.id)
-		all = append(all, BackendStatus{Name: b.Name, Established: len(b.links), Attempts: tries[b], Reserved: links,
-			ReportAgeMillis: now - heard, Ejected: out})
+		known := r.table.Balancer.BackendStatus(b.id)
+		all = append(all, BackendStatus{Name: b.Name, Established: len(b.links), Attempts: tries[b], Reserved: known.Sessions,
+			ReportAgeMillis: now - known.ReportedAt, Ejected: known.IsAvoided})
 	}
 	slices.SortFunc(all, func(a, b BackendStatus) int { return cmp.Compare(a.Name, b.Name) })
 	return all
@@ -122,7 +122,8 @@
 		default:
 			b.condition = balancer.Gone
 		}
-		r.table.Balancer.UpdateEndpoint(b.id, r.zone(e.Zone), b.condition, e.Group, r.started(e), e.Weight)
+		r.table.Balancer.UpdateEndpoint(balancer.Endpoint{ID: b.id, Zone: r.zone(e.Zone), State: b.condition,
+			Cell: e.Group, StartedAt: r.started(e), Weight: e.Weight})
 		if b.probe != nil && moved {
 			r.probeOver(b)
 		}
@@ -139,7 +140,7 @@
 		if b.condition == balancer.Gone && b.probe != nil {
 			r.probeOver(b)
 		}
-		if booked, _, _ := r.table.Balancer.BackendStatus(b.id); b.condition == balancer.Gone && booked == 0 {
+		if b.condition == balancer.Gone && r.table.Balancer.BackendStatus(b.id).Sessions == 0 {
 			// Against a fleet whose names never come again filling the memory. One with a try out stays: under
 			// the same name it may come again, and its links would be on a backend that nothing tells of.
 			delete(r.backends, b.Name)
@@ -164,7 +165,8 @@
 		if by := at[b.Address]; by != nil && !named[b] && b.condition != balancer.Gone {
 			r.note("backend's address is another's now", "backend", b.Name, "by", by.Name)
 			b.condition = balancer.Gone
-			r.table.Balancer.UpdateEndpoint(b.id, r.zone(b.Zone), balancer.Gone, b.Group, r.started(b.Endpoint), b.Weight)
+			r.table.Balancer.UpdateEndpoint(balancer.Endpoint{ID: b.id, Zone: r.zone(b.Zone), State: balancer.Gone,
+				Cell: b.Group, StartedAt: r.started(b.Endpoint), Weight: b.Weight})
 		}
 	}
 }
--- a/internal/relay/succession_test.go
+++ b/internal/relay/succession_test.go
@@ -226,7 +226,7 @@
 		s := open(t, nil, 0, "b1=active")
 		s.parted = old.parted
 		s.play(c.name, step{1, "heard 1", ""}, step{105, "adopt 7", "adopted 7 s1"})
-		links, _, _ := s.table.Balancer.BackendStatus(s.backends["b1"].id)
+		links := s.table.Balancer.BackendStatus(s.backends["b1"].id).Sessions
 		assert.Equal(t, []int{1, 1, 1}, []int{links, s.Established, s.links}, c.name)
 		assert.Equal(t, "in_flight 1, backends_known 1", s.told(), "served by the other process")
 		s.at(3000, "heard 1")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -183,16 +183,30 @@
 		askWithin = p.Float("contract.ask-within-ms")
 	}
 	fields, maxBack := p.ReportFields(), p.MaxRetryAfter()
-	warmup := balancer.NewSlowStart(p.Float("contract.cold-from"), p.Float("contract.cold-ms"),
-		p.Float("contract.tip-multiple"), p.Float("contract.fall-ms"), relays)
-	probing := balancer.NewLoadPoller(p.Bool("limits.probes"), p.FloatOr("fees.probe", 0), fields)
-	effects := balancer.NewAttemptPolicy(categories, p.Count("limits.most-setup-tries"), maxBack, relays, p.budget())
-	shares := balancer.NewQuotas(categories, quotas, p.FloatOr("beyond-share-gain", 1), relays)
+	slowStart := balancer.NewSlowStart(balancer.SlowStartConfig{
+		InitialCapacity:  p.Float("contract.cold-from"),
+		Duration:         p.Float("contract.cold-ms"),
+		OverloadMultiple: p.Float("contract.tip-multiple"),
+		OverloadSpan:     p.Float("contract.fall-ms"),
+		Relays:           relays,
+	})
+	poller := balancer.NewLoadPoller(p.Bool("limits.probes"), p.FloatOr("fees.probe", 0), fields)
+	attempts := balancer.NewAttemptPolicy(categories, p.Count("limits.most-setup-tries"), maxBack, relays, p.budget())
+	sessionQuotas := balancer.NewQuotas(categories, quotas, p.FloatOr("beyond-share-gain", 1), relays)
 	zone := p.Count("zone")
 	if p.err != nil {
 		return nil, p.err
 	}
-	return balancer.New(balancer.NewEndpointSet(asked, askWithin), balancer.NewRoundRobin(chance), warmup, probing, effects, shares,
-		zone, p.FloatOr("fees.cross-zone", 0), p.values["family-info.groups"] == "true",
-		p.values["family-info.mode"] == "pass"), nil
+	return balancer.New(balancer.Config{
+		Endpoints:            balancer.NewEndpointSet(asked, askWithin),
+		RoundRobin:           balancer.NewRoundRobin(chance),
+		SlowStart:            slowStart,
+		Poller:               poller,
+		Attempts:             attempts,
+		Quotas:               sessionQuotas,
+		LocalZone:            zone,
+		CrossZoneFee:         p.FloatOr("fees.cross-zone", 0),
+		UsesAffinityGroups:   p.values["family-info.groups"] == "true",
+		SessionsOutliveRelay: p.values["family-info.mode"] == "pass",
+	}), nil
 }
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -153,7 +153,7 @@
 func (m *Policy) NextAction(now float64) balancer.Action {
 	if now >= m.askAt {
 		m.askAt = math.Inf(1)
-		return balancer.Action{Subscribe: true}
+		return balancer.Action{Kind: balancer.ActionWatch}
 	}
 	return balancer.Action{Wait: m.askAt - now}
 }
@@ -165,16 +165,16 @@
 }
 
 // UpdateEndpoint takes one entry.
-func (m *Policy) UpdateEndpoint(id uint32, zone int, cond balancer.EndpointState, _ int, _, _ float64) {
-	s, known := m.index[id]
+func (m *Policy) UpdateEndpoint(endpoint balancer.Endpoint) {
+	s, known := m.index[endpoint.ID]
 	if !known {
 		s = len(m.ids)
-		m.index[id] = s
-		m.ids, m.ready, m.links = append(m.ids, id), append(m.ready, false), append(m.links, 0)
-		m.mention, m.zones = append(m.mention, false), append(m.zones, zone)
+		m.index[endpoint.ID] = s
+		m.ids, m.ready, m.links = append(m.ids, endpoint.ID), append(m.ready, false), append(m.links, 0)
+		m.mention, m.zones = append(m.mention, false), append(m.zones, endpoint.Zone)
 	}
-	m.zones[s] = zone
-	m.ready[s], m.mention[s] = cond == balancer.Ready, true
+	m.zones[s] = endpoint.Zone
+	m.ready[s], m.mention[s] = endpoint.State == balancer.Ready, true
 }
 
 // EndEndpointUpdate closes the news.
@@ -234,12 +234,12 @@
 func (m *Policy) IsUnresponsive(uint32, float64) bool { return false }
 
 // BackendStatus tells the links booked on a server.
-func (m *Policy) BackendStatus(id uint32) (int, float64, bool) {
+func (m *Policy) BackendStatus(id uint32) balancer.BackendStatus {
 	s, known := m.index[id]
 	if !known {
-		return 0, math.Inf(-1), true
+		return balancer.BackendStatus{ReportedAt: math.Inf(-1), IsAvoided: true}
 	}
-	return m.links[s], math.Inf(-1), !m.ready[s]
+	return balancer.BackendStatus{Sessions: m.links[s], ReportedAt: math.Inf(-1), IsAvoided: !m.ready[s]}
 }
 
 // HasClass tells whether there is such a category.
--- /dev/null
+++ b/internal/wire/settings.go
@@ -0,0 +1,15 @@
+package wire
+
+import "strings"
+
+// ParseSettings reads an instance's settings: lines of path=value. A line without '=' says nothing and is
+// passed over.
+func ParseSettings(text string) map[string]string {
+	settings := make(map[string]string, strings.Count(text, "\n")+1)
+	for line := range strings.Lines(text) {
+		if path, value, found := strings.Cut(strings.TrimRight(line, "\r\n"), "="); found {
+			settings[strings.TrimSpace(path)] = strings.TrimSpace(value)
+		}
+	}
+	return settings
+}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -33,7 +33,7 @@
 	assert.Equal(t, "1f0000000100000009000000"+"4001"+"07000000"+"03"+"000000000000f83f"+"02006f6b",
 		hex.EncodeToString(out.Bytes()))
 	r := NewFieldReader(out.Bytes()[12:])
-	assert.Equal(t, Assign, r.Uint16())
+	assert.Equal(t, Assign, ActionCode(r.Uint16()))
 	assert.Equal(t, uint32(7), r.Uint32())
 	assert.Equal(t, uint8(3), r.Uint8())
 	assert.Equal(t, 1.5, r.Float64())
