--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -24,22 +24,22 @@
 )
 
 const (
-	tick        = 50.0
-	beat        = 2  // ticks between two words of the leader
-	election    = 12 // ticks without a word of it, after which another may be voted for
-	leasePart   = 0.7
-	lease       = leasePart * election * tick // from when a majority's answers were asked for
-	renewEvery  = beat * tick
-	helloEvery  = 200.0
-	helloFresh  = 1000.0 // an answer that is older says nothing
-	vouchTime   = election * tick
-	compactOver = 64    // entries kept, above which a snapshot stands for them
-	mostFrame   = 60000 // bytes, of a datagram
-	mostMachine = 8 << 20
-	mostData    = 8000 // of an entry
-	mostWaiting = 64   // entries proposed here and not decided
-	mostTicks   = 2 * election
-	formVersion = 1
+	tickMillis                  = 50.0
+	heartbeatTicks              = 2  // ticks between two words of the leader
+	electionTicks               = 12 // ticks without a word of it, after which another may be voted for
+	leaseFraction               = 0.7
+	leaseMillis                 = leaseFraction * electionTicks * tickMillis // from when a majority's answers were asked for
+	renewIntervalMillis         = heartbeatTicks * tickMillis
+	identityQueryIntervalMillis = 200.0
+	answerFreshMillis           = 1000.0 // an answer that is older says nothing
+	confirmDelayMillis          = electionTicks * tickMillis
+	compactionThreshold         = 64    // entries kept, above which a snapshot stands for them
+	maxMessageBytes             = 60000 // bytes, of a datagram
+	maxStateMachineBytes        = 8 << 20
+	maxEntryBytes               = 8000 // of an entry
+	maxPendingEntries           = 64   // entries proposed here and not decided
+	maxCatchUpTicks             = 2 * electionTicks
+	durableVersion              = 1
 )
 
 // Member is one voter on one disk. With another disk it is another member.
@@ -63,43 +63,43 @@
 	Restore(data []byte) error
 }
 
-// claim is how far a member has come: its starts on its disk, its term, and its log's end. Life is drawn at
+// identityClaim is how far a member has come: its starts on its disk, its term, and its log's end. Life is drawn at
 // each start, against two of one copied disk that count alike.
-type claim struct {
-	Boot  uint64 `json:"Boot"`
-	Life  uint64 `json:"Life"`
-	Term  uint64 `json:"Term"`
-	Index uint64 `json:"Index"`
+type identityClaim struct {
+	Boot        uint64 `json:"Boot"`
+	Incarnation uint64 `json:"Life"`
+	Term        uint64 `json:"Term"`
+	Index       uint64 `json:"Index"`
 }
 
-// before tells whether what a member says of itself is older than what it is known to have said: its disk
+// isBehind tells whether what a member says of itself is older than what it is known to have said: its disk
 // has lost votes or entries that others went by.
-func (c claim) before(known claim) bool {
+func (c identityClaim) isBehind(known identityClaim) bool {
 	return c.Boot <= known.Boot || c.Term < known.Term || (c.Term == known.Term && c.Index < known.Index)
 }
 
-// durable is all that a voter keeps.
-type durable struct {
-	Version  int              `json:"Version"`
-	Me       Member           `json:"Me"`
-	Boot     uint64           `json:"Boot"`
-	Founders []Member         `json:"Founders"` // empty: it belongs to no council yet
-	Hard     []byte           `json:"Hard"`
-	Snapshot []byte           `json:"Snapshot"`
-	Entries  [][]byte         `json:"Entries"`
-	Known    map[uint64]claim `json:"Known"`
+// durableState is all that a voter keeps.
+type durableState struct {
+	Version     int                      `json:"Version"`
+	Self        Member                   `json:"Me"`
+	Boot        uint64                   `json:"Boot"`
+	Founders    []Member                 `json:"Founders"` // empty: it belongs to no council yet
+	HardState   []byte                   `json:"Hard"`
+	Snapshot    []byte                   `json:"Snapshot"`
+	Entries     [][]byte                 `json:"Entries"`
+	KnownClaims map[uint64]identityClaim `json:"Known"`
 }
 
-// frame is what goes between voters: a message of Raft's, a question about the sender, or the answer to one.
-type frame struct {
-	From    Member           `json:"From"`
-	Raft    []byte           `json:"Raft,omitempty"`
-	Asks    bool             `json:"Asks,omitempty"`
-	Claim   claim            `json:"Claim"`
-	Formed  bool             `json:"Formed"`
-	Members []Member         `json:"Members,omitempty"` // founders, where Formed; else newcomers as it sees them
-	Known   claim            `json:"Known"`             // of who asked
-	All     map[uint64]claim `json:"All,omitempty"`     // from who leads: what it knows of each
+// message is what goes between voters: a message of Raft's, a question about the sender, or the answer to one.
+type message struct {
+	From            Member                   `json:"From"`
+	RaftMessage     []byte                   `json:"Raft,omitempty"`
+	IsIdentityQuery bool                     `json:"Asks,omitempty"`
+	Claim           identityClaim            `json:"Claim"`
+	IsFounded       bool                     `json:"Formed"`
+	Members         []Member                 `json:"Members,omitempty"` // founders, where Formed; else newcomers as it sees them
+	KnownClaim      identityClaim            `json:"Known"`             // of who asked
+	ClaimsByMember  map[uint64]identityClaim `json:"All,omitempty"`     // from who leads: what it knows of each
 }
 
 // OutgoingMessage is a frame for an address.
@@ -114,120 +114,120 @@
 	Messages     []OutgoingMessage
 }
 
-// Faults are wrong on purpose, for tests of the checks.
-type Faults struct {
-	Unsaved    bool    // speaks of what is on no disk
-	LongLease  float64 // so many times as long
-	VotesEarly bool    // just after a start, as if nothing had been answered before it
-	KeepsOld   bool    // goes on with an older disk
+// plantedFaults are wrong on purpose, for tests of the checks.
+type plantedFaults struct {
+	sendUnsaved     bool    // speaks of what is on no disk
+	leaseFactor     float64 // so many times as long
+	voteEarly       bool    // just after a start, as if nothing had been answered before it
+	acceptStaleDisk bool    // goes on with an older disk
 }
 
 // Voter is one.
 type Voter struct {
-	names   []Member // of all voters, by the operators' file: names and addresses
-	me      Member
-	boot    uint64
-	life    uint64
-	machine StateMachine
-	chance  *rand.Rand
-	faults  Faults
-
-	formed   []Member
-	node     *raft.RawNode
-	storage  *raft.MemoryStorage
-	members  map[uint64]Member
-	host     Member // that lets this one in
-	conf     raftpb.ConfState
-	applied  uint64
-	known    map[uint64]claim
-	answers  map[string]answer // by name
-	vouched  bool
-	began    float64
-	ticked   float64
-	helloAt  float64
-	renewAt  float64
-	renewed  float64 // when that was asked for, which a majority answered
-	renewal  uint64
-	asked    map[uint64]float64
-	renewals []raft.ReadState // answered, and not applied so far yet
-	ready    *raft.Ready      // taken, and not saved yet
-	saving   bool
-	pending  bool // something is to be saved
-	words    []OutgoingMessage
-	unsaid   int               // frames that were too long for a datagram
-	aside    string            // why it has put its former disk aside
-	fresh    map[string]answer // questions of voters with a new disk, by name
-}
-
-type answer struct {
-	at float64
-	frame
+	configured   []Member // of all voters, by the operators' file: names and addresses
+	self         Member
+	boot         uint64
+	incarnation  uint64
+	stateMachine StateMachine
+	rng          *rand.Rand
+	faults       plantedFaults
+
+	founders            []Member
+	node                *raft.RawNode
+	storage             *raft.MemoryStorage
+	members             map[uint64]Member
+	sponsor             Member // that lets this one in
+	confState           raftpb.ConfState
+	appliedIndex        uint64
+	knownClaims         map[uint64]identityClaim
+	answers             map[string]identityAnswer // by name
+	diskConfirmed       bool
+	startedAt           float64
+	tickedAt            float64
+	nextIdentityQueryAt float64
+	nextRenewalAt       float64
+	leaseRenewedAt      float64 // when that was asked for, which a majority answered
+	renewalSequence     uint64
+	renewalRequestedAt  map[uint64]float64
+	unappliedRenewals   []raft.ReadState // answered, and not applied so far yet
+	ready               *raft.Ready      // taken, and not saved yet
+	saving              bool
+	dirty               bool // something is to be saved
+	outbox              []OutgoingMessage
+	oversizedMessages   int                       // frames that were too long for a datagram
+	diskDiscardedReason string                    // why it has put its former disk aside
+	candidates          map[string]identityAnswer // questions of voters with a new disk, by name
+}
+
+type identityAnswer struct {
+	receivedAt float64
+	message
 }
 
 // New starts a voter: its name and address, those of all voters, and what its disk has (nil: nothing).
 func New(now float64, me Member, names []Member, disk []byte, machine StateMachine,
 	chance *rand.Rand) (*Voter, error) {
-	v := &Voter{names: names, me: me, machine: machine, chance: chance, began: now, ticked: now,
-		renewed: math.Inf(-1), known: map[uint64]claim{}, life: chance.Uint64()}
-	if !v.named(me.Name) {
+	v := &Voter{configured: names, self: me, stateMachine: machine, rng: chance, startedAt: now, tickedAt: now,
+		leaseRenewedAt: math.Inf(-1), knownClaims: map[uint64]identityClaim{}, incarnation: chance.Uint64()}
+	if !v.isConfigured(me.Name) {
 		return nil, fmt.Errorf("council: %q is none of the voters", me.Name)
 	}
-	var kept durable
+	var kept durableState
 	if len(disk) > 0 {
 		if err := json.Unmarshal(disk, &kept); err != nil {
 			return nil, fmt.Errorf("council: disk: %w", err)
 		}
-		if kept.Version != formVersion {
-			return nil, fmt.Errorf("council: disk: version %d expected, got %d", formVersion, kept.Version)
+		if kept.Version != durableVersion {
+			return nil, fmt.Errorf("council: disk: version %d expected, got %d", durableVersion, kept.Version)
 		}
 	}
-	if kept.Me.Name != me.Name || kept.Me.Disk == "" { // none, or another's
-		v.blank()
+	if kept.Self.Name != me.Name || kept.Self.Disk == "" { // none, or another's
+		v.resetToNewDisk()
 		return v, nil
 	}
-	v.me.Disk, v.boot, v.formed, v.pending = kept.Me.Disk, kept.Boot+1, kept.Founders, true
-	if kept.Known != nil {
-		v.known = kept.Known
+	v.self.Disk, v.boot, v.founders, v.dirty = kept.Self.Disk, kept.Boot+1, kept.Founders, true
+	if kept.KnownClaims != nil {
+		v.knownClaims = kept.KnownClaims
 	}
-	v.clear()
-	if err := v.load(&kept); err != nil {
+	v.clearPeers()
+	if err := v.loadDurable(&kept); err != nil {
 		return nil, fmt.Errorf("council: disk: %w", err)
 	}
 	return v, nil
 }
 
-func (v *Voter) named(name string) bool {
-	return slices.ContainsFunc(v.names, func(m Member) bool { return m.Name == name })
+func (v *Voter) isConfigured(name string) bool {
+	return slices.ContainsFunc(v.configured, func(m Member) bool { return m.Name == name })
 }
 
-// blank has the voter begin on a disk that is new, under a name of its own: no vote was ever given by it.
-func (v *Voter) blank() {
-	v.me.Disk, v.boot, v.formed = fmt.Sprintf("%016x", v.chance.Uint64()), 1, nil
-	v.clear()
-	v.node, v.storage, v.applied, v.ready, v.vouched = nil, raft.NewMemoryStorage(), 0, nil, false
-	v.conf, v.pending = raftpb.ConfState{}, true // what is being saved now goes before it
-	v.renewed, v.renewals = math.Inf(-1), nil
+// resetToNewDisk has the voter begin on a disk that is new, under a name of its own: no vote was ever given by it.
+func (v *Voter) resetToNewDisk() {
+	v.self.Disk, v.boot, v.founders = fmt.Sprintf("%016x", v.rng.Uint64()), 1, nil
+	v.clearPeers()
+	v.node, v.storage, v.appliedIndex, v.ready, v.diskConfirmed = nil, raft.NewMemoryStorage(), 0, nil, false
+	v.confState, v.dirty = raftpb.ConfState{}, true // what is being saved now goes before it
+	v.leaseRenewedAt, v.unappliedRenewals = math.Inf(-1), nil
 }
 
-func (v *Voter) clear() {
-	v.members, v.answers, v.asked = map[uint64]Member{}, map[string]answer{}, map[uint64]float64{}
-	v.fresh = map[string]answer{}
+func (v *Voter) clearPeers() {
+	v.members, v.answers, v.renewalRequestedAt = map[uint64]Member{}, map[string]identityAnswer{}, map[uint64]float64{}
+	v.candidates = map[string]identityAnswer{}
 }
 
-// snapshot is what stands for entries that are not kept any more.
-type snapshot struct {
-	Members []Member `json:"Members"`
-	Machine []byte   `json:"Machine"`
+// snapshotData is what stands for entries that are not kept any more.
+type snapshotData struct {
+	Members         []Member `json:"Members"`
+	CompressedState []byte   `json:"Machine"`
 }
 
-func (v *Voter) load(kept *durable) error {
+func (v *Voter) loadDurable(kept *durableState) error {
 	v.storage = raft.NewMemoryStorage()
 	var s raftpb.Snapshot
 	if err := s.Unmarshal(kept.Snapshot); err != nil {
 		return err
 	}
 	var hard raftpb.HardState
-	if err := hard.Unmarshal(kept.Hard); err != nil {
+	if err := hard.Unmarshal(kept.HardState); err != nil {
 		return err
 	}
 	var entries []raftpb.Entry
@@ -245,7 +245,7 @@
 		if err := v.storage.ApplySnapshot(s); err != nil {
 			return err
 		}
-		if err := v.restore(s); err != nil {
+		if err := v.restoreSnapshot(s); err != nil {
 			return err
 		}
 	}
@@ -253,19 +253,19 @@
 	if err := v.storage.Append(entries); err != nil {
 		return err
 	}
-	return v.begin()
+	return v.startRaft()
 }
 
-func (v *Voter) begin() (err error) {
-	v.node, err = raft.NewRawNode(&raft.Config{ID: v.me.ID(), ElectionTick: election, HeartbeatTick: beat,
-		Storage: v.storage, Applied: v.applied, MaxSizePerMsg: mostData, MaxInflightMsgs: 16,
-		MaxUncommittedEntriesSize: mostWaiting * mostData, CheckQuorum: true, PreVote: true, Logger: silent{},
+func (v *Voter) startRaft() (err error) {
+	v.node, err = raft.NewRawNode(&raft.Config{ID: v.self.ID(), ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks,
+		Storage: v.storage, Applied: v.appliedIndex, MaxSizePerMsg: maxEntryBytes, MaxInflightMsgs: 16,
+		MaxUncommittedEntriesSize: maxPendingEntries * maxEntryBytes, CheckQuorum: true, PreVote: true, Logger: raftLogger{},
 		DisableProposalForwarding: true})
 	return err
 }
 
-func (v *Voter) restore(s raftpb.Snapshot) error {
-	var kept snapshot
+func (v *Voter) restoreSnapshot(s raftpb.Snapshot) error {
+	var kept snapshotData
 	if err := json.Unmarshal(s.Data, &kept); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
@@ -273,48 +273,48 @@
 	for _, m := range kept.Members {
 		v.members[m.ID()] = m
 	}
-	machine, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(kept.Machine)), mostMachine))
+	machine, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(kept.CompressedState)), maxStateMachineBytes))
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
-	v.applied, v.conf = s.Metadata.Index, s.Metadata.ConfState
-	return v.machine.Restore(machine)
+	v.appliedIndex, v.confState = s.Metadata.Index, s.Metadata.ConfState
+	return v.stateMachine.Restore(machine)
 }
 
-// packed is the machine as it goes into a snapshot: a datagram has to hold that.
-func (v *Voter) packed() []byte {
+// compressState is the machine as it goes into a snapshot: a datagram has to hold that.
+func (v *Voter) compressState() []byte {
 	var to bytes.Buffer
 	w, _ := flate.NewWriter(&to, flate.BestCompression) // of a level that there is, into memory
-	w.Write(v.machine.Snapshot())
+	w.Write(v.stateMachine.Snapshot())
 	w.Close()
 	return to.Bytes()
 }
 
-// found begins a council of those members, all of them on disks that are new.
-func (v *Voter) found(founders []Member) {
+// bootstrap begins a council of those members, all of them on disks that are new.
+func (v *Voter) bootstrap(founders []Member) {
 	conf := raftpb.ConfState{}
 	for _, m := range founders {
 		conf.Voters = append(conf.Voters, m.ID())
 	}
-	data, _ := json.Marshal(snapshot{Members: founders, Machine: v.packed()}) // of plain values
+	data, _ := json.Marshal(snapshotData{Members: founders, CompressedState: v.compressState()}) // of plain values
 	s := raftpb.Snapshot{Data: data, Metadata: raftpb.SnapshotMetadata{ConfState: conf, Index: 1, Term: 1}}
 	v.storage = raft.NewMemoryStorage()
 	err := v.storage.ApplySnapshot(s)
 	if err == nil {
 		v.storage.SetHardState(raftpb.HardState{Term: 1, Commit: 1})
-		err = v.restore(s)
+		err = v.restoreSnapshot(s)
 	}
 	if err == nil {
-		err = v.begin()
+		err = v.startRaft()
 	}
 	if err == nil {
-		v.formed, v.vouched, v.pending = founders, true, true
+		v.founders, v.diskConfirmed, v.dirty = founders, true, true
 	}
 }
 
-// claim is how far this voter has come.
-func (v *Voter) claim() claim {
-	c := claim{Boot: v.boot, Life: v.life}
+// ownClaim is how far this voter has come.
+func (v *Voter) ownClaim() identityClaim {
+	c := identityClaim{Boot: v.boot, Incarnation: v.incarnation}
 	if hard, _, err := v.storage.InitialState(); err == nil {
 		c.Term = hard.Term
 	}
@@ -324,78 +324,78 @@
 
 // Tick goes on to that time.
 func (v *Voter) Tick(now float64) {
-	if now >= v.helloAt && (!v.vouched || len(v.formed) == 0) {
-		v.helloAt = now + helloEvery
-		for _, m := range v.names { // for their word on this voter
-			if m.Name != v.me.Name {
-				v.say(m.Address, frame{Asks: true})
+	if now >= v.nextIdentityQueryAt && (!v.diskConfirmed || len(v.founders) == 0) {
+		v.nextIdentityQueryAt = now + identityQueryIntervalMillis
+		for _, m := range v.configured { // for their word on this voter
+			if m.Name != v.self.Name {
+				v.send(m.Address, message{IsIdentityQuery: true})
 			}
 		}
-		v.judge(now) // one voter has nobody to hear from
+		v.evaluateAnswers(now) // one voter has nobody to hear from
 	}
-	for n := 0; now >= v.ticked+tick; n++ {
-		if v.ticked += tick; n > mostTicks { // it was stopped: more of them say no more
-			v.ticked = now
+	for n := 0; now >= v.tickedAt+tickMillis; n++ {
+		if v.tickedAt += tickMillis; n > maxCatchUpTicks { // it was stopped: more of them say no more
+			v.tickedAt = now
 		}
-		if v.node != nil && v.vouched {
+		if v.node != nil && v.diskConfirmed {
 			v.node.Tick()
 		}
 	}
-	if v.node == nil || !v.leads() {
+	if v.node == nil || !v.isLeader() {
 		return
 	}
-	if now >= v.renewAt {
-		v.renewAt = now + renewEvery
-		v.renewal++
-		v.asked[v.renewal] = now
-		delete(v.asked, v.renewal-election)
-		v.node.ReadIndex([]byte(fmt.Sprint(v.renewal)))
+	if now >= v.nextRenewalAt {
+		v.nextRenewalAt = now + renewIntervalMillis
+		v.renewalSequence++
+		v.renewalRequestedAt[v.renewalSequence] = now
+		delete(v.renewalRequestedAt, v.renewalSequence-electionTicks)
+		v.node.ReadIndex([]byte(fmt.Sprint(v.renewalSequence)))
 	}
-	v.replaces(now)
+	v.replaceMembers(now)
 }
 
-func (v *Voter) say(to string, f frame) {
-	f.From, f.Claim, f.Members = v.me, v.claim(), v.formed
-	if f.Formed = len(v.formed) > 0; !f.Formed {
+func (v *Voter) send(to string, f message) {
+	f.From, f.Claim, f.Members = v.self, v.ownClaim(), v.founders
+	if f.IsFounded = len(v.founders) > 0; !f.IsFounded {
 		f.Members = v.newcomers()
 	}
 	data, err := json.Marshal(f)
-	if err != nil || len(data) > mostFrame {
-		v.unsaid++
+	if err != nil || len(data) > maxMessageBytes {
+		v.oversizedMessages++
 		return
 	}
-	v.words = append(v.words, OutgoingMessage{to, data})
+	v.outbox = append(v.outbox, OutgoingMessage{to, data})
 }
 
 // Receive takes a frame. One that can't be changes nothing.
 func (v *Voter) Receive(now float64, data []byte) {
-	var f frame
-	if len(data) > mostFrame || json.Unmarshal(data, &f) != nil || f.From.Disk == "" ||
-		f.From.Name == v.me.Name ||
-		!v.named(f.From.Name) {
+	var f message
+	if len(data) > maxMessageBytes || json.Unmarshal(data, &f) != nil || f.From.Disk == "" ||
+		f.From.Name == v.self.Name ||
+		!v.isConfigured(f.From.Name) {
 		return
 	}
 	switch {
-	case f.Raft != nil:
-		v.step(now, f)
-	case f.Asks:
-		known := v.known[f.From.ID()]
-		if f.Claim.Boot == known.Boot && f.Claim.Life == known.Life {
+	case f.RaftMessage != nil:
+		v.stepRaft(now, f)
+	case f.IsIdentityQuery:
+		known := v.knownClaims[f.From.ID()]
+		if f.Claim.Boot == known.Boot && f.Claim.Incarnation == known.Incarnation {
 			known.Boot-- // it says so again, in one life
 		}
-		v.say(v.addressOf(f.From), frame{Known: known})
-		if !f.Formed && len(v.formed) > 0 {
-			v.fresh[f.From.Name] = answer{now, f}
+		v.send(v.addressOf(f.From), message{KnownClaim: known})
+		if !f.IsFounded && len(v.founders) > 0 {
+			v.candidates[f.From.Name] = identityAnswer{now, f}
 		}
 	default:
-		v.answers[f.From.Name] = answer{now, f}
-		v.judge(now)
+		v.answers[f.From.Name] = identityAnswer{now, f}
+		v.evaluateAnswers(now)
 	}
 }
 
 // addressOf goes by the operators' file: a member may have moved since it was let in.
 func (v *Voter) addressOf(m Member) string {
-	for _, n := range v.names {
+	for _, n := range v.configured {
 		if n.Name == m.Name {
 			return n.Address
 		}
@@ -405,9 +405,9 @@
 
 // newcomers are the voters on disks that are new, as they are seen from here, by name.
 func (v *Voter) newcomers() []Member {
-	all := []Member{v.me}
+	all := []Member{v.self}
 	for _, a := range v.answers {
-		if !a.Formed {
+		if !a.IsFounded {
 			all = append(all, a.From)
 		}
 	}
@@ -415,25 +415,25 @@
 	return all
 }
 
-// judge goes by what others say of this voter: whether its disk is the one they know, and whether all are
+// evaluateAnswers goes by what others say of this voter: whether its disk is the one they know, and whether all are
 // new.
-func (v *Voter) judge(now float64) {
-	own, heard, fresh, all := v.claim(), 0, 0, v.newcomers()
+func (v *Voter) evaluateAnswers(now float64) {
+	own, heard, fresh, all := v.ownClaim(), 0, 0, v.newcomers()
 	var founders []Member
 	for name, a := range v.answers {
-		if now > a.at+helloFresh {
+		if now > a.receivedAt+answerFreshMillis {
 			continue
 		}
-		if !v.vouched && own.before(a.Known) && !v.faults.KeepsOld {
-			v.aside = fmt.Sprintf("%s knows of start %d, term %d, entry %d; the disk has %d, %d, %d", name,
-				a.Known.Boot, a.Known.Term, a.Known.Index, own.Boot, own.Term, own.Index)
-			v.known = map[uint64]claim{}
-			v.blank()
+		if !v.diskConfirmed && own.isBehind(a.KnownClaim) && !v.faults.acceptStaleDisk {
+			v.diskDiscardedReason = fmt.Sprintf("%s knows of start %d, term %d, entry %d; the disk has %d, %d, %d", name,
+				a.KnownClaim.Boot, a.KnownClaim.Term, a.KnownClaim.Index, own.Boot, own.Term, own.Index)
+			v.knownClaims = map[uint64]identityClaim{}
+			v.resetToNewDisk()
 			return
 		}
-		if heard++; !a.Formed && slices.Equal(a.Members, all) {
+		if heard++; !a.IsFounded && slices.Equal(a.Members, all) {
 			fresh++
-		} else if a.Formed && slices.Contains(a.Members, v.me) {
+		} else if a.IsFounded && slices.Contains(a.Members, v.self) {
 			founders = a.Members
 		}
 	}
@@ -442,37 +442,37 @@
 		// With itself a majority, and all had the time to object: who leads knows best, and tells the
 		// others. And not before whoever leads by what this voter answered before its start can't hold that
 		// any more.
-		v.vouched = v.vouched || (2*(heard+1) > len(v.names) && (now >= v.began+vouchTime || v.faults.VotesEarly))
+		v.diskConfirmed = v.diskConfirmed || (2*(heard+1) > len(v.configured) && (now >= v.startedAt+confirmDelayMillis || v.faults.voteEarly))
 	case founders != nil:
-		v.found(founders)
-	case len(all) == len(v.names) && fresh == len(v.names)-1: // and all see the same
-		v.found(all)
+		v.bootstrap(founders)
+	case len(all) == len(v.configured) && fresh == len(v.configured)-1: // and all see the same
+		v.bootstrap(all)
 	}
 }
 
-// step gives Raft a message.
-func (v *Voter) step(now float64, f frame) {
+// stepRaft gives Raft a message.
+func (v *Voter) stepRaft(now float64, f message) {
 	var m raftpb.Message
-	if m.Unmarshal(f.Raft) != nil || m.To != v.me.ID() || m.From != f.From.ID() {
+	if m.Unmarshal(f.RaftMessage) != nil || m.To != v.self.ID() || m.From != f.From.ID() {
 		return
 	}
-	known := v.known[m.From]
-	if f.Claim.Boot < known.Boot || (f.Claim.Boot == known.Boot && f.Claim.Life != known.Life) {
+	known := v.knownClaims[m.From]
+	if f.Claim.Boot < known.Boot || (f.Claim.Boot == known.Boot && f.Claim.Incarnation != known.Incarnation) {
 		return // of a former life, or of a copy
 	}
 	if v.node == nil { // on a new disk, and let in by a leader
-		if m.Type == raftpb.MsgVote || m.Type == raftpb.MsgPreVote || !f.Formed || v.begin() != nil {
+		if m.Type == raftpb.MsgVote || m.Type == raftpb.MsgPreVote || !f.IsFounded || v.startRaft() != nil {
 			return
 		}
-		v.vouched = true
+		v.diskConfirmed = true
 	}
-	if len(v.formed) == 0 {
-		v.host = f.From
+	if len(v.founders) == 0 {
+		v.sponsor = f.From
 	}
-	if !v.vouched {
+	if !v.diskConfirmed {
 		return
 	}
-	known.Boot, known.Life = f.Claim.Boot, f.Claim.Life
+	known.Boot, known.Incarnation = f.Claim.Boot, f.Claim.Incarnation
 	if m.Type != raftpb.MsgPreVote && m.Type != raftpb.MsgPreVoteResp && m.Term > known.Term {
 		known.Term, known.Index = m.Term, 0
 	}
@@ -481,11 +481,11 @@
 	} else if m.Type == raftpb.MsgApp { // what a leader sends is on its disk
 		known.Index = max(known.Index, m.Index+uint64(len(m.Entries)))
 	}
-	v.known[m.From] = known
-	for id, c := range f.All {
-		if had := v.known[id]; id != v.me.ID() && id != m.From && (c.Boot > had.Boot || (c.Boot == had.Boot &&
+	v.knownClaims[m.From] = known
+	for id, c := range f.ClaimsByMember {
+		if had := v.knownClaims[id]; id != v.self.ID() && id != m.From && (c.Boot > had.Boot || (c.Boot == had.Boot &&
 			(c.Term > had.Term || (c.Term == had.Term && c.Index > had.Index)))) {
-			v.known[id] = c
+			v.knownClaims[id] = c
 		}
 	}
 	v.node.Step(m)
@@ -495,13 +495,13 @@
 var (
 	ErrNotLeader = errors.New("council: this voter does not lead")
 	ErrBusy      = errors.New("council: too much waits to be decided")
-	ErrEntrySize = fmt.Errorf("council: an entry has 1 to %d bytes", mostData)
+	ErrEntrySize = fmt.Errorf("council: an entry has 1 to %d bytes", maxEntryBytes)
 )
 
 // Propose has an entry decided, where this voter leads. That it was is told by its being applied.
 func (v *Voter) Propose(now float64, data []byte) error {
 	switch {
-	case len(data) == 0 || len(data) > mostData:
+	case len(data) == 0 || len(data) > maxEntryBytes:
 		return ErrEntrySize
 	case !v.HasLease(now):
 		return ErrNotLeader
@@ -511,15 +511,15 @@
 	return nil
 }
 
-func (v *Voter) leads() bool { return v.node.BasicStatus().RaftState == raft.StateLeader }
+func (v *Voter) isLeader() bool { return v.node.BasicStatus().RaftState == raft.StateLeader }
 
 // HasLease tells whether this voter leads, and nobody else can: a majority has answered it a short while ago.
 func (v *Voter) HasLease(now float64) bool {
-	return v.node != nil && v.leads() && now < v.renewed+lease*max(v.faults.LongLease, 1)
+	return v.node != nil && v.isLeader() && now < v.leaseRenewedAt+leaseMillis*max(v.faults.leaseFactor, 1)
 }
 
 // LeaseRenewedAt is when those words went out that a majority answered: what another may have decided came later.
-func (v *Voter) LeaseRenewedAt() float64 { return v.renewed }
+func (v *Voter) LeaseRenewedAt() float64 { return v.leaseRenewedAt }
 
 // Leader is the member that leads as far as this voter knows; the zero one: none.
 func (v *Voter) Leader() Member {
@@ -537,10 +537,10 @@
 	return ""
 }
 
-// replaces has the leader let a voter in whose disk is new, one at a time: first to learn, then in place of
+// replaceMembers has the leader let a voter in whose disk is new, one at a time: first to learn, then in place of
 // its former disk, by one entry.
-func (v *Voter) replaces(now float64) {
-	if len(v.fresh) == 0 || !v.HasLease(now) || len(v.conf.VotersOutgoing) > 0 {
+func (v *Voter) replaceMembers(now float64) {
+	if len(v.candidates) == 0 || !v.HasLease(now) || len(v.confState.VotersOutgoing) > 0 {
 		return
 	}
 	propose := func(m Member, changes ...raftpb.ConfChangeSingle) {
@@ -548,17 +548,17 @@
 		// What is refused, as another change is under way, is tried again.
 		v.node.ProposeConfChange(raftpb.ConfChangeV2{Changes: changes, Context: text})
 	}
-	for _, name := range slices.Sorted(maps.Keys(v.fresh)) {
-		a := v.fresh[name]
+	for _, name := range slices.Sorted(maps.Keys(v.candidates)) {
+		a := v.candidates[name]
 		id := a.From.ID()
-		if now > a.at+helloFresh || slices.Contains(v.conf.Voters, id) {
-			delete(v.fresh, name)
+		if now > a.receivedAt+answerFreshMillis || slices.Contains(v.confState.Voters, id) {
+			delete(v.candidates, name)
 			continue
 		}
-		if !slices.Contains(v.conf.Learners, id) {
-			if len(v.conf.Learners) > 0 { // one that did not get further
+		if !slices.Contains(v.confState.Learners, id) {
+			if len(v.confState.Learners) > 0 { // one that did not get further
 				propose(Member{}, raftpb.ConfChangeSingle{Type: raftpb.ConfChangeRemoveNode,
-					NodeID: v.conf.Learners[0]})
+					NodeID: v.confState.Learners[0]})
 			} else {
 				propose(a.From, raftpb.ConfChangeSingle{Type: raftpb.ConfChangeAddLearnerNode, NodeID: id})
 			}
@@ -569,7 +569,7 @@
 			return
 		}
 		changes := []raftpb.ConfChangeSingle{{Type: raftpb.ConfChangeAddNode, NodeID: id}}
-		for _, old := range v.conf.Voters {
+		for _, old := range v.confState.Voters {
 			if v.members[old].Name == name {
 				changes = append(changes, raftpb.ConfChangeSingle{Type: raftpb.ConfChangeRemoveNode, NodeID: old})
 			}
@@ -589,43 +589,43 @@
 		v.ready = &rd
 		if !raft.IsEmptySnap(rd.Snapshot) {
 			v.storage.ApplySnapshot(rd.Snapshot)
-			v.pending = true
+			v.dirty = true
 		}
 		v.storage.Append(rd.Entries)
 		if !raft.IsEmptyHardState(rd.HardState) {
 			v.storage.SetHardState(rd.HardState)
 		}
-		v.pending = v.pending || rd.MustSync
+		v.dirty = v.dirty || rd.MustSync
 		for _, m := range rd.Messages {
 			to, there := v.members[m.To]
-			if !there && m.To == v.host.ID() { // it lets this one in, which knows nobody yet
-				to, there = v.host, true
+			if !there && m.To == v.sponsor.ID() { // it lets this one in, which knows nobody yet
+				to, there = v.sponsor, true
 			}
 			if there {
 				if text, err := m.Marshal(); err == nil {
-					f := frame{Raft: text}
+					f := message{RaftMessage: text}
 					if m.Type == raftpb.MsgApp || m.Type == raftpb.MsgHeartbeat {
-						f.All = v.known
+						f.ClaimsByMember = v.knownClaims
 					}
-					v.say(v.addressOf(to), f)
+					v.send(v.addressOf(to), f)
 				}
 			}
 		}
 	}
-	out.Messages, v.words = v.words, nil
-	if v.pending && !v.faults.Unsaved {
-		out.DurableState, v.saving = v.kept(), true
+	out.Messages, v.outbox = v.outbox, nil
+	if v.dirty && !v.faults.sendUnsaved {
+		out.DurableState, v.saving = v.encodeDurable(), true
 	}
-	if v.pending = false; !v.saving {
+	if v.dirty = false; !v.saving {
 		v.Advance()
 	}
 	return out
 }
 
-func (v *Voter) kept() []byte {
-	d := durable{Version: formVersion, Me: v.me, Boot: v.boot, Founders: v.formed, Known: v.known}
+func (v *Voter) encodeDurable() []byte {
+	d := durableState{Version: durableVersion, Self: v.self, Boot: v.boot, Founders: v.founders, KnownClaims: v.knownClaims}
 	hard, _, _ := v.storage.InitialState() // none of these fails, as all is in memory
-	d.Hard, _ = hard.Marshal()
+	d.HardState, _ = hard.Marshal()
 	s, _ := v.storage.Snapshot()
 	d.Snapshot, _ = s.Marshal()
 	first, _ := v.storage.FirstIndex()
@@ -647,23 +647,23 @@
 	if v.ready, v.saving = nil, false; rd == nil {
 		return
 	}
-	if !raft.IsEmptySnap(rd.Snapshot) && v.restore(rd.Snapshot) == nil && len(v.formed) == 0 {
-		for _, id := range v.conf.Voters {
-			v.formed = append(v.formed, v.members[id])
+	if !raft.IsEmptySnap(rd.Snapshot) && v.restoreSnapshot(rd.Snapshot) == nil && len(v.founders) == 0 {
+		for _, id := range v.confState.Voters {
+			v.founders = append(v.founders, v.members[id])
 		}
-		v.pending = true
+		v.dirty = true
 	}
 	for _, e := range rd.CommittedEntries {
-		v.apply(e)
+		v.applyEntry(e)
 	}
-	v.renewals = append(v.renewals, rd.ReadStates...)
-	v.renewals = slices.DeleteFunc(v.renewals, func(r raft.ReadState) bool {
+	v.unappliedRenewals = append(v.unappliedRenewals, rd.ReadStates...)
+	v.unappliedRenewals = slices.DeleteFunc(v.unappliedRenewals, func(r raft.ReadState) bool {
 		var n uint64
-		if _, err := fmt.Sscan(string(r.RequestCtx), &n); err == nil && r.Index <= v.applied && v.asked[n] > 0 {
-			v.renewed = max(v.renewed, v.asked[n])
-			delete(v.asked, n)
+		if _, err := fmt.Sscan(string(r.RequestCtx), &n); err == nil && r.Index <= v.appliedIndex && v.renewalRequestedAt[n] > 0 {
+			v.leaseRenewedAt = max(v.leaseRenewedAt, v.renewalRequestedAt[n])
+			delete(v.renewalRequestedAt, n)
 		}
-		return r.Index <= v.applied
+		return r.Index <= v.appliedIndex
 	})
 	v.node.Advance(*rd)
 	for _, m := range rd.Messages {
@@ -673,17 +673,17 @@
 			v.node.ReportSnapshot(m.To, raft.SnapshotFinish)
 		}
 	}
-	v.compact(compactOver)
+	v.compactLog(compactionThreshold)
 }
 
-func (v *Voter) apply(e raftpb.Entry) {
-	v.applied = e.Index
+func (v *Voter) applyEntry(e raftpb.Entry) {
+	v.appliedIndex = e.Index
 	var change raftpb.ConfChangeV2
 	switch {
 	case len(e.Data) == 0 && e.Type == raftpb.EntryNormal: // a leader's first
 		return
 	case e.Type == raftpb.EntryNormal:
-		v.machine.Apply(e.Index, e.Data)
+		v.stateMachine.Apply(e.Index, e.Data)
 		return
 	case e.Type == raftpb.EntryConfChange: // the simple form of one change
 		var one raftpb.ConfChange
@@ -698,28 +698,28 @@
 	if len(change.Context) > 0 && json.Unmarshal(change.Context, &m) == nil && m.Disk != "" {
 		v.members[m.ID()] = m
 	}
-	v.conf = *v.node.ApplyConfChange(change)
-	defer v.compact(0) // one that begins to learn takes no snapshot that does not know of it
+	v.confState = *v.node.ApplyConfChange(change)
+	defer v.compactLog(0) // one that begins to learn takes no snapshot that does not know of it
 	maps.DeleteFunc(v.members, func(id uint64, _ Member) bool {
-		return !slices.Contains(v.conf.Voters, id) && !slices.Contains(v.conf.Learners, id) &&
-			!slices.Contains(v.conf.VotersOutgoing, id)
+		return !slices.Contains(v.confState.Voters, id) && !slices.Contains(v.confState.Learners, id) &&
+			!slices.Contains(v.confState.VotersOutgoing, id)
 	})
 }
 
-// compact has a snapshot stand for the entries applied, so that neither memory nor disk grows.
-func (v *Voter) compact(over uint64) {
+// compactLog has a snapshot stand for the entries applied, so that neither memory nor disk grows.
+func (v *Voter) compactLog(over uint64) {
 	first, err := v.storage.FirstIndex()
-	if err != nil || v.applied < first+over {
+	if err != nil || v.appliedIndex < first+over {
 		return
 	}
-	kept := snapshot{Machine: v.packed()}
+	kept := snapshotData{CompressedState: v.compressState()}
 	for _, id := range slices.Sorted(maps.Keys(v.members)) {
 		kept.Members = append(kept.Members, v.members[id])
 	}
 	data, _ := json.Marshal(kept) // of plain values
-	if _, err := v.storage.CreateSnapshot(v.applied, &v.conf, data); err == nil {
-		v.storage.Compact(v.applied)
-		v.pending = true
+	if _, err := v.storage.CreateSnapshot(v.appliedIndex, &v.confState, data); err == nil {
+		v.storage.Compact(v.appliedIndex)
+		v.dirty = true
 	}
 }
 
@@ -740,35 +740,35 @@
 
 // Status is how things stand.
 func (v *Voter) Status() Status {
-	s := Status{Self: v.me, Boot: v.boot, Role: "waiting to be let in", DiskConfirmed: v.vouched, DiskDiscardedReason: v.aside,
-		OversizedMessages: v.unsaid,
-		AppliedIndex:      v.applied, Leader: v.Leader().Name}
+	s := Status{Self: v.self, Boot: v.boot, Role: "waiting to be let in", DiskConfirmed: v.diskConfirmed, DiskDiscardedReason: v.diskDiscardedReason,
+		OversizedMessages: v.oversizedMessages,
+		AppliedIndex:      v.appliedIndex, Leader: v.Leader().Name}
 	if v.node != nil {
 		basic := v.node.BasicStatus()
 		s.Role, s.Term = basic.RaftState.String(), basic.Term
 	}
-	for _, id := range v.conf.Voters {
+	for _, id := range v.confState.Voters {
 		s.Voters = append(s.Voters, v.members[id])
 	}
-	for _, id := range v.conf.Learners {
+	for _, id := range v.confState.Learners {
 		s.Learners = append(s.Learners, v.members[id])
 	}
 	return s
 }
 
-// silent is no log: the caller sees all by Status. What Raft holds to be impossible ends the process, as
+// raftLogger is no log: the caller sees all by Status. What Raft holds to be impossible ends the process, as
 // nothing that it says is worth anything then.
-type silent struct{}
-
-func (silent) Debug(...any)              {}
-func (silent) Debugf(string, ...any)     {}
-func (silent) Error(...any)              {}
-func (silent) Errorf(string, ...any)     {}
-func (silent) Info(...any)               {}
-func (silent) Infof(string, ...any)      {}
-func (silent) Warning(...any)            {}
-func (silent) Warningf(string, ...any)   {}
-func (silent) Fatal(v ...any)            { panic(fmt.Sprint(v...)) }
-func (silent) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
-func (silent) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
-func (silent) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+type raftLogger struct{}
+
+func (raftLogger) Debug(...any)              {}
+func (raftLogger) Debugf(string, ...any)     {}
+func (raftLogger) Error(...any)              {}
+func (raftLogger) Errorf(string, ...any)     {}
+func (raftLogger) Info(...any)               {}
+func (raftLogger) Infof(string, ...any)      {}
+func (raftLogger) Warning(...any)            {}
+func (raftLogger) Warningf(string, ...any)   {}
+func (raftLogger) Fatal(v ...any)            { panic(fmt.Sprint(v...)) }
+func (raftLogger) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+func (raftLogger) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
+func (raftLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -34,29 +34,29 @@
 		into any
 	}{
 		"member.json": {want: &goldenNorth, into: &Member{}},
-		"durable.json": {into: &durable{}, want: &durable{
-			Version:  formVersion,
-			Me:       goldenNorth,
-			Boot:     3,
-			Founders: []Member{goldenNorth, goldenSouth},
-			Hard:     []byte{1, 2},
-			Snapshot: []byte{3, 4},
-			Entries:  [][]byte{{5, 6}, {7, 8}},
-			Known:    map[uint64]claim{17: {Boot: 4, Life: 5, Term: 6, Index: 7}},
+		"durable.json": {into: &durableState{}, want: &durableState{
+			Version:     durableVersion,
+			Self:        goldenNorth,
+			Boot:        3,
+			Founders:    []Member{goldenNorth, goldenSouth},
+			HardState:   []byte{1, 2},
+			Snapshot:    []byte{3, 4},
+			Entries:     [][]byte{{5, 6}, {7, 8}},
+			KnownClaims: map[uint64]identityClaim{17: {Boot: 4, Incarnation: 5, Term: 6, Index: 7}},
 		}},
-		"frame.json": {into: &frame{}, want: &frame{
-			From:    goldenSouth,
-			Raft:    []byte{9, 10},
-			Asks:    true,
-			Claim:   claim{Boot: 1, Life: 2, Term: 3, Index: 4},
-			Formed:  true,
-			Members: []Member{goldenSouth, goldenNorth},
-			Known:   claim{Boot: 5, Life: 6, Term: 7, Index: 8},
-			All:     map[uint64]claim{18: {Boot: 9, Life: 10, Term: 11, Index: 12}},
+		"frame.json": {into: &message{}, want: &message{
+			From:            goldenSouth,
+			RaftMessage:     []byte{9, 10},
+			IsIdentityQuery: true,
+			Claim:           identityClaim{Boot: 1, Incarnation: 2, Term: 3, Index: 4},
+			IsFounded:       true,
+			Members:         []Member{goldenSouth, goldenNorth},
+			KnownClaim:      identityClaim{Boot: 5, Incarnation: 6, Term: 7, Index: 8},
+			ClaimsByMember:  map[uint64]identityClaim{18: {Boot: 9, Incarnation: 10, Term: 11, Index: 12}},
 		}},
-		"snapshot.json": {into: &snapshot{}, want: &snapshot{
-			Members: []Member{goldenNorth, goldenSouth},
-			Machine: []byte{11, 12},
+		"snapshot.json": {into: &snapshotData{}, want: &snapshotData{
+			Members:         []Member{goldenNorth, goldenSouth},
+			CompressedState: []byte{11, 12},
 		}},
 		"status.json": {into: &Status{}, want: &Status{
 			Self:                goldenNorth,
@@ -104,20 +104,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			data := golden(t, name)
-			var f frame
+			var f message
 			require.NoError(t, json.Unmarshal(data, &f))
 			assert.NotEmpty(t, f.From.Disk)
 			assert.NotZero(t, f.Claim.Boot)
-			assert.NotZero(t, f.Claim.Life)
+			assert.NotZero(t, f.Claim.Incarnation)
 			var m raftpb.Message
-			require.NoError(t, m.Unmarshal(f.Raft))
+			require.NoError(t, m.Unmarshal(f.RaftMessage))
 			assert.Equal(t, raftType, m.Type)
 			assert.Equal(t, f.From.ID(), m.From)
 			if raftType == raftpb.MsgSnap {
-				var s snapshot
+				var s snapshotData
 				require.NoError(t, json.Unmarshal(m.Snapshot.Data, &s))
 				assert.Len(t, s.Members, 4, "three voters and one that is being let in")
-				assert.NotEmpty(t, s.Machine)
+				assert.NotEmpty(t, s.CompressedState)
 			}
 			written, err := json.Marshal(f)
 			require.NoError(t, err)
@@ -133,10 +133,10 @@
 		"frame-member-replaced.json": {raftpb.ConfChangeAddNode, raftpb.ConfChangeRemoveNode},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var f frame
+			var f message
 			require.NoError(t, json.Unmarshal(golden(t, name), &f))
 			var m raftpb.Message
-			require.NoError(t, m.Unmarshal(f.Raft))
+			require.NoError(t, m.Unmarshal(f.RaftMessage))
 			require.Len(t, m.Entries, 1)
 			var change raftpb.ConfChangeV2
 			require.Equal(t, raftpb.EntryConfChangeV2, m.Entries[0].Type)
@@ -160,8 +160,8 @@
 // TestFirstFrameIsStable has a voter on a new disk, whose identity a seed draws, ask the others about itself.
 func TestFirstFrameIsStable(t *testing.T) {
 	names := []Member{{Name: "north", Address: "10.0.0.4:7100"}, {Name: "south", Address: "10.0.0.5:7100"}}
-	w := &world{t: t, numbers: map[uint64]string{}, highest: map[int]uint64{}}
-	v, err := New(1000, names[0], names, nil, &ledger{world: w}, rand.New(rand.NewSource(7)))
+	w := &cluster{t: t, decisions: map[uint64]string{}, highestApplied: map[int]uint64{}}
+	v, err := New(1000, names[0], names, nil, &ledger{cluster: w}, rand.New(rand.NewSource(7)))
 	require.NoError(t, err)
 	v.Tick(1000)
 	out := v.Ready()
@@ -175,8 +175,8 @@
 // it and, as the last, the change of voters that let a wiped voter in again.
 func TestStartOnGoldenDisk(t *testing.T) {
 	names := []Member{{Name: "v0", Address: "0"}, {Name: "v1", Address: "1"}, {Name: "v2", Address: "2"}}
-	w := &world{t: t, numbers: map[uint64]string{}, highest: map[int]uint64{}}
-	machine := &ledger{world: w}
+	w := &cluster{t: t, decisions: map[uint64]string{}, highestApplied: map[int]uint64{}}
+	machine := &ledger{cluster: w}
 	v, err := New(1000, names[0], names, golden(t, "disk-v0.json"), machine, rand.New(rand.NewSource(7)))
 	require.NoError(t, err)
 	for out := v.Ready(); out.DurableState != nil; out = v.Ready() {
@@ -194,9 +194,9 @@
 	}, s.Voters)
 	assert.Equal(t, uint64(214), s.AppliedIndex)
 	assert.Equal(t, uint64(2), s.Term)
-	assert.Len(t, v.known, 3)
+	assert.Len(t, v.knownClaims, 3)
 	index, err := v.storage.LastIndex()
 	require.NoError(t, err)
 	assert.Equal(t, uint64(215), index)
-	assert.Empty(t, w.wrong)
+	assert.Empty(t, w.violations)
 }
--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -15,74 +15,74 @@
 )
 
 const (
-	judgeEvery = 100.0
-	proposeFor = 1000.0 // for what was proposed to be decided, before it is judged anew
+	policyIntervalMillis  = 100.0
+	proposalTimeoutMillis = 1000.0 // for what was proposed to be decided, before it is judged anew
 )
 
 // Core is one voter.
 type Core struct {
-	voter  *consensus.Voter
-	book   *failover.DecisionLog
-	judge  *failover.Policy
-	wall   float64 // clock time less the time that comes in
-	judged float64
-	out    float64               // when something was proposed that is not decided yet; +Inf: nothing is
-	outAt  uint64                // the length of the history then
-	told   failover.Announcement // by the leader, where another leads
-	toldAt float64
-	ending map[string]float64
-	said   []byte // the zones of the word said last, of that number
-	saidOf uint64
+	voter            *consensus.Voter
+	decisions        *failover.DecisionLog
+	policy           *failover.Policy
+	clockOffset      float64 // clock time less the time that comes in
+	evaluatedAt      float64
+	proposedAt       float64               // when something was proposed that is not decided yet; +Inf: nothing is
+	proposedAfter    uint64                // the length of the history then
+	fromLeader       failover.Announcement // by the leader, where another leads
+	fromLeaderAt     float64
+	expiryProposedAt map[string]float64
+	encodedZones     []byte // the zones of the word said last, of that number
+	encodedNumber    uint64
 }
 
 // New starts a voter on what its disk has.
 func New(now float64, me consensus.Member, voters []consensus.Member, zones []failover.Zone, disk []byte,
 	chance *rand.Rand) (*Core, error) {
-	c := &Core{book: &failover.DecisionLog{}, judge: failover.NewPolicy(zones), judged: math.Inf(-1), out: math.Inf(1),
-		toldAt: math.Inf(-1), ending: map[string]float64{}}
+	c := &Core{decisions: &failover.DecisionLog{}, policy: failover.NewPolicy(zones), evaluatedAt: math.Inf(-1), proposedAt: math.Inf(1),
+		fromLeaderAt: math.Inf(-1), expiryProposedAt: map[string]float64{}}
 	var err error
-	c.voter, err = consensus.New(now, me, voters, disk, c.book, chance)
+	c.voter, err = consensus.New(now, me, voters, disk, c.decisions, chance)
 	return c, err
 }
 
 // Tick goes on to that time; wall is the machine's clock, for the ends of orders and the history.
 func (c *Core) Tick(now, wall float64) {
-	c.wall = wall - now
+	c.clockOffset = wall - now
 	c.voter.Tick(now)
-	if !c.voter.HasLease(now) || now < c.judged+judgeEvery {
+	if !c.voter.HasLease(now) || now < c.evaluatedAt+policyIntervalMillis {
 		return
 	}
-	c.judged = now
-	if c.total() != c.outAt || now > c.out+proposeFor {
-		c.out = math.Inf(1)
+	c.evaluatedAt = now
+	if c.lastDecisionNumber() != c.proposedAfter || now > c.proposedAt+proposalTimeoutMillis {
+		c.proposedAt = math.Inf(1)
 	}
-	for _, id := range c.book.ExpiredOrderIDs(wall) {
-		if now > c.ending[id]+proposeFor {
-			c.ending[id] = now
+	for _, id := range c.decisions.ExpiredOrderIDs(wall) {
+		if now > c.expiryProposedAt[id]+proposalTimeoutMillis {
+			c.expiryProposedAt[id] = now
 			c.propose(now, failover.Command{ExpiredOrderID: id, Cause: "the order has ended"})
 		}
 	}
-	if !math.IsInf(c.out, 1) {
+	if !math.IsInf(c.proposedAt, 1) {
 		return
 	}
-	if command, changed := c.judge.Evaluate(now, c.book); changed && c.propose(now, command) == nil {
-		c.out, c.outAt = now, c.total()
+	if command, changed := c.policy.Evaluate(now, c.decisions); changed && c.propose(now, command) == nil {
+		c.proposedAt, c.proposedAfter = now, c.lastDecisionNumber()
 	}
 }
 
 // SetZones has those zones decided on from now on, once this voter leads.
-func (c *Core) SetZones(zones []failover.Zone) { c.judge.SetZones(zones) }
+func (c *Core) SetZones(zones []failover.Zone) { c.policy.SetZones(zones) }
 
-// total counts what was decided so far.
-func (c *Core) total() uint64 {
-	if n := len(c.book.History); n > 0 {
-		return c.book.History[n-1].Number
+// lastDecisionNumber counts what was decided so far.
+func (c *Core) lastDecisionNumber() uint64 {
+	if n := len(c.decisions.History); n > 0 {
+		return c.decisions.History[n-1].Number
 	}
 	return 0
 }
 
 func (c *Core) propose(now float64, command failover.Command) error {
-	command.ProposedAt = now + c.wall
+	command.ProposedAt = now + c.clockOffset
 	data, err := json.Marshal(command)
 	if err != nil {
 		return err
@@ -92,7 +92,7 @@
 
 // SubmitOrder has an operators' order decided: Answer tells what has become of it. Only who leads takes one.
 func (c *Core) SubmitOrder(now float64, o failover.OperatorOrder) error {
-	if _, there := c.book.DecisionOnOrder(o.ID); there { // given again: it has its answer
+	if _, there := c.decisions.DecisionOnOrder(o.ID); there { // given again: it has its answer
 		return nil
 	}
 	return c.propose(now, failover.Command{Order: &o, Cause: fmt.Sprintf("%s %s by %s: %s", o.Action, o.Zone, o.IssuedBy,
@@ -101,7 +101,7 @@
 
 // DecisionOnOrder is what has become of the order of that ID.
 func (c *Core) DecisionOnOrder(id string) (failover.Decision, bool) {
-	return c.book.DecisionOnOrder(id)
+	return c.decisions.DecisionOnOrder(id)
 }
 
 // ReceiveMessage takes another voter's frame.
@@ -121,26 +121,26 @@
 		if err != nil {
 			return nil, err
 		}
-		c.judge.AddObservations(now, e)
+		c.policy.AddObservations(now, e)
 	}
-	return c.say(c.Announcement(now)), nil
+	return c.encodeAnnouncement(c.Announcement(now)), nil
 }
 
-// say writes a word; its zones are written once for each picture, as hundreds of relays ask for it.
-func (c *Core) say(w failover.Announcement) []byte {
-	if c.said == nil || w.Number != c.saidOf || len(w.Zones) == 0 {
-		c.said, _ = json.Marshal(w.Zones) // of plain values
-		c.saidOf = w.Number
+// encodeAnnouncement writes a word; its zones are written once for each picture, as hundreds of relays ask for it.
+func (c *Core) encodeAnnouncement(w failover.Announcement) []byte {
+	if c.encodedZones == nil || w.Number != c.encodedNumber || len(w.Zones) == 0 {
+		c.encodedZones, _ = json.Marshal(w.Zones) // of plain values
+		c.encodedNumber = w.Number
 	}
-	return fmt.Appendf(nil, `{"Number":%d,"Age":%g,"Leads":%t,"Zones":%s}`, w.Number, w.AgeMillis, w.FromLeader, c.said)
+	return fmt.Appendf(nil, `{"Number":%d,"Age":%g,"Leads":%t,"Zones":%s}`, w.Number, w.AgeMillis, w.FromLeader, c.encodedZones)
 }
 
 // ReceiveAnnouncement takes the leader's word, where another leads.
 func (c *Core) ReceiveAnnouncement(now float64, data []byte) {
 	var w failover.Announcement
-	if json.Unmarshal(data, &w) == nil && w.AgeMillis >= 0 && w.Number >= c.told.Number &&
-		(w.Number > c.told.Number || now-w.AgeMillis > c.toldAt-c.told.AgeMillis) {
-		c.told, c.toldAt = w, now
+	if json.Unmarshal(data, &w) == nil && w.AgeMillis >= 0 && w.Number >= c.fromLeader.Number &&
+		(w.Number > c.fromLeader.Number || now-w.AgeMillis > c.fromLeaderAt-c.fromLeader.AgeMillis) {
+		c.fromLeader, c.fromLeaderAt = w, now
 	}
 }
 
@@ -155,11 +155,11 @@
 // Announcement is what holds, as far as this voter knows: its own while it leads, else the leader's as it was told.
 func (c *Core) Announcement(now float64) failover.Announcement {
 	if c.voter.HasLease(now) {
-		return failover.Announcement{Number: c.book.Number, Zones: c.book.EffectiveZones(), AgeMillis: now - c.voter.LeaseRenewedAt(),
+		return failover.Announcement{Number: c.decisions.Number, Zones: c.decisions.EffectiveZones(), AgeMillis: now - c.voter.LeaseRenewedAt(),
 			FromLeader: true}
 	}
-	w := c.told
-	if w.AgeMillis += now - c.toldAt; !(w.AgeMillis < failover.DecisionTTL) {
+	w := c.fromLeader
+	if w.AgeMillis += now - c.fromLeaderAt; !(w.AgeMillis < failover.DecisionTTL) {
 		w = failover.Announcement{AgeMillis: -1}
 	}
 	w.FromLeader = false
@@ -177,10 +177,10 @@
 
 // Status is how things stand here.
 func (c *Core) Status(now float64) Status {
-	return Status{Status: c.voter.Status(), HasLease: c.voter.HasLease(now), DecisionNumber: c.book.Number,
-		Zones:  c.book.EffectiveZones(),
-		Orders: c.book.Orders}
+	return Status{Status: c.voter.Status(), HasLease: c.voter.HasLease(now), DecisionNumber: c.decisions.Number,
+		Zones:  c.decisions.EffectiveZones(),
+		Orders: c.decisions.Orders}
 }
 
 // History is what was decided of late.
-func (c *Core) History() []failover.Decision { return c.book.History }
+func (c *Core) History() []failover.Decision { return c.decisions.History }
--- a/internal/coordinator/core_test.go
+++ b/internal/coordinator/core_test.go
@@ -11,8 +11,8 @@
 	"valeshift/internal/failover"
 )
 
-// alone is a council of one, which leads.
-func alone(t testing.TB, zones int) (*Core, float64) {
+// newSingleVoter is a council of one, which leads.
+func newSingleVoter(t testing.TB, zones int) (*Core, float64) {
 	var all []failover.Zone
 	for z := range zones {
 		all = append(all, failover.Zone{Name: fmt.Sprint("zone-", z), Region: fmt.Sprint("r", z/3)})
@@ -31,7 +31,7 @@
 	return c, now
 }
 
-func evidence(relay, zones int) []byte {
+func encodedObservations(relay, zones int) []byte {
 	e := failover.Observations{Relay: fmt.Sprint("relay-", relay), Zone: fmt.Sprint("zone-", relay%zones), Demand: 1,
 		ByZone: map[string]failover.Observation{}}
 	for z := range zones {
@@ -42,10 +42,10 @@
 
 // BenchmarkThreeHundredRelays is a second of who leads, with 300 relays that each tell what they see twice.
 func BenchmarkThreeHundredRelays(b *testing.B) {
-	c, now := alone(b, 6)
+	c, now := newSingleVoter(b, 6)
 	var all [][]byte
 	for i := range 300 {
-		all = append(all, evidence(i, 6))
+		all = append(all, encodedObservations(i, 6))
 	}
 	for b.Loop() {
 		for k := range 100 {
@@ -64,14 +64,14 @@
 }
 
 // Whatever comes in a datagram, nothing of it is believed that can't be.
-func FuzzHear(f *testing.F) {
-	f.Add(evidence(1, 6))
+func FuzzReceive(f *testing.F) {
+	f.Add(encodedObservations(1, 6))
 	lie := failover.Observations{Relay: "x", Zone: "zone-0", Demand: -1, ByZone: map[string]failover.Observation{
 		"zone-0": {Attempts: 1, FailedAttempts: 2}}}
 	f.Add(lie.Encode())
 	f.Add([]byte("{"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		c, now := alone(t, 3)
+		c, now := newSingleVoter(t, 3)
 		if _, err := c.ReceiveObservations(now, data); err == nil && len(data) > 0 {
 			e, _ := failover.DecodeObservations(data)
 			again, err := failover.DecodeObservations(e.Encode())
--- a/internal/coordinator/file.go
+++ b/internal/coordinator/file.go
@@ -35,9 +35,9 @@
 }
 
 const (
-	mostVoters = 7
-	mostZones  = 64
-	mostName   = 64
+	maxVoters    = 7
+	maxZones     = 64
+	maxNameBytes = 64
 )
 
 // LoadConfig reads a voter's file. Its errors name the field.
@@ -75,24 +75,24 @@
 }
 
 func (f *Config) check() error {
-	if n := len(f.Voters); n%2 == 0 || n > mostVoters {
-		return fmt.Errorf("voter: 1, 3, 5 or %d expected, got %d", mostVoters, n)
+	if n := len(f.Voters); n%2 == 0 || n > maxVoters {
+		return fmt.Errorf("voter: 1, 3, 5 or %d expected, got %d", maxVoters, n)
 	}
-	if n := len(f.Zones); n == 0 || n > mostZones {
-		return fmt.Errorf("zone: 1 to %d expected, got %d", mostZones, n)
+	if n := len(f.Zones); n == 0 || n > maxZones {
+		return fmt.Errorf("zone: 1 to %d expected, got %d", maxZones, n)
 	}
 	own, voters, zones := false, map[string]bool{}, map[string]bool{}
 	for i, v := range f.Voters {
 		if at, err := netip.ParseAddrPort(v.Address); err != nil || at.Port() == 0 {
 			return fmt.Errorf("voter.%d.address: address:port expected, got %q", i, v.Address)
 		}
-		if v.Name == "" || len(v.Name) > mostName || voters[v.Name] {
+		if v.Name == "" || len(v.Name) > maxNameBytes || voters[v.Name] {
 			return fmt.Errorf("voter.%d.name: a name of its own expected, got %q", i, v.Name)
 		}
 		voters[v.Name], own = true, own || v.Name == f.Name
 	}
 	for i, z := range f.Zones {
-		if z.Name == "" || len(z.Name) > mostName || len(z.Region) > mostName || zones[z.Name] {
+		if z.Name == "" || len(z.Name) > maxNameBytes || len(z.Region) > maxNameBytes || zones[z.Name] {
 			return fmt.Errorf("zone.%d.name: a name of its own expected, got %q", i, z.Name)
 		}
 		zones[z.Name] = true
--- a/internal/coordinator/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -133,9 +133,9 @@
 		{"refused", `{"ID":"ticket-10","Zone":"nowhere","Do":"empty"}`, http.StatusConflict},
 		{"without an ID", `{"Zone":"b","Do":"empty"}`, http.StatusBadRequest},
 		{"no JSON", `{`, http.StatusBadRequest},
-		{"too long", `{"ID":"ticket-11","Reason":"` + strings.Repeat("x", mostText) + `"}`, http.StatusBadRequest},
-		{"an entry too long", `{"ID":"ticket-12","Reason":"` + strings.Repeat("\x7f", mostText/2) +
-			strings.Repeat("<", mostText/3) + `"}`, http.StatusServiceUnavailable},
+		{"too long", `{"ID":"ticket-11","Reason":"` + strings.Repeat("x", maxOrderBytes) + `"}`, http.StatusBadRequest},
+		{"an entry too long", `{"ID":"ticket-12","Reason":"` + strings.Repeat("\x7f", maxOrderBytes/2) +
+			strings.Repeat("<", maxOrderBytes/3) + `"}`, http.StatusServiceUnavailable},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			answer := httptest.NewRecorder()
@@ -163,7 +163,7 @@
 			defer conn.Close()
 			_, err = conn.Write(golden(t, c.name))
 			require.NoError(t, err)
-			buffer := make([]byte, datagram)
+			buffer := make([]byte, maxDatagramBytes)
 			wait := 5 * time.Second
 			if !c.answered {
 				wait = 200 * time.Millisecond
@@ -209,13 +209,13 @@
 			require.NoError(t, json.Unmarshal(data, &read))
 			assert.Equal(t, word, read)
 			c := &Core{}
-			assert.Equal(t, string(data), string(c.say(word)))
+			assert.Equal(t, string(data), string(c.encodeAnnouncement(word)))
 		})
 	}
 }
 
-// TestGoldenFile reads a voter's file with each key that there is.
-func TestGoldenFile(t *testing.T) {
+// TestGoldenConfig reads a voter's file with each key that there is.
+func TestGoldenConfig(t *testing.T) {
 	f, err := LoadConfig(filepath.Join("testdata", "golden", "coordinator.toml"))
 	require.NoError(t, err)
 	assert.Equal(t, &Config{
--- a/internal/coordinator/run.go
+++ b/internal/coordinator/run.go
@@ -21,34 +21,34 @@
 )
 
 const (
-	tickEvery = 10 * time.Millisecond
-	askEvery  = 250 * time.Millisecond
-	diskRetry = 500 * time.Millisecond
-	orderTime = 2 * time.Second // for an order to be durable at a majority
-	lookEvery = 10 * time.Millisecond
-	mostText  = 4 << 10
-	mostDisk  = 16 << 20
-	datagram  = 64 << 10
+	tickInterval             = 10 * time.Millisecond
+	announcementPollInterval = 250 * time.Millisecond
+	saveRetryInterval        = 500 * time.Millisecond
+	orderTimeout             = 2 * time.Second // for an order to be durable at a majority
+	orderPollInterval        = 10 * time.Millisecond
+	maxOrderBytes            = 4 << 10
+	maxStoreBytes            = 16 << 20
+	maxDatagramBytes         = 64 << 10
 )
 
 // Node is one voter on sockets and a disk. Everything is taken under one lock, and none of it waits.
 type Node struct {
-	log   *slog.Logger
-	key   []byte
-	base  time.Time
-	mutex sync.Mutex
-	core  *Core
-	udp   *net.UDPConn
-	store *store.Store
-	saves chan consensus.Ready
-	ended chan struct{}
-	done  sync.WaitGroup
+	log        *slog.Logger
+	key        []byte
+	startedAt  time.Time
+	mutex      sync.Mutex
+	core       *Core
+	udp        *net.UDPConn
+	store      *store.Store
+	saves      chan consensus.Ready
+	stopped    chan struct{}
+	goroutines sync.WaitGroup
 }
 
 // Start starts a voter that hears others at its address; fs is its folder.
 func Start(me consensus.Member, voters []consensus.Member, zones []failover.Zone, key []byte, fs store.FS,
 	log *slog.Logger) (*Node, error) {
-	kept, found, err := store.Open(fs, me.Name, mostDisk)
+	kept, found, err := store.Open(fs, me.Name, maxStoreBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -59,8 +59,8 @@
 	if _, err := rand.Read(lot[:]); err != nil {
 		return nil, err
 	}
-	r := &Node{log: log, key: key, base: time.Now(), store: kept, saves: make(chan consensus.Ready, 1),
-		ended: make(chan struct{})}
+	r := &Node{log: log, key: key, startedAt: time.Now(), store: kept, saves: make(chan consensus.Ready, 1),
+		stopped: make(chan struct{})}
 	record, _ := kept.Get(store.KindConsensus, "")
 	chance := mathrand.New(mathrand.NewSource(int64(binary.LittleEndian.Uint64(lot[:]))))
 	if r.core, err = New(r.now(), me, voters, zones, record.Body, chance); err != nil {
@@ -73,18 +73,18 @@
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("listen: %w", err), kept.Close())
 	}
-	r.done.Add(3)
-	go r.ticks()
-	go r.hears()
-	go r.writes()
+	r.goroutines.Add(3)
+	go r.tickLoop()
+	go r.receiveLoop()
+	go r.saveLoop()
 	return r, nil
 }
 
 // Stop ends it.
 func (r *Node) Stop() {
-	close(r.ended)
+	close(r.stopped)
 	r.udp.Close()
-	r.done.Wait()
+	r.goroutines.Wait()
 	if err := r.store.Close(); err != nil {
 		r.log.Warn("disk", "err", err)
 	}
@@ -92,15 +92,15 @@
 
 // SetZones has those zones decided on from now on.
 func (r *Node) SetZones(zones []failover.Zone) {
-	r.with(func(_ float64, c *Core) { c.SetZones(zones) })
+	r.update(func(_ float64, c *Core) { c.SetZones(zones) })
 }
 
-func (r *Node) now() float64 { return 1 + float64(time.Since(r.base))/float64(time.Millisecond) }
+func (r *Node) now() float64 { return 1 + float64(time.Since(r.startedAt))/float64(time.Millisecond) }
 
-func wall() float64 { return float64(time.Now().UnixMicro()) / 1000 }
+func wallClockMillis() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
-// with has the core take something, and carries out what follows.
-func (r *Node) with(do func(now float64, c *Core)) {
+// update has the core take something, and carries out what follows.
+func (r *Node) update(do func(now float64, c *Core)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	do(r.now(), r.core)
@@ -113,54 +113,54 @@
 		if len(out.Messages) == 0 {
 			return
 		}
-		r.sends(out.Messages)
+		r.sendMessages(out.Messages)
 	}
 }
 
-func (r *Node) sends(all []consensus.OutgoingMessage) {
+func (r *Node) sendMessages(all []consensus.OutgoingMessage) {
 	for _, s := range all {
-		r.send(s.To, failover.ConsensusDatagram, s.Data)
+		r.sendDatagram(s.To, failover.ConsensusDatagram, s.Data)
 	}
 }
 
-// send loses what can't be sent: all of it is said again.
-func (r *Node) send(to string, kind byte, data []byte) {
+// sendDatagram loses what can't be sent: all of it is said again.
+func (r *Node) sendDatagram(to string, kind byte, data []byte) {
 	if at, err := net.ResolveUDPAddr("udp", to); err == nil {
 		r.udp.WriteToUDP(membership.Seal(r.key, append([]byte{kind}, data...)), at)
 	}
 }
 
-func (r *Node) ticks() {
-	defer r.done.Done()
-	tick := time.NewTicker(tickEvery)
+func (r *Node) tickLoop() {
+	defer r.goroutines.Done()
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	var asked time.Time
 	leads := false
 	for {
 		select {
-		case <-r.ended:
+		case <-r.stopped:
 			return
 		case <-tick.C:
 		}
 		to, now := "", false
-		r.with(func(at float64, c *Core) {
-			c.Tick(at, wall())
+		r.update(func(at float64, c *Core) {
+			c.Tick(at, wallClockMillis())
 			to, now = c.AnnouncementSource(at), c.voter.HasLease(at)
 		})
 		if now != leads {
 			leads = now
 			r.log.Info("council", "leads", leads)
 		}
-		if to != "" && time.Since(asked) >= askEvery {
+		if to != "" && time.Since(asked) >= announcementPollInterval {
 			asked = time.Now()
-			r.send(to, failover.ObservationsDatagram, nil)
+			r.sendDatagram(to, failover.ObservationsDatagram, nil)
 		}
 	}
 }
 
-func (r *Node) hears() {
-	defer r.done.Done()
-	buffer := make([]byte, datagram)
+func (r *Node) receiveLoop() {
+	defer r.goroutines.Done()
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := r.udp.ReadFromUDP(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -173,49 +173,49 @@
 		if err != nil || len(body) == 0 {
 			continue
 		}
-		r.take(from, body[0], slices.Clone(body[1:]))
+		r.dispatch(from, body[0], slices.Clone(body[1:]))
 	}
 }
 
-func (r *Node) take(from *net.UDPAddr, kind byte, data []byte) {
+func (r *Node) dispatch(from *net.UDPAddr, kind byte, data []byte) {
 	switch kind {
 	case failover.ConsensusDatagram:
-		r.with(func(now float64, c *Core) { c.ReceiveMessage(now, data) })
+		r.update(func(now float64, c *Core) { c.ReceiveMessage(now, data) })
 	case failover.ObservationsDatagram:
 		var word []byte
-		r.with(func(now float64, c *Core) { word, _ = c.ReceiveObservations(now, data) })
+		r.update(func(now float64, c *Core) { word, _ = c.ReceiveObservations(now, data) })
 		if word != nil {
-			r.send(from.String(), failover.AnnouncementDatagram, word)
+			r.sendDatagram(from.String(), failover.AnnouncementDatagram, word)
 		}
 	case failover.AnnouncementDatagram:
-		r.with(func(now float64, c *Core) { c.ReceiveAnnouncement(now, data) })
+		r.update(func(now float64, c *Core) { c.ReceiveAnnouncement(now, data) })
 	}
 }
 
-// writes saves what is to be saved, however long that takes: nothing is spoken of before.
-func (r *Node) writes() {
-	defer r.done.Done()
+// saveLoop saves what is to be saved, however long that takes: nothing is spoken of before.
+func (r *Node) saveLoop() {
+	defer r.goroutines.Done()
 	for {
 		select {
-		case <-r.ended:
+		case <-r.stopped:
 			return
 		case out := <-r.saves:
-			for !r.write(out.DurableState) {
+			for !r.save(out.DurableState) {
 				select {
-				case <-r.ended:
+				case <-r.stopped:
 					return
-				case <-time.After(diskRetry):
+				case <-time.After(saveRetryInterval):
 				}
 			}
-			r.with(func(_ float64, c *Core) {
-				r.sends(out.Messages)
+			r.update(func(_ float64, c *Core) {
+				r.sendMessages(out.Messages)
 				c.Advance()
 			})
 		}
 	}
 }
 
-func (r *Node) write(data []byte) bool {
+func (r *Node) save(data []byte) bool {
 	durable := make(chan error, 1)
 	r.store.Put(store.Record{Kind: store.KindConsensus, Body: data}, func(err error) { durable <- err })
 	if err := r.store.Flush(); err != nil {
@@ -244,7 +244,7 @@
 	})
 	calls.HandleFunc("POST /order", func(w http.ResponseWriter, q *http.Request) {
 		var o failover.OperatorOrder
-		if err := json.NewDecoder(http.MaxBytesReader(w, q.Body, mostText)).Decode(&o); err != nil || o.ID == "" {
+		if err := json.NewDecoder(http.MaxBytesReader(w, q.Body, maxOrderBytes)).Decode(&o); err != nil || o.ID == "" {
 			http.Error(w, "an order with an ID expected", http.StatusBadRequest)
 			return
 		}
@@ -269,8 +269,8 @@
 
 // SubmitOrder has an order decided, and tells what has become of it once that is durable at a majority.
 func (r *Node) SubmitOrder(o failover.OperatorOrder) (entry failover.Decision, err error) {
-	r.with(func(now float64, c *Core) { err = c.SubmitOrder(now, o) })
-	for until := time.Now().Add(orderTime); err == nil; time.Sleep(lookEvery) {
+	r.update(func(now float64, c *Core) { err = c.SubmitOrder(now, o) })
+	for until := time.Now().Add(orderTimeout); err == nil; time.Sleep(orderPollInterval) {
 		r.mutex.Lock()
 		entry, there := r.core.DecisionOnOrder(o.ID)
 		r.mutex.Unlock()
