--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -9,6 +9,7 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 )
 
@@ -49,7 +50,7 @@
 			RaftMessage:     []byte{9, 10},
 			IsIdentityQuery: true,
 			Claim:           identityClaim{Boot: 1, Incarnation: 2, Term: 3, Index: 4},
-			IsFounded:       true,
+			HasCluster:      true,
 			Members:         []Member{goldenSouth, goldenNorth},
 			KnownClaim:      identityClaim{Boot: 5, Incarnation: 6, Term: 7, Index: 8},
 			ClaimsByMember:  map[uint64]identityClaim{18: {Boot: 9, Incarnation: 10, Term: 11, Index: 12}},
@@ -61,7 +62,7 @@
 		"status.json": {into: &Status{}, want: &Status{
 			Self:                goldenNorth,
 			Boot:                3,
-			Role:                "StateLeader",
+			Role:                RoleLeader,
 			Leader:              "north",
 			Term:                4,
 			AppliedIndex:        5,
@@ -83,12 +84,23 @@
 	}
 }
 
+func TestRolesAreRafts(t *testing.T) {
+	for role, state := range map[Role]raft.StateType{
+		RoleFollower:     raft.StateFollower,
+		RolePreCandidate: raft.StatePreCandidate,
+		RoleCandidate:    raft.StateCandidate,
+		RoleLeader:       raft.StateLeader,
+	} {
+		assert.Equal(t, state.String(), role.String())
+	}
+}
+
 func TestMemberIDIsStable(t *testing.T) {
 	assert.Equal(t, uint64(3304909486640518328), goldenNorth.ID())
 }
 
-// TestGoldenFrames reads frames that voters have exchanged, and writes the same bytes back.
-func TestGoldenFrames(t *testing.T) {
+// TestGoldenMessages reads messages that voters have exchanged, and writes the same bytes back.
+func TestGoldenMessages(t *testing.T) {
 	for name, raftType := range map[string]raftpb.MessageType{
 		"frame-MsgPreVote.json":       raftpb.MsgPreVote,
 		"frame-MsgPreVoteResp.json":   raftpb.MsgPreVoteResp,
@@ -104,43 +116,43 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			data := golden(t, name)
-			var f message
-			require.NoError(t, json.Unmarshal(data, &f))
-			assert.NotEmpty(t, f.From.Disk)
-			assert.NotZero(t, f.Claim.Boot)
-			assert.NotZero(t, f.Claim.Incarnation)
-			var m raftpb.Message
-			require.NoError(t, m.Unmarshal(f.RaftMessage))
-			assert.Equal(t, raftType, m.Type)
-			assert.Equal(t, f.From.ID(), m.From)
+			var m message
+			require.NoError(t, json.Unmarshal(data, &m))
+			assert.NotEmpty(t, m.From.Disk)
+			assert.NotZero(t, m.Claim.Boot)
+			assert.NotZero(t, m.Claim.Incarnation)
+			var raftMessage raftpb.Message
+			require.NoError(t, raftMessage.Unmarshal(m.RaftMessage))
+			assert.Equal(t, raftType, raftMessage.Type)
+			assert.Equal(t, m.From.ID(), raftMessage.From)
 			if raftType == raftpb.MsgSnap {
 				var s snapshotData
-				require.NoError(t, json.Unmarshal(m.Snapshot.Data, &s))
-				assert.Len(t, s.Members, 4, "three voters and one that is being let in")
+				require.NoError(t, json.Unmarshal(raftMessage.Snapshot.Data, &s))
+				assert.Len(t, s.Members, 4, "three voters and a learner that is being admitted")
 				assert.NotEmpty(t, s.CompressedState)
 			}
-			written, err := json.Marshal(f)
+			written, err := json.Marshal(m)
 			require.NoError(t, err)
 			assert.Equal(t, string(data), string(written))
 		})
 	}
 }
 
-// TestGoldenMembershipChange reads the entries by which a leader has let a voter in on a new disk.
+// TestGoldenMembershipChange reads the entries by which a leader has admitted a voter on a new disk.
 func TestGoldenMembershipChange(t *testing.T) {
 	for name, changes := range map[string][]raftpb.ConfChangeType{
 		"frame-learner-added.json":   {raftpb.ConfChangeAddLearnerNode},
 		"frame-member-replaced.json": {raftpb.ConfChangeAddNode, raftpb.ConfChangeRemoveNode},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var f message
-			require.NoError(t, json.Unmarshal(golden(t, name), &f))
-			var m raftpb.Message
-			require.NoError(t, m.Unmarshal(f.RaftMessage))
-			require.Len(t, m.Entries, 1)
+			var m message
+			require.NoError(t, json.Unmarshal(golden(t, name), &m))
+			var raftMessage raftpb.Message
+			require.NoError(t, raftMessage.Unmarshal(m.RaftMessage))
+			require.Len(t, raftMessage.Entries, 1)
 			var change raftpb.ConfChangeV2
-			require.Equal(t, raftpb.EntryConfChangeV2, m.Entries[0].Type)
-			require.NoError(t, change.Unmarshal(m.Entries[0].Data))
+			require.Equal(t, raftpb.EntryConfChangeV2, raftMessage.Entries[0].Type)
+			require.NoError(t, change.Unmarshal(raftMessage.Entries[0].Data))
 			require.Len(t, change.Changes, len(changes))
 			for i, want := range changes {
 				assert.Equal(t, want, change.Changes[i].Type)
@@ -157,33 +169,33 @@
 	}
 }
 
-// TestFirstFrameIsStable has a voter on a new disk, whose identity a seed draws, ask the others about itself.
-func TestFirstFrameIsStable(t *testing.T) {
-	names := []Member{{Name: "north", Address: "10.0.0.4:7100"}, {Name: "south", Address: "10.0.0.5:7100"}}
-	w := &cluster{t: t, decisions: map[uint64]string{}, highestApplied: map[int]uint64{}}
-	v, err := New(1000, names[0], names, nil, &ledger{cluster: w}, rand.New(rand.NewSource(7)))
+// TestFirstMessageIsStable has a voter on a new disk, whose identity a seed draws, ask the others about itself.
+func TestFirstMessageIsStable(t *testing.T) {
+	configured := []Member{{Name: "north", Address: "10.0.0.4:7100"}, {Name: "south", Address: "10.0.0.5:7100"}}
+	c := &cluster{t: t, decisions: map[uint64]string{}, highestApplied: map[int]uint64{}}
+	v, err := New(1000, configured[0], configured, nil, &ledger{cluster: c}, rand.New(rand.NewSource(7)))
 	require.NoError(t, err)
 	v.Tick(1000)
-	out := v.Ready()
-	require.Len(t, out.Messages, 1)
-	assert.Equal(t, "10.0.0.5:7100", out.Messages[0].To)
-	assert.Equal(t, string(golden(t, "first-frame.json")), string(out.Messages[0].Data))
-	assert.Equal(t, string(golden(t, "first-disk.json")), string(out.DurableState))
+	ready := v.Ready()
+	require.Len(t, ready.Messages, 1)
+	assert.Equal(t, "10.0.0.5:7100", ready.Messages[0].To)
+	assert.Equal(t, string(golden(t, "first-frame.json")), string(ready.Messages[0].Data))
+	assert.Equal(t, string(golden(t, "first-disk.json")), string(ready.DurableState))
 }
 
-// TestStartOnGoldenDisk starts a voter on a disk that an earlier build has written: a snapshot, entries behind
-// it and, as the last, the change of voters that let a wiped voter in again.
+// TestStartOnGoldenDisk starts a voter on a disk that an earlier build has written: a snapshot, after which a
+// wiped voter was admitted again, and entries behind it, the last of them not known to be decided.
 func TestStartOnGoldenDisk(t *testing.T) {
-	names := []Member{{Name: "v0", Address: "0"}, {Name: "v1", Address: "1"}, {Name: "v2", Address: "2"}}
-	w := &cluster{t: t, decisions: map[uint64]string{}, highestApplied: map[int]uint64{}}
-	machine := &ledger{cluster: w}
-	v, err := New(1000, names[0], names, golden(t, "disk-v0.json"), machine, rand.New(rand.NewSource(7)))
+	configured := []Member{{Name: "v0", Address: "0"}, {Name: "v1", Address: "1"}, {Name: "v2", Address: "2"}}
+	c := &cluster{t: t, decisions: map[uint64]string{}, highestApplied: map[int]uint64{}}
+	state := &ledger{cluster: c}
+	v, err := New(1000, configured[0], configured, golden(t, "disk-v0.json"), state, rand.New(rand.NewSource(7)))
 	require.NoError(t, err)
-	for out := v.Ready(); out.DurableState != nil; out = v.Ready() {
+	for ready := v.Ready(); ready.DurableState != nil; ready = v.Ready() {
 		v.Advance()
 	}
-	assert.Equal(t, "195 by 1", machine.last)
-	assert.Equal(t, 195, machine.count, "the snapshot's and the entries that were known to be decided")
+	assert.Equal(t, "195 by 1", state.last)
+	assert.Equal(t, 195, state.count, "the snapshot's and the entries that were known to be decided")
 	s := v.Status()
 	assert.Equal(t, uint64(2), s.Boot, "one start more than the disk tells of")
 	assert.Equal(t, Member{Name: "v0", Disk: "194992241c49ae86", Address: "0"}, s.Self)
@@ -194,9 +206,9 @@
 	}, s.Voters)
 	assert.Equal(t, uint64(214), s.AppliedIndex)
 	assert.Equal(t, uint64(2), s.Term)
-	assert.Len(t, v.knownClaims, 3)
-	index, err := v.storage.LastIndex()
+	assert.Len(t, v.identity.known, 3)
+	index, err := v.log.storage.LastIndex()
 	require.NoError(t, err)
 	assert.Equal(t, uint64(215), index)
-	assert.Empty(t, w.violations)
+	assert.Empty(t, c.violations)
 }
--- /dev/null
+++ b/internal/consensus/ready.go
@@ -0,0 +1,106 @@
+package consensus
+
+import (
+	"go.etcd.io/raft/v3"
+	"go.etcd.io/raft/v3/raftpb"
+)
+
+// Ready is what the caller has to do: store the state, and once that is durable, send the messages and call
+// Advance.
+type Ready struct {
+	DurableState []byte // replaces what was stored before; nil: nothing is to be stored
+	Messages     []OutgoingMessage
+}
+
+// output is what waits to be stored or sent.
+type output struct {
+	raftReady *raft.Ready // taken from Raft, and not durable yet
+	saving    bool        // the caller is storing what Ready returned
+	dirty     bool        // the durable state has changed since it was returned last
+	messages  []OutgoingMessage
+	oversized int // messages dropped, as no datagram holds them
+}
+
+// Ready returns what is to be done now; while something is being stored, nothing more. A Ready with nothing to
+// store needs no Advance.
+func (v *Voter) Ready() Ready {
+	if v.output.saving {
+		return Ready{}
+	}
+	v.takeRaftReady()
+	ready := Ready{Messages: v.output.messages}
+	v.output.messages = nil
+	if v.output.dirty && !v.faults.sendUnsaved {
+		ready.DurableState = v.encodeDurable()
+		v.output.saving = true
+	}
+	v.output.dirty = false
+	if !v.output.saving {
+		v.Advance()
+	}
+	return ready
+}
+
+// takeRaftReady takes from Raft what is to be stored and sent.
+func (v *Voter) takeRaftReady() {
+	if v.log.node == nil || !v.log.node.HasReady() {
+		return
+	}
+	ready := v.log.node.Ready()
+	v.output.raftReady = &ready
+	// The storage is in memory: it refuses only a snapshot that is older than its own, which is kept then.
+	if !raft.IsEmptySnap(ready.Snapshot) {
+		v.log.storage.ApplySnapshot(ready.Snapshot)
+		v.output.dirty = true
+	}
+	v.log.storage.Append(ready.Entries)
+	if !raft.IsEmptyHardState(ready.HardState) {
+		v.log.storage.SetHardState(ready.HardState)
+	}
+	if ready.MustSync {
+		v.output.dirty = true
+	}
+	for _, m := range ready.Messages {
+		v.sendRaft(m)
+	}
+}
+
+// Advance confirms that the state returned by Ready is durable: what was decided by it is applied.
+func (v *Voter) Advance() {
+	ready := v.output.raftReady
+	v.output.raftReady = nil
+	v.output.saving = false
+	if ready == nil {
+		return
+	}
+	v.installSnapshot(ready.Snapshot)
+	for _, entry := range ready.CommittedEntries {
+		v.applyEntry(entry)
+	}
+	v.lease.confirm(ready.ReadStates, v.log.appliedIndex)
+	v.log.node.Advance(*ready)
+	v.reportSnapshots(ready.Messages)
+	v.compactLog(compactionThreshold)
+}
+
+// installSnapshot applies a leader's snapshot. A voter on a new disk belongs to the cluster from then on.
+func (v *Voter) installSnapshot(snapshot raftpb.Snapshot) {
+	if raft.IsEmptySnap(snapshot) || v.restoreSnapshot(snapshot) != nil || len(v.founders) > 0 {
+		return
+	}
+	for _, id := range v.log.confState.Voters {
+		v.founders = append(v.founders, v.log.members[id])
+	}
+	v.output.dirty = true
+}
+
+// reportSnapshots tells Raft that the snapshots among these messages have arrived. Nobody tells that a
+// datagram was lost, and Raft sends a follower nothing more until it is told how its snapshot went. Where one
+// has not arrived, the follower rejects the next entry, and the snapshot goes again.
+func (v *Voter) reportSnapshots(messages []raftpb.Message) {
+	for _, m := range messages {
+		if m.Type == raftpb.MsgSnap {
+			v.log.node.ReportSnapshot(m.To, raft.SnapshotFinish)
+		}
+	}
+}
--- a/internal/coordinator/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -33,37 +33,37 @@
 	return data
 }
 
-// startOnGoldenFolder starts the one voter of a council, whose folder an earlier build has written, on a copy
+// startOnGoldenFolder starts a coordinator without others, whose folder an earlier build has written, on a copy
 // of that folder, and waits until it leads.
-func startOnGoldenFolder(t *testing.T) (r *Node, address string) {
+func startOnGoldenFolder(t *testing.T) (node *Node, address string) {
 	t.Helper()
 	folder := t.TempDir()
 	require.NoError(t, os.CopyFS(folder, os.DirFS(filepath.Join("testdata", "golden", "folder"))))
 	address, err := procstat.FreeAddressOn("127.0.0.1")
 	require.NoError(t, err)
-	me := consensus.Member{Name: "v", Address: address}
+	self := consensus.Member{Name: "v", Address: address}
 	zones := []failover.Zone{{Name: "a", Region: "r0"}, {Name: "b", Region: "r0"}, {Name: "c", Region: "r1"},
 		{Name: "d", Region: "r1"}}
-	r, err = Start(me, []consensus.Member{me}, zones, []byte(key), store.DirFS(folder),
+	node, err = Start(self, []consensus.Member{self}, zones, []byte(key), store.DirFS(folder),
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
 	require.NoError(t, err)
-	t.Cleanup(r.Stop)
-	require.Eventually(t, func() bool { return status(t, r).HasLease }, 10*time.Second, 10*time.Millisecond)
-	return r, address
+	t.Cleanup(node.Stop)
+	require.Eventually(t, func() bool { return status(t, node).HasLease }, 10*time.Second, 10*time.Millisecond)
+	return node, address
 }
 
-func get(t *testing.T, r *Node, path string) *httptest.ResponseRecorder {
+func get(t *testing.T, node *Node, path string) *httptest.ResponseRecorder {
 	t.Helper()
 	answer := httptest.NewRecorder()
-	r.Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, path, nil))
+	node.Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, path, nil))
 	require.Equal(t, http.StatusOK, answer.Code)
 	assert.Equal(t, "application/json", answer.Header().Get("Content-Type"))
 	return answer
 }
 
-func status(t *testing.T, r *Node) (s Status) {
+func status(t *testing.T, node *Node) (s Status) {
 	t.Helper()
-	require.NoError(t, json.Unmarshal(get(t, r, "/status").Body.Bytes(), &s))
+	require.NoError(t, json.Unmarshal(get(t, node, "/status").Body.Bytes(), &s))
 	return s
 }
 
@@ -71,17 +71,17 @@
 func TestStartOnGoldenFolder(t *testing.T) {
 	var before Status
 	require.NoError(t, json.Unmarshal(golden(t, "status-answer.json"), &before))
-	r, _ := startOnGoldenFolder(t)
-	now := status(t, r)
-	assert.Equal(t, before.Self.Disk, now.Self.Disk)
-	assert.Equal(t, before.Boot+1, now.Boot)
-	assert.Greater(t, now.Term, before.Term)
-	assert.Greater(t, now.AppliedIndex, before.AppliedIndex)
-	assert.Equal(t, before.DecisionNumber, now.DecisionNumber)
-	assert.Equal(t, before.Zones, now.Zones)
-	assert.Equal(t, before.Orders, now.Orders)
-	assert.Equal(t, before.Voters, now.Voters)
-	assert.Equal(t, string(golden(t, "history-answer.json")), get(t, r, "/history").Body.String())
+	node, _ := startOnGoldenFolder(t)
+	after := status(t, node)
+	assert.Equal(t, before.Self.Disk, after.Self.Disk)
+	assert.Equal(t, before.Boot+1, after.Boot)
+	assert.Greater(t, after.Term, before.Term)
+	assert.Greater(t, after.AppliedIndex, before.AppliedIndex)
+	assert.Equal(t, before.DecisionNumber, after.DecisionNumber)
+	assert.Equal(t, before.Zones, after.Zones)
+	assert.Equal(t, before.Orders, after.Orders)
+	assert.Equal(t, before.Voters, after.Voters)
+	assert.Equal(t, string(golden(t, "history-answer.json")), get(t, node, "/history").Body.String())
 }
 
 // TestGoldenAnswers reads what operators' programs were answered, and writes the same bytes back.
@@ -104,16 +104,16 @@
 
 // TestGoldenStatusValues checks that each name of the status stands for what it stood for.
 func TestGoldenStatusValues(t *testing.T) {
-	me := consensus.Member{Name: "v", Disk: "8b7c8cc158c6a34b", Address: "127.0.11.1:17100"}
+	self := consensus.Member{Name: "v", Disk: "8b7c8cc158c6a34b", Address: "127.0.11.1:17100"}
 	var s Status
 	require.NoError(t, json.Unmarshal(golden(t, "status-answer.json"), &s))
-	assert.Equal(t, me, s.Self)
+	assert.Equal(t, self, s.Self)
 	assert.Equal(t, uint64(1), s.Boot)
-	assert.Equal(t, "StateLeader", s.Role)
+	assert.Equal(t, consensus.RoleLeader, s.Role)
 	assert.Equal(t, "v", s.Leader)
 	assert.Equal(t, uint64(2), s.Term)
 	assert.Equal(t, uint64(6), s.AppliedIndex)
-	assert.Equal(t, []consensus.Member{me}, s.Voters)
+	assert.Equal(t, []consensus.Member{self}, s.Voters)
 	assert.True(t, s.DiskConfirmed)
 	assert.True(t, s.HasLease)
 	assert.Equal(t, uint64(5), s.DecisionNumber)
@@ -123,8 +123,8 @@
 
 // TestOrderOverHTTP checks the answers to orders by their codes, which operators' programs go by.
 func TestOrderOverHTTP(t *testing.T) {
-	r, _ := startOnGoldenFolder(t)
-	for _, c := range []struct {
+	node, _ := startOnGoldenFolder(t)
+	for _, test := range []struct {
 		name, body string
 		code       int
 	}{
@@ -137,11 +137,11 @@
 		{"an entry too long", `{"ID":"ticket-12","Reason":"` + strings.Repeat("\x7f", maxOrderBytes/2) +
 			strings.Repeat("<", maxOrderBytes/3) + `"}`, http.StatusServiceUnavailable},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			answer := httptest.NewRecorder()
-			request := httptest.NewRequest(http.MethodPost, "/order", strings.NewReader(c.body))
-			r.Handler().ServeHTTP(answer, request)
-			assert.Equal(t, c.code, answer.Code, answer.Body.String())
+			request := httptest.NewRequest(http.MethodPost, "/order", strings.NewReader(test.body))
+			node.Handler().ServeHTTP(answer, request)
+			assert.Equal(t, test.code, answer.Code, answer.Body.String())
 		})
 	}
 }
@@ -149,7 +149,7 @@
 // TestGoldenDatagrams sends a voter what an earlier build's relays and voters sent.
 func TestGoldenDatagrams(t *testing.T) {
 	_, address := startOnGoldenFolder(t)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name     string
 		answered bool
 	}{
@@ -157,20 +157,20 @@
 		{"datagram-observations.bin", true},
 		{"datagram-question.bin", true},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			conn, err := net.Dial("udp", address)
 			require.NoError(t, err)
 			defer conn.Close()
-			_, err = conn.Write(golden(t, c.name))
+			_, err = conn.Write(golden(t, test.name))
 			require.NoError(t, err)
 			buffer := make([]byte, maxDatagramBytes)
 			wait := 5 * time.Second
-			if !c.answered {
+			if !test.answered {
 				wait = 200 * time.Millisecond
 			}
 			require.NoError(t, conn.SetReadDeadline(time.Now().Add(wait)))
 			n, err := conn.Read(buffer)
-			if !c.answered {
+			if !test.answered {
 				assert.ErrorIs(t, err, os.ErrDeadlineExceeded)
 				return
 			}
@@ -189,9 +189,9 @@
 	}
 }
 
-// TestGoldenAnnouncements writes the words that relays are answered with, and reads them.
+// TestGoldenAnnouncements writes the announcements that relays are answered with, and reads them.
 func TestGoldenAnnouncements(t *testing.T) {
-	for name, word := range map[string]failover.Announcement{
+	for name, announcement := range map[string]failover.Announcement{
 		"announcement.json": {Number: 7, AgeMillis: 12.5, FromLeader: true, Zones: []failover.Zone{{
 			Name:       "a",
 			Region:     "north",
@@ -207,16 +207,16 @@
 			data := golden(t, name)
 			var read failover.Announcement
 			require.NoError(t, json.Unmarshal(data, &read))
-			assert.Equal(t, word, read)
+			assert.Equal(t, announcement, read)
 			c := &Core{}
-			assert.Equal(t, string(data), string(c.encodeAnnouncement(word)))
+			assert.Equal(t, string(data), string(c.encodeAnnouncement(announcement)))
 		})
 	}
 }
 
-// TestGoldenConfig reads a voter's file with each key that there is.
+// TestGoldenConfig reads a configuration file with each key that there is.
 func TestGoldenConfig(t *testing.T) {
-	f, err := LoadConfig(filepath.Join("testdata", "golden", "coordinator.toml"))
+	loaded, err := LoadConfig(filepath.Join("testdata", "golden", "coordinator.toml"))
 	require.NoError(t, err)
 	assert.Equal(t, &Config{
 		Name:         "north",
@@ -225,5 +225,5 @@
 		Folder:       "/var/lib/valeshift-council",
 		Voters:       []VoterConfig{{Name: "north", Address: "127.0.0.1:7100"}},
 		Zones:        []ZoneConfig{{Name: "a", Region: "highlands"}, {Name: "b", Region: "coast"}},
-	}, f)
+	}, loaded)
 }
