--- a/cmd/valeshift-coordinator/disk_fault.go
+++ b/cmd/valeshift-coordinator/disk_fault.go
@@ -7,6 +7,6 @@
 	"valeshift/internal/testbed/faultdisk"
 )
 
-// The lab's build differs from the one that serves by this alone: its disk loses what was not synced when the
-// process is killed, and can be full, read-only or slow.
+// folder opens a folder on a disk that loses what was not synced when the process is killed, and that can be
+// full, read-only or slow. The tag faultdisk changes nothing else.
 func folder(path string) store.FS { return faultdisk.Folder(path) }
--- a/cmd/valeshift-coordinator/main.go
+++ b/cmd/valeshift-coordinator/main.go
@@ -1,5 +1,6 @@
-// Command valeshift-coordinator is one voter of the council that decides which zones serve. It is a program of
-// its own, as what it is made of would cost each start of a relay a quarter more.
+// Command valeshift-coordinator is one of the failover coordinators, which decide together which zones serve.
+// It is a program of its own, as the packages that it is made of would make each start of a relay a quarter
+// slower.
 package main
 
 import (
@@ -10,6 +11,7 @@
 	"net/http"
 	"os"
 	"os/signal"
+	"sync"
 	"syscall"
 	"time"
 
@@ -19,68 +21,99 @@
 	"valeshift/internal/fleet"
 )
 
-const callTime = 5 * time.Second
+const (
+	callTimeout    = 5 * time.Second // for an operator's call to come, and for its answer to be taken
+	maxHeaderBytes = 4 << 10
+)
 
 func main() {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
-	var l struct {
+	var arguments struct {
 		Check string `help:"Read this file and name the field that is wrong; start nothing." placeholder:"FILE"`
-		File  string `arg:"" optional:"" help:"The voter's file, in TOML."`
+		File  string `arg:"" optional:"" help:"The coordinator's file, in TOML."`
 	}
-	kong.Parse(&l, kong.Name("valeshift-coordinator"), kong.UsageOnError(),
-		kong.Description("A voter of the council that decides which zones serve."))
+	kong.Parse(&arguments, kong.Name("valeshift-coordinator"), kong.UsageOnError(),
+		kong.Description("One of the failover coordinators, which decide which zones serve."))
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	err := errors.New("which file?")
-	switch {
-	case l.Check != "":
-		_, err = coordinator.LoadConfig(l.Check)
-	case l.File != "":
-		err = serve(l.File, log, signals)
-	}
-	if err != nil {
+	if err := run(arguments.Check, arguments.File, log, signals); err != nil {
 		log.Error("can't serve", "err", err)
 		os.Exit(1)
 	}
 }
 
-func serve(path string, log *slog.Logger, signals <-chan os.Signal) error {
-	f, err := coordinator.LoadConfig(path)
+// run checks a file, where one is given to check, or serves.
+func run(checkPath, configPath string, log *slog.Logger, signals <-chan os.Signal) error {
+	switch {
+	case checkPath != "":
+		_, err := coordinator.LoadConfig(checkPath)
+		return err
+	case configPath != "":
+		return serve(configPath, log, signals)
+	default:
+		return errors.New("which file?")
+	}
+}
+
+// serve runs a coordinator until a signal other than SIGHUP.
+func serve(configPath string, log *slog.Logger, signals <-chan os.Signal) error {
+	config, err := coordinator.LoadConfig(configPath)
 	if err != nil {
 		return err
 	}
-	key, err := fleet.ReadKey(f.KeyFile)
+	key, err := fleet.ReadKey(config.KeyFile)
 	if err != nil {
 		return err
 	}
-	called, err := net.Listen("tcp", f.AdminAddress)
+	listener, err := net.Listen("tcp", config.AdminAddress)
 	if err != nil {
 		return fmt.Errorf("ops: %w", err)
 	}
-	me, voters, zones := f.Topology()
-	r, err := coordinator.Start(me, voters, zones, key, folder(f.Folder), log)
+	self, voters, zones := config.Topology()
+	node, err := coordinator.Start(self, voters, zones, key, folder(config.Folder), log)
 	if err != nil {
 		return err
 	}
-	server := &http.Server{Handler: r.Handler(), ReadTimeout: callTime, WriteTimeout: callTime,
-		MaxHeaderBytes: 4 << 10}
-	go server.Serve(called)
-	log.Info("voting", "name", me.Name, "listen", me.Address, "ops", called.Addr().String())
-	for s := range signals {
-		if s != syscall.SIGHUP {
-			break
+	stopAdmin := serveAdmin(listener, node.Handler())
+	log.Info("voting", "name", self.Name, "listen", self.Address, "ops", listener.Addr().String())
+	reloadUntilStopped(configPath, config, node, log, signals)
+	stopAdmin()
+	node.Stop()
+	return nil
+}
+
+// serveAdmin serves the HTTP API for operators until stop is called, which waits for its end.
+func serveAdmin(listener net.Listener, handler http.Handler) (stop func()) {
+	server := &http.Server{
+		Handler:        handler,
+		ReadTimeout:    callTimeout,
+		WriteTimeout:   callTimeout,
+		MaxHeaderBytes: maxHeaderBytes,
+	}
+	var serving sync.WaitGroup
+	serving.Go(func() { server.Serve(listener) })
+	return func() {
+		server.Close()
+		serving.Wait()
+	}
+}
+
+// reloadUntilStopped reads the file again at each SIGHUP, for its zones, and returns at any other signal. A
+// file that is wrong changes nothing.
+func reloadUntilStopped(configPath string, config *coordinator.Config, node *coordinator.Node, log *slog.Logger,
+	signals <-chan os.Signal) {
+	for received := range signals {
+		if received != syscall.SIGHUP {
+			return
 		}
-		next, err := f.Reload(path)
+		next, err := config.Reload(configPath)
 		if err != nil {
 			log.Error("nothing is changed", "err", err)
 			continue
 		}
-		f = next
-		_, _, zones = f.Topology()
-		r.SetZones(zones)
+		config = next
+		_, _, zones := config.Topology()
+		node.SetZones(zones)
 		log.Info("zones", "count", len(zones))
 	}
-	server.Close()
-	r.Stop()
-	return nil
 }
--- a/internal/coordinator/core_test.go
+++ b/internal/coordinator/core_test.go
@@ -11,51 +11,69 @@
 	"valeshift/internal/failover"
 )
 
-// newSingleVoter is a council of one, which leads.
-func newSingleVoter(t testing.TB, zones int) (*Core, float64) {
-	var all []failover.Zone
-	for z := range zones {
-		all = append(all, failover.Zone{Name: fmt.Sprint("zone-", z), Region: fmt.Sprint("r", z/3)})
+const startUnixMillis = 1e12
+
+// newSingleCoordinator returns a coordinator that has no others and leads, and the time it has come to.
+func newSingleCoordinator(t testing.TB, zoneCount int) (core *Core, now float64) {
+	t.Helper()
+	var zones []failover.Zone
+	for i := range zoneCount {
+		zones = append(zones, failover.Zone{Name: fmt.Sprint("zone-", i), Region: fmt.Sprint("r", i/3)})
 	}
-	me := consensus.Member{Name: "v", Address: "x"}
-	c, err := New(0, me, []consensus.Member{me}, all, nil, rand.New(rand.NewSource(1)))
+	self := consensus.Member{Name: "v", Address: "x"}
+	core, err := New(0, self, []consensus.Member{self}, zones, nil, rand.New(rand.NewSource(1)))
 	require.NoError(t, err)
-	now := 0.0
 	for ; now < 5000; now += 10 {
-		c.Tick(now, 1e12+now)
-		for out := c.Ready(); out.DurableState != nil; out = c.Ready() {
-			c.Advance()
-		}
+		advance(core, now)
 	}
-	require.True(t, c.voter.HasLease(now))
-	return c, now
+	require.True(t, core.HasLease(now))
+	return core, now
+}
+
+// advance ticks a coordinator whose disk saves at once.
+func advance(core *Core, now float64) {
+	core.Tick(now, startUnixMillis+now)
+	saveAll(core)
 }
 
-func encodedObservations(relay, zones int) []byte {
-	e := failover.Observations{Relay: fmt.Sprint("relay-", relay), Zone: fmt.Sprint("zone-", relay%zones), Demand: 1,
-		ByZone: map[string]failover.Observation{}}
-	for z := range zones {
-		e.ByZone[fmt.Sprint("zone-", z)] = failover.Observation{Attempts: 5, HealthChecks: 8, Load: 3.5, Capacity: 8}
+func saveAll(core *Core) {
+	for core.Ready().DurableState != nil {
+		core.Advance()
 	}
-	return e.Encode()
 }
 
-// BenchmarkThreeHundredRelays is a second of who leads, with 300 relays that each tell what they see twice.
+// encodeObservations returns what a relay sends where all zones do well.
+func encodeObservations(relay, zoneCount int) []byte {
+	observations := failover.Observations{
+		Relay:  fmt.Sprint("relay-", relay),
+		Zone:   fmt.Sprint("zone-", relay%zoneCount),
+		Demand: 1,
+		ByZone: map[string]failover.Observation{},
+	}
+	for i := range zoneCount {
+		observations.ByZone[fmt.Sprint("zone-", i)] = failover.Observation{
+			Attempts:     5,
+			HealthChecks: 8,
+			Load:         3.5,
+			Capacity:     8,
+		}
+	}
+	return observations.Encode()
+}
+
+// BenchmarkThreeHundredRelays is a second of a leader, with 300 relays that each send observations twice.
 func BenchmarkThreeHundredRelays(b *testing.B) {
-	c, now := newSingleVoter(b, 6)
-	var all [][]byte
-	for i := range 300 {
-		all = append(all, encodedObservations(i, 6))
+	core, now := newSingleCoordinator(b, 6)
+	var encoded [][]byte
+	for relay := range 300 {
+		encoded = append(encoded, encodeObservations(relay, 6))
 	}
 	for b.Loop() {
-		for k := range 100 {
+		for step := range 100 {
 			now += 10
-			c.Tick(now, 1e12+now)
-			for out := c.Ready(); out.DurableState != nil; out = c.Ready() {
-				c.Advance()
-			}
+			advance(core, now)
 			for i := range 6 {
-				if _, err := c.ReceiveObservations(now, all[(k*6+i)%300]); err != nil {
+				if _, err := core.ReceiveObservations(now, encoded[(step*6+i)%300]); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -63,30 +81,33 @@
 	}
 }
 
-// Whatever comes in a datagram, nothing of it is believed that can't be.
+// FuzzReceive has arbitrary data come in each kind of datagram: nothing impossible of it is believed.
 func FuzzReceive(f *testing.F) {
-	f.Add(encodedObservations(1, 6))
-	lie := failover.Observations{Relay: "x", Zone: "zone-0", Demand: -1, ByZone: map[string]failover.Observation{
-		"zone-0": {Attempts: 1, FailedAttempts: 2}}}
-	f.Add(lie.Encode())
+	f.Add(encodeObservations(1, 6))
+	impossible := failover.Observations{
+		Relay:  "x",
+		Zone:   "zone-0",
+		Demand: -1,
+		ByZone: map[string]failover.Observation{"zone-0": {Attempts: 1, FailedAttempts: 2}},
+	}
+	f.Add(impossible.Encode())
 	f.Add([]byte("{"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		c, now := newSingleVoter(t, 3)
-		if _, err := c.ReceiveObservations(now, data); err == nil && len(data) > 0 {
-			e, _ := failover.DecodeObservations(data)
-			again, err := failover.DecodeObservations(e.Encode())
+		core, now := newSingleCoordinator(t, 3)
+		if _, err := core.ReceiveObservations(now, data); err == nil && len(data) > 0 {
+			observations, err := failover.DecodeObservations(data)
 			require.NoError(t, err)
-			require.Equal(t, len(e.ByZone), len(again.ByZone))
-		}
-		c.ReceiveMessage(now, data)
-		c.ReceiveAnnouncement(now, data)
-		c.Tick(now+200, 1e12)
-		for out := c.Ready(); out.DurableState != nil; out = c.Ready() {
-			c.Advance()
+			again, err := failover.DecodeObservations(observations.Encode())
+			require.NoError(t, err)
+			require.Equal(t, len(observations.ByZone), len(again.ByZone))
 		}
-		require.True(t, c.voter.HasLease(now+200))
-		for _, z := range c.Announcement(now + 200).Zones {
-			require.Equal(t, failover.Home, z.State)
+		core.ReceiveMessage(now, data)
+		core.ReceiveAnnouncement(now, data)
+		core.Tick(now+200, startUnixMillis)
+		saveAll(core)
+		require.True(t, core.HasLease(now+200))
+		for _, zone := range core.Announcement(now + 200).Zones {
+			require.Equal(t, failover.Home, zone.State)
 		}
 	})
 }
