--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -71,8 +71,8 @@
 	beyondAt         float64
 	beyondSaid       float64 // what others have placed, as the relay was told
 	diskRead         bool
-	coordinators     *council // nil: no voters are named
-	replication      *held    // nil: nothing is held for others
+	coordinators     *coordinatorClient // nil: no voters are named
+	replication      *held              // nil: nothing is held for others
 }
 
 // New starts the relay's side: with others, where an own word is given that says where it hears them, and
--- a/internal/testbed/live/run.go
+++ b/internal/testbed/live/run.go
@@ -48,8 +48,8 @@
 	relays            []*relayProcess
 	dir               string
 	relayBinary       string
-	number            int64   // of the run
-	seats             []*seat // of voters, on the first machines
+	number            int64                 // of the run
+	coordinators      []*coordinatorProcess // on the first machines
 	assignedAddresses map[string]bool
 
 	impairments map[[2]int]experiment.Impairment // as they are, by sender and receiver
@@ -187,8 +187,8 @@
 			p.cmd.Process.Kill()
 		}
 	}
-	for k := range r.seats {
-		r.unseat(k)
+	for k := range r.coordinators {
+		r.killCoordinator(k)
 	}
 }
 
