--- a/internal/relay/closing.go
+++ b/internal/relay/closing.go
@@ -121,10 +121,10 @@
 
 // mostSockets is how many connections may hold a descriptor, closing ones among them.
 func (s *Sockets) mostSockets() int {
-	if s.reducer == nil || s.reducer.ownDescriptors > maxSockets {
+	if s.reducer == nil || s.reducer.limits.ownDescriptors > maxSockets {
 		return maxSockets
 	}
-	return s.reducer.ownDescriptors + spareClosing
+	return s.reducer.limits.ownDescriptors + spareClosing
 }
 
 // closeListener takes in what waits to be accepted, and then has no more come: the machine has accepted it, so that
@@ -133,7 +133,7 @@
 func (s *Sockets) closeListener() {
 	s.mutex.Lock()
 	s.ending = true
-	yielded := s.reducer.yieldedToChild
+	yielded := s.reducer.siblings.yielded
 	s.freed.Broadcast()
 	s.listener.SetDeadline(time.Unix(1, 0))
 	s.mutex.Unlock()
--- a/internal/relay/figures.go
+++ b/internal/relay/figures.go
@@ -18,16 +18,16 @@
 // figures appends what is published, in the order of names: each category's answers, the attempts written,
 // links from their heads to their ends, the list's backends and those of them that the module avoids.
 func (r *StateMachine) figures(to []uint64) []uint64 {
-	for _, a := range r.answers {
+	for _, a := range r.queue.answers {
 		to = append(to, a.served, a.refused, a.failed)
 	}
-	known, excluded := r.dispatcher.Balancer.Counts()
-	return append(to, r.RequestsSent, uint64(r.sessions), uint64(known), uint64(excluded))
+	known, excluded := r.queue.dispatcher.Balancer.Counts()
+	return append(to, r.RequestsSent, uint64(r.queue.sessions), uint64(known), uint64(excluded))
 }
 
 func (r *StateMachine) figureNames() []admin.Metric {
-	names := make([]admin.Metric, 3*len(r.answers))
-	for name, i := range r.classes {
+	names := make([]admin.Metric, 3*len(r.queue.answers))
+	for name, i := range r.rules.classes {
 		for k, what := range []string{"served.", "refused.", "failed."} {
 			names[3*i+k] = admin.Metric{Name: what + name, IsCounter: true}
 		}
@@ -37,7 +37,7 @@
 }
 
 // serving tells whether the relay is fit to be sent clients.
-func (r *StateMachine) serving() bool { return r.isReady && !r.stopping && !r.draining }
+func (r *StateMachine) serving() bool { return r.drain.ready && !r.drain.stopping && !r.drain.draining }
 
 // board is what was published last.
 type board struct {
@@ -86,7 +86,7 @@
 func (c calls) SetDraining(on bool) error {
 	c.take(DrainRequested{On: on})
 	c.mutex.Lock()
-	stopping := !on && c.reducer.stopping
+	stopping := !on && c.reducer.drain.stopping
 	c.mutex.Unlock()
 	if stopping {
 		return errStopping
--- a/internal/relay/figures_test.go
+++ b/internal/relay/figures_test.go
@@ -101,7 +101,7 @@
 	s.play("what came is served and goes at once", step{3399, "came s2 UP r|",
 		"write 3 UP r|; write 3 MOVE|; end 3; end s2"},
 		step{3400, "tick", ""}, step{9000, "heard 1", ""})
-	assert.Zero(t, s.sessions)
+	assert.Zero(t, s.queue.sessions)
 	s.play("back at once", step{9001, "lame off", ""}, step{9001, "lame off", ""}, step{9002, "open 4", ""},
 		step{9002, "came 4 PING|", "write 4 PONG|"})
 	assert.True(t, s.serving())
@@ -124,12 +124,12 @@
 	s.play("a stop goes before both", step{1000, "lame on", ""}, step{1500, "stop", ""}, step{1600,
 		"lame off", ""},
 		step{1601, "lame on", ""})
-	assert.True(t, s.stopping)
+	assert.True(t, s.drain.stopping)
 	assert.False(t, s.serving())
-	for now := 1700.0; now < 5000 && !s.exiting; now += 50 {
+	for now := 1700.0; now < 5000 && !s.drain.exiting; now += 50 {
 		s.at(now, "tick")
 	}
-	assert.True(t, s.exiting)
+	assert.True(t, s.drain.exiting)
 	s = open(t, nil, 0, "b1=active")
 	s.play("a reload meanwhile is taken", step{1, "lame on", ""}, step{2, "reload 10.1.0.2:85",
 		"watch 2 after 0 at 10.1.0.2:85"}, step{3, "news 2 1 whole b1=active", ""}, step{4, "lame off", ""})
--- a/internal/relay/handoff.go
+++ b/internal/relay/handoff.go
@@ -1,11 +1,8 @@
 package relay
 
-// This file is the part of the reducer for two processes of one relay on a socket that the platform holds:
-// what the elder leaves to the younger, and how both keep to the limits of one. It must never decide which of
-// them serves, as that is the platform's, or how fast links go, as that is the module's.
-
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"math"
 
@@ -13,25 +10,34 @@
 )
 
 const (
-	handoffVersion     = 1
-	maxHandoffAge      = 10000.0 // above which what was left says nothing of now
-	childReadyTimeout  = 2500.0  // for the younger to become fit; the platform gives six seconds from its start
-	siblingDescriptors = 18      // descriptors of a process that has no connection: 13 idle, the watch, the way
+	handoffVersion    = 1
+	maxHandoffAge     = 10000.0 // above which a handoff says nothing of now
+	childReadyTimeout = 2500.0  // for the child to become ready; the platform gives six seconds from its start
 )
 
-// Handoff is what the elder process leaves to the younger. Fields that are not known are passed over, so
-// that one of the same version may gain some; a change of their meaning is another version.
+// processHandoff owns what is known of the other process of this relay, while the platform replaces the one by the
+// other. Which of them serves is the platform's to decide.
+type processHandoff struct {
+	hasParent bool
+	hasChild  bool
+	yielded   bool            // to the child: no client is accepted any more
+	handoff   *Handoff        // from the parent; nil: none
+	drained   map[string]bool // backends that the sibling was told are to get nothing new
+}
+
+// Handoff is what the parent process sends to the child. Unknown fields are ignored, so that the same version may gain
+// some; a change of their meaning is another version.
 type Handoff struct {
 	Version      int               `json:"Version"`
-	CreatedAt    float64           `json:"At"`
+	CreatedAt    float64           `json:"At"` // Unix milliseconds
 	Endpoints    *EndpointUpdate   `json:"List"`
 	Balancer     balancer.Snapshot `json:"Module"`
-	BackendNames []string          `json:"Names"` // of the module's servers, in its order
-	Descriptors  int               `json:"Files"` // descriptors that the elder keeps to, what it needs besides connections included
-	Sessions     int               `json:"Links"` // and links
+	BackendNames []string          `json:"Names"` // of the balancer's backends, in its order
+	Descriptors  int               `json:"Files"` // that the parent keeps to, what it needs besides connections included
+	Sessions     int               `json:"Links"` // that the parent keeps to
 }
 
-// ParseHandoff reads what was left, and says why it can't be used.
+// ParseHandoff reads a handoff; an error says why it can't be used. now is in Unix milliseconds.
 func ParseHandoff(text []byte, now float64) (*Handoff, error) {
 	h := &Handoff{}
 	if err := json.Unmarshal(text, h); err != nil {
@@ -43,7 +49,7 @@
 	case !(h.CreatedAt <= now+maxHandoffAge && h.CreatedAt >= now-maxHandoffAge):
 		return nil, fmt.Errorf("handover: of %.0f ms ago, %v at the most", now-h.CreatedAt, maxHandoffAge)
 	case h.Endpoints == nil || len(h.BackendNames) != len(h.Balancer.Backends) || h.Descriptors < 0 || h.Sessions < 0:
-		return nil, fmt.Errorf("handover: a field is missing or wrong")
+		return nil, errors.New("handover: a field is missing or wrong")
 	}
 	h.Endpoints.Complete = true
 	return h, nil
@@ -51,145 +57,116 @@
 
 // buildHandoff is what this process knows now.
 func (m *StateMachine) buildHandoff() *Handoff {
-	h := &Handoff{Version: handoffVersion, CreatedAt: m.now, Endpoints: m.currentEndpoints(),
-		Balancer: m.dispatcher.Balancer.Snapshot(m.now), Descriptors: m.ownDescriptors + m.siblingReserve(), Sessions: min(m.ownSessions, math.MaxInt32)}
-	kept := h.Balancer.Backends[:0]
-	for _, s := range h.Balancer.Backends {
-		if backend := m.backendsByID[s.ID]; backend != nil {
-			kept, h.BackendNames = append(kept, s), append(h.BackendNames, backend.Name)
+	h := &Handoff{
+		Version:     handoffVersion,
+		CreatedAt:   m.now,
+		Endpoints:   m.endpoints.current(),
+		Balancer:    m.balancer().Snapshot(m.now),
+		Descriptors: m.limits.ownDescriptors + m.limits.siblingReserve(),
+		Sessions:    min(m.limits.ownSessions, math.MaxInt32),
+	}
+	known := h.Balancer.Backends[:0]
+	for _, state := range h.Balancer.Backends {
+		if backend := m.endpoints.byID[state.ID]; backend != nil {
+			known = append(known, state)
+			h.BackendNames = append(h.BackendNames, backend.Name)
 		}
 	}
-	h.Balancer.Backends = kept
+	h.Balancer.Backends = known
 	return h
 }
 
-// loadInitialEndpoints takes the list told at the start, or the elder's where that is newer, and what the elder has learnt.
-// Against two lists in a row: the second would be discovery's to the module, which then asks for none.
-func (m *StateMachine) loadInitialEndpoints(known *EndpointUpdate) {
-	if m.handoff != nil && m.handoff.Endpoints.Index >= known.Index {
-		known = m.handoff.Endpoints
+// loadInitialEndpoints goes by the list of the configuration, or the parent's where that is newer, and by what the parent
+// has learned. It is one list only: a second would be discovery's to the balancer, which then asks for none.
+func (m *StateMachine) loadInitialEndpoints(configured *EndpointUpdate) {
+	handoff := m.siblings.handoff
+	if handoff != nil && handoff.Endpoints.Index >= configured.Index {
+		configured = handoff.Endpoints
 	}
-	m.applyEndpoints(known)
-	if m.handoff == nil {
+	m.applyEndpoints(configured)
+	if handoff == nil {
 		return
 	}
-	if err := m.applyHandoff(m.handoff); err != nil {
+	if err := m.applyHandoff(handoff); err != nil {
 		m.log("what the elder process left is passed over", "why", err.Error())
 	}
 }
 
+// applyHandoff has the balancer go on from what the parent's has learned.
 func (m *StateMachine) applyHandoff(h *Handoff) error {
-	record := h.Balancer
-	record.Backends = nil
-	for i, s := range h.Balancer.Backends {
-		if backend := m.backends[h.BackendNames[i]]; backend != nil {
-			s.ID = backend.id
-			record.Backends = append(record.Backends, s)
+	learned := h.Balancer
+	learned.Backends = nil
+	for i, state := range h.Balancer.Backends {
+		if backend := m.endpoints.byName[h.BackendNames[i]]; backend != nil {
+			state.ID = backend.id
+			learned.Backends = append(learned.Backends, state)
 		}
 	}
-	if err := m.dispatcher.Balancer.Restore(m.now, &record); err != nil {
+	if err := m.balancer().Restore(m.now, &learned); err != nil {
 		return err
 	}
 	m.log("took over what the elder process knew", "age ms", math.Round(m.now-h.CreatedAt), "backends",
-		len(record.Backends))
+		len(learned.Backends))
 	return nil
 }
 
-// updateSiblings takes which other processes of this relay are alive.
+// updateSiblings handles which other processes of this relay are alive.
 func (m *StateMachine) updateSiblings(e SiblingProcessesChanged) {
-	if e.HasChild != m.hasChild {
+	if e.HasChild != m.siblings.hasChild {
 		m.log("younger process", "there", e.HasChild)
-		m.hasChild = e.HasChild
-		m.dispatcher.Balancer.SetDraining(e.HasChild) // it has the budgets from here on
+		m.siblings.hasChild = e.HasChild
+		m.balancer().SetDraining(e.HasChild) // the child has the budgets from here on
 		if e.HasChild {
 			m.Subscribe()
 		}
 	}
-	if e.HasParent != m.hasParent {
+	if e.HasParent != m.siblings.hasParent {
 		m.log("elder process", "there", e.HasParent)
-		m.hasParent = e.HasParent
+		m.siblings.hasParent = e.HasParent
 	}
 	m.shareLimits()
-	if !e.HasParent && !e.HasChild && len(m.siblingDrained) > 0 {
-		m.startWatch() // what another process was told holds until discovery tells this one
+	if !e.HasParent && !e.HasChild && len(m.siblings.drained) > 0 {
+		m.startWatch() // what the sibling was told holds until discovery tells this process
 	}
 	if e.HasChild && e.WantsHandoff {
 		m.effects.add(&SendHandoff{Handoff: m.buildHandoff()})
 	}
 }
 
-// applySiblingEndpoints takes the list that another process of this relay was told, as far as that is stricter than this
-// one's: servers that are to get nothing new, or have restarted. Against a discovery that tells one of the
-// two late: to who drains a server both are one relay.
-func (m *StateMachine) applySiblingEndpoints(n *EndpointUpdate) {
-	if !m.hasChild && !m.hasParent {
+// applySiblingEndpoints goes by the list that the sibling was told, as far as it is stricter than this process's: backends
+// that are to get nothing new, or have restarted. Discovery may tell one of the two later, and to who drains a backend
+// both are one relay.
+func (m *StateMachine) applySiblingEndpoints(update *EndpointUpdate) {
+	if !m.siblings.hasChild && !m.siblings.hasParent {
 		return
 	}
 	told := map[string]Endpoint{}
-	for _, e := range n.Endpoints {
-		told[e.Name] = e
+	for _, endpoint := range update.Endpoints {
+		told[endpoint.Name] = endpoint
 	}
-	was := m.siblingDrained
-	m.siblingDrained = map[string]bool{}
+	wasDrained := m.siblings.drained
+	m.siblings.drained = map[string]bool{}
 	var changed []Endpoint
-	for _, backend := range m.backendOrder {
-		e, there := told[backend.Name]
-		dismissed := !there || e.Status != "active"
-		if dismissed {
-			m.siblingDrained[backend.Name] = true
+	for _, backend := range m.endpoints.inOrder {
+		endpoint, isListed := told[backend.Name]
+		isDrained := !isListed || endpoint.Status != "active"
+		if isDrained {
+			m.siblings.drained[backend.Name] = true
 		}
-		if dismissed || was[backend.Name] {
-			e = backend.Endpoint
+		if isDrained || wasDrained[backend.Name] {
+			endpoint = backend.Endpoint
 		}
-		if e.StartedAt > backend.StartedAt || dismissed != was[backend.Name] {
-			changed = append(changed, e)
+		if endpoint.StartedAt > backend.StartedAt || isDrained != wasDrained[backend.Name] {
+			changed = append(changed, endpoint)
 		}
 	}
 	if len(changed) > 0 {
-		m.applyEndpoints(&EndpointUpdate{Index: m.endpointsIndex, Endpoints: changed})
-	}
-}
-
-// siblingReserve is what another process needs for itself.
-func (m *StateMachine) siblingReserve() int {
-	return siblingDescriptors + m.reservedDescriptors - spareDescriptors
-}
-
-// shareLimits holds this process to its part of the descriptors and links while there is another: to what it has,
-// or half of what there is where that is more; the younger to the rest. What is kept for dials and the like
-// is there once for both.
-func (m *StateMachine) shareLimits() {
-	files, links := m.maxDescriptors, m.maxSessions
-	half := (files - m.siblingReserve()) / 2
-	switch {
-	case m.hasChild:
-		if files < math.MaxInt {
-			files = min(max(half, len(m.conns)), files)
-		}
-		links = max(links/2, m.sessions)
-	case m.hasParent && m.handoff != nil:
-		if files < math.MaxInt {
-			files -= min(m.handoff.Descriptors, files)
-		}
-		links -= min(m.handoff.Sessions, links)
-	case m.hasParent:
-		if files < math.MaxInt {
-			files = half
-		}
-		links /= 2
-	}
-	if m.hasParent { // however little the elder leaves
-		files, links = max(files, minAwaiting+descriptorsPerSession), max(links, 1)
-	}
-	m.ownDescriptors, m.ownSessions = files, links
-	m.sessionDescriptors = m.ownDescriptors
-	if m.ownDescriptors < math.MaxInt {
-		m.sessionDescriptors -= m.maxAwaiting()
+		m.applyEndpoints(&EndpointUpdate{Index: m.endpoints.index, Endpoints: changed})
 	}
 }
 
-// TransferredSession is a link that stands, on its way from one process of the relay to another. The two may be of
-// different versions of the program, so that all is by name and the younger refuses what it doesn't know.
+// TransferredSession is an established session on its way from the parent process to the child. The two may be of
+// different versions of the program, so that all is by name, and the child refuses what it doesn't know.
 type TransferredSession struct {
 	Version         int     `json:"Version"`
 	ID              string  `json:"ID"`
@@ -201,112 +178,142 @@
 	Load            float64 `json:"Load"`
 	LoadMeasured    bool    `json:"Measured"`
 	PartialLine     []byte  `json:"Tail"`   // of a line whose end the backend has not sent yet
-	AwaitsReply     bool    `json:"Waits"`  // a line of the client's waits for its answer
-	LeavesInMillis  float64 `json:"Leaves"` // in so many milliseconds, as its backend goes; -1: it stays
-	Descriptors     int     `json:"Files"`  // that the elder keeps to from now on
-	Sessions        int     `json:"Links"`  // and links
-	ConfirmsRelease bool    `json:"Frees"`  // the elder says when it has let go of its own descriptors
+	AwaitsReply     bool    `json:"Waits"`  // a line of the client's waits for its reply
+	LeavesInMillis  float64 `json:"Leaves"` // until it is migrated, as its backend drains; -1: it stays
+	Descriptors     int     `json:"Files"`  // that the parent keeps to from now on
+	Sessions        int     `json:"Links"`  // that the parent keeps to from now on
+	ConfirmsRelease bool    `json:"Frees"`  // the parent says when it has let go of its own descriptors
 }
 
-// requestTransfer has the sockets pass the link on when they can.
+// requestTransfer has the sockets send the session to the child when they can.
 func (m *StateMachine) requestTransfer(session *session) {
 	m.effects.add(&TransferSession{ClientConn: session.clientConn.id, BackendConn: session.backendConn.id})
 }
 
-func nameOf(names map[string]int, number int) string {
-	for name, n := range names {
-		if n == number {
-			return name
-		}
-	}
-	return ""
-}
-
-// detach gives a link up for as long as it is on its way: nothing that is told of it counts until given.
+// detach gives a session up while it is on its way: nothing that happens to it counts until finishTransfer.
 func (m *StateMachine) detach(connID uint64) {
-	conn := m.conns[connID]
+	conn := m.conns.byID[connID]
 	if conn == nil || conn.session.state != established || conn.session.endAnnounced {
 		return
 	}
-	session := conn.session
-	m.enter(session, handingOff)
-	p := &TransferredSession{Version: handoffVersion, ID: session.id, Class: nameOf(m.classes, session.Class),
-		Tenant: nameOf(m.tenants, session.Tenant), Key: session.Key, Group: session.AffinityGroup, Backend: session.backendConn.backend.Name,
-		PartialLine: session.backendConn.input.Pending(), AwaitsReply: session.stateTimer.position > 0, LeavesInMillis: -1,
-		Descriptors: descriptorsPerSession*(m.sessions+m.awaitingCount-1) + m.pollConns + m.siblingReserve(), Sessions: m.sessions + m.awaitingCount - 1, ConfirmsRelease: true}
-	p.Load, p.LoadMeasured = session.Entry.Session.Load()
-	if session.backendConn.backend.condition != balancer.Ready && session.migrationTimer.position > 0 {
-		p.LeavesInMillis = max(session.migrationTimer.at-m.now, 0)
+	m.enter(conn.session, handingOff)
+	m.effects.add(&SessionDetached{Conn: connID, Session: m.describeSession(conn.session)})
+}
+
+// describeSession is what the child is to know of a session.
+func (m *StateMachine) describeSession(session *session) *TransferredSession {
+	backend := session.backendConn.backend
+	remaining := m.queue.sessions + m.intake.awaitingCount - 1
+	t := &TransferredSession{
+		Version:         handoffVersion,
+		ID:              session.id,
+		Class:           nameOf(m.rules.classes, session.Class),
+		Tenant:          nameOf(m.rules.tenants, session.Tenant),
+		Key:             session.Key,
+		Group:           session.AffinityGroup,
+		Backend:         backend.Name,
+		PartialLine:     session.backendConn.input.Pending(),
+		AwaitsReply:     session.stateTimer.isSet(),
+		LeavesInMillis:  -1,
+		Descriptors:     descriptorsPerSession*remaining + m.conns.polling + m.limits.siblingReserve(),
+		Sessions:        remaining,
+		ConfirmsRelease: true,
+	}
+	t.Load, t.LoadMeasured = session.Entry.Session.Load()
+	if backend.condition != balancer.Ready && session.migrationTimer.isSet() {
+		t.LeavesInMillis = max(session.migrationTimer.at-m.now, 0)
 	}
-	m.effects.add(&SessionDetached{Conn: connID, Session: p})
+	return t
 }
 
-// finishTransfer takes that the younger process has the link, or that it stays.
-func (m *StateMachine) finishTransfer(connID uint64, gone bool) {
-	conn := m.conns[connID]
+// finishTransfer handles that the child has the session, or that it stays here.
+func (m *StateMachine) finishTransfer(connID uint64, accepted bool) {
+	conn := m.conns.byID[connID]
 	if conn == nil || conn.session.state != handingOff {
 		return
 	}
 	session := conn.session
 	m.enter(session, established)
-	if gone {
+	if accepted {
 		m.endSession(session, TransferredToChild, gracefully) // the sockets have none of it any more
 	} else if session.brokeInTransfer {
 		m.endSession(session, BackendClosed, byReset)
 	}
 }
 
-// receiveSession takes a link that stands from the elder process, with its part of the limits. One that is not known
-// to this process as it is to the elder is refused.
-func (m *StateMachine) receiveSession(connID uint64, p *TransferredSession) {
-	category, known := m.classes[p.Class]
-	party, named := m.tenants[p.Tenant]
-	backend := m.backends[p.Backend]
-	strange := p.Version != handoffVersion || !known || backend == nil || (p.Tenant != "" && !named)
-	wrong := !(p.Load >= 0 && p.Load < math.MaxFloat64) || p.ID == "" || m.sessionsByID[p.ID] != nil
-	if strange || wrong || m.stopping {
-		m.log("refused a link of the elder process", "version", p.Version, "category", p.Class,
-			"backend", p.Backend)
+// receiveSession takes over an established session of the parent, with its part of the limits. One that is not known here
+// as it is to the parent is refused: SessionAccepted does not follow then.
+func (m *StateMachine) receiveSession(connID uint64, t *TransferredSession) {
+	if m.drain.stopping || !m.canReceive(t) {
+		m.log("refused a link of the elder process", "version", t.Version, "category", t.Class,
+			"backend", t.Backend)
 		return
 	}
-	if left := m.handoff; left != nil {
-		// Against what the elder held at first keeping clients of this process waiting at the door while the elder
-		// waits for its last setup tries.
-		files, links := left.Descriptors, left.Sessions
-		left.Descriptors, left.Sessions = min(files, max(p.Descriptors, 0)), min(links, max(p.Sessions, 0))
-		m.shareLimits()
-		// And against links that leave no place at that door; they are moved.
-		if descriptorsPerSession*(m.sessions+1)+m.pollConns > m.sessionDescriptors || m.sessions >= m.ownSessions {
-			left.Descriptors, left.Sessions = files, links
-			m.shareLimits()
-			m.log("no room for a link of the elder process", "links", m.sessions)
-			return
-		}
-	}
-	session := &session{id: p.ID}
-	session.Class, session.Tenant, session.Key, session.AffinityGroup = category, party, p.Key, p.Group
-	if !named {
-		session.Tenant = len(m.tenants)
+	if !m.takeLimitsOver(t) {
+		m.log("no room for a link of the elder process", "links", m.queue.sessions)
+		return
 	}
+	backend := m.endpoints.byName[t.Backend]
+	session := &session{}
+	session.Class = m.rules.classes[t.Class]
+	session.Tenant, _ = m.rules.tenant(t.Tenant)
+	session.Key = t.Key
+	session.AffinityGroup = t.Group
 	m.SessionsReceived++
 	session.clientConn = m.addConn(&connection{id: connID, session: session, acceptedAt: m.now})
-	m.lastDialedID++
-	session.backendConn = m.addConn(&connection{id: m.lastDialedID, backend: backend, session: session, isUp: true})
-	session.backendConn.input.Restore(p.PartialLine)
-	m.sessions++
-	m.sessionsByID[session.id] = session
-	m.dispatcher.Balancer.SessionReceived(m.now, &session.Entry.Session, backend.id, p.Load, p.LoadMeasured)
+	session.backendConn = m.addConn(&connection{id: m.conns.nextDialedID(), backend: backend, session: session, isUp: true})
+	session.backendConn.input.Restore(t.PartialLine)
+	m.addSession(session, t.ID)
+	m.balancer().SessionReceived(m.now, &session.Entry.Session, backend.id, t.Load, t.LoadMeasured)
 	m.addEstablished(session)
-	if p.AwaitsReply {
-		m.setTimer(&session.stateTimer, m.now+replyTimeout)
+	m.resumeTimers(session, t)
+	m.effects.add(&SessionAccepted{Conn: connID, BackendConn: session.backendConn.id})
+}
+
+// canReceive tells whether what a session of the parent refers to is known here.
+func (m *StateMachine) canReceive(t *TransferredSession) bool {
+	_, knownClass := m.rules.classes[t.Class]
+	_, knownTenant := m.rules.tenant(t.Tenant)
+	return t.Version == handoffVersion &&
+		knownClass &&
+		(knownTenant || t.Tenant == "") &&
+		m.endpoints.byName[t.Backend] != nil &&
+		t.Load >= 0 && t.Load < math.MaxFloat64 &&
+		t.ID != "" && m.queue.byID[t.ID] == nil
+}
+
+// takeLimitsOver goes by what the parent needs from now on, and tells whether the session has room here. What the parent
+// had at first would keep clients of this process from being accepted while the parent waits for its last attempts. A
+// session that would leave no room for clients stays, and is migrated by the parent.
+func (m *StateMachine) takeLimitsOver(t *TransferredSession) bool {
+	handoff := m.siblings.handoff
+	if handoff == nil {
+		return true
 	}
-	switch {
-	case p.LeavesInMillis >= 0:
-		m.setTimer(&session.migrationTimer, m.now+p.LeavesInMillis)
-	case m.draining:
-		m.setTimer(&session.migrationTimer, max(m.now, m.migrationTime(0, 1)))
+	descriptors, sessions := handoff.Descriptors, handoff.Sessions
+	handoff.Descriptors = min(descriptors, max(t.Descriptors, 0))
+	handoff.Sessions = min(sessions, max(t.Sessions, 0))
+	m.shareLimits()
+	if !m.limits.isExceededBy(m.queue.sessions+1, m.conns.polling) && m.queue.sessions < m.limits.ownSessions {
+		return true
+	}
+	handoff.Descriptors = descriptors
+	handoff.Sessions = sessions
+	m.shareLimits()
+	return false
+}
+
+// resumeTimers goes on with what a received session waited for.
+func (m *StateMachine) resumeTimers(session *session, t *TransferredSession) {
+	if t.AwaitsReply {
+		m.timers.set(&session.stateTimer, m.now+replyTimeout)
+	}
+	switch backend := session.backendConn.backend; {
+	case t.LeavesInMillis >= 0:
+		m.timers.set(&session.migrationTimer, m.now+t.LeavesInMillis)
+	case m.drain.draining:
+		m.timers.set(&session.migrationTimer, max(m.now, m.migrationTime(0, 1)))
 	default:
 		m.scheduleMigration(backend, session, len(backend.sessions)-1)
 	}
-	m.effects.add(&SessionAccepted{Conn: connID, BackendConn: session.backendConn.id})
 }
--- a/internal/relay/handoff_test.go
+++ b/internal/relay/handoff_test.go
@@ -33,17 +33,17 @@
 		"dial s1 10.0.0.1:9000"},
 		step{300, "up s1", "write s1 STATS|"}, step{301, "came s1 PONG x0=0.5|", ""},
 		step{400, "beside younger", "bequeath"}, step{401, "beside younger", "bequeath"})
-	s := beside(t, old.handoff, 0)
+	s := beside(t, old.siblings.handoff, 0)
 	assert.Contains(t, strings.Join(s.notes, " "), "took over what the elder process knew")
-	assert.Equal(t, balancer.Draining, s.backends["b2"].condition, "a drain that the elder was told")
-	assert.Nil(t, s.backends["b9"], "the elder's list is the newer")
+	assert.Equal(t, balancer.Draining, s.endpoints.byName["b2"].condition, "a drain that the elder was told")
+	assert.Nil(t, s.endpoints.byName["b9"], "the elder's list is the newer")
 	s.play("fit with the elder's figures as soon as the list is heard", step{1, "tick", ""})
 	assert.False(t, s.serving())
 	s.play("not before", step{100, "news 1 5 whole b1=active b2=leaving", "free"})
 	assert.True(t, s.serving())
 
 	s = beside(t, nil, 0)
-	assert.True(t, s.acceptPaused, "nobody is accepted")
+	assert.True(t, s.intake.acceptPaused, "nobody is accepted")
 	s.play("without a record: after the first probes", step{10, "news 1 5 whole b1=active", ""},
 		step{308, "tick", "dial s1 10.0.0.1:9000"}, step{310, "up s1", "write s1 STATS|"})
 	assert.False(t, s.serving())
@@ -54,7 +54,7 @@
 	s.play("nothing answers: within the platform's time all the same", step{10, "news 1 5 whole", ""},
 		step{childReadyTimeout - 1, "heard 1", ""}, step{childReadyTimeout, "tick", "free"})
 	assert.True(t, s.serving())
-	bad := *old.handoff
+	bad := *old.siblings.handoff
 	bad.Balancer.ConcurrencyLimit = -1
 	s = begin(t, nil, &Config{HasParent: true, Handoff: &bad, Discovery: "10.1.0.1:85", InitialEndpoints: &EndpointUpdate{}})
 	assert.Contains(t, strings.Join(s.notes, " "), "what the elder process left is passed over")
@@ -63,7 +63,7 @@
 func TestReadHandover(t *testing.T) {
 	s := open(t, nil, 0, "b1=active")
 	s.at(1000, "beside younger")
-	good, err := json.Marshal(s.handoff)
+	good, err := json.Marshal(s.siblings.handoff)
 	require.NoError(t, err)
 	for _, c := range []struct{ name, old, new, want string }{
 		{"good", "", "", ""},
@@ -103,7 +103,7 @@
 		s := open(t, nil, 0, "b1=active", "b2=active", "b3=active", "b4=active")
 		conditions := func() (all string) {
 			for _, name := range []string{"b1", "b2", "b3", "b4"} {
-				b := s.backends[name]
+				b := s.endpoints.byName[name]
 				all += fmt.Sprintf("%t@%.0f ", b.condition == balancer.Ready, b.StartedAt)
 			}
 			return all
@@ -154,7 +154,7 @@
 	s.play("what can't be passed is moved", step{200, "beside younger", "bequeath"},
 		step{1000, "stop yield", "pass 1; hold"}, step{1001, "part 1", "parted 1"}, step{1002, "given 1 not", ""},
 		step{1003, "came 1 x|", "write s1 x|"})
-	for now := 1010.0; now < 1000+s.maxDrainTime() && !s.exiting; now += 10 {
+	for now := 1010.0; now < 1000+s.maxDrainTime() && !s.drain.exiting; now += 10 {
 		s.at(now, "tick")
 	}
 	assert.Equal(t, uint64(1), s.Migrated)
@@ -188,22 +188,22 @@
 			old.at(2,
 				"came "+string(rune('0'+i/10))+string(rune('0'+i%10))+" OPEN i"+string(rune('0'+i))+" 1f c=feed,d=2000|")
 		}
-		whole, files := old.ownDescriptors, len(old.conns)
+		whole, files := old.limits.ownDescriptors, len(old.conns.byID)
 		old.at(3, "beside younger")
-		assert.LessOrEqual(t, files, old.ownDescriptors, "held %d", held)
+		assert.LessOrEqual(t, files, old.limits.ownDescriptors, "held %d", held)
 		s := begin(t, with(`"may-cancel": true`, `"may-cancel": true, "most-held": 60`), &Config{HasParent: true,
-			Handoff: old.handoff, MaxSockets: sockets, Discovery: "10.1.0.1:85", InitialEndpoints: &EndpointUpdate{}})
-		assert.LessOrEqual(t, old.ownDescriptors+s.ownDescriptors+s.reservedDescriptors+s.siblingReserve(), sockets, "held %d", held)
-		assert.LessOrEqual(t, old.ownSessions+s.ownSessions, 60, "held %d", held)
-		assert.GreaterOrEqual(t, s.sessionDescriptors, descriptorsPerSession, "held %d", held)
+			Handoff: old.siblings.handoff, MaxSockets: sockets, Discovery: "10.1.0.1:85", InitialEndpoints: &EndpointUpdate{}})
+		assert.LessOrEqual(t, old.limits.ownDescriptors+s.limits.ownDescriptors+s.limits.reserved+s.limits.siblingReserve(), sockets, "held %d", held)
+		assert.LessOrEqual(t, old.limits.ownSessions+s.limits.ownSessions, 60, "held %d", held)
+		assert.GreaterOrEqual(t, s.limits.sessionDescriptors, descriptorsPerSession, "held %d", held)
 		s.at(10, "beside none")
-		assert.Equal(t, whole, s.ownDescriptors, "the elder is gone")
+		assert.Equal(t, whole, s.limits.ownDescriptors, "the elder is gone")
 		old.at(10, "beside none")
-		assert.Equal(t, whole, old.ownDescriptors, "the younger is gone")
+		assert.Equal(t, whole, old.limits.ownDescriptors, "the younger is gone")
 	}
 	old := open(t, nil, 0, "b1=active")
 	old.at(3, "beside younger")
-	assert.Equal(t, math.MaxInt, old.ownDescriptors, "no limit stays none")
+	assert.Equal(t, math.MaxInt, old.limits.ownDescriptors, "no limit stays none")
 }
 
 // A link goes on at the younger process as it stood: bytes between two lines, silence, its backend's end,
@@ -226,14 +226,14 @@
 		s := open(t, nil, 0, "b1=active")
 		s.parted = old.parted
 		s.play(c.name, step{1, "heard 1", ""}, step{105, "adopt 7", "adopted 7 s1"})
-		links, _, _ := s.dispatcher.Balancer.BackendStatus(s.backends["b1"].id)
-		assert.Equal(t, []int{1, 1, 1}, []int{links, s.Established, s.sessions}, c.name)
+		links, _, _ := s.queue.dispatcher.Balancer.BackendStatus(s.endpoints.byName["b1"].id)
+		assert.Equal(t, []int{1, 1, 1}, []int{links, s.Established, s.queue.sessions}, c.name)
 		assert.Equal(t, "in_flight 1, backends_known 1", s.told(), "served by the other process")
 		s.at(3000, "heard 1")
 		s.now = 105
 		s.play(c.name, c.steps...)
-		assert.Zero(t, s.sessions, c.name)
-		assert.Empty(t, s.sessionsByID, c.name)
+		assert.Zero(t, s.queue.sessions, c.name)
+		assert.Empty(t, s.queue.byID, c.name)
 	}
 	for name, spoil := range map[string]func(*TransferredSession){
 		"version": func(p *TransferredSession) { p.Version = 9 }, "category": func(p *TransferredSession) { p.Class = "x" },
@@ -245,7 +245,7 @@
 		s := open(t, nil, 0, "b1=active")
 		s.parted = &bad
 		s.play(name, step{105, "adopt 7", ""})
-		assert.Empty(t, s.conns, name)
+		assert.Empty(t, s.conns.byID, name)
 	}
 	old = open(t, nil, 0, "b1=active")
 	old.stands()
@@ -286,14 +286,14 @@
 	}
 	require.Greater(t, old.Established, 20)
 	old.at(100, "beside younger")
-	s := begin(t, probing, &Config{Seed: 6, MaxSockets: sockets, HasParent: true, Handoff: old.handoff,
+	s := begin(t, probing, &Config{Seed: 6, MaxSockets: sockets, HasParent: true, Handoff: old.siblings.handoff,
 		Discovery:        "10.1.0.1:85",
 		InitialEndpoints: &EndpointUpdate{}})
 	s.at(10, "news 1 5 whole "+strings.Join(names, " "))
 	for now := 100.0; now < 2600; now += 50 {
 		s.at(now, "tick")
 	}
-	assert.False(t, s.acceptPaused, "%d connections of %d", len(s.conns), s.ownDescriptors)
+	assert.False(t, s.intake.acceptPaused, "%d connections of %d", len(s.conns.byID), s.limits.ownDescriptors)
 	assert.Less(t, s.Polls, uint64(200), "no spinning")
 	old.at(2600, "stop yield")
 	handed := 0
@@ -310,12 +310,12 @@
 			old.at(2602, "given "+strconv.Itoa(i)+" not")
 		}
 		if most > 0 {
-			assert.LessOrEqual(t, len(old.conns)+old.siblingReserve()+len(s.conns)+s.reservedDescriptors, sockets, i)
+			assert.LessOrEqual(t, len(old.conns.byID)+old.limits.siblingReserve()+len(s.conns.byID)+s.limits.reserved, sockets, i)
 		}
 	}
 	assert.LessOrEqual(t, handed, 30)
 	assert.GreaterOrEqual(t, handed, most, "%d descriptors", sockets)
-	assert.False(t, s.acceptPaused, "%d connections of %d after %d", len(s.conns), s.ownDescriptors, handed)
+	assert.False(t, s.intake.acceptPaused, "%d connections of %d after %d", len(s.conns.byID), s.limits.ownDescriptors, handed)
 	s.at(2700, "open 1")
 	s.at(2701, "came 1 OPEN z 1f c=feed,t=one,d=2000|")
 	assert.Equal(t, uint64(1), s.Requests, "whoever comes is heard")
--- a/internal/relay/random_test.go
+++ b/internal/relay/random_test.go
@@ -50,9 +50,9 @@
 				switch f[0] {
 				case "dial":
 					open[f[1]] = true
-					c := s.conns[s.conn(f[1])]
+					c := s.conns.byID[s.conn(f[1])]
 					require.False(t, c.session != nil && c.session.clientConn == nil, "seed %d: %s for a client that left", seed, said)
-					require.False(t, c.session != nil && s.exiting, "seed %d: %s after the exit was decided", seed, said)
+					require.False(t, c.session != nil && s.drain.exiting, "seed %d: %s after the exit was decided", seed, said)
 				case "watch":
 					fmt.Sscan(f[1], &watch)
 				case "end", "break":
@@ -61,7 +61,7 @@
 				case "write":
 					require.True(t, open[f[1]], "seed %d: %s to one that is over", seed, said)
 					first := strings.SplitN(said, " ", 3)[2]
-					if c := s.conns[s.conn(f[1])]; strings.HasPrefix(first, "OPEN") && c != nil {
+					if c := s.conns.byID[s.conn(f[1])]; strings.HasPrefix(first, "OPEN") && c != nil {
 						require.NotNil(t, c.session.clientConn, "seed %d: %s for a client that left", seed, said)
 						require.Equal(t, balancer.Ready, c.backend.condition, "seed %d: %s to one that drains", seed, said)
 					}
@@ -79,7 +79,7 @@
 				require.Equal(t, b.Established+b.Attempts, b.Reserved, "seed %d: links on %s", seed, b.Name)
 			}
 			tries := map[*session]int{}
-			for _, c := range s.conns {
+			for _, c := range s.conns.byID {
 				if c.backend != nil && c.session != nil {
 					tries[c.session]++
 					require.Equal(t, 1, tries[c.session], "seed %d: two out at once", seed)
@@ -89,8 +89,8 @@
 		for range 400 {
 			// Timers are met one by one, as the clock would.
 			until := now + chance.ExpFloat64()*30
-			for s.timerSetFor < until {
-				now = max(now, s.timerSetFor)
+			for s.timers.setFor < until {
+				now = max(now, s.timers.setFor)
 				tell("tick")
 			}
 			now = until
@@ -157,11 +157,11 @@
 			}
 		}
 		tell("stop")
-		for now < 1e6 && !s.exiting {
-			now = max(now, s.timerSetFor)
+		for now < 1e6 && !s.drain.exiting {
+			now = max(now, s.timers.setFor)
 			tell("tick")
 		}
-		require.True(t, s.exiting, "seed %d", seed)
+		require.True(t, s.drain.exiting, "seed %d", seed)
 		for c := range open {
 			if _, asked := due[c]; c[0] != 's' && !asked && chance.Intn(2) == 0 {
 				due[c] = now + 1000
@@ -172,11 +172,11 @@
 		for c := range due {
 			require.True(t, answered[c], "seed %d: %s has no answer", seed, c)
 		}
-		require.Zero(t, s.sessions, "seed %d", seed)
+		require.Zero(t, s.queue.sessions, "seed %d", seed)
 		require.Zero(t, s.Established, "seed %d", seed)
-		for _, c := range s.conns {
+		for _, c := range s.conns.byID {
 			require.Nil(t, c.session, "seed %d: left behind", seed)
 		}
-		require.LessOrEqual(t, len(s.timers), fixedTimers+len(s.conns), "seed %d: a timer of one that is over", seed)
+		require.LessOrEqual(t, len(s.timers.heap), fixedTimers+len(s.conns.byID), "seed %d: a timer of one that is over", seed)
 	}
 }
--- a/internal/relay/reasons.go
+++ b/internal/relay/reasons.go
@@ -1,43 +1,55 @@
 package relay
 
-// This file owns the ways in which a connection can end, each one value, and what each says to the module;
-// and those in which a client without a link is turned away, of which the module hears nothing. It
-// must never look at a connection or a link: whoever sees the end names it.
-
 import "valeshift/balancer"
 
-// EndReason is how a connection of a link ended.
+// EndReason is how an attempt or an established session ended. Whoever sees the end names it; outcome says what it means
+// to the balancer.
 type EndReason uint8
 
-// The endings: first those of a setup try, then those of a link that stood, then those on the client's side.
+// The reasons: first those of an attempt, then those of an established session, then those on the client's side.
 const (
-	NotSent            EndReason = iota // the backend drains by now: nothing was written
-	ConnectFailed                       // refused, never up in time, or broken before the head's last byte was written
+	NotSent            EndReason = iota // the backend is draining or has restarted by now: nothing was written
+	ConnectFailed                       // refused, never up in time, or broken before the whole request was sent
 	BackendBusy                         // the backend answered BUSY
-	BackendError                        // it answered ERR
-	MalformedAnswer                     // it answered with a line of no meaning
-	ClosedBeforeAnswer                  // it ended without an answer, after the head was written
+	BackendError                        // the backend answered ERR
+	MalformedAnswer                     // the backend sent a line that is none of the protocol
+	ClosedBeforeAnswer                  // the backend closed without an answer, after the request was sent
 	AttemptTimedOut                     // nothing came in the time given
-	BackendFinished                     // BYE: served to its end
+	BackendFinished                     // BYE: the session was served to its end
 	BackendMovedClient                  // MOVE: a draining backend sends the client away
-	BackendClosed                       // it ended or broke while the link stood
-	BackendSilent                       // it brought nothing back while the link stood
+	BackendClosed                       // the backend closed or reset an established session
+	BackendSilent                       // the backend brought nothing back
 	SlowReader                          // a side took in too little of what was written
 	RelayMovedClient                    // this relay sent the client elsewhere
-	ClientClosed                        // the client ended it
-	ClientReset                         // the client broke it
-	TransferredToChild                  // the younger process has it
+	ClientClosed                        // the client closed in order
+	ClientReset                         // the client reset its connection
+	TransferredToChild                  // the child process has the session
 )
 
-var endReasonNames = [...]string{"not sent", "never up", "turned down", "backend error", "bad answer",
-	"broke off",
-	"no answer", "served out", "sent away", "broke up", "fell silent", "slow reader", "moved away",
-	"client done",
-	"client broke", "handed over"}
+// endReasonNames are the names under which the counters stand in the log.
+var endReasonNames = [...]string{
+	NotSent:            "not sent",
+	ConnectFailed:      "never up",
+	BackendBusy:        "turned down",
+	BackendError:       "backend error",
+	MalformedAnswer:    "bad answer",
+	ClosedBeforeAnswer: "broke off",
+	AttemptTimedOut:    "no answer",
+	BackendFinished:    "served out",
+	BackendMovedClient: "sent away",
+	BackendClosed:      "broke up",
+	BackendSilent:      "fell silent",
+	SlowReader:         "slow reader",
+	RelayMovedClient:   "moved away",
+	ClientClosed:       "client done",
+	ClientReset:        "client broke",
+	TransferredToChild: "handed over",
+}
 
+// String is the name under which the reason is counted.
 func (e EndReason) String() string { return endReasonNames[e] }
 
-// outcome is the one place where an ending becomes what the module knows.
+// outcome is the one place where a reason becomes what the balancer goes by.
 func (e EndReason) outcome() balancer.AttemptOutcome {
 	switch e {
 	case NotSent:
@@ -58,23 +70,34 @@
 	return balancer.OutcomeConnectionLost
 }
 
-// RequestError is why a client was turned away before it had a link.
+// RequestError is why a client was rejected before it had a session. The balancer hears nothing of it.
 type RequestError uint8
 
-// What clients do that have none.
+// The errors.
 const (
-	RequestTimedOut   RequestError = iota // none came in time
-	IncompleteRequest                     // it ended in the middle of one
+	RequestTimedOut   RequestError = iota // no request came in time
+	IncompleteRequest                     // the client left in the middle of its request
 	LineTooLong                           // a line over the bound
-	MalformedRequest                      // no head of the protocol, or a figure out of all bounds
-	UnknownName                           // a category or customer that the settings don't name
-	DuplicateID                           // the id of a link that is open
-	UnexpectedData                        // it sent on without waiting for its answer
-	TooManyPings                          // it asks whether the relay is there without end
+	MalformedRequest                      // no request of the protocol, or a number out of all bounds
+	UnknownName                           // a class or tenant that the settings don't name
+	DuplicateID                           // the id of a session that is open
+	UnexpectedData                        // the client sent on without waiting for its answer
+	TooManyPings                          // the client asks without end whether the relay is there
 	Evicted                               // it had said nothing for longest when descriptors were short
 )
 
-var requestErrorNames = [...]string{"no head", "half a head", "too long", "bad head", "unknown name", "id in use",
-	"said more", "many pings", "pushed out"}
+// requestErrorNames are the names under which the counters stand in the log.
+var requestErrorNames = [...]string{
+	RequestTimedOut:   "no head",
+	IncompleteRequest: "half a head",
+	LineTooLong:       "too long",
+	MalformedRequest:  "bad head",
+	UnknownName:       "unknown name",
+	DuplicateID:       "id in use",
+	UnexpectedData:    "said more",
+	TooManyPings:      "many pings",
+	Evicted:           "pushed out",
+}
 
-func (b RequestError) String() string { return requestErrorNames[b] }
+// String is the name under which the error is counted.
+func (e RequestError) String() string { return requestErrorNames[e] }
--- a/internal/relay/replication.go
+++ b/internal/relay/replication.go
@@ -1,106 +1,139 @@
 package relay
 
-// This file is the part of the reducer for words that other relays hold as well. A client that is told to
-// come again while the whole fleet recovers finds its place at any relay, though the one that told it is
-// lost. And a setup try that may run is marked before it goes out, so that its client's next try, at whatever
-// relay, does not run it again. How that is held is none of its business.
+// What other relays hold for this one. A client that is told to come again while the whole fleet recovers finds its
+// reservation at any relay, though the one that told it is lost. An attempt that may not simply be made again is marked
+// before its request goes out, so that the client's next attempt, at whatever relay, does not run it again. Where a
+// client is established is held as a hint. How records are held is package replication's business.
 
-// RecordKind is what is held.
+// RecordKind is what a record that other relays hold is about.
 type RecordKind uint8
 
-// The words.
+// The kinds of records.
 const (
-	ReservationRecord RecordKind = iota // a client was told to come at At
-	AttemptRecord                       // a setup try of a client's may run at the backend Text: until At, or as it went out at At
-	AffinityRecord                      // a client, or its group, stands at the backend Text: a hint
+	ReservationRecord RecordKind = iota // a client was told to come again at a time
+	AttemptRecord                       // an attempt of a client may run at a backend
+	AffinityRecord                      // a client, or its group, is established at a backend: a hint
 )
 
+// All in milliseconds.
 const (
-	replicationTimeout = 8.0  // ms, that an answer or a head waits for others to hold it, at the most
-	lookupTimeout      = 50.0 // that a client's further try waits for word of a former one, at the most
-	lookupTimeShare    = 0.25 // of the time it has left
+	replicationTimeout = 8.0  // the longest that an answer or a request waits for other relays to hold a record
+	lookupTimeout      = 50.0 // the longest that a retry waits to hear of an earlier attempt
+	lookupTimeShare    = 0.25 // of the time that the retry has left, which that may take
+	minRejectionWait   = 1.0  // that a client is told whose rejection was being replicated
 )
 
+// replicationState owns what is replicated at other relays.
+type replicationState struct {
+	enabled         bool
+	affinity        bool    // where clients and groups are established, too
+	markerRetention float64 // milliseconds beyond an attempt's hard limit that its marker is held; 0: no markers
+	recovering      bool    // the whole fleet lost power and recovers
+}
+
 // enableReplication has records held at other relays from now on.
 func (m *StateMachine) enableReplication(e ReplicationEnabled) {
-	m.replicationEnabled = true
-	m.markerRetention = e.MarkerRetentionMillis
-	m.affinityReplicated = e.Affinity
+	m.replication.enabled = true
+	m.replication.markerRetention = e.MarkerRetentionMillis
+	m.replication.affinity = e.Affinity
 }
 
-// replicateRejection has others hold what the link's client is about to be told; false: it is told at once.
-func (m *StateMachine) replicateRejection(session *session, wait float64) bool {
-	if !m.replicationEnabled || !m.recovering || session.Key == 0 || wait <= 0 || session.clientConn == nil || m.now+2*replicationTimeout > session.Deadline {
-		return false
+// setRecovering says that the whole fleet lost power and recovers, or that it has recovered.
+func (m *StateMachine) setRecovering(on bool, capacityShare float64) {
+	m.balancer().SetRecovering(on, capacityShare)
+	if on != m.replication.recovering {
+		m.log("recovery of the fleet", "on", on)
 	}
-	m.dispatcher.Forget(session)
-	m.enter(session, replicating)
-	session.deadline = m.now + wait // when its client is to come again
-	connID := session.clientConn.id
-	session.stateTimer.fire = func() { m.recordReplicated(connID, false) }
-	m.setTimer(&session.stateTimer, m.now+replicationTimeout)
-	m.effects.replicate(ReplicationRequest{Operation: Replicate, Conn: connID, Key: session.Key, At: session.deadline})
-	return true
+	m.replication.recovering = on
 }
 
-// recordReplicated gives the answer that waited. Where others hold it, this relay goes by their word too: against a
-// place that was used elsewhere being used here again. Or it lets the head go out that did.
-func (m *StateMachine) recordReplicated(connID uint64, held bool) {
-	conn := m.conns[connID]
+// recordReplicated handles whether others hold a record: the answer or the request that waited for it goes out.
+func (m *StateMachine) recordReplicated(connID uint64, replicated bool) {
+	conn := m.conns.byID[connID]
 	if conn == nil || conn.session == nil {
 		return
 	}
 	session := conn.session
 	if session.backendConn == conn {
-		m.markerReplicated(session, held)
+		m.markerReplicated(session, replicated)
 		return
 	}
-	if session.state != replicating {
+	if session.state == replicating {
+		m.rejectionReplicated(session, replicated)
+	}
+}
+
+// recordFound handles what other relays hold on a client.
+func (m *StateMachine) recordFound(e RecordFound) {
+	if e.Record == ReservationRecord {
+		m.balancer().RestoreReservations(m.now, map[uint64]float64{e.Key: e.At})
 		return
 	}
-	if held {
+	if conn := m.conns.byID[e.Conn]; conn != nil && conn.session != nil && conn.session.state == lookingUp {
+		m.finishLookup(conn.session, e)
+	}
+}
+
+// Reservations.
+
+// replicateRejection has others hold what the client is about to be told; false: it is told at once.
+func (m *StateMachine) replicateRejection(session *session, wait float64) bool {
+	isWorthwhile := m.replication.enabled && m.replication.recovering && session.Key != 0 && wait > 0
+	if !isWorthwhile || session.clientConn == nil || m.now+2*replicationTimeout > session.Deadline {
+		return false
+	}
+	m.queue.dispatcher.Forget(session)
+	m.enter(session, replicating)
+	session.deadline = m.now + wait // when its client is to come again
+	connID := session.clientConn.id
+	session.stateTimer.fire = func() { m.recordReplicated(connID, false) }
+	m.timers.set(&session.stateTimer, m.now+replicationTimeout)
+	m.effects.replicate(ReplicationRequest{Operation: Replicate, Record: ReservationRecord, Conn: connID, Key: session.Key,
+		At: session.deadline})
+	return true
+}
+
+// rejectionReplicated gives the answer that waited. Where others hold the reservation, this relay goes by their word too:
+// else it could be used elsewhere and then here again.
+func (m *StateMachine) rejectionReplicated(session *session, replicated bool) {
+	if replicated {
 		m.RejectionsReplicated++
-		m.dispatcher.Balancer.DropReservation(session.Key)
+		m.balancer().DropReservation(session.Key)
 	} else {
 		m.RejectionsUnreplicated++
 	}
-	m.sendFinalAnswer(session, formatBusy(max(session.deadline-m.now, 1)))
+	m.sendFinalAnswer(session, formatBusy(max(session.deadline-m.now, minRejectionWait)))
 }
 
-// lookUpReservation seeks what others hold for the link's client. Nothing waits for it: a link that finds no room at
-// once asks for it again, and goes first by then.
+// lookUpReservation seeks what others hold for the client. Nothing waits for it: a session that finds no capacity at once
+// is assigned again later, and goes first by then.
 func (m *StateMachine) lookUpReservation(session *session) {
-	if m.replicationEnabled && m.recovering && session.Key != 0 {
-		m.effects.replicate(ReplicationRequest{Operation: Lookup, Key: session.Key})
+	if m.replication.enabled && m.replication.recovering && session.Key != 0 {
+		m.effects.replicate(ReplicationRequest{Operation: Lookup, Record: ReservationRecord, Key: session.Key})
 	}
 }
 
-// recordFound takes what was found.
-func (m *StateMachine) recordFound(e RecordFound) {
-	if e.Record == ReservationRecord {
-		m.dispatcher.Balancer.RestoreReservations(m.now, map[uint64]float64{e.Key: e.At})
-	} else if conn := m.conns[e.Conn]; conn != nil && conn.session != nil && conn.session.state == lookingUp {
-		m.finishLookup(conn.session, e)
-	}
-}
+// Attempt markers.
 
-// needsMarker tells whether a setup try of the link is marked.
+// needsMarker tells whether an attempt of the session is marked.
 func (m *StateMachine) needsMarker(session *session) bool {
-	return m.markerRetention > 0 && session.Key != 0 && m.nonIdempotent[session.Class]
+	return m.replication.markerRetention > 0 && session.Key != 0 && m.rules.nonIdempotent[session.Class]
 }
 
-// replicateMarker has others hold that the setup try that begins may run, while it connects. A link whose former try
-// may have run already is marked.
+// replicateMarker has others hold that the attempt that begins may run, while it connects. A session of which an earlier
+// attempt may have run is marked already.
 func (m *StateMachine) replicateMarker(session *session) {
 	if session.state != attempting || session.markerConn != 0 || !m.needsMarker(session) {
 		return
 	}
 	conn := session.backendConn
-	session.markerConn, session.markerDeadline = conn.id, min(m.now+replicationTimeout, session.deadline)
-	m.effects.replicate(ReplicationRequest{Operation: Replicate, Record: AttemptRecord, Conn: conn.id, Key: session.Key, At: session.Deadline + m.markerRetention, Backend: conn.backend.Name})
+	session.markerConn = conn.id
+	session.markerDeadline = min(m.now+replicationTimeout, session.deadline)
+	m.effects.replicate(ReplicationRequest{Operation: Replicate, Record: AttemptRecord, Conn: conn.id, Key: session.Key,
+		At: session.Deadline + m.replication.markerRetention, Backend: conn.backend.Name})
 }
 
-// awaitMarker tells whether the head still waits for that. Meanwhile nothing has gone out.
+// awaitMarker tells whether the request still waits for the marker. Meanwhile nothing has gone out.
 func (m *StateMachine) awaitMarker(session *session) bool {
 	if session.markerDeadline == 0 {
 		return false
@@ -113,16 +146,17 @@
 	conn := session.backendConn
 	conn.awaitsMarker = true
 	conn.deadline.fire = func() { m.sendRequest(session) }
-	m.setTimer(&conn.deadline, session.markerDeadline)
+	m.timers.set(&conn.deadline, session.markerDeadline)
 	return true
 }
 
-// markerReplicated has the head go out that waited.
-func (m *StateMachine) markerReplicated(session *session, held bool) {
+// markerReplicated sends the request that waited.
+func (m *StateMachine) markerReplicated(session *session, replicated bool) {
 	if session.state != attempting || session.markerDeadline == 0 {
 		return
 	}
-	if session.markerDeadline = 0; held {
+	session.markerDeadline = 0
+	if replicated {
 		m.AttemptsMarked++
 	} else {
 		m.AttemptsUnmarked++
@@ -132,23 +166,20 @@
 	}
 }
 
-// releaseMarker takes the mark back: its client has the answer, or nothing ran.
+// releaseMarker takes the marker back: the client has its answer, or nothing ran.
 func (m *StateMachine) releaseMarker(session *session) {
-	if session.markerConn != 0 {
-		m.effects.replicate(ReplicationRequest{Operation: Release, Record: AttemptRecord, Conn: session.markerConn, Key: session.Key})
-		session.markerConn, session.markerDeadline = 0, 0
+	if session.markerConn == 0 {
+		return
 	}
+	m.effects.replicate(ReplicationRequest{Operation: Release, Record: AttemptRecord, Conn: session.markerConn,
+		Key: session.Key})
+	session.markerConn = 0
+	session.markerDeadline = 0
 }
 
-// replicateAffinity has others hold where the link stands, for when this relay is lost.
-func (m *StateMachine) replicateAffinity(session *session) {
-	if m.affinityReplicated && (session.AffinityGroup != 0 || session.Key != 0) {
-		session.affinityConn = session.backendConn.id
-		m.effects.replicate(ReplicationRequest{Operation: Replicate, Record: AffinityRecord, Conn: session.affinityConn, Key: affinityKey(session), Backend: session.backendConn.backend.Name})
-	}
-}
+// Affinity.
 
-// affinityKey is the group's number, or the client's, told apart.
+// affinityKey is the number of the session's group, or of its client, told apart.
 func affinityKey(session *session) uint64 {
 	if session.AffinityGroup != 0 {
 		return session.AffinityGroup
@@ -156,65 +187,84 @@
 	return ^session.Key
 }
 
-// releaseAffinity takes that back where the client has ended the link itself: it is not to come again. A group may
-// have others there.
-func (m *StateMachine) releaseAffinity(session *session, how EndReason) {
-	if session.affinityConn != 0 && session.AffinityGroup == 0 && (how == ClientClosed || how == BackendFinished) {
-		m.effects.replicate(ReplicationRequest{Operation: Release, Record: AffinityRecord, Conn: session.affinityConn, Key: affinityKey(session)})
+// hasAffinity tells whether others hold where the session is established.
+func (m *StateMachine) hasAffinity(session *session) bool {
+	return m.replication.affinity && (session.AffinityGroup != 0 || session.Key != 0)
+}
+
+// replicateAffinity has others hold where the session is established, for when this relay is lost.
+func (m *StateMachine) replicateAffinity(session *session) {
+	if !m.hasAffinity(session) {
+		return
+	}
+	conn := session.backendConn
+	session.affinityConn = conn.id
+	m.effects.replicate(ReplicationRequest{Operation: Replicate, Record: AffinityRecord, Conn: conn.id,
+		Key: affinityKey(session), Backend: conn.backend.Name})
+}
+
+// releaseAffinity takes that back where the session has come to its end: its client is not to come again. A group may
+// have other sessions there.
+func (m *StateMachine) releaseAffinity(session *session, why EndReason) {
+	hasCompleted := why == ClientClosed || why == BackendFinished
+	if session.affinityConn != 0 && session.AffinityGroup == 0 && hasCompleted {
+		m.effects.replicate(ReplicationRequest{Operation: Release, Record: AffinityRecord, Conn: session.affinityConn,
+			Key: affinityKey(session)})
 	}
 }
 
-// lookUpAttempts seeks a mark of a former try, where the client says that there was one, and where it or its group
-// stood; false: nothing is waited for.
+// Lookups before a retry is assigned.
+
+// lookUpAttempts seeks the marker of an earlier attempt, where the client says that there was one, and where the client
+// or its group was established; false: nothing is waited for.
 func (m *StateMachine) lookUpAttempts(session *session) bool {
-	if !session.request.IsRetry || !m.replicationEnabled {
+	if !session.request.IsRetry || !m.replication.enabled {
 		return false
 	}
-	connID, wait := session.clientConn.id, 0.0
-	ask := func(word RecordKind, key uint64, longest float64) {
-		wait = max(wait, min(longest, (session.Deadline-m.now)*lookupTimeShare))
-		session.pendingLookups++
-		m.effects.replicate(ReplicationRequest{Operation: Lookup, Record: word, Conn: connID, Key: key, At: m.now + wait})
-	}
-	if m.affinityReplicated && (session.AffinityGroup != 0 || session.Key != 0) {
-		ask(AffinityRecord, affinityKey(session), replicationTimeout)
+	wait := 0.0
+	if m.hasAffinity(session) {
+		wait = m.lookUp(session, AffinityRecord, affinityKey(session), wait, replicationTimeout)
 	}
 	if m.needsMarker(session) {
-		ask(AttemptRecord, session.Key, lookupTimeout)
+		wait = m.lookUp(session, AttemptRecord, session.Key, wait, lookupTimeout)
 	}
 	if session.pendingLookups == 0 {
 		return false
 	}
 	m.enter(session, lookingUp)
 	session.stateTimer.fire = func() { m.assign(session) }
-	m.setTimer(&session.stateTimer, m.now+wait)
+	m.timers.set(&session.stateTimer, m.now+wait)
 	return true
 }
 
-// finishLookup takes what was said of the link's client, and has it placed once there is nothing more to wait for.
+// lookUp seeks one record, and returns how long the session waits: as long as before, or for this one where that is
+// longer.
+func (m *StateMachine) lookUp(session *session, record RecordKind, key uint64, wait, timeout float64) float64 {
+	wait = max(wait, min(timeout, (session.Deadline-m.now)*lookupTimeShare))
+	session.pendingLookups++
+	m.effects.replicate(ReplicationRequest{Operation: Lookup, Record: record, Conn: session.clientConn.id, Key: key,
+		At: m.now + wait})
+	return wait
+}
+
+// finishLookup hands what was found to the balancer, and has the session assigned once there is nothing more to wait for.
 func (m *StateMachine) finishLookup(session *session, e RecordFound) {
-	backend := m.backends[e.Backend]
+	backend := m.endpoints.byName[e.Backend]
 	switch {
 	case !e.Found:
 	case e.Record == AttemptRecord:
 		m.RepeatsDetected++
-		id := uint32(0) // of no server that is known: then the scope of a referenced link isn't either
+		id := uint32(0) // of no known backend: then the failure scope of a session that refers to it isn't known either
 		if backend != nil {
 			id = backend.id
 		}
-		m.dispatcher.Balancer.RecordEarlierAttempt(&session.Entry.Session, id, e.At)
+		m.balancer().RecordEarlierAttempt(&session.Entry.Session, id, e.At)
 	case backend != nil:
 		m.AffinityHits++
-		m.dispatcher.Balancer.PreferBackend(&session.Entry.Session, backend.id)
+		m.balancer().PreferBackend(&session.Entry.Session, backend.id)
 	}
-	if session.pendingLookups--; session.pendingLookups <= 0 {
+	session.pendingLookups--
+	if session.pendingLookups <= 0 {
 		m.assign(session)
 	}
 }
-
-func (m *StateMachine) assign(session *session) {
-	m.stopTimer(&session.stateTimer)
-	session.pendingLookups = 0
-	m.enter(session, queued)
-	m.dispatcher.Assign(m.now, session)
-}
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -41,6 +41,7 @@
 var sessionStateNames = [...]string{"created", "awaiting request", "looking up", "queued", "attempting",
 	"reestablishing", "replicating", "established", "handing off", "finished"}
 
+// String is the state's name in the log.
 func (s sessionState) String() string { return sessionStateNames[s] }
 
 // canBecome tells whether the change is listed.
@@ -57,8 +58,8 @@
 	clientConn  *connection // nil: the client has gone
 	backendConn *connection // of the attempt that is out, or of the established session; else nil
 
-	// deadline is when the attempt that is out, or the reestablishment, is given up; of one whose rejection is being
-	// replicated, when the client is to come again.
+	// deadline is when the attempt that is out, or the reestablishing, is given up. Of a session whose rejection is being
+	// replicated it is when the client is to come again.
 	deadline   float64
 	stateTimer timer // its meaning goes with the state
 
@@ -74,11 +75,11 @@
 	migrationTimer  timer     // until its client is sent elsewhere
 }
 
-// enter changes the session's state. A change that isn't listed is a fault of the state machine: it is logged and
-// counted, and made all the same, as a relay that goes on serves the other sessions.
+// enter changes the session's state. A change that isn't listed is a fault of the state machine: it is counted and logged,
+// and made all the same, as a relay that goes on serves its other sessions.
 func (m *StateMachine) enter(session *session, next sessionState) {
 	if !session.state.canBecome(next) {
-		m.illegalTransitions++
+		m.queue.illegalTransitions++
 		m.log("illegal transition of a session", "id", session.id,
 			"change", fmt.Sprintf("%s to %s", session.state, next))
 	}
--- a/internal/relay/snapshot.go
+++ b/internal/relay/snapshot.go
@@ -1,10 +1,8 @@
 package relay
 
-// This file is the part of the reducer for what outlives a relay: what it keeps of what it knows, and what it
-// makes of that at its next start. What of it is believed is decided elsewhere; here it only comes as events.
-
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"math"
 
@@ -13,182 +11,140 @@
 
 const snapshotVersion = 1
 
-// Snapshot is what a relay keeps, for its next life and for others that ask: the list as discovery told it, what
-// links and servers weigh in general, and which clients it told to come again when. No load is among it, as
-// none is worth anything a second later.
+// Snapshot is what a relay keeps of what it knows, for its next incarnation and for other relays that ask: the endpoint
+// list as discovery told it, what sessions and backends weigh in general, and which clients it told to come again when.
+// No load is among it, as none is worth anything a second later. Which snapshots are believed is decided elsewhere: a
+// restored one comes as the event StateRestored.
 type Snapshot struct {
 	Version     int                  `json:"Version"`
-	Endpoints   *EndpointUpdate      `json:"List"`     // nil: discovery has told none in this life
-	ConfirmedAt float64              `json:"Told"`     // clock time at which it last told that the list holds
-	Capacity    float64              `json:"Capacity"` // of a server, microseconds of work a second; 0: not known
+	Endpoints   *EndpointUpdate      `json:"List"`     // nil: discovery has told none in this incarnation
+	ConfirmedAt float64              `json:"Told"`     // Unix milliseconds at which discovery last said that the list holds
+	Capacity    float64              `json:"Capacity"` // of a backend, in microseconds of work a second; 0: not known
 	MeanLoad    float64              `json:"LoadMean"`
 	Classes     map[string]ClassLoad `json:"Categories"`
-	RetryAt     map[uint64]float64   `json:"Back"` // clock times, by key
+	RetryAt     map[uint64]float64   `json:"Back"` // Unix milliseconds by the client's key
 
-	// OwnLoad and Figures are of warm servers: the load of this relay's links there, and the sum of their figures.
-	// Of those and of how many links each relay has, what a server bears can be told for the whole fleet.
+	// OwnLoad and EstimatedLoad are of backends that are not warming up: the load of this relay's sessions there, and the
+	// sum of the backends' load estimates. From those, and from how many sessions each relay has, the fleet works out the
+	// capacity of a backend.
 	OwnLoad       float64 `json:"-"`
 	EstimatedLoad float64 `json:"-"`
 
-	// EndpointsAssumed: nobody who has heard discovery in this life tells the list, so that its servers are held to have
-	// just started.
+	// EndpointsAssumed says that the list comes from nobody who has heard discovery in this incarnation, so that its
+	// backends are assumed to have just started.
 	EndpointsAssumed bool `json:"-"`
 }
 
-// Status is what others are told of how this relay fares.
-type Status struct {
-	Now                  float64
-	EndpointsConfirmed   bool // the list, by discovery
-	Index                uint64
-	Rejected             int // clients turned away so far
-	RejectedLastSecond   int // of those, in the last second
-	Sessions             int
-	WarmingUp, Usable    int     // servers
-	UnreportedLoad       float64 // load that figures may not hold yet
-	DiscoveryClockOffset float64 // what discovery's clock is ahead of this relay's, to half a second; NaN: not told
-}
-
-// Status is that.
-func (m *StateMachine) Status(now float64) Status {
-	cold, usable := m.dispatcher.Balancer.WarmingUp(now)
-	return Status{Now: now, EndpointsConfirmed: m.endpointsConfirmed, Index: m.endpointsIndex, Rejected: int(m.Rejected), Sessions: m.sessions, WarmingUp: cold,
-		Usable: usable, DiscoveryClockOffset: m.discoveryClockOffset, UnreportedLoad: m.dispatcher.Balancer.UnreportedLoad()}
-}
-
-// ClassLoad is what links of one category weigh, and how many that stands on.
+// ClassLoad is what sessions of one class weigh.
 type ClassLoad struct {
 	Load   float64 `json:"Load"`
-	Weight float64 `json:"Weighed"`
+	Weight float64 `json:"Weighed"` // how many sessions that stands on
 }
 
-// Encode is what is kept as it is written.
-func (k *Snapshot) Encode() ([]byte, error) { return json.Marshal(k) }
+// Encode is the snapshot as it is stored.
+func (s *Snapshot) Encode() ([]byte, error) { return json.Marshal(s) }
 
-// ParseSnapshot reads it, and names what can't be.
+// ParseSnapshot reads a stored snapshot; an error says what can't be used.
 func ParseSnapshot(text []byte) (*Snapshot, error) {
-	k := &Snapshot{}
-	if err := json.Unmarshal(text, k); err != nil {
+	s := &Snapshot{}
+	if err := json.Unmarshal(text, s); err != nil {
 		return nil, fmt.Errorf("kept: %w", err)
 	}
-	bad := func(x float64) bool { return !(x >= 0) || math.IsInf(x, 0) }
-	if k.Version != snapshotVersion {
-		return nil, fmt.Errorf("kept: version %d expected, got %d", snapshotVersion, k.Version)
+	if s.Version != snapshotVersion {
+		return nil, fmt.Errorf("kept: version %d expected, got %d", snapshotVersion, s.Version)
 	}
-	if bad(k.Capacity) || bad(k.MeanLoad) || bad(k.ConfirmedAt) {
-		return nil, fmt.Errorf("kept: a figure is no number or negative")
+	if !isQuantity(s.Capacity) || !isQuantity(s.MeanLoad) || !isQuantity(s.ConfirmedAt) {
+		return nil, errors.New("kept: a figure is no number or negative")
 	}
-	for name, c := range k.Classes {
-		if bad(c.Load) || bad(c.Weight) {
+	for name, class := range s.Classes {
+		if !isQuantity(class.Load) || !isQuantity(class.Weight) {
 			return nil, fmt.Errorf("kept: category %q: a figure is no number or negative", name)
 		}
 	}
-	if k.Endpoints != nil {
-		for _, e := range k.Endpoints.Endpoints {
-			if e.Name == "" || e.Address == "" || bad(e.StartedAt) || bad(e.Weight) {
-				return nil, fmt.Errorf("kept: list: an entry without name, address or a figure that can be")
+	if s.Endpoints != nil {
+		for _, e := range s.Endpoints.Endpoints {
+			if e.Name == "" || e.Address == "" || !isQuantity(e.StartedAt) || !isQuantity(e.Weight) {
+				return nil, errors.New("kept: list: an entry without name, address or a figure that can be")
 			}
 		}
 	}
-	return k, nil
+	return s, nil
 }
 
-// Snapshot is what this relay would keep now.
+// isQuantity tells whether x is a finite number that is not negative.
+func isQuantity(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
+
+// Snapshot is what this relay would keep now. It is called between events.
 func (m *StateMachine) Snapshot() *Snapshot {
-	l := m.dispatcher.Balancer.Estimates()
-	k := &Snapshot{Version: snapshotVersion, Capacity: l.Capacity, MeanLoad: l.MeanSessionLoad, OwnLoad: l.OwnLoad,
-		EstimatedLoad: l.ReportedLoad, Classes: map[string]ClassLoad{}, RetryAt: m.dispatcher.Balancer.Reservations(m.now)}
-	for name, i := range m.classes {
-		if i < len(l.ClassLoads) {
-			k.Classes[name] = ClassLoad{Load: l.ClassLoads[i], Weight: l.ClassSamples[i]}
+	estimates := m.balancer().Estimates()
+	s := &Snapshot{
+		Version:       snapshotVersion,
+		Capacity:      estimates.Capacity,
+		MeanLoad:      estimates.MeanSessionLoad,
+		OwnLoad:       estimates.OwnLoad,
+		EstimatedLoad: estimates.ReportedLoad,
+		Classes:       map[string]ClassLoad{},
+		RetryAt:       m.balancer().Reservations(m.now),
+	}
+	for name, i := range m.rules.classes {
+		if i < len(estimates.ClassLoads) {
+			s.Classes[name] = ClassLoad{Load: estimates.ClassLoads[i], Weight: estimates.ClassSamples[i]}
 		}
 	}
-	if m.endpointsConfirmed {
-		k.Endpoints, k.ConfirmedAt = m.currentEndpoints(), m.discoveryHeardAt
+	if m.endpoints.confirmed {
+		s.Endpoints = m.endpoints.current()
+		s.ConfirmedAt = m.watch.heardAt
 	}
-	return k
+	return s
 }
 
-// currentEndpoints is the list as it is held.
-func (m *StateMachine) currentEndpoints() *EndpointUpdate {
-	n := &EndpointUpdate{Index: m.endpointsIndex, Complete: true}
-	for _, backend := range m.backendOrder {
-		if backend.condition != balancer.Gone {
-			n.Endpoints = append(n.Endpoints, backend.Endpoint)
-		}
+// restore goes by a snapshot from before the start. Its list counts only until discovery tells one.
+func (m *StateMachine) restore(s *Snapshot) {
+	learned := m.restoreEstimates(s)
+	m.balancer().RestoreReservations(m.now, s.RetryAt)
+	listed := 0
+	if s.Endpoints != nil && !m.endpoints.confirmed && len(s.Endpoints.Endpoints) > 0 {
+		listed = m.restoreEndpoints(s)
 	}
-	return n
+	m.log("recalled", "backends", listed, "learnt", learned, "capacity", math.Round(s.Capacity), "told to return",
+		len(s.RetryAt))
 }
 
-// restore takes what is believed of what was kept. A list counts only until discovery tells one, and its
-// servers are held to have just started, as nobody knows better.
-func (m *StateMachine) restore(k *Snapshot) {
-	l := balancer.Estimates{Capacity: k.Capacity, MeanSessionLoad: k.MeanLoad, ClassLoads: make([]float64, len(m.classes)),
-		ClassSamples: make([]float64, len(m.classes))}
-	for name, i := range m.classes {
-		if c, known := k.Classes[name]; known {
-			l.ClassLoads[i], l.ClassSamples[i] = c.Load, c.Weight
-		}
+// restoreEstimates tells the balancer what sessions and backends weigh, and returns whether it goes by that.
+func (m *StateMachine) restoreEstimates(s *Snapshot) bool {
+	estimates := balancer.Estimates{
+		Capacity:        s.Capacity,
+		MeanSessionLoad: s.MeanLoad,
+		ClassLoads:      make([]float64, len(m.rules.classes)),
+		ClassSamples:    make([]float64, len(m.rules.classes)),
 	}
-	decider := m.dispatcher.Balancer
-	learnt := decider.RestoreEstimates(l)
-	decider.RestoreReservations(m.now, k.RetryAt)
-	listed := 0
-	if k.Endpoints != nil && !m.endpointsConfirmed && len(k.Endpoints.Endpoints) > 0 {
-		if k.Endpoints.Index > m.endpointsIndex { // than the platform's
-			listed = len(k.Endpoints.Endpoints)
-			index := m.endpointsIndex
-			m.applyEndpoints(&EndpointUpdate{Complete: true, Endpoints: k.Endpoints.Endpoints})
-			m.endpointsIndex = index // what discovery tells from there on is asked for
-		}
-		if k.EndpointsAssumed {
-			decider.AssumeEndpoints(m.now)
-		}
-		if len(m.backendOrder) > 0 {
-			m.becomeReady() // by hearsay at once, in place of by nothing a second after the start
-		}
-		if m.watchID == 0 { // as the module has just been told a list, it would ask for one late
-			m.startWatch()
+	for name, i := range m.rules.classes {
+		if class, known := s.Classes[name]; known {
+			estimates.ClassLoads[i] = class.Load
+			estimates.ClassSamples[i] = class.Weight
 		}
 	}
-	m.log("recalled", "backends", listed, "learnt", learnt, "capacity", math.Round(k.Capacity),
-		"told to return",
-		len(k.RetryAt))
+	return m.balancer().RestoreEstimates(estimates)
 }
 
-// setRecovering takes that the whole fleet lost power, or that it has recovered.
-func (m *StateMachine) setRecovering(on bool, part float64) {
-	m.dispatcher.Balancer.SetRecovering(on, part)
-	if on != m.recovering {
-		m.log("recovery of the fleet", "on", on)
+// restoreEndpoints goes by the snapshot's list where it is newer than the one the relay was started with, and returns how
+// many backends it took from it.
+func (m *StateMachine) restoreEndpoints(s *Snapshot) int {
+	listed := 0
+	if s.Endpoints.Index > m.endpoints.index {
+		listed = len(s.Endpoints.Endpoints)
+		index := m.endpoints.index
+		m.applyEndpoints(&EndpointUpdate{Complete: true, Endpoints: s.Endpoints.Endpoints})
+		m.endpoints.index = index // discovery is asked for all that it tells from there on
 	}
-	m.recovering = on
-}
-
-// localStartTime is when a server started by this relay's own clock.
-func (m *StateMachine) localStartTime(e Endpoint) float64 {
-	if e.StartedAt <= 0 {
-		return e.StartedAt
+	if s.EndpointsAssumed {
+		m.balancer().AssumeEndpoints(m.now)
 	}
-	return e.StartedAt + m.clockAhead
-}
-
-// setClockAhead takes how far this relay's clock is ahead of what the fleet takes for right.
-func (m *StateMachine) setClockAhead(ahead float64) {
-	m.dispatcher.Balancer.ShiftStartTimes(ahead - m.clockAhead)
-	m.log("clock", "ahead of the fleet's, ms", math.Round(ahead))
-	m.clockAhead = ahead
-}
-
-const (
-	suspendThreshold = 1000.0 // that a timer is late by: this process was stopped
-	resumeReadTime   = 150.0  // for what came meanwhile to be read
-)
-
-// resumeAfterSuspend takes that this process was stopped and goes on now. The watch gets the time to say what it has.
-func (m *StateMachine) resumeAfterSuspend(now float64) {
-	m.log("stopped for a while", "ms", math.Round(now-m.timers[0].at))
-	m.dispatcher.Balancer.Pause(now + resumeReadTime)
-	if m.watchTimer.position > 0 && m.watchTimer.at < now+resumeReadTime {
-		m.setTimer(&m.watchTimer, now+resumeReadTime)
+	if len(m.endpoints.inOrder) > 0 {
+		m.becomeReady() // by hearsay at once; else it would be by nothing, a second after the start
+	}
+	if m.watch.id == 0 { // the balancer has just been told a list, and would ask for one late
+		m.startWatch()
 	}
+	return listed
 }
--- a/internal/relay/sockets_test.go
+++ b/internal/relay/sockets_test.go
@@ -223,7 +223,7 @@
 func TestClosingConnectionsAreBounded(t *testing.T) {
 	s, connect := narrow(t)
 	serving(t, s)
-	s.reducer.ownDescriptors = 0
+	s.reducer.limits.ownDescriptors = 0
 	var clients []net.Conn
 	for i := range 3 * spareClosing {
 		k, in := connect()
@@ -270,7 +270,7 @@
 			backend, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			defer backend.Close()
-			s.reducer.backends["b1"].Address = backend.Addr().String()
+			s.reducer.endpoints.byName["b1"].Address = backend.Addr().String()
 			in := connectUnpolled(t, s)
 			s.take(ConnAccepted{Conn: 1})
 			c.leave(in)
@@ -326,7 +326,7 @@
 	}
 	silent, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
-	s.reducer.exiting = true
+	s.reducer.drain.exiting = true
 	s.endAll()
 	_, err = net.Dial("tcp", listener.Addr().String())
 	assert.ErrorIs(t, err, syscall.ECONNREFUSED)
--- a/internal/relay/statemachine_test.go
+++ b/internal/relay/statemachine_test.go
@@ -153,7 +153,7 @@
 			said = append(said, words)
 		}
 	}
-	require.Zero(s.t, s.illegalTransitions, "%v %s", now, event)
+	require.Zero(s.t, s.queue.illegalTransitions, "%v %s", now, event)
 	return strings.Join(said, "; ")
 }
 
@@ -196,7 +196,7 @@
 	case *SessionAccepted:
 		return fmt.Sprint("adopted ", s.name(f.Conn), " s", f.BackendConn-firstDialedID)
 	case *SendHandoff:
-		s.handoff = f.Handoff
+		s.siblings.handoff = f.Handoff
 		return "bequeath"
 	case *SendEndpoints:
 		s.confides = f.Update
@@ -308,7 +308,7 @@
 		s.at(now, "tick")
 	}
 	assert.Equal(t, uint64(1), s.Rejected)
-	assert.Zero(t, s.sessions)
+	assert.Zero(t, s.queue.sessions)
 }
 
 func TestClientsFirstLine(t *testing.T) {
@@ -356,8 +356,8 @@
 	s.play("more before its answer", step{100, "open 1", ""},
 		step{100, "came 1 OPEN a 1f c=feed,d=2000|", "dial s1 10.0.0.1:9000"},
 		step{101, "came 1 x", "write 1 ERR|; break s1; end 1"}, step{102, "came 1 y|", ""})
-	assert.Zero(t, s.sessions)
-	assert.Empty(t, s.sessionsByID)
+	assert.Zero(t, s.queue.sessions)
+	assert.Empty(t, s.queue.byID)
 }
 
 func TestClientLeaves(t *testing.T) {
@@ -377,8 +377,8 @@
 		s.at(101, c.first)
 		s.play(c.name, step{102, "end 1", c.want})
 		s.at(103, "came s1 UP r|")
-		assert.Zero(t, s.sessions, c.name)
-		assert.Empty(t, s.conns, c.name)
+		assert.Zero(t, s.queue.sessions, c.name)
+		assert.Empty(t, s.conns.byID, c.name)
 	}
 }
 
@@ -419,9 +419,9 @@
 		s.stands()
 		s.play(c.name, c.steps...)
 		assert.Equal(t, uint64(1), s.EndReasons[c.how], c.name)
-		assert.Zero(t, s.sessions, c.name)
-		assert.Empty(t, s.conns, c.name)
-		assert.Empty(t, s.findOrAddBackend("b1").sessions, c.name)
+		assert.Zero(t, s.queue.sessions, c.name)
+		assert.Empty(t, s.conns.byID, c.name)
+		assert.Empty(t, s.endpoints.findOrAdd("b1").sessions, c.name)
 	}
 }
 
@@ -487,7 +487,7 @@
 	for now := 1050.0; now < 4000; now += 50 {
 		assert.NotContains(t, s.at(now, "tick"), "hold", "%v", now)
 	}
-	assert.LessOrEqual(t, len(s.conns), s.ownDescriptors-s.maxAwaiting())
+	assert.LessOrEqual(t, len(s.conns.byID), s.limits.ownDescriptors-s.limits.maxAwaiting())
 	s.at(4000, "open 9")
 	assert.Contains(t, s.at(4001, "came 9 OPEN z 1f c=feed,t=one,d=2000|"), "write 9 BUSY 900|; end 9")
 }
@@ -530,7 +530,7 @@
 	assert.Contains(t, last, "end s3; write 4 BUSY 900|; end 4")
 	assert.True(t, strings.HasSuffix(last, "quit"), last)
 	assert.NotContains(t, s.at(9000, "tick"), "quit", "no second exit")
-	assert.Zero(t, s.sessions)
+	assert.Zero(t, s.queue.sessions)
 
 	s = open(t, nil, 0, "b1=active")
 	s.play("a head on its way", step{1000, "stop", ""}, step{1400, "open 1", ""}, step{1500, "tick", ""},
@@ -594,12 +594,12 @@
 		step{11302, "news 5 3 whole b1=active b2=active", ""},
 		step{11303, "news 5 2 delta b1=leaving", "unwatch"}, // and not at once for ever
 		step{12900, "tick", "watch 6 after 0"}, step{12900, "news 6 3 whole b1=active b2=active", ""})
-	assert.Equal(t, uint64(3), s.endpointsIndex, "a list that was asked for whole may go back")
-	s.findOrAddBackend("b1").Endpoint.Invalid = ""
+	assert.Equal(t, uint64(3), s.endpoints.index, "a list that was asked for whole may go back")
+	s.endpoints.findOrAdd("b1").Endpoint.Invalid = ""
 	bad := []Endpoint{{Name: "b1", Status: "odd", Invalid: "status"}, {Name: "b2", Status: "left"}}
 	s.Handle(12902, EndpointsUpdated{Watch: 6, Update: &EndpointUpdate{Index: 4, Complete: true, Endpoints: bad}})
-	assert.Equal(t, balancer.Ready, s.findOrAddBackend("b1").condition, "what was known of a bad entry stays")
-	assert.Equal(t, balancer.Gone, s.findOrAddBackend("b2").condition)
+	assert.Equal(t, balancer.Ready, s.endpoints.findOrAdd("b1").condition, "what was known of a bad entry stays")
+	assert.Equal(t, balancer.Gone, s.endpoints.findOrAdd("b2").condition)
 }
 
 // Against a reload that loses what is known, waits too long for a new discovery, or refuses its fresh count.
@@ -615,7 +615,7 @@
 		step{3860, "tick", "unwatch"}, step{4110, "tick", "watch 4 after 0 at 10.1.0.2:85"},
 		step{4111, "news 4 2 whole b1=active b3=active", ""}, step{6910, "tick", ""},
 		step{6911, "tick", "watch 5 after 2 at 10.1.0.2:85"})
-	assert.Equal(t, balancer.Gone, s.findOrAddBackend("b2").condition)
+	assert.Equal(t, balancer.Gone, s.endpoints.findOrAdd("b2").condition)
 	assert.Equal(t, []uint64{2, 1}, []uint64{s.Reloads, s.FailedReloads})
 	assert.Equal(t, 1, s.Established)
 	s = open(t, nil, 0, "b1=active")
@@ -628,7 +628,7 @@
 		step{4, "stop", ""},
 		step{5, "reload 10.1.0.1:85", "watch 4 after 0"}, step{6, "news 4 1 delta b1=leaving", ""},
 		step{504, "tick", "quit"})
-	assert.Equal(t, balancer.Draining, s.findOrAddBackend("b1").condition)
+	assert.Equal(t, balancer.Draining, s.endpoints.findOrAdd("b1").condition)
 }
 
 func TestNews(t *testing.T) {
@@ -668,7 +668,7 @@
 	assert.Equal(t, uint64(5), s.Polls)
 	s.play("and goes with its backend", step{3601, "up s3", "write s3 STATS|"}, step{3602, "news 1 2 whole",
 		"break s3"})
-	assert.Empty(t, s.backends, "nothing is kept of one that is gone")
+	assert.Empty(t, s.endpoints.byName, "nothing is kept of one that is gone")
 	assert.NotPanics(t, func() { s.Poll(7) }, "asked for before that")
 }
 
@@ -734,8 +734,8 @@
 	s.at(110, "news 1 2 whole b1=active")
 	s.at(160, "tick")
 	assert.Equal(t, 5, int(s.Attempts))
-	assert.Len(t, s.conns, 10)
-	assert.False(t, s.acceptPaused)
+	assert.Len(t, s.conns.byID, 10)
+	assert.False(t, s.intake.acceptPaused)
 	s.play("there is still room for who comes", step{170, "open 10", ""},
 		step{170, "came 10 OPEN x 1f c=feed,t=one,d=2000|", "write 10 BUSY 900|; end 10"})
 }
@@ -757,7 +757,7 @@
 		if now == 1000 {
 			s.at(now, "came 1 ed,")
 		}
-		assert.LessOrEqual(t, s.awaitingCount, s.maxAwaiting()+1, now)
+		assert.LessOrEqual(t, s.intake.awaitingCount, s.limits.maxAwaiting()+1, now)
 	}
 	assert.NotZero(t, s.RequestErrors[Evicted])
 	assert.Contains(t, s.at(2001, "came 1 d=2000|"), "dial s1 10.0.0.1:9000")
--- /dev/null
+++ b/internal/relay/timers.go
@@ -0,0 +1,82 @@
+package relay
+
+import (
+	"container/heap"
+	"math"
+)
+
+// timer calls fire once when its time has come. The zero value is a timer that is not set.
+type timer struct {
+	at       float64 // Unix milliseconds
+	position int     // in the heap, from 1; 0: not set
+	fire     func()
+}
+
+func (t *timer) isSet() bool { return t.position > 0 }
+
+// timerHeap orders timers by their times, for container/heap.
+type timerHeap []*timer
+
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+
+func (h timerHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].position = i + 1
+	h[j].position = j + 1
+}
+
+func (h *timerHeap) Push(x any) {
+	t := x.(*timer)
+	*h = append(*h, t)
+	t.position = len(*h)
+}
+
+func (h *timerHeap) Pop() any {
+	last := len(*h) - 1
+	t := (*h)[last]
+	(*h)[last] = nil
+	*h = (*h)[:last]
+	t.position = 0
+	return t
+}
+
+// timerQueue holds all timers that are set, and knows for when the process was asked to wake the state machine.
+type timerQueue struct {
+	heap   timerHeap
+	setFor float64 // time of the last SetTimer that has not fired; +Inf: none
+}
+
+func newTimerQueue() timerQueue { return timerQueue{setFor: math.Inf(1)} }
+
+// set has the timer fire at that time, Unix milliseconds, in place of any earlier setting.
+func (q *timerQueue) set(t *timer, at float64) {
+	t.at = at
+	if t.isSet() {
+		heap.Fix(&q.heap, t.position-1)
+	} else {
+		heap.Push(&q.heap, t)
+	}
+}
+
+// stop keeps the timer from firing.
+func (q *timerQueue) stop(t *timer) {
+	if t.isSet() {
+		heap.Remove(&q.heap, t.position-1)
+	}
+}
+
+// next is when the first timer fires; +Inf: there is none.
+func (q *timerQueue) next() float64 {
+	if len(q.heap) == 0 {
+		return math.Inf(1)
+	}
+	return q.heap[0].at
+}
+
+// fireDue calls what is due by now, in the order of its times. What it calls may set and stop timers.
+func (q *timerQueue) fireDue(now float64) {
+	for q.next() <= now {
+		heap.Pop(&q.heap).(*timer).fire()
+	}
+}
--- a/internal/relay/zones.go
+++ b/internal/relay/zones.go
@@ -2,35 +2,36 @@
 
 import "valeshift/balancer"
 
-// This file is the part of the reducer for zones that are decided on in common: names become numbers here,
-// and back.
-
-// ZoneWeight is a zone that a part of the links is meant for; an open one takes others' too where those find no
-// room.
+// ZoneWeight is the share of sessions that the coordinators mean for a zone.
 type ZoneWeight struct {
 	Zone            string  `json:"Zone"`
 	Share           float64 `json:"Part"`
-	AcceptsOverflow bool    `json:"Open"`
+	AcceptsOverflow bool    `json:"Open"` // it takes sessions meant for other zones too, where those have no capacity
 }
 
-// setZoneWeights takes where links are meant to go from now on; none: as this relay finds.
-func (m *StateMachine) setZoneWeights(all []ZoneWeight) {
-	var parts []balancer.ZoneWeight
-	for _, t := range all {
-		parts = append(parts, balancer.ZoneWeight{Zone: m.zoneNumber(t.Zone), Weight: t.Share, AcceptsOverflow: t.AcceptsOverflow})
+// setZoneWeights has sessions assigned to zones by these weights; none: as this relay finds.
+func (m *StateMachine) setZoneWeights(weights []ZoneWeight) {
+	var byNumber []balancer.ZoneWeight
+	for _, w := range weights {
+		byNumber = append(byNumber, balancer.ZoneWeight{
+			Zone:            m.endpoints.zoneNumber(w.Zone),
+			Weight:          w.Share,
+			AcceptsOverflow: w.AcceptsOverflow,
+		})
 	}
-	m.dispatcher.Balancer.SetZoneWeights(parts)
-	m.log("directed", "zones", len(all))
+	m.balancer().SetZoneWeights(byNumber)
+	m.log("directed", "zones", len(weights))
 }
 
-// ZoneObservations is what this relay has seen of each zone since its start, and what its links weigh.
-func (m *StateMachine) ZoneObservations(now float64) (map[string]balancer.ZoneObservation, float64) {
-	all, demand := m.dispatcher.Balancer.ZoneObservations(now)
-	named := map[string]balancer.ZoneObservation{}
-	for name, z := range m.zones {
-		if z < len(all) {
-			named[name] = all[z]
+// ZoneObservations is what this relay has seen of each zone since its start, and what its sessions weigh. It is called
+// between events.
+func (m *StateMachine) ZoneObservations(now float64) (byZone map[string]balancer.ZoneObservation, demand float64) {
+	all, demand := m.balancer().ZoneObservations(now)
+	byZone = map[string]balancer.ZoneObservation{}
+	for name, number := range m.endpoints.zones {
+		if number < len(all) {
+			byZone[name] = all[number]
 		}
 	}
-	return named, demand
+	return byZone, demand
 }
