--- a/internal/relay/conns.go
+++ b/internal/relay/conns.go
@@ -21,12 +21,12 @@
 	// Of a client's.
 	acceptedAt float64
 	lastDataAt float64 // when it last brought a part of its request
-	pings      int
+	pings      uint8   // maxPings and one more at the most
 
 	// Of a backend's.
 	isUp             bool
-	backendStartedAt float64 // the backend's start, as it was known when it was chosen
 	awaitsMarker     bool    // it is up, and its request waits for the attempt's marker to be replicated
+	backendStartedAt float64 // the backend's start, as it was known when it was chosen
 }
 
 // connTable holds all connections that are open or being dialed, of clients and to backends.
