--- a/internal/relay/closing.go
+++ b/internal/relay/closing.go
@@ -121,10 +121,10 @@
 
 // maxOpenSockets is how many connections may hold a descriptor, closing ones among them.
 func (s *driver) maxOpenSockets() int {
-	if s.machine == nil || s.machine.ownDescriptors > unlimitedSockets {
+	if s.machine == nil || s.machine.limits.ownDescriptors > unlimitedSockets {
 		return unlimitedSockets
 	}
-	return s.machine.ownDescriptors + spareClosingDescriptors
+	return s.machine.limits.ownDescriptors + spareClosingDescriptors
 }
 
 // closeListener takes in what waits to be accepted, and then has no more come: the machine has accepted it, so that
@@ -133,7 +133,7 @@
 func (s *driver) closeListener() {
 	s.mutex.Lock()
 	s.acceptEnding = true
-	yielded := s.machine.yieldedToChild
+	yielded := s.machine.siblings.yielded
 	s.acceptChanged.Broadcast()
 	s.listener.SetDeadline(time.Unix(1, 0))
 	s.mutex.Unlock()
