--- a/internal/testbed/live/coordinator.go
+++ b/internal/testbed/live/coordinator.go
@@ -1,7 +1,6 @@
 package live
 
 import (
-	"context"
 	"fmt"
 	"os"
 	"os/exec"
@@ -9,7 +8,6 @@
 	"strings"
 
 	"valeshift/internal/testbed/experiment"
-	"valeshift/internal/testbed/netem"
 )
 
 // coordinatorProcess is a coordinator that runs beside a relay's process: what kills one kills both, and the
@@ -48,9 +46,9 @@
 }
 
 func (r *Run) coordinatorListenAddresses() ([]string, error) {
-	listen := make([]string, r.x.Relays.Coordinators)
+	listen := make([]string, r.experiment.Relays.Coordinators)
 	for machine := range listen {
-		address, err := r.free(machine)
+		address, err := r.freeAddress(machine)
 		if err != nil {
 			return nil, fmt.Errorf("address of coordinator %d: %w", machine, err)
 		}
@@ -67,13 +65,10 @@
 			addresses = append(addresses, listen[to])
 			continue
 		}
-		proxy, err := netem.New(r.road(from), listen[to], r.x.Rand("way", 100000*(from+1)+to))
+		proxy, err := r.newProxy(from, to, listen[to], 100000*(from+1)+to)
 		if err != nil {
 			return nil, fmt.Errorf("proxy from machine %d to coordinator %d: %w", from, to, err)
 		}
-		context.AfterFunc(r.ctx, proxy.Close)
-		pair := [2]int{from, to}
-		r.forwards[pair] = append(r.forwards[pair], proxy)
 		addresses = append(addresses, proxy.Address)
 	}
 	return addresses, nil
@@ -85,7 +80,7 @@
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, fmt.Errorf("folder of coordinator %d: %w", machine, err)
 	}
-	adminAddress, err := r.free(machine)
+	adminAddress, err := r.freeAddress(machine)
 	if err != nil {
 		return nil, fmt.Errorf("admin address of coordinator %d: %w", machine, err)
 	}
@@ -111,8 +106,8 @@
 	for to, address := range reached {
 		fmt.Fprintf(&text, "[[voter]]\nname = \"v%d\"\naddress = %q\n", to, address)
 	}
-	for zone := range r.x.Fleet.Zones {
-		fmt.Fprintf(&text, "[[zone]]\nname = %q\nregion = %q\n", experiment.Zone(zone), r.x.Region(zone))
+	for zone := range r.experiment.Fleet.Zones {
+		fmt.Fprintf(&text, "[[zone]]\nname = %q\nregion = %q\n", experiment.Zone(zone), r.experiment.Region(zone))
 	}
 	return text.String()
 }
@@ -141,8 +136,8 @@
 
 // coordinatorBinary is of the same build as the relays' binary, and lies beside it.
 func (r *Run) coordinatorBinary() string {
-	name := strings.Replace(filepath.Base(r.binary), "valeshift", "valeshift-coordinator", 1)
-	return filepath.Join(filepath.Dir(r.binary), name)
+	name := strings.Replace(filepath.Base(r.relayBinary), "valeshift", "valeshift-coordinator", 1)
+	return filepath.Join(filepath.Dir(r.relayBinary), name)
 }
 
 // killCoordinator kills the coordinator of a machine, if there is one and it runs.
