--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -9,6 +9,8 @@
 	"maps"
 	"slices"
 	"strings"
+
+	"valeshift/internal/testbed/experiment"
 )
 
 // Rule is what can be broken.
@@ -50,7 +52,7 @@
 
 type link struct {
 	relay, life int // and which life of it
-	effect      string
+	effect      experiment.Effect
 	errand      *errand
 	asked, due  float64
 	answered    string
@@ -152,7 +154,7 @@
 }
 
 // RequestSent takes that a link was asked for.
-func (a *Auditor) RequestSent(now float64, id, name string, relay int, effect string, wait float64) {
+func (a *Auditor) RequestSent(now float64, id, name string, relay int, effect experiment.Effect, wait float64) {
 	a.sweep(now)
 	a.Requests++
 	if a.links[id] != nil {
@@ -184,7 +186,7 @@
 		a.breaks(FinalAnswer, now, id, "%s came %.0f ms after the hard limit", verb, now-l.due)
 	case verb == "UP" && l.took == 0:
 		a.breaks(FinalAnswer, now, id, "UP that no server said")
-	case verb == "BUSY" && l.effect == "single-use" && l.took > 0:
+	case verb == "BUSY" && l.effect == experiment.EffectSingleUse && l.took > 0:
 		a.breaks(AtMostOnce, now, id, "told that trying again is harmless, and it was done already")
 	}
 }
@@ -319,7 +321,7 @@
 	if l == nil {
 		return
 	}
-	if l.took++; l.took > 1 && l.effect == "single-use" {
+	if l.took++; l.took > 1 && l.effect == experiment.EffectSingleUse {
 		a.breaks(AtMostOnce, now, id, "single-use, and done again on %s", server)
 	}
 	if at := l.errand.client; *at != "" && l.errand.took == 0 {
@@ -328,7 +330,7 @@
 		}
 	}
 	*l.errand.client = server
-	if l.errand.took++; l.errand.took > 1 && l.took == 1 && l.effect == "single-use" {
+	if l.errand.took++; l.errand.took > 1 && l.took == 1 && l.effect == experiment.EffectSingleUse {
 		a.RepeatedEffects++
 	}
 }
--- a/internal/testbed/explore/explore.go
+++ b/internal/testbed/explore/explore.go
@@ -31,7 +31,7 @@
 func (f *Finding) Text() ([]byte, error) { return toml.Marshal(f.Experiment) }
 
 // kinds are in one order, so that a seed draws the same.
-var kinds = func() (all []string) {
+var kinds = func() (all []experiment.FaultKind) {
 	for k := range experiment.FaultKinds {
 		switch k {
 		// came later: so that seeds before them draw the same
@@ -87,7 +87,7 @@
 			LineInterval: span(200, 3000), HonorsRetryAfter: float64(chance.Intn(3)) / 2, LatencyObjective: span(100, 800),
 			RetryDelay: span(20, 500)}
 		t.HardLimit = t.LatencyObjective + span(0, 2500)
-		t.Effect = []string{"replayable", "referenced", "single-use"}[chance.Intn(3)]
+		t.Effect = []experiment.Effect{experiment.EffectReplayable, experiment.EffectReferenced, experiment.EffectSingleUse}[chance.Intn(3)]
 		if chance.Intn(3) == 0 {
 			t.Groups = 1 + chance.Intn(30)
 		}
@@ -119,7 +119,7 @@
 	// And decide on zones in common.
 	if n := x.Relays.Count; x.Relays.Membership && f.Zones > 1 && chance.Intn(2) == 0 {
 		x.Relays.Coordinators, f.Regions = 1+2*chance.Intn((n+1)/2), 1+chance.Intn(2)
-		kind := []string{"zone-grey", "zone-lost", "zone-cut"}[chance.Intn(3)]
+		kind := []experiment.FaultKind{"zone-grey", "zone-lost", "zone-cut"}[chance.Intn(3)]
 		x.Faults = append(x.Faults, experiment.Fault{Kind: kind, At: span(2000, float64(x.Length)-3000),
 			Duration: span(500, 8000), Factor: between(0.2, 1)})
 	}
--- a/internal/testbed/live/mates.go
+++ b/internal/testbed/live/mates.go
@@ -111,7 +111,7 @@
 }
 
 // DamageDisk does something to the disk of a relay that is down.
-func (r *Run) DamageDisk(i int, what string) {
+func (r *Run) DamageDisk(i int, what experiment.DiskFault) {
 	p := r.relays[i]
 	if p.disk == "" {
 		return
@@ -127,22 +127,22 @@
 		}
 	}
 	switch what {
-	case "wiped":
+	case experiment.DiskWiped:
 		for _, name := range files(p.disk) {
 			os.Remove(filepath.Join(p.disk, name))
 		}
-	case "torn":
+	case experiment.DiskTorn:
 		each(func(data []byte) []byte { return data[:chance.Intn(len(data))] })
-	case "flipped":
+	case experiment.DiskFlipped:
 		each(func(data []byte) []byte {
 			for range 8 {
 				data[chance.Intn(len(data))] ^= 1 << chance.Intn(8)
 			}
 			return data
 		})
-	case "older":
+	case experiment.DiskOlder:
 		copyDisk(p.disk+".older", p.disk)
-	case "another's":
+	case experiment.DiskAnothers:
 		copyDisk(r.relays[(i+1)%len(r.relays)].disk, p.disk)
 	}
 }
--- /dev/null
+++ b/internal/testbed/model/backend_sessions.go
@@ -0,0 +1,265 @@
+package model
+
+import (
+	"bytes"
+	"fmt"
+	"math"
+	"strconv"
+
+	"valeshift/internal/protocol"
+)
+
+// The verbs of the text protocol, of lines that start with one.
+const (
+	verbOpen     = "OPEN"
+	verbPing     = "PING"
+	verbPong     = "PONG"
+	verbStats    = "STATS"
+	verbUp       = "UP"
+	verbBusy     = "BUSY"
+	verbMove     = "MOVE"
+	verbLoad     = "LOAD"
+	verbError    = "ERR"
+	verbSyntax   = "SYNTAX"
+	verbMessage  = "M" // a client's line: its number, and when it was sent
+	verbResponse = "R" // a backend's: its number, when it was sent, and the number of the client's line
+)
+
+// The names under which clients of the testbed say in a request what their session is. Relays pass them on
+// unread.
+const (
+	requestLoad     = "w" // thousandths of a core
+	requestInterval = "e" // milliseconds between two lines
+)
+
+// backendConn is a backend's connection, with the session on it once a request has come.
+type backendConn struct {
+	conn         uint64
+	splitter     protocol.LineSplitter
+	id           string // of the session; empty: no request has come
+	attempting   bool   // a request has come and is not answered
+	established  bool
+	isOpen       bool    // a request has come, and the connection is still there
+	load         float64 // thousandths of a core
+	lineInterval float64
+	linesSent    int
+	queuedLines  int // of the client, whose work waits or is being done
+}
+
+// OnAccept is called with a connection of a relay.
+func (b *Backend) OnAccept(conn uint64) { b.conns[conn] = &backendConn{conn: conn} }
+
+// OnConnect is never called: backends dial nobody.
+func (b *Backend) OnConnect(uint64) {}
+
+// OnClose is called when a relay has ended a connection.
+func (b *Backend) OnClose(conn uint64, _ bool) {
+	if c := b.conns[conn]; c != nil {
+		b.forget(c)
+	}
+}
+
+// OnData is called with what a relay sends.
+func (b *Backend) OnData(conn uint64, data []byte) {
+	for {
+		c := b.conns[conn]
+		if c == nil {
+			return
+		}
+		line, rest, err := c.splitter.Next(data)
+		if err != nil {
+			b.disconnect(c, true)
+			return
+		}
+		if line == nil {
+			return
+		}
+		data = rest
+		b.handleLine(c, line)
+	}
+}
+
+func (b *Backend) handleLine(c *backendConn, line []byte) {
+	verb, rest := protocol.CutVerb(line)
+	switch {
+	case c.established:
+		b.handleMessage(c, rest)
+	case string(verb) == verbStats || string(verb) == verbPing:
+		b.reportLoad(c)
+	case string(verb) == verbOpen && c.id == "":
+		b.handleRequest(c, line)
+	default:
+		b.send(c, verbError+"\r\n")
+		b.disconnect(c, false)
+	}
+}
+
+func (b *Backend) send(c *backendConn, text string) { b.host.Write(c.conn, []byte(text)) }
+
+// disconnect ends a connection from this side.
+func (b *Backend) disconnect(c *backendConn, reset bool) {
+	if reset {
+		b.host.Reset(c.conn)
+	} else {
+		b.host.Close(c.conn)
+	}
+	if c.established {
+		b.observer.ClosedByBackend(b.host.Now(), c.id, b.Name)
+	}
+	b.forget(c)
+}
+
+// forget drops a connection that has ended.
+func (b *Backend) forget(c *backendConn) {
+	delete(b.conns, c.conn)
+	if c.attempting {
+		c.attempting = false
+		b.observer.AttemptFinished(b.host.Now(), c.id, b.Name)
+	}
+	if c.established {
+		b.Sessions--
+		b.Demand -= c.load / 1000
+	}
+	c.established = false
+	c.isOpen = false
+}
+
+// reportLoad answers with the last load report, which is made anew when it is too old. A backend that is
+// stalled answers once it works again.
+func (b *Backend) reportLoad(c *backendConn) {
+	if now := b.host.Now(); now >= b.report.at+b.MaxReportAge {
+		b.report = b.measureLoad(now)
+	}
+	answer := func() {
+		if b.conns[c.conn] == c {
+			b.send(c, fmt.Sprintf(verbPong+" cpu=%.4f,rps=%g,x0=%.4f\r\n", b.report.cpu, b.report.sessions,
+				b.report.utilization))
+		}
+	}
+	if b.faults.stalled {
+		b.work(statusWork, answer)
+		return
+	}
+	answer()
+}
+
+// measureLoad makes a load report, with its noise.
+func (b *Backend) measureLoad(now float64) loadReport {
+	utilization := max(b.Utilization(now)*(1+b.ReportNoise*b.rng.NormFloat64()), 0)
+	return loadReport{
+		at:          now,
+		cpu:         min(utilization, 1),
+		sessions:    float64(b.Sessions),
+		utilization: utilization,
+	}
+}
+
+// handleRequest begins an attempt: the session is established once its set-up work and its turn at the session
+// store are done.
+func (b *Backend) handleRequest(c *backendConn, line []byte) {
+	now := b.host.Now()
+	request, err := protocol.ParseRequest(line)
+	if err != nil {
+		b.send(c, verbSyntax+"\r\n")
+		b.disconnect(c, false)
+		return
+	}
+	c.id = string(request.ID)
+	c.load, c.lineInterval = sessionDemand(line)
+	c.attempting = true
+	c.isOpen = true
+	capacity := b.Capacity(now)
+	isCold := b.isCold(now)
+	b.observer.AttemptReceived(now, c.id, b.Name, isCold, capacity, c.load/1000)
+	if b.faults.failingShare > 0 && b.rng.Float64() < b.faults.failingShare {
+		b.disconnect(c, true)
+		return
+	}
+	if b.Draining {
+		b.send(c, verbBusy+"\r\n")
+		b.disconnect(c, false)
+		return
+	}
+	if isCold && b.addColdLoad(now, c.load/1000, capacity) {
+		b.fallOver()
+		return
+	}
+	b.work(b.SetupWork, func() {
+		if !c.isOpen {
+			return
+		}
+		now := b.host.Now()
+		b.host.After(b.sessionStore.enqueue(now)-now, func() { b.establish(c) })
+	})
+}
+
+// sessionDemand reads from a request the session's load, in thousandths of a core, and the interval of its
+// lines.
+func sessionDemand(request []byte) (load, lineInterval float64) {
+	attributes := protocol.TrimLineEnd(request[bytes.LastIndexByte(request, ' ')+1:])
+	for attribute := range bytes.SplitSeq(attributes, []byte(",")) {
+		name, value, _ := bytes.Cut(attribute, []byte("="))
+		switch string(name) {
+		case requestLoad:
+			load, _ = strconv.ParseFloat(string(value), 64)
+		case requestInterval:
+			lineInterval, _ = strconv.ParseFloat(string(value), 64)
+		}
+	}
+	return load, lineInterval
+}
+
+// establish answers UP to a request whose set-up is done.
+func (b *Backend) establish(c *backendConn) {
+	if !c.isOpen || c.established {
+		return
+	}
+	now := b.host.Now()
+	b.observer.EffectApplied(now, c.id, b.Name)
+	if b.faults.lostAnswerShare > 0 && b.rng.Float64() < b.faults.lostAnswerShare {
+		b.disconnect(c, true)
+		return
+	}
+	c.attempting = false
+	b.observer.AttemptFinished(now, c.id, b.Name)
+	c.established = true
+	b.Sessions++
+	b.Demand += c.load / 1000
+	answer := []byte(verbUp + " receipt\r\n" + verbLoad + " ")
+	b.host.Write(c.conn, strconv.AppendFloat(answer, math.Round(c.load*1000), 'f', 0, 64))
+	b.send(c, "\r\n")
+}
+
+// handleMessage answers a client's line once its work is done. While several lines of a session wait, further
+// ones cost nothing: the work of a backend that falls behind stays bounded.
+func (b *Backend) handleMessage(c *backendConn, rest []byte) {
+	numberText, sentAtText, _ := bytes.Cut(rest, []byte(" "))
+	number, _ := strconv.Atoi(string(numberText))
+	sentAt, _ := strconv.ParseFloat(string(sentAtText), 64)
+	b.observer.LineReceived(b.host.Now(), c.id, false, number, sentAt)
+	amount := c.load / 1000 * c.lineInterval
+	if c.queuedLines >= maxLineQueue {
+		amount = 0
+	}
+	c.queuedLines++
+	b.work(amount, func() {
+		c.queuedLines--
+		if c.established {
+			b.respond(c, number)
+		}
+	})
+}
+
+// respond sends the line that answers a client's line.
+func (b *Backend) respond(c *backendConn, number int) {
+	c.linesSent++
+	now := b.host.Now()
+	text := append(make([]byte, 0, 48), verbResponse+" "...)
+	text = strconv.AppendInt(text, int64(c.linesSent), 10)
+	text = append(text, ' ')
+	text = strconv.AppendFloat(text, now, 'f', 3, 64)
+	text = append(text, ' ')
+	text = strconv.AppendInt(text, int64(number), 10)
+	b.observer.LineSent(now, c.id, true, c.linesSent)
+	b.host.Write(c.conn, append(text, "\r\n"...))
+}
--- a/internal/testbed/sim/mates.go
+++ b/internal/testbed/sim/mates.go
@@ -31,7 +31,7 @@
 type disk struct {
 	memory *store.MemoryFS
 	older  *store.MemoryFS // as it was early in the run
-	fault  string
+	fault  experiment.DiskFault
 }
 
 // mates drives one life's side of the fleet under virtual time, as fleet.Run does on sockets and a disk.
@@ -81,7 +81,7 @@
 	}
 	if x.Relays.Disk {
 		wait := readTime
-		if s.disks[i].fault == "slow" {
+		if s.disks[i].fault == experiment.DiskSlow {
 			wait = slowDisk
 		}
 		s.net.after(wait, m.read)
@@ -270,16 +270,16 @@
 }
 
 // DamageDisk does something to the disk of a relay that is down.
-func (s *Sim) DamageDisk(i int, what string) {
+func (s *Sim) DamageDisk(i int, what experiment.DiskFault) {
 	d := s.disks[i]
 	d.fault = what
 	chance := rand.New(rand.NewSource(s.net.chance.Int63()))
 	switch what {
-	case "wiped":
+	case experiment.DiskWiped:
 		d.memory = store.NewMemoryFS()
-	case "torn":
+	case experiment.DiskTorn:
 		d.memory.MutateFiles(func(_ string, data []byte) []byte { return data[:chance.Intn(len(data)+1)] })
-	case "flipped":
+	case experiment.DiskFlipped:
 		d.memory.MutateFiles(func(_ string, data []byte) []byte {
 			for range 8 {
 				if len(data) > 0 {
@@ -288,13 +288,13 @@
 			}
 			return data
 		})
-	case "older":
+	case experiment.DiskOlder:
 		if d.older != nil {
 			d.memory = d.older.Clone()
 		}
-	case "another's":
+	case experiment.DiskAnothers:
 		d.memory = s.disks[(i+1)%len(s.disks)].memory.Clone()
-	case "full", "read-only":
+	case experiment.DiskFull, experiment.DiskReadOnly:
 		d.memory.InjectFault = func(call string) error {
 			if call == "write" || call == "append" {
 				return store.ErrNoSpace
--- a/internal/testbed/sim/sim.go
+++ b/internal/testbed/sim/sim.go
@@ -241,8 +241,8 @@
 	}
 	var categories []balancer.Class
 	for _, t := range x.Classes() {
-		effect := map[string]balancer.Idempotency{"replayable": balancer.Idempotent, "referenced": balancer.IdempotentByKey,
-			"single-use": balancer.NonIdempotent}[t.Effect]
+		effect := map[experiment.Effect]balancer.Idempotency{experiment.EffectReplayable: balancer.Idempotent, experiment.EffectReferenced: balancer.IdempotentByKey,
+			experiment.EffectSingleUse: balancer.NonIdempotent}[t.Effect]
 		categories = append(categories, balancer.Class{LatencyObjective: float64(t.LatencyObjective), PriorityWeight: t.PriorityWeight,
 			Idempotency: effect})
 	}
--- a/internal/testbed/sim/sim_test.go
+++ b/internal/testbed/sim/sim_test.go
@@ -72,9 +72,9 @@
 // Each kind of fault, alone, on one seed: the run comes to its end with the rules kept.
 func TestEachFault(t *testing.T) {
 	for kind := range experiment.FaultKinds {
-		t.Run(kind, func(t *testing.T) {
+		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
-			r := play(t, calm+"[[fault]]\nkind = \""+kind+"\"\nat = \"6s\"\nfor = \"4s\"\nshare = 0.3\n", "module")
+			r := play(t, calm+"[[fault]]\nkind = \""+string(kind)+"\"\nat = \"6s\"\nfor = \"4s\"\nshare = 0.3\n", "module")
 			assert.Zero(t, r.Audit.ViolationCount(), "%v", r.Audit.Violations)
 			require.Len(t, r.Marks, 1)
 			assert.Greater(t, r.Tally.ServedShare(14000, 20000), 0.7)
