--- /dev/null
+++ b/internal/testbed/audit/lines.go
@@ -0,0 +1,30 @@
+package audit
+
+// maxHold is how long a line may be on its way, in milliseconds.
+const maxHold = 1000.0
+
+// LineSent does nothing: what is received is checked by its number.
+func (a *Auditor) LineSent(float64, string, bool, int) {}
+
+// LineReceived is called when a client or a backend has received a numbered line.
+func (a *Auditor) LineReceived(now float64, id string, toClient bool, number int, sentAt float64) {
+	a.Lines++
+	s := a.sessions[id]
+	if s == nil {
+		return
+	}
+	last := &s.lastLines[0]
+	if toClient {
+		last = &s.lastLines[1]
+	}
+	expected := *last + 1
+	switch {
+	case number > expected:
+		a.report(LineDelivery, now, id, "%d lines lost before number %d (down %t)", number-expected, number, toClient)
+	case number < expected:
+		a.report(LineDelivery, now, id, "line %d came again (down %t)", number, toClient)
+	case now > sentAt+maxHold+grace+a.slack && !s.wasDark && !s.wasFrozen:
+		a.report(LineDelivery, now, id, "line %d held for %.0f ms (down %t)", number, now-sentAt, toClient)
+	}
+	*last = max(*last, number)
+}
