--- /dev/null
+++ b/internal/testbed/live/disks.go
@@ -0,0 +1,95 @@
+package live
+
+import (
+	"math/rand"
+	"os"
+	"path/filepath"
+
+	"valeshift/internal/testbed/experiment"
+	"valeshift/internal/testbed/faultdisk"
+)
+
+// A relay's disk is a folder. Errors of the testbed's own file operations are passed over: the folder may lack any
+// file, and a relay that finds less than it left is what these faults are about.
+
+const (
+	storeLockFile = "lock"   // the store's
+	olderSuffix   = ".older" // of the copy that DiskOlder restores
+	flippedBits   = 8        // in each file, by DiskFlipped
+)
+
+// copyDisksForLater keeps a copy of each disk as it is now, for machines that return with an older one.
+func (r *Run) copyDisksForLater() {
+	for _, p := range r.relays {
+		if p.diskFolder != "" {
+			copyDisk(p.diskFolder, p.diskFolder+olderSuffix)
+		}
+	}
+}
+
+// DamageDisk does something to the disk of a relay that is down.
+func (r *Run) DamageDisk(i int, fault experiment.DiskFault) {
+	p := r.relays[i]
+	if p.diskFolder == "" {
+		return
+	}
+	rng := rand.New(rand.NewSource(r.experiment.Rand("disk", 1000*i+p.launches).Int63()))
+	os.WriteFile(filepath.Join(p.diskFolder, faultdisk.FaultsFile), []byte(fault), 0o600)
+	switch fault {
+	case experiment.DiskWiped:
+		removeFiles(p.diskFolder)
+	case experiment.DiskTorn:
+		rewriteFiles(p.diskFolder, func(data []byte) []byte { return data[:rng.Intn(len(data))] })
+	case experiment.DiskFlipped:
+		rewriteFiles(p.diskFolder, func(data []byte) []byte { return flipBits(data, rng) })
+	case experiment.DiskOlder:
+		copyDisk(p.diskFolder+olderSuffix, p.diskFolder)
+	case experiment.DiskAnothers:
+		copyDisk(r.relays[(i+1)%len(r.relays)].diskFolder, p.diskFolder)
+	}
+}
+
+// storeFiles returns the names of the store's files, without its lock and the testbed's own file.
+func storeFiles(folder string) []string {
+	entries, _ := os.ReadDir(folder)
+	var names []string
+	for _, entry := range entries {
+		if entry.Name() != storeLockFile && entry.Name() != faultdisk.FaultsFile {
+			names = append(names, entry.Name())
+		}
+	}
+	return names
+}
+
+func copyDisk(from, to string) {
+	os.RemoveAll(to)
+	os.MkdirAll(to, 0o700)
+	for _, name := range storeFiles(from) {
+		if data, err := os.ReadFile(filepath.Join(from, name)); err == nil {
+			os.WriteFile(filepath.Join(to, name), data, 0o600)
+		}
+	}
+}
+
+func removeFiles(folder string) {
+	for _, name := range storeFiles(folder) {
+		os.Remove(filepath.Join(folder, name))
+	}
+}
+
+// rewriteFiles changes the content of each file that has any.
+func rewriteFiles(folder string, change func(data []byte) []byte) {
+	for _, name := range storeFiles(folder) {
+		path := filepath.Join(folder, name)
+		if data, err := os.ReadFile(path); err == nil && len(data) > 0 {
+			os.WriteFile(path, change(data), 0o600)
+		}
+	}
+}
+
+func flipBits(data []byte, rng *rand.Rand) []byte {
+	for range flippedBits {
+		data[rng.Intn(len(data))] ^= 1 << rng.Intn(8)
+	}
+	return data
+}
