--- a/internal/testbed/sim/coordinator.go
+++ b/internal/testbed/sim/coordinator.go
@@ -137,7 +137,7 @@
 }
 
 func (c *coordinatorProcess) sendDatagram(to string, data []byte) {
-	c.sim.datagram(c.machine, membership.Datagram{To: to, Data: data}, coordinatorAddress(c.machine))
+	c.sim.sendDatagram(c.machine, membership.Datagram{To: to, Data: data}, coordinatorAddress(c.machine))
 }
 
 // receive takes a datagram from another coordinator, or a sealed one from a relay.
--- a/internal/testbed/sim/mates.go
+++ b/internal/testbed/sim/fleet.go
@@ -27,28 +27,28 @@
 
 var fleetKey = []byte("the key of the lab's fleet")
 
-// disk is one relay's, and what becomes of it.
-type disk struct {
+// simulatedDisk is one relay's, and what becomes of it.
+type simulatedDisk struct {
 	memory *store.MemoryFS
 	older  *store.MemoryFS // as it was early in the run
 	fault  experiment.DiskFault
 }
 
-// mates drives one life's side of the fleet under virtual time, as fleet.Run does on sockets and a disk.
-type mates struct {
-	s     *Sim
-	i     int
-	p     *process
+// fleetNode drives one life's side of the fleet under virtual time, as fleet.Run does on sockets and a disk.
+type fleetNode struct {
+	sim     *Sim
+	number     int
+	process     *process
 	core  *fleet.Core
 	store *store.Store
-	dueAt float64 // of what others hold; 0: it is not waited for
+	replicationDueAt float64 // of what others hold; 0: it is not waited for
 }
 
 func peerAddress(i int) string { return fmt.Sprintf("peer-%d", i) }
 
-// join gives a process its side of the fleet, where the experiment has relays keep something or know of
+// startFleetNode gives a process its side of the fleet, where the experiment has relays keep something or know of
 // others.
-func (s *Sim) join(i int, p *process) {
+func (s *Sim) startFleetNode(i int, p *process) {
 	x := s.x
 	if !x.Relays.Membership && !x.Relays.Disk {
 		return
@@ -65,7 +65,7 @@
 			}
 		}
 	}
-	m := &mates{s: s, i: i, p: p, core: fleet.New(p.clock(), own, seeds, fleetKey, x.Relays.Disk, chance)}
+	m := &fleetNode{sim: s, number: i, process: p, core: fleet.New(p.clock(), own, seeds, fleetKey, x.Relays.Disk, chance)}
 	if x.Relays.Coordinators > 0 {
 		coordinators := s.coordinatorAddresses()
 		m.core.FollowCoordinators(own.Name, own.Zone, coordinators, fleetKey, chance)
@@ -73,10 +73,10 @@
 			s.startCoordinator(i, p)
 		}
 	}
-	p.mates = m
+	p.fleetNode = m
 	p.take(relay.IncarnationChanged{})
 	if x.Relays.Replicas > 0 {
-		m.do(m.core.EnableReplication(own.Name, own.Incarnation, x.Relays.Replicas, float64(x.Relays.MarkerRetention), x.Relays.ReplicatesAffinity,
+		m.execute(m.core.EnableReplication(own.Name, own.Incarnation, x.Relays.Replicas, float64(x.Relays.MarkerRetention), x.Relays.ReplicatesAffinity,
 			fleetKey, chance))
 	}
 	if x.Relays.Disk {
@@ -84,105 +84,105 @@
 		if s.disks[i].fault == experiment.DiskSlow {
 			wait = slowDisk
 		}
-		s.net.after(wait, m.read)
+		s.net.after(wait, m.readDisk)
 	}
 	m.tick()
 }
 
 const mostSeeds = 12 // as operators would name some, not all
 
-func (m *mates) read() {
-	if m.p.over {
+func (m *fleetNode) readDisk() {
+	if m.process.over {
 		return
 	}
-	s, found, err := store.Open(m.s.disks[m.i].memory, fmt.Sprintf("relay-%d", m.i), diskMost)
+	s, found, err := store.Open(m.sim.disks[m.number].memory, fmt.Sprintf("relay-%d", m.number), diskMost)
 	if err == nil {
 		m.store = s
 	}
-	m.do(m.core.Restore(m.p.clock(), s, found, err))
+	m.execute(m.core.Restore(m.process.clock(), s, found, err))
 }
 
-func (m *mates) tick() {
-	if m.p.over {
+func (m *fleetNode) tick() {
+	if m.process.over {
 		return
 	}
-	if now := m.p.clock(); !m.p.frozen {
-		m.do(m.core.Tick(now, m.s.wall(m.i), m.s.reducer[m.i].Status(now)))
+	if now := m.process.clock(); !m.process.frozen {
+		m.execute(m.core.Tick(now, m.sim.wall(m.number), m.sim.reducer[m.number].Status(now)))
 		if m.core.IsObservationDue(now) {
-			zones, demand := m.s.reducer[m.i].ZoneObservations(now)
-			m.do(m.core.SendObservations(now, zones, demand))
+			zones, demand := m.sim.reducer[m.number].ZoneObservations(now)
+			m.execute(m.core.SendObservations(now, zones, demand))
 		}
 		if m.store != nil && m.core.IsSnapshotDue(now) {
-			m.save(m.core.RecordSnapshot(now, m.s.reducer[m.i].Snapshot()), nil)
+			m.put(m.core.RecordSnapshot(now, m.sim.reducer[m.number].Snapshot()), nil)
 		}
 	}
-	m.s.net.after(tickEvery, m.tick)
+	m.sim.net.after(tickEvery, m.tick)
 }
 
-func (m *mates) save(r store.Record, done func(error)) {
+func (m *fleetNode) put(r store.Record, done func(error)) {
 	if m.store == nil {
 		return
 	}
 	m.store.Put(r, done)
-	m.s.net.after(syncTime, func() {
-		if !m.p.over {
+	m.sim.net.after(syncTime, func() {
+		if !m.process.over {
 			m.store.Flush() // a disk that fails is told of by the store's own tests
 		}
 	})
 }
 
-// trust is what the relay asks for; nothing of it is done in the event that asks.
-func (m *mates) trust(f relay.ReplicationRequest) {
-	m.s.net.after(0, func() {
-		if !m.p.over {
-			m.do(m.core.HandleReplicationEffect(m.p.clock(), f))
+// replicate is what the relay asks for; nothing of it is done in the event that asks.
+func (m *fleetNode) replicate(f relay.ReplicationRequest) {
+	m.sim.net.after(0, func() {
+		if !m.process.over {
+			m.execute(m.core.HandleReplicationEffect(m.process.clock(), f))
 		}
 	})
 }
 
-func (m *mates) do(acts []fleet.Action) {
+func (m *fleetNode) execute(acts []fleet.Action) {
 	for _, a := range acts {
 		switch {
 		case a.Send != nil:
-			m.s.datagram(m.i, *a.Send, peerAddress(m.i))
+			m.sim.sendDatagram(m.number, *a.Send, peerAddress(m.number))
 		case a.Query != nil:
-			m.ask(*a.Query)
+			m.query(*a.Query)
 		case a.Persist != nil:
 			var done func(error)
 			if number := a.ConfirmDecision; number > 0 {
-				done = func(error) { m.core.ConfirmDecisionPersisted(m.p.clock(), number) }
+				done = func(error) { m.core.ConfirmDecisionPersisted(m.process.clock(), number) }
 			} else if then := a.ReplicationWrite; then != nil {
 				done = func(err error) {
-					if err == nil && !m.p.over {
-						m.do(m.core.CompleteReplicationWrite(m.p.clock(), then))
+					if err == nil && !m.process.over {
+						m.execute(m.core.CompleteReplicationWrite(m.process.clock(), then))
 					}
 				}
 			}
-			m.save(*a.Persist, done)
+			m.put(*a.Persist, done)
 		case a.Event != nil:
-			m.p.take(a.Event)
+			m.process.take(a.Event)
 		case a.Log != "":
-			m.s.net.tell("relay %d fleet: %s", m.i, a.Log)
+			m.sim.net.tell("relay %d fleet: %s", m.number, a.Log)
 		}
 	}
-	now := m.p.clock()
-	if wait := m.core.ReplicationDelay(now); !math.IsInf(wait, 1) && (m.dueAt == 0 || now+wait < m.dueAt) {
+	now := m.process.clock()
+	if wait := m.core.ReplicationDelay(now); !math.IsInf(wait, 1) && (m.replicationDueAt == 0 || now+wait < m.replicationDueAt) {
 		due := now + max(wait, 0.01)
-		m.dueAt = due
-		m.s.net.after(due-now, func() {
-			if m.p.over || m.dueAt != due {
+		m.replicationDueAt = due
+		m.sim.net.after(due-now, func() {
+			if m.process.over || m.replicationDueAt != due {
 				return
 			}
-			if m.dueAt = 0; !m.p.frozen {
-				m.do(m.core.TickReplication(m.p.clock()))
+			if m.replicationDueAt = 0; !m.process.frozen {
+				m.execute(m.core.TickReplication(m.process.clock()))
 			}
 		})
 	}
 }
 
-// machine is the relay's process on the machine of that address, and its number; nil: it can't be reached
+// reachableProcess is the relay's process on the machine of that address, and its number; nil: it can't be reached
 // now.
-func (s *Sim) machine(from int, address string) (*process, int) {
+func (s *Sim) reachableProcess(from int, address string) (*process, int) {
 	var to int
 	_, number, _ := strings.Cut(address, "-")
 	if _, err := fmt.Sscan(number, &to); err != nil || to >= len(s.relays) {
@@ -195,77 +195,77 @@
 	return p, to
 }
 
-// reach gives who stands at an address now, if it can be reached from that relay.
-func (s *Sim) reach(from int, address string) *mates {
-	if p, _ := s.machine(from, address); p != nil {
-		return p.mates
+// reachableNode gives who stands at an address now, if it can be reached from that relay.
+func (s *Sim) reachableNode(from int, address string) *fleetNode {
+	if p, _ := s.reachableProcess(from, address); p != nil {
+		return p.fleetNode
 	}
 	return nil
 }
 
-// datagram takes one from a machine, by whoever has that address there.
-func (s *Sim) datagram(from int, d membership.Datagram, by string) {
+// sendDatagram takes one from a machine, by whoever has that address there.
+func (s *Sim) sendDatagram(from int, d membership.Datagram, by string) {
 	var to int
 	_, number, _ := strings.Cut(d.To, "-")
 	fmt.Sscan(number, &to)
 	way, times := s.ways[[2]int{from, to}], 1
 	switch {
-	case way.Cut || s.lot() < way.Loss:
+	case way.Cut || s.draw() < way.Loss:
 		return
-	case s.lot() < way.Duplicate:
+	case s.draw() < way.Duplicate:
 		times = 2
 	}
 	for range times {
-		wait := s.net.way() + float64(way.Delay) + float64(way.Jitter)*s.lot()
-		if s.lot() < way.Reorder {
+		wait := s.net.way() + float64(way.Delay) + float64(way.Jitter)*s.draw()
+		if s.draw() < way.Reorder {
 			wait += overtaken
 		}
 		s.net.after(wait, func() {
-			p, to := s.machine(from, d.To)
+			p, to := s.reachableProcess(from, d.To)
 			switch {
 			case p == nil:
 			case strings.HasPrefix(d.To, "voter-"):
 				if v := s.coordinatorProcesses[to]; v != nil && !v.process.over {
 					v.receive(by, d.Data)
 				}
-			case p.mates != nil:
-				p.mates.do(p.mates.core.ReceiveDatagram(p.clock(), by, d.Data))
+			case p.fleetNode != nil:
+				p.fleetNode.execute(p.fleetNode.core.ReceiveDatagram(p.clock(), by, d.Data))
 			}
 		})
 	}
 }
 
-func (s *Sim) lot() float64 { return s.net.chance.Float64() }
+func (s *Sim) draw() float64 { return s.net.chance.Float64() }
 
-var errSilent = errors.New("no answer in time")
+var errNoAnswer = errors.New("no answer in time")
 
-func (m *mates) ask(q fleet.Query) {
+func (m *fleetNode) query(q fleet.Query) {
 	over := false
 	answered := func(text []byte, err error) {
-		if !over && !m.p.over {
+		if !over && !m.process.over {
 			over = true
 			m.core.ReceiveAnswer(q.Name, text, err)
 		}
 	}
-	m.s.net.after(askTime, func() { answered(nil, errSilent) })
+	m.sim.net.after(askTime, func() { answered(nil, errNoAnswer) })
 	var to int
 	fmt.Sscanf(q.Address, "peer-%d", &to)
-	there, back := m.s.ways[[2]int{m.i, to}], m.s.ways[[2]int{to, m.i}]
+	there, back := m.sim.ways[[2]int{m.number, to}], m.sim.ways[[2]int{to, m.number}]
 	if there.Cut || back.Cut || there.Reset || back.Reset {
 		return
 	}
-	m.s.net.after(m.s.net.way()+float64(there.Delay), func() {
-		other := m.s.reach(m.i, q.Address)
+	m.sim.net.after(m.sim.net.way()+float64(there.Delay), func() {
+		other := m.sim.reachableNode(m.number, q.Address)
 		if other == nil {
 			return
 		}
-		text := other.core.AnswerQuery(other.p.clock(), m.s.reducer[to].Snapshot())
-		m.s.net.after(m.s.net.way()+float64(back.Delay), func() { answered(text, nil) })
+		text := other.core.AnswerQuery(other.process.clock(), m.sim.reducer[to].Snapshot())
+		m.sim.net.after(m.sim.net.way()+float64(back.Delay), func() { answered(text, nil) })
 	})
 }
 
-// lose takes what was not synced from a relay's disk, as its machine has lost power.
-func (s *Sim) lose(i int) {
+// losePower takes what was not synced from a relay's disk, as its machine has lost power.
+func (s *Sim) losePower(i int) {
 	s.disks[i].memory.LosePower(func(unsynced int) int { return s.net.chance.Intn(unsynced + 1) })
 }
 
@@ -307,9 +307,9 @@
 // Phases are how far the relays that live are from their starts.
 func (s *Sim) Phases() (all [recovery.Normal + 1]int) {
 	for _, p := range s.relays {
-		if p.mates != nil && !p.over {
+		if p.fleetNode != nil && !p.over {
 			for n := range all {
-				if p.mates.core.Status(p.clock()).Recovery.Phase == recovery.Phase(n).String() {
+				if p.fleetNode.core.Status(p.clock()).Recovery.Phase == recovery.Phase(n).String() {
 					all[n]++
 				}
 			}
--- a/internal/testbed/sim/relay.go
+++ b/internal/testbed/sim/relay.go
@@ -41,7 +41,7 @@
 	taking bool
 	due    []relay.Event
 
-	mates  *mates   // nil: it keeps nothing and knows no other
+	fleetNode  *fleetNode   // nil: it keeps nothing and knows no other
 	beside *process // another process on the same socket
 	holds  bool
 	left   *relay.Handoff
@@ -160,7 +160,7 @@
 			p.net.tell("%s note %s %v", p.address, f.Message, f.Args)
 		}
 	case *relay.ReplicationRequest:
-		p.mates.trust(*f)
+		p.fleetNode.replicate(*f)
 	case *relay.Exit:
 		p.net.after(1, func() {
 			if !p.over {
--- a/internal/testbed/sim/replication_test.go
+++ b/internal/testbed/sim/replication_test.go
@@ -37,7 +37,7 @@
 		if p.over {
 			continue
 		}
-		if status := p.mates.core.Status(p.clock()).Replication; status != nil {
+		if status := p.fleetNode.core.Status(p.clock()).Replication; status != nil {
 			statuses = append(statuses, status)
 		}
 	}
--- a/internal/testbed/sim/sim.go
+++ b/internal/testbed/sim/sim.go
@@ -43,7 +43,7 @@
 	known                []*relay.EndpointUpdate
 	past                 []relay.Counters // of lives that are over
 	ways                 map[[2]int]experiment.Impairment
-	disks                []*disk
+	disks                []*simulatedDisk
 	coordinatorProcesses map[int]*coordinatorProcess // voters, by their machines
 	clocks               []float64                   // of relays' machines, ahead of the true time
 	// Spoil, where set, puts something between the network and a relay's reducer: for tests of the auditor.
@@ -80,7 +80,7 @@
 		addresses = append(addresses, d.address)
 		s.relays = append(s.relays, &process{node: d, over: true})
 		s.reducer, s.lives = append(s.reducer, nil), append(s.lives, 0)
-		s.disks = append(s.disks, &disk{memory: store.NewMemoryFS()})
+		s.disks = append(s.disks, &simulatedDisk{memory: store.NewMemoryFS()})
 		s.clocks = append(s.clocks, 0)
 		s.known, s.past = append(s.known, s.keeps()), append(s.past, relay.Counters{})
 		if err := s.start(i); err != nil {
@@ -117,7 +117,7 @@
 	s.relays[i] = p
 	p.listens()
 	p.take(relay.TimerFired{})
-	s.join(i, p)
+	s.startFleetNode(i, p)
 	return nil
 }
 
@@ -212,10 +212,10 @@
 	s.net.tell("relay %d lame duck %t", i, on)
 	p := s.relays[i]
 	p.take(relay.DrainRequested{On: on})
-	if p.mates != nil && !p.over {
-		record, acts := p.mates.core.SetDraining(p.clock(), on)
-		p.mates.do(acts)
-		p.mates.save(record, nil)
+	if p.fleetNode != nil && !p.over {
+		record, acts := p.fleetNode.core.SetDraining(p.clock(), on)
+		p.fleetNode.execute(acts)
+		p.fleetNode.put(record, nil)
 	}
 }
 
@@ -313,7 +313,7 @@
 	s.past[i], s.known[i] = s.reducer[i].Counters, s.keeps()
 	p := s.relays[i]
 	p.stop(true)
-	s.lose(i)
+	s.losePower(i)
 	if p.beside != nil && !p.beside.over {
 		p.beside.stop(true)
 	}
