--- a/internal/testbed/sim/coordinator.go
+++ b/internal/testbed/sim/coordinator.go
@@ -12,9 +12,10 @@
 )
 
 const (
-	coordinatorTick     = 10.0 // ms
-	askLeaderEveryTicks = 25
-	relayAddressPrefix  = "peer-"
+	coordinatorTick          = 10.0 // ms
+	askLeaderEveryTicks      = 25
+	relayAddressPrefix       = "peer-"
+	coordinatorAddressPrefix = "voter-"
 )
 
 // coordinatorProcess is a coordinator that runs beside a relay's process: what kills one kills both, and the
@@ -28,7 +29,7 @@
 	isSaving bool   // nothing more is sent until the state is durable
 }
 
-func coordinatorAddress(machine int) string { return fmt.Sprintf("voter-%d", machine) }
+func coordinatorAddress(machine int) string { return fmt.Sprint(coordinatorAddressPrefix, machine) }
 
 // coordinatorMembers are the voters that the experiment asks for, one on each of the first machines.
 func (s *Sim) coordinatorMembers() (members []consensus.Member) {
@@ -113,7 +114,7 @@
 // save makes the state durable after the time that a disk takes; a process that ends before loses it.
 func (c *coordinatorProcess) save(ready consensus.Ready) {
 	c.isSaving = true
-	c.sim.net.after(syncTime, func() {
+	c.sim.net.after(diskSyncTime, func() {
 		if c.process.over {
 			return
 		}
--- /dev/null
+++ b/internal/testbed/sim/datagrams.go
@@ -0,0 +1,79 @@
+package sim
+
+import (
+	"strconv"
+	"strings"
+
+	"valeshift/internal/membership"
+)
+
+// reorderDelay is by how much a datagram is late that others overtake, in ms.
+const reorderDelay = 30.0
+
+// machineNumber returns the number at the end of a machine's address; -1: there is none.
+func machineNumber(address string) int {
+	_, text, _ := strings.Cut(address, "-")
+	number, err := strconv.Atoi(text)
+	if err != nil {
+		return -1
+	}
+	return number
+}
+
+// reachableProcess returns the relay's process on the machine of that address, and the machine's number. The
+// process is nil where it can't be reached from that machine now.
+func (s *Sim) reachableProcess(from int, address string) (*process, int) {
+	to := machineNumber(address)
+	if to < 0 || to >= len(s.relays) {
+		return nil, 0
+	}
+	p := s.relays[to]
+	if p.over || p.frozen || !s.net.passes(s.relays[from].node, p.node) {
+		return nil, to
+	}
+	return p, to
+}
+
+// reachableNode returns the fleet's node at an address; nil: there is none that can be reached from that machine.
+func (s *Sim) reachableNode(from int, address string) *fleetNode {
+	if p, _ := s.reachableProcess(from, address); p != nil {
+		return p.fleetNode
+	}
+	return nil
+}
+
+// sendDatagram carries a datagram from a machine to whatever is at its address when it arrives. Sender is the
+// address that it comes from.
+func (s *Sim) sendDatagram(from int, d membership.Datagram, sender string) {
+	impairment := s.ways[[2]int{from, machineNumber(d.To)}]
+	if impairment.Cut || s.draw() < impairment.Loss {
+		return
+	}
+	copies := 1
+	if s.draw() < impairment.Duplicate {
+		copies = 2
+	}
+	for range copies {
+		delay := s.net.way() + float64(impairment.Delay) + float64(impairment.Jitter)*s.draw()
+		if s.draw() < impairment.Reorder {
+			delay += reorderDelay
+		}
+		s.net.after(delay, func() { s.deliverDatagram(from, d, sender) })
+	}
+}
+
+func (s *Sim) deliverDatagram(from int, d membership.Datagram, sender string) {
+	p, to := s.reachableProcess(from, d.To)
+	switch {
+	case p == nil:
+	case strings.HasPrefix(d.To, coordinatorAddressPrefix):
+		if c := s.coordinatorProcesses[to]; c != nil && !c.process.over {
+			c.receive(sender, d.Data)
+		}
+	case p.fleetNode != nil:
+		p.fleetNode.execute(p.fleetNode.core.ReceiveDatagram(p.clock(), sender, d.Data))
+	}
+}
+
+// draw returns a random number from 0 to 1.
+func (s *Sim) draw() float64 { return s.net.chance.Float64() }
--- a/internal/testbed/sim/fleet.go
+++ b/internal/testbed/sim/fleet.go
@@ -4,8 +4,6 @@
 	"errors"
 	"fmt"
 	"math"
-	"math/rand"
-	"strings"
 
 	"valeshift/internal/fleet"
 	"valeshift/internal/membership"
@@ -15,305 +13,237 @@
 	"valeshift/internal/testbed/experiment"
 )
 
+// Times are milliseconds of the virtual clock.
 const (
-	tickEvery = 50.0 // of a relay's side of the fleet
-	readTime  = 5.0  // of a disk that is well
-	slowDisk  = 10000.0
-	syncTime  = 1.0
-	askTime   = 500.0
-	diskMost  = 64 << 20
-	overtaken = 30.0
+	fleetTick    = 50.0 // between two ticks of a relay's part in the fleet, as fleet.Node does
+	queryTimeout = 500.0
+	maxSeeds     = 12   // as operators would name some relays, not all
+	minTimer     = 0.01 // against a timer that is due at once, again and again
 )
 
+// fleetKey is the key that all relays of a run share.
 var fleetKey = []byte("the key of the lab's fleet")
 
-// simulatedDisk is one relay's, and what becomes of it.
-type simulatedDisk struct {
-	memory *store.MemoryFS
-	older  *store.MemoryFS // as it was early in the run
-	fault  experiment.DiskFault
-}
+// errNoAnswer tells that a query was not answered in time.
+var errNoAnswer = errors.New("no answer in time")
 
-// fleetNode drives one life's side of the fleet under virtual time, as fleet.Run does on sockets and a disk.
+// fleetNode drives one life of a relay's part in the fleet under virtual time, as fleet.Node does with sockets and a
+// disk.
 type fleetNode struct {
-	sim     *Sim
-	number     int
-	process     *process
-	core  *fleet.Core
-	store *store.Store
-	replicationDueAt float64 // of what others hold; 0: it is not waited for
+	sim              *Sim
+	number           int
+	process          *process
+	core             *fleet.Core
+	store            *store.Store // nil: not read yet, or there is none
+	replicationDueAt float64      // 0: no timer is set
 }
 
-func peerAddress(i int) string { return fmt.Sprintf("peer-%d", i) }
+func peerAddress(number int) string { return fmt.Sprint(relayAddressPrefix, number) }
 
-// startFleetNode gives a process its side of the fleet, where the experiment has relays keep something or know of
-// others.
-func (s *Sim) startFleetNode(i int, p *process) {
-	x := s.x
-	if !x.Relays.Membership && !x.Relays.Disk {
+// startFleetNode gives a process its part in the fleet, where the experiment has relays know of each other or have
+// disks.
+func (s *Sim) startFleetNode(number int, p *process) {
+	relays := s.x.Relays
+	if !relays.Membership && !relays.Disk {
 		return
 	}
-	chance := x.Rand("mates", i*1000+s.lives[i])
-	own := membership.MemberState{Name: fmt.Sprintf("relay-%d", i), Zone: experiment.Zone(i % x.Fleet.Zones),
-		Incarnation: chance.Uint64()}
+	rng := s.x.Rand("mates", number*1000+s.lives[number])
+	own := membership.MemberState{Name: fmt.Sprintf("relay-%d", number),
+		Zone: experiment.Zone(number % s.x.Fleet.Zones), Incarnation: rng.Uint64()}
 	var seeds []string
-	if x.Relays.Membership {
-		own.Address = peerAddress(i)
-		for j := range x.Relays.Count {
-			if j != i && len(seeds) < mostSeeds {
-				seeds = append(seeds, peerAddress(j))
-			}
-		}
+	if relays.Membership {
+		own.Address = peerAddress(number)
+		seeds = s.seedsOf(number)
 	}
-	m := &fleetNode{sim: s, number: i, process: p, core: fleet.New(p.clock(), own, seeds, fleetKey, x.Relays.Disk, chance)}
-	if x.Relays.Coordinators > 0 {
+	core := fleet.New(p.clock(), own, seeds, fleetKey, relays.Disk, rng)
+	n := &fleetNode{sim: s, number: number, process: p, core: core}
+	if relays.Coordinators > 0 {
 		coordinators := s.coordinatorAddresses()
-		m.core.FollowCoordinators(own.Name, own.Zone, coordinators, fleetKey, chance)
-		if i < len(coordinators) {
-			s.startCoordinator(i, p)
+		core.FollowCoordinators(own.Name, own.Zone, coordinators, fleetKey, rng)
+		if number < len(coordinators) {
+			s.startCoordinator(number, p)
 		}
 	}
-	p.fleetNode = m
+	p.fleetNode = n
 	p.take(relay.IncarnationChanged{})
-	if x.Relays.Replicas > 0 {
-		m.execute(m.core.EnableReplication(own.Name, own.Incarnation, x.Relays.Replicas, float64(x.Relays.MarkerRetention), x.Relays.ReplicatesAffinity,
-			fleetKey, chance))
+	if relays.Replicas > 0 {
+		n.execute(core.EnableReplication(own.Name, own.Incarnation, relays.Replicas,
+			float64(relays.MarkerRetention), relays.ReplicatesAffinity, fleetKey, rng))
 	}
-	if x.Relays.Disk {
-		wait := readTime
-		if s.disks[i].fault == experiment.DiskSlow {
-			wait = slowDisk
-		}
-		s.net.after(wait, m.readDisk)
+	if relays.Disk {
+		s.net.after(s.disks[number].readTime(), n.readDisk)
 	}
-	m.tick()
+	n.tick()
 }
 
-const mostSeeds = 12 // as operators would name some, not all
+// seedsOf returns the addresses of other relays that a relay knows from the start.
+func (s *Sim) seedsOf(number int) []string {
+	var seeds []string
+	for other := range s.x.Relays.Count {
+		if other != number && len(seeds) < maxSeeds {
+			seeds = append(seeds, peerAddress(other))
+		}
+	}
+	return seeds
+}
 
-func (m *fleetNode) readDisk() {
-	if m.process.over {
+// readDisk opens the store on the relay's disk.
+func (n *fleetNode) readDisk() {
+	if n.process.over {
 		return
 	}
-	s, found, err := store.Open(m.sim.disks[m.number].memory, fmt.Sprintf("relay-%d", m.number), diskMost)
+	owner := fmt.Sprintf("relay-%d", n.number)
+	opened, found, err := store.Open(n.sim.disks[n.number].memory, owner, diskMaxBytes)
 	if err == nil {
-		m.store = s
+		n.store = opened
 	}
-	m.execute(m.core.Restore(m.process.clock(), s, found, err))
+	n.execute(n.core.Restore(n.process.clock(), opened, found, err))
 }
 
-func (m *fleetNode) tick() {
-	if m.process.over {
+// tick advances the core, until its process ends. A process that is stopped skips its ticks.
+func (n *fleetNode) tick() {
+	if n.process.over {
 		return
 	}
-	if now := m.process.clock(); !m.process.frozen {
-		m.execute(m.core.Tick(now, m.sim.wall(m.number), m.sim.reducer[m.number].Status(now)))
-		if m.core.IsObservationDue(now) {
-			zones, demand := m.sim.reducer[m.number].ZoneObservations(now)
-			m.execute(m.core.SendObservations(now, zones, demand))
-		}
-		if m.store != nil && m.core.IsSnapshotDue(now) {
-			m.put(m.core.RecordSnapshot(now, m.sim.reducer[m.number].Snapshot()), nil)
-		}
+	if !n.process.frozen {
+		n.advance(n.process.clock())
 	}
-	m.sim.net.after(tickEvery, m.tick)
+	n.sim.net.after(fleetTick, n.tick)
 }
 
-func (m *fleetNode) put(r store.Record, done func(error)) {
-	if m.store == nil {
-		return
+func (n *fleetNode) advance(now float64) {
+	stateMachine := n.sim.reducer[n.number]
+	n.execute(n.core.Tick(now, n.sim.wall(n.number), stateMachine.Status(now)))
+	if n.core.IsObservationDue(now) {
+		zones, demand := stateMachine.ZoneObservations(now)
+		n.execute(n.core.SendObservations(now, zones, demand))
+	}
+	if n.store != nil && n.core.IsSnapshotDue(now) {
+		n.put(n.core.RecordSnapshot(now, stateMachine.Snapshot()), nil)
 	}
-	m.store.Put(r, done)
-	m.sim.net.after(syncTime, func() {
-		if !m.process.over {
-			m.store.Flush() // a disk that fails is told of by the store's own tests
-		}
-	})
 }
 
-// replicate is what the relay asks for; nothing of it is done in the event that asks.
-func (m *fleetNode) replicate(f relay.ReplicationRequest) {
-	m.sim.net.after(0, func() {
-		if !m.process.over {
-			m.execute(m.core.HandleReplicationEffect(m.process.clock(), f))
+// setDraining gives the relay an operators' order.
+func (n *fleetNode) setDraining(draining bool) {
+	record, actions := n.core.SetDraining(n.process.clock(), draining)
+	n.execute(actions)
+	n.put(record, nil)
+}
+
+// replicate handles a request of the relay, though not within the event that makes it.
+func (n *fleetNode) replicate(r relay.ReplicationRequest) {
+	n.sim.net.after(0, func() {
+		if !n.process.over {
+			n.execute(n.core.HandleReplicationEffect(n.process.clock(), r))
 		}
 	})
 }
 
-func (m *fleetNode) execute(acts []fleet.Action) {
-	for _, a := range acts {
+// execute does what the core asks for.
+func (n *fleetNode) execute(actions []fleet.Action) {
+	for _, a := range actions {
 		switch {
 		case a.Send != nil:
-			m.sim.sendDatagram(m.number, *a.Send, peerAddress(m.number))
+			n.sim.sendDatagram(n.number, *a.Send, peerAddress(n.number))
 		case a.Query != nil:
-			m.query(*a.Query)
+			n.query(*a.Query)
 		case a.Persist != nil:
-			var done func(error)
-			if number := a.ConfirmDecision; number > 0 {
-				done = func(error) { m.core.ConfirmDecisionPersisted(m.process.clock(), number) }
-			} else if then := a.ReplicationWrite; then != nil {
-				done = func(err error) {
-					if err == nil && !m.process.over {
-						m.execute(m.core.CompleteReplicationWrite(m.process.clock(), then))
-					}
-				}
-			}
-			m.put(*a.Persist, done)
+			n.persist(a)
 		case a.Event != nil:
-			m.process.take(a.Event)
+			n.process.take(a.Event)
 		case a.Log != "":
-			m.sim.net.tell("relay %d fleet: %s", m.number, a.Log)
+			n.sim.net.tell("relay %d fleet: %s", n.number, a.Log)
 		}
 	}
-	now := m.process.clock()
-	if wait := m.core.ReplicationDelay(now); !math.IsInf(wait, 1) && (m.replicationDueAt == 0 || now+wait < m.replicationDueAt) {
-		due := now + max(wait, 0.01)
-		m.replicationDueAt = due
-		m.sim.net.after(due-now, func() {
-			if m.process.over || m.replicationDueAt != due {
-				return
-			}
-			if m.replicationDueAt = 0; !m.process.frozen {
-				m.execute(m.core.TickReplication(m.process.clock()))
-			}
-		})
-	}
+	n.setReplicationTimer()
 }
 
-// reachableProcess is the relay's process on the machine of that address, and its number; nil: it can't be reached
-// now.
-func (s *Sim) reachableProcess(from int, address string) (*process, int) {
-	var to int
-	_, number, _ := strings.Cut(address, "-")
-	if _, err := fmt.Sscan(number, &to); err != nil || to >= len(s.relays) {
-		return nil, 0
-	}
-	p := s.relays[to]
-	if p.over || p.frozen || !s.net.passes(s.relays[from].node, p.node) {
-		return nil, to
+// persist has an action's record written, and tells the core what came of it where it waits for that.
+func (n *fleetNode) persist(a fleet.Action) {
+	if !a.AwaitsPersistence() {
+		n.put(*a.Persist, nil)
+		return
 	}
-	return p, to
+	n.put(*a.Persist, func(err error) {
+		if !n.process.over {
+			n.execute(n.core.FinishPersist(n.process.clock(), a, err))
+		}
+	})
 }
 
-// reachableNode gives who stands at an address now, if it can be reached from that relay.
-func (s *Sim) reachableNode(from int, address string) *fleetNode {
-	if p, _ := s.reachableProcess(from, address); p != nil {
-		return p.fleetNode
+// put has a record written. Without a store nothing is.
+func (n *fleetNode) put(record store.Record, finish func(error)) {
+	if n.store == nil {
+		return
 	}
-	return nil
+	n.store.Put(record, finish)
+	n.sim.net.after(diskSyncTime, func() {
+		if !n.process.over {
+			n.store.Flush() // finish takes the error
+		}
+	})
 }
 
-// sendDatagram takes one from a machine, by whoever has that address there.
-func (s *Sim) sendDatagram(from int, d membership.Datagram, by string) {
-	var to int
-	_, number, _ := strings.Cut(d.To, "-")
-	fmt.Sscan(number, &to)
-	way, times := s.ways[[2]int{from, to}], 1
-	switch {
-	case way.Cut || s.draw() < way.Loss:
+// setReplicationTimer has replication go on when it is due, where it isn't due before.
+func (n *fleetNode) setReplicationTimer() {
+	now := n.process.clock()
+	wait := n.core.ReplicationDelay(now)
+	isSetBefore := n.replicationDueAt != 0 && n.replicationDueAt <= now+wait
+	if math.IsInf(wait, 1) || isSetBefore {
 		return
-	case s.draw() < way.Duplicate:
-		times = 2
 	}
-	for range times {
-		wait := s.net.way() + float64(way.Delay) + float64(way.Jitter)*s.draw()
-		if s.draw() < way.Reorder {
-			wait += overtaken
+	dueAt := now + max(wait, minTimer)
+	n.replicationDueAt = dueAt
+	n.sim.net.after(dueAt-now, func() {
+		if n.process.over || n.replicationDueAt != dueAt {
+			return
 		}
-		s.net.after(wait, func() {
-			p, to := s.reachableProcess(from, d.To)
-			switch {
-			case p == nil:
-			case strings.HasPrefix(d.To, "voter-"):
-				if v := s.coordinatorProcesses[to]; v != nil && !v.process.over {
-					v.receive(by, d.Data)
-				}
-			case p.fleetNode != nil:
-				p.fleetNode.execute(p.fleetNode.core.ReceiveDatagram(p.clock(), by, d.Data))
-			}
-		})
-	}
+		n.replicationDueAt = 0
+		if !n.process.frozen {
+			n.execute(n.core.TickReplication(n.process.clock()))
+		}
+	})
 }
 
-func (s *Sim) draw() float64 { return s.net.chance.Float64() }
-
-var errNoAnswer = errors.New("no answer in time")
-
-func (m *fleetNode) query(q fleet.Query) {
-	over := false
-	answered := func(text []byte, err error) {
-		if !over && !m.process.over {
-			over = true
-			m.core.ReceiveAnswer(q.Name, text, err)
+// query puts a query to another relay. An answer that comes late counts as none.
+func (n *fleetNode) query(q fleet.Query) {
+	isFinished := false
+	finish := func(text []byte, err error) {
+		if !isFinished && !n.process.over {
+			isFinished = true
+			n.core.ReceiveAnswer(q.Name, text, err)
 		}
 	}
-	m.sim.net.after(askTime, func() { answered(nil, errNoAnswer) })
-	var to int
-	fmt.Sscanf(q.Address, "peer-%d", &to)
-	there, back := m.sim.ways[[2]int{m.number, to}], m.sim.ways[[2]int{to, m.number}]
+	net := n.sim.net
+	net.after(queryTimeout, func() { finish(nil, errNoAnswer) })
+	to := machineNumber(q.Address)
+	there, back := n.sim.ways[[2]int{n.number, to}], n.sim.ways[[2]int{to, n.number}]
 	if there.Cut || back.Cut || there.Reset || back.Reset {
 		return
 	}
-	m.sim.net.after(m.sim.net.way()+float64(there.Delay), func() {
-		other := m.sim.reachableNode(m.number, q.Address)
+	net.after(net.way()+float64(there.Delay), func() {
+		other := n.sim.reachableNode(n.number, q.Address)
 		if other == nil {
 			return
 		}
-		text := other.core.AnswerQuery(other.process.clock(), m.sim.reducer[to].Snapshot())
-		m.sim.net.after(m.sim.net.way()+float64(back.Delay), func() { answered(text, nil) })
+		text := other.core.AnswerQuery(other.process.clock(), n.sim.reducer[to].Snapshot())
+		net.after(net.way()+float64(back.Delay), func() { finish(text, nil) })
 	})
 }
 
-// losePower takes what was not synced from a relay's disk, as its machine has lost power.
-func (s *Sim) losePower(i int) {
-	s.disks[i].memory.LosePower(func(unsynced int) int { return s.net.chance.Intn(unsynced + 1) })
-}
-
-// DamageDisk does something to the disk of a relay that is down.
-func (s *Sim) DamageDisk(i int, what experiment.DiskFault) {
-	d := s.disks[i]
-	d.fault = what
-	chance := rand.New(rand.NewSource(s.net.chance.Int63()))
-	switch what {
-	case experiment.DiskWiped:
-		d.memory = store.NewMemoryFS()
-	case experiment.DiskTorn:
-		d.memory.MutateFiles(func(_ string, data []byte) []byte { return data[:chance.Intn(len(data)+1)] })
-	case experiment.DiskFlipped:
-		d.memory.MutateFiles(func(_ string, data []byte) []byte {
-			for range 8 {
-				if len(data) > 0 {
-					data[chance.Intn(len(data))] ^= 1 << chance.Intn(8)
-				}
-			}
-			return data
-		})
-	case experiment.DiskOlder:
-		if d.older != nil {
-			d.memory = d.older.Clone()
-		}
-	case experiment.DiskAnothers:
-		d.memory = s.disks[(i+1)%len(s.disks)].memory.Clone()
-	case experiment.DiskFull, experiment.DiskReadOnly:
-		d.memory.InjectFault = func(call string) error {
-			if call == "write" || call == "append" {
-				return store.ErrNoSpace
-			}
-			return nil
-		}
-	}
-}
-
-// Phases are how far the relays that live are from their starts.
-func (s *Sim) Phases() (all [recovery.Normal + 1]int) {
+// Phases returns how many of the relays that are alive are in each phase of their recovery.
+func (s *Sim) Phases() [recovery.Normal + 1]int {
+	var count [recovery.Normal + 1]int
 	for _, p := range s.relays {
-		if p.fleetNode != nil && !p.over {
-			for n := range all {
-				if p.fleetNode.core.Status(p.clock()).Recovery.Phase == recovery.Phase(n).String() {
-					all[n]++
-				}
+		if p.fleetNode == nil || p.over {
+			continue
+		}
+		name := p.fleetNode.core.Status(p.clock()).Recovery.Phase
+		for phase := range count {
+			if name == recovery.Phase(phase).String() {
+				count[phase]++
 			}
 		}
 	}
-	return all
+	return count
 }
--- a/internal/testbed/sim/relay.go
+++ b/internal/testbed/sim/relay.go
@@ -41,13 +41,13 @@
 	taking bool
 	due    []relay.Event
 
-	fleetNode  *fleetNode   // nil: it keeps nothing and knows no other
-	beside *process // another process on the same socket
-	holds  bool
-	left   *relay.Handoff
-	given  uint64 // the backend's connection of what is being passed
-	passed *relay.TransferredSession
-	ready  func()
+	fleetNode *fleetNode // nil: it keeps nothing and knows no other
+	beside    *process   // another process on the same socket
+	holds     bool
+	left      *relay.Handoff
+	given     uint64 // the backend's connection of what is being passed
+	passed    *relay.TransferredSession
+	ready     func()
 }
 
 func newProcess(d *node, number int, brain Brain, list *model.Discovery,
--- a/internal/testbed/sim/sim.go
+++ b/internal/testbed/sim/sim.go
@@ -213,9 +213,7 @@
 	p := s.relays[i]
 	p.take(relay.DrainRequested{On: on})
 	if p.fleetNode != nil && !p.over {
-		record, acts := p.fleetNode.core.SetDraining(p.clock(), on)
-		p.fleetNode.execute(acts)
-		p.fleetNode.put(record, nil)
+		p.fleetNode.setDraining(on)
 	}
 }
 
