--- a/internal/fleet/core_test.go
+++ b/internal/fleet/core_test.go
@@ -7,114 +7,132 @@
 	"testing"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 
 	"valeshift/internal/membership"
 	"valeshift/internal/relay"
 	"valeshift/internal/store"
 )
 
-const now = 1e12
+const (
+	now  = 1e12
+	hour = 3.6e6 // ms
+)
 
-// hearing is a relay that has heard of so many others, which are as each is made.
-func hearing(count int, make func(i int, p *membership.View)) *Core {
+// coreAmong returns the core of a relay that has heard of so many others, each as prepare makes it.
+func coreAmong(others int, prepare func(i int, other *membership.View)) *Core {
 	key := []byte("a key that all share")
-	core := New(now, membership.MemberState{Name: "own", Address: "own"}, nil, key, false, rand.New(rand.NewSource(1)))
-	for i := range count {
-		p := membership.New(now, membership.MemberState{Name: fmt.Sprint(i), Address: "other"}, []string{"own"}, key,
-			rand.New(rand.NewSource(2)))
-		make(i, p)
-		for _, d := range p.Tick(now) {
+	own := membership.MemberState{Name: "own", Address: "own"}
+	core := New(now, own, nil, key, false, rand.New(rand.NewSource(1)))
+	for i := range others {
+		state := membership.MemberState{Name: fmt.Sprint(i), Address: "other"}
+		other := membership.New(now, state, []string{"own"}, key, rand.New(rand.NewSource(2)))
+		prepare(i, other)
+		for _, d := range other.Tick(now) {
 			core.ReceiveDatagram(now, "other", d.Data)
 		}
 	}
 	return core
 }
 
-// By which clock a relay reads when servers started: discovery's, else the middle one of its own and the
-// others'.
+// A relay reads backends' start times by discovery's clock, else by the median of its own and the others'.
 func TestClock(t *testing.T) {
-	const hour = 3.6e6
-	never := math.NaN()
+	undated := math.NaN()
 	for _, c := range []struct {
-		name      string
-		wall      float64 // of its machine, ahead of its own time
-		others    []float64
-		dated     float64
-		ahead     float64
-		corrected bool
+		name        string
+		wallAhead   float64 // the machine's clock, of the relay's own
+		others      []float64
+		discovery   float64
+		ahead       float64
+		isCorrected bool
 	}{
-		{"alone, and right", 0, nil, never, 0, false},
-		{"alone, and its machine's clock was set back by an hour", -hour, nil, never, hour, true},
-		{"an hour ahead of all", 0, []float64{-hour, -hour, -hour}, never, hour, true},
-		{"one that lies", 0, []float64{hour, 0, 0}, never, 0, false},
-		{"two that lie, either way", 0, []float64{hour, -hour, 10, -10}, never, 0, false},
-		{"of two the earlier", 0, []float64{-hour}, never, hour, true},
-		{"of two the earlier, its own", 0, []float64{hour}, never, 0, false},
-		{"a little off is not off", 0, []float64{-900, -900, -900}, never, 0, false},
-		{"no number", 0, []float64{math.Inf(1), 0}, never, 0, false},
+		{"alone, and right", 0, nil, undated, 0, false},
+		{"alone, and its machine's clock was set back by an hour", -hour, nil, undated, hour, true},
+		{"an hour ahead of all", 0, []float64{-hour, -hour, -hour}, undated, hour, true},
+		{"one that lies", 0, []float64{hour, 0, 0}, undated, 0, false},
+		{"two that lie, either way", 0, []float64{hour, -hour, 10, -10}, undated, 0, false},
+		{"of two the earlier", 0, []float64{-hour}, undated, hour, true},
+		{"of two the earlier, its own", 0, []float64{hour}, undated, 0, false},
+		{"a little off is not off", 0, []float64{-900, -900, -900}, undated, 0, false},
+		{"no number", 0, []float64{math.Inf(1), 0}, undated, 0, false},
 		{"discovery goes before all", 0, []float64{0, 0, 0}, -hour, hour, true},
 	} {
-		core := hearing(len(c.others), func(i int, p *membership.View) { p.ClockOffset = c.others[i] })
-		corrected := false
-		for _, a := range core.Tick(now+50, now+50+c.wall, relay.Status{DiscoveryClockOffset: c.dated}) {
-			if measured, ok := a.Event.(relay.ClockSkewMeasured); ok {
-				corrected = true
-				assert.InDelta(t, c.ahead, measured.AheadMillis, 60, c.name)
+		t.Run(c.name, func(t *testing.T) {
+			core := coreAmong(len(c.others), func(i int, other *membership.View) { other.ClockOffset = c.others[i] })
+			isCorrected := false
+			for _, a := range core.Tick(now+50, now+50+c.wallAhead, relay.Status{DiscoveryClockOffset: c.discovery}) {
+				if measured, isMeasured := a.Event.(relay.ClockSkewMeasured); isMeasured {
+					isCorrected = true
+					assert.InDelta(t, c.ahead, measured.AheadMillis, 60)
+				}
 			}
-		}
-		assert.Equal(t, c.corrected, corrected, c.name)
-		assert.InDelta(t, c.ahead, core.Status(now).AheadMillis, 60, c.name)
+			assert.Equal(t, c.isCorrected, isCorrected)
+			assert.InDelta(t, c.ahead, core.Status(now).AheadMillis, 60)
+		})
 	}
 }
 
-// A promised time is kept by the fleet's clock, so that it holds for a life whose clock is another.
-func TestPromisedTimeOverClocks(t *testing.T) {
-	memory := store.NewMemoryFS()
-	life := func(ahead float64) (*Core, *store.Store, map[uint64]float64) {
-		own := now + ahead
-		core := New(own, membership.MemberState{}, nil, nil, true, rand.New(rand.NewSource(1)))
-		acts := core.Tick(own, own, relay.Status{DiscoveryClockOffset: -ahead})
-		s, found, err := store.Open(memory, "own", 1<<20)
-		assert.NoError(t, err)
-		acts = append(acts, core.Restore(own, s, found, nil)...)
-		acts = append(acts, core.Tick(own+50, own+50, relay.Status{DiscoveryClockOffset: -ahead})...)
-		for _, a := range acts {
-			if restored, ok := a.Event.(relay.StateRestored); ok {
-				return core, s, restored.Snapshot.RetryAt
-			}
+// startOn starts a life of a relay whose clock is that far ahead, on that disk. It returns the retry times that the
+// relay is told, too.
+func startOn(t *testing.T, disk *store.MemoryFS, ahead float64) (*Core, *store.Store, map[uint64]float64) {
+	t.Helper()
+	began := now + ahead
+	status := relay.Status{DiscoveryClockOffset: -ahead}
+	core := New(began, membership.MemberState{}, nil, nil, true, rand.New(rand.NewSource(1)))
+	actions := core.Tick(began, began, status)
+	s, found, err := store.Open(disk, "own", 1<<20)
+	require.NoError(t, err)
+	actions = append(actions, core.Restore(began, s, found, nil)...)
+	actions = append(actions, core.Tick(began+50, began+50, status)...)
+	for _, a := range actions {
+		if restored, isRestored := a.Event.(relay.StateRestored); isRestored {
+			return core, s, restored.Snapshot.RetryAt
 		}
-		return core, s, nil
 	}
-	core, s, _ := life(3.6e6)
-	k := &relay.Snapshot{Version: 1, Capacity: 1, MeanLoad: 1, RetryAt: map[uint64]float64{7: now + 3.6e6 + 500}}
-	s.Put(core.RecordSnapshot(now+3.6e6, k), nil)
+	return core, s, nil
+}
+
+// A retry time is stored by the fleet's clock, so that it holds for a life whose clock is another.
+func TestRetryTimesOverClocks(t *testing.T) {
+	disk := store.NewMemoryFS()
+	core, s, _ := startOn(t, disk, hour)
+	snapshot := &relay.Snapshot{Version: 1, Capacity: 1, MeanLoad: 1,
+		RetryAt: map[uint64]float64{7: now + hour + 500}}
+	s.Put(core.RecordSnapshot(now+hour, snapshot), nil)
 	assert.NoError(t, s.Flush())
 	assert.NoError(t, s.Close())
-	_, _, back := life(-7.2e6)
-	assert.InDelta(t, now-7.2e6+500, back[7], 1)
+	_, _, retryAt := startOn(t, disk, -2*hour)
+	assert.InDelta(t, now-2*hour+500, retryAt[7], 1)
 }
 
-// What the others placed is by their own words; one that is wrong counts for three of the middle at the most.
-func TestBeyond(t *testing.T) {
+// What the others have assigned is by their own words; one that is wrong counts for three medians at the most.
+func TestRemoteLoad(t *testing.T) {
 	for _, c := range []struct {
+		name   string
 		own    float64
 		others []uint64
 		want   float64
 	}{
-		{100, nil, -1}, {100, []uint64{50, 70}, 120}, {0, []uint64{0, 0, 1e12}, 0}, {100, []uint64{100, 1e12}, 400},
-		{1e12, []uint64{100, 200}, 300},
+		{"alone", 100, nil, noRemoteRelays},
+		{"the sum of the others", 100, []uint64{50, 70}, 120},
+		{"one is wrong, all else idle", 0, []uint64{0, 0, 1e12}, 0},
+		{"one is wrong", 100, []uint64{100, 1e12}, 400},
+		{"its own is wrong", 1e12, []uint64{100, 200}, 300},
 	} {
-		core := hearing(len(c.others), func(i int, p *membership.View) {
-			w := p.LocalState()
-			w.PlacedLoad = c.others[i]
-			p.SetLocalState(w)
-		})
-		told := -1.0
-		for _, a := range core.Tick(now+50, now+50, relay.Status{DiscoveryClockOffset: math.NaN(), UnreportedLoad: c.own}) {
-			if changed, ok := a.Event.(relay.RemoteLoadChanged); ok {
-				told = changed.Load
+		t.Run(c.name, func(t *testing.T) {
+			core := coreAmong(len(c.others), func(i int, other *membership.View) {
+				state := other.LocalState()
+				state.PlacedLoad = c.others[i]
+				other.SetLocalState(state)
+			})
+			load := noRemoteRelays
+			status := relay.Status{DiscoveryClockOffset: math.NaN(), UnreportedLoad: c.own}
+			for _, a := range core.Tick(now+50, now+50, status) {
+				if changed, isChanged := a.Event.(relay.RemoteLoadChanged); isChanged {
+					load = changed.Load
+				}
 			}
-		}
-		assert.Equal(t, c.want, told, "%v", c)
+			assert.Equal(t, c.want, load)
+		})
 	}
 }
--- a/internal/fleet/processes_test.go
+++ b/internal/fleet/processes_test.go
@@ -23,17 +23,20 @@
 
 // machine is one relay process with a folder as its disk.
 type machine struct {
-	t           *testing.T
-	number      int
-	dir, binary string
-	hears, ops  string
-	seeds       []string
-	key         string
-	cmd         *exec.Cmd
-	faults      string
-	ahead       float64 // of the right time, ms
-	zone, more  string  // of its operators' file
-	log         *os.File
+	t             *testing.T
+	number        int
+	dir           string
+	binary        string
+	gossipAddress string
+	adminAddress  string
+	seeds         []string
+	key           string
+	cmd           *exec.Cmd
+	faults        string  // of its disk
+	aheadMillis   float64 // its clock, of the right time
+	zone          string
+	moreConfig    string // at the end of its operators' file
+	log           *os.File
 }
 
 const settings = `{"replicas-of-me":9,"zone":0,"discovery":"automatic","stats":{"how":"probe","fields":"x0"},
@@ -42,20 +45,21 @@
 "localities":["a"],"categories":[{"name":"chat","gain":1,"effect":"idempotent","promised-time-ms":500,
 "hard-limit-ms":2000,"group":"all","repeat-window-ms":10000}],"parties":[{"name":"all"}]}`
 
-func machines(t *testing.T, count int) (all []*machine) {
+// newMachines prepares relays that know of each other. None is started yet.
+func newMachines(t *testing.T, count int) (all []*machine) {
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "valeshift")
-	said, err := exec.Command("go", "build", "-tags", "faultdisk", "-o", binary,
+	output, err := exec.Command("go", "build", "-tags", "faultdisk", "-o", binary,
 		"valeshift/cmd/valeshift").CombinedOutput()
-	require.NoError(t, err, "%s", said)
+	require.NoError(t, err, "%s", output)
 	var seeds []string
 	for i := range count {
 		m := &machine{t: t, number: i, dir: filepath.Join(dir, fmt.Sprint(i)), binary: binary,
 			key: "a key that all share"}
 		require.NoError(t, os.MkdirAll(m.disk(), 0o700))
-		m.hears, err = procstat.FreeAddressOn(fmt.Sprintf("127.0.9.%d", i+1))
+		m.gossipAddress, err = procstat.FreeAddressOn(fmt.Sprintf("127.0.9.%d", i+1))
 		require.NoError(t, err)
-		if seeds = append(seeds, m.hears); len(seeds) > 3 {
+		if seeds = append(seeds, m.gossipAddress); len(seeds) > 3 {
 			seeds = seeds[:3]
 		}
 		all = append(all, m)
@@ -78,22 +82,22 @@
 
 func (m *machine) start() {
 	var err error
-	m.ops, err = procstat.FreeAddressOn(fmt.Sprintf("127.0.9.%d", m.number+1))
+	m.adminAddress, err = procstat.FreeAddressOn(fmt.Sprintf("127.0.9.%d", m.number+1))
 	require.NoError(m.t, err)
 	listen, err := procstat.FreeAddressOn(fmt.Sprintf("127.0.9.%d", m.number+1))
 	require.NoError(m.t, err)
 	quoted := strings.Join(m.seeds, `", "`)
 	operator := m.write("operator.toml",
 		fmt.Sprintf("[peers]\nlisten = %q\nseeds = [\"%s\"]\nkey-file = %q\nzone = %q\n[disk]\nfolder = %q\n%s",
-			m.hears, quoted, m.write("key", m.key), m.zone, m.disk(), m.more))
+			m.gossipAddress, quoted, m.write("key", m.key), m.zone, m.disk(), m.moreConfig))
 	config := m.write("config.json", fmt.Sprintf(`{"name":"relay-%d","listen":%q,"discovery":"127.0.0.1:1","ops":%q,"seed":"1",
-"limits":{"cores":1},"settings":%s}`, m.number, listen, m.ops, settings))
+"limits":{"cores":1},"settings":%s}`, m.number, listen, m.adminAddress, settings))
 	require.NoError(m.t, os.WriteFile(filepath.Join(m.disk(), "faults"), []byte(m.faults), 0o600))
 	m.log, err = os.OpenFile(m.path("log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	require.NoError(m.t, err)
 	m.cmd = exec.Command(m.binary)
 	m.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+config, "VALESHIFT_OPERATOR="+operator,
-		"VALELAB_CLOCK="+m.write("clock", fmt.Sprint(m.ahead)), "RELAY_NAME=", "RELAY_LISTEN=",
+		"VALELAB_CLOCK="+m.write("clock", fmt.Sprint(m.aheadMillis)), "RELAY_NAME=", "RELAY_LISTEN=",
 		"RELAY_DISCOVERY=", "RELAY_OPS=")
 	m.cmd.Stderr = m.log
 	require.NoError(m.t, m.cmd.Start())
@@ -109,7 +113,7 @@
 
 func (m *machine) status() (s Status, err error) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	answer, err := client.Get("http://" + m.ops + "/_fleet")
+	answer, err := client.Get("http://" + m.adminAddress + "/_fleet")
 	if err != nil {
 		return s, err
 	}
@@ -117,31 +121,31 @@
 	return s, json.NewDecoder(answer.Body).Decode(&s)
 }
 
-func (m *machine) lame(on string) (code int) {
+func (m *machine) order(onOrOff string) (code int) {
 	client := http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	answer, err := client.Post("http://"+m.ops+"/_lameduck/"+on, "", nil)
+	answer, err := client.Post("http://"+m.adminAddress+"/_lameduck/"+onOrOff, "", nil)
 	require.NoError(m.t, err)
 	answer.Body.Close()
 	return answer.StatusCode
 }
 
-// command has the program ask, or order, those machines.
-func (m *machine) command(of []*machine, words ...string) (string, error) {
-	for _, o := range of {
-		words = append(words, o.ops)
+// command runs the program with those arguments and the machines' admin addresses.
+func (m *machine) command(targets []*machine, arguments ...string) (string, error) {
+	for _, target := range targets {
+		arguments = append(arguments, target.adminAddress)
 	}
-	text, err := exec.Command(m.binary, words...).CombinedOutput()
+	text, err := exec.Command(m.binary, arguments...).CombinedOutput()
 	return string(text), err
 }
 
 // eventually waits until every machine given is as it should be.
-func eventually(t *testing.T, all []*machine, what string, is func(m *machine, s Status) bool) {
+func eventually(t *testing.T, all []*machine, what string, isReached func(m *machine, s Status) bool) {
 	t.Helper()
 	var last []string
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
 		last = nil
 		for _, m := range all {
-			if s, err := m.status(); err != nil || !is(m, s) {
+			if s, err := m.status(); err != nil || !isReached(m, s) {
 				text, _ := json.Marshal(s)
 				last = append(last, fmt.Sprintf("relay-%d: %v %s", m.number, err, text))
 			}
@@ -153,7 +157,7 @@
 	t.Fatalf("%s: never came\n%s", what, strings.Join(last, "\n"))
 }
 
-func alive(s Status) (n int) {
+func countAlive(s Status) (n int) {
 	for _, m := range s.Members {
 		if m.State == "alive" {
 			n++
@@ -171,16 +175,16 @@
 // Nine processes lose power at one instant and return with disks of every kind; what was promised holds, what
 // is another's is refused by its name, and nobody stays in a phase.
 func TestNineLosePower(t *testing.T) {
-	all := machines(t, 9)
+	all := newMachines(t, 9)
 	each(all, (*machine).start)
-	joined := func(_ *machine, s Status) bool { return alive(s) == 8 && s.Recovery.Phase != "asking" }
-	eventually(t, all, "all know all", joined)
+	haveJoined := func(_ *machine, s Status) bool { return countAlive(s) == 8 && s.Recovery.Phase != "asking" }
+	eventually(t, all, "all know all", haveJoined)
 	for _, i := range []int{1, 2, 3, 4} {
-		require.Equal(t, http.StatusOK, all[i].lame("on"), "an order is answered once it is durable")
+		require.Equal(t, http.StatusOK, all[i].order("on"), "an order is answered once it is durable")
 	}
 	old := t.TempDir()
 	require.NoError(t, exec.Command("cp", "-r", all[4].disk(), old).Run())
-	require.Equal(t, http.StatusOK, all[4].lame("off")) // taken back
+	require.Equal(t, http.StatusOK, all[4].order("off")) // taken back
 	eventually(t, all, "all have heard of the orders", func(_ *machine, s Status) bool {
 		orders := 0
 		for _, m := range s.Members {
@@ -202,7 +206,7 @@
 	require.NoError(t, exec.Command("cp", "-r", all[6].disk(), all[5].disk()).Run()) // another machine's
 	all[6].faults, all[7].faults, all[8].faults = "full", "read-only", "slow"
 	each(all, (*machine).start)
-	eventually(t, all, "all are through asking, and know all again", joined)
+	eventually(t, all, "all are through asking, and know all again", haveJoined)
 	eventually(t, all, "orders hold as they were promised", func(m *machine, s Status) bool {
 		switch m.number {
 		case 1, 3: // by their disks
@@ -217,7 +221,7 @@
 		return !s.Draining
 	})
 	for _, m := range all[6:8] { // a disk that keeps nothing stops nobody, and promises nothing
-		assert.Equal(t, http.StatusConflict, m.lame("on"))
+		assert.Equal(t, http.StatusConflict, m.order("on"))
 		s, err := m.status()
 		require.NoError(t, err)
 		assert.True(t, s.Draining)
@@ -248,19 +252,19 @@
 // Of nine whose power returned, one has a clock an hour ahead, one an hour behind: they alone see that theirs
 // is wrong, and that it is right once it was set.
 func TestClocksWrong(t *testing.T) {
-	all := machines(t, 9)
-	all[2].ahead, all[5].ahead = 3.6e6, -3.6e6
+	all := newMachines(t, 9)
+	all[2].aheadMillis, all[5].aheadMillis = 3.6e6, -3.6e6
 	each(all, (*machine).start)
 	by := func(m *machine, s Status, ahead float64) bool {
 		return math.Abs(s.AheadMillis-ahead) < 2000 &&
-			alive(s) == 8
+			countAlive(s) == 8
 	}
-	eventually(t, all, "how far each is off", func(m *machine, s Status) bool { return by(m, s, m.ahead) })
+	eventually(t, all, "how far each is off", func(m *machine, s Status) bool { return by(m, s, m.aheadMillis) })
 	was := map[int]float64{2: 3.6e6, 5: -3.6e6}
 	each(all, func(m *machine) { m.write("clock", "0") }) // the processes go on by the time they began with
 	eventually(t, all, "still", func(m *machine, s Status) bool { return by(m, s, was[m.number]) })
 	all[2].kill()
-	all[2].ahead = 0
+	all[2].aheadMillis = 0
 	all[2].start()
 	eventually(t, all[2:3], "right from its next start on", func(m *machine, s Status) bool {
 		return by(m, s,
@@ -270,11 +274,11 @@
 
 // Relays that are stopped, strangers and twins: none of them takes the others along.
 func TestStrangers(t *testing.T) {
-	all := machines(t, 9)
+	all := newMachines(t, 9)
 	each(all[:6], (*machine).start)
 	all[6].key = "another key than theirs"
 	all[6].start()
-	eventually(t, all[:6], "six know six", func(_ *machine, s Status) bool { return alive(s) == 5 })
+	eventually(t, all[:6], "six know six", func(_ *machine, s Status) bool { return countAlive(s) == 5 })
 	eventually(t, all[:3], "who has another key is refused", func(_ *machine,
 		s Status) bool {
 		return s.Datagrams.Unauthenticated > 0
@@ -286,14 +290,14 @@
 	require.NoError(t, all[5].cmd.Process.Signal(syscall.SIGSTOP))
 	eventually(t, all[:5], "one that is stopped is gone", func(_ *machine,
 		s Status) bool {
-		return alive(s) == 4
+		return countAlive(s) == 4
 	})
 	require.NoError(t, all[5].cmd.Process.Signal(syscall.SIGCONT))
-	eventually(t, all[:6], "and back", func(_ *machine, s Status) bool { return alive(s) == 5 })
+	eventually(t, all[:6], "and back", func(_ *machine, s Status) bool { return countAlive(s) == 5 })
 
 	// A second process under the name and with the disk of another: it is kept from the disk, and both are told.
 	twin := *all[2]
-	twin.hears, err = procstat.FreeAddressOn("127.0.9.8")
+	twin.gossipAddress, err = procstat.FreeAddressOn("127.0.9.8")
 	require.NoError(t, err)
 	twin.dir = filepath.Join(all[7].dir, "twin")
 	require.NoError(t, os.MkdirAll(twin.dir, 0o700))
@@ -309,8 +313,8 @@
 
 // A port that is taken is named, and the relay does not start without its peers.
 func TestPortTaken(t *testing.T) {
-	all := machines(t, 1)
-	l, err := net.Listen("tcp", all[0].hears)
+	all := newMachines(t, 1)
+	l, err := net.Listen("tcp", all[0].gossipAddress)
 	require.NoError(t, err)
 	defer l.Close()
 	all[0].start()
@@ -325,10 +329,10 @@
 // took it with its disk and the memory of all others, and a relay that is to be switched off hands over what
 // it holds.
 func TestOrdersOutliveTheirMachine(t *testing.T) {
-	all := machines(t, 9)
+	all := newMachines(t, 9)
 	start := func() {
 		for _, m := range all {
-			m.zone, m.more = fmt.Sprint("z", m.number%3), "[holdings]\ncopies = 3\n"
+			m.zone, m.moreConfig = fmt.Sprint("z", m.number%3), "[holdings]\ncopies = 3\n"
 			m.start()
 		}
 	}
@@ -342,7 +346,7 @@
 	}
 	start()
 	until("fit", all, fit)
-	require.Equal(t, http.StatusOK, all[4].lame("on"))
+	require.Equal(t, http.StatusOK, all[4].order("on"))
 	holders := func() (n []int) {
 		for _, m := range all {
 			if s, err := m.status(); err == nil && s.Replication.Kinds["orders"].Stored > 0 {
