--- a/internal/testbed/sim/relay.go
+++ b/internal/testbed/sim/relayprocess.go
@@ -1,9 +1,9 @@
 package sim
 
 import (
+	"bytes"
 	"cmp"
 	"encoding/json"
-	"errors"
 	"maps"
 	"slices"
 
@@ -12,15 +12,21 @@
 	"valeshift/internal/testbed/model"
 )
 
+const (
+	transferTime = 0.5  // milliseconds for one session to go from one process to the other
+	siblingDelay = 50.0 // milliseconds until one process sees what the other one did
+	exitTime     = 1.0  // milliseconds
+)
+
 func sorted[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// Brain is what a relay runs on: its reducer, or one with something wrong about it.
+// Brain is what a relay runs on: its state machine, or one with a fault, for tests of the auditor.
 type Brain interface {
 	Handle(now float64, e relay.Event) []relay.Effect
 }
 
-// process is one life of a relay: it carries the reducer's effects out on the simulated network, as Sockets
-// does on real ones.
+// process is one process of a relay: it carries out the state machine's effects on the simulated network, as
+// relay.Sockets does on real connections.
 type process struct {
 	*node
 	number int
@@ -79,62 +85,36 @@
 		e := p.due[0]
 		p.due = p.due[1:]
 		for _, f := range p.brain.Handle(p.clock(), e) {
-			p.carry(f)
+			p.execute(f)
 		}
 	}
 	p.taking = false
 }
 
-func (p *process) carry(effect relay.Effect) {
+// execute carries out one effect of the state machine.
+func (p *process) execute(effect relay.Effect) {
 	if p.over {
 		return
 	}
 	switch f := effect.(type) {
 	case *relay.Dial:
-		p.last++
-		p.conns[f.Conn], p.back[p.last] = p.last, f.Conn
-		p.dial(p.last, f.Address)
+		p.dialFor(f.Conn, f.Address)
 	case *relay.Write:
-		size := 0
-		for _, part := range f.Chunks {
-			size += len(part)
-		}
-		all := make([]byte, 0, size)
-		for _, part := range f.Chunks {
-			all = append(all, part...)
-		}
-		if conn, open := p.conns[f.Conn]; open {
-			p.write(conn, all)
-		}
+		p.writeChunks(f.Conn, f.Chunks)
 	case *relay.Close:
 		p.endOwn(f.Conn, false)
 	case *relay.Reset:
 		p.endOwn(f.Conn, true)
 	case *relay.SetTimer:
-		p.alarm++
-		alarm := p.alarm
-		p.net.after(f.At-p.clock(), func() {
-			if p.alarm == alarm && !p.over {
-				p.take(relay.TimerFired{})
-			}
-		})
+		p.setTimer(f.At)
 	case *relay.StartWatch:
-		p.unwatch()
-		w := &follower{p: p, number: f.Watch}
-		p.follow = w
-		p.pass(p.number, experiment.Discovery, func() {
-			if p.follow == w {
-				w.id = p.list.Watch(f.After, w)
-			}
-		})
+		p.startWatch(f.Watch, f.After)
 	case *relay.StopWatch:
 		p.unwatch()
 	case *relay.PauseAccept:
-		p.holds = true
-		p.door()
+		p.setAcceptPaused(true)
 	case *relay.ResumeAccept:
-		p.holds = false
-		p.door()
+		p.setAcceptPaused(false)
 	case *relay.AnnounceReady:
 		if p.ready != nil {
 			p.ready()
@@ -142,15 +122,10 @@
 	case *relay.SendHandoff:
 		p.left = f.Handoff
 	case *relay.SendEndpoints:
-		told := f.Update
-		p.net.after(seen, func() {
-			if p.beside != nil && !p.beside.over {
-				p.beside.take(relay.SiblingEndpointsUpdated{Update: told})
-			}
-		})
+		p.sendEndpoints(f.Update)
 	case *relay.TransferSession:
 		client, server := f.ClientConn, f.BackendConn
-		p.net.after(passing, func() { p.handOver(client, server) })
+		p.net.after(transferTime, func() { p.transfer(client, server) })
 	case *relay.SessionDetached:
 		p.passed = f.Session
 	case *relay.SessionAccepted:
@@ -162,15 +137,70 @@
 	case *relay.ReplicationRequest:
 		p.mates.trust(*f)
 	case *relay.Exit:
-		p.net.after(1, func() {
-			if !p.over {
-				p.stop(false)
-				p.exit()
-			}
-		})
+		p.scheduleExit()
 	}
 }
 
+// dialFor dials for a connection that the state machine numbered.
+func (p *process) dialFor(own uint64, address string) {
+	p.last++
+	p.conns[own] = p.last
+	p.back[p.last] = own
+	p.dial(p.last, address)
+}
+
+func (p *process) writeChunks(own uint64, chunks [][]byte) {
+	conn, isOpen := p.conns[own]
+	if isOpen {
+		p.write(conn, bytes.Join(chunks, nil))
+	}
+}
+
+func (p *process) setTimer(at float64) {
+	p.alarm++
+	alarm := p.alarm
+	p.net.after(at-p.clock(), func() {
+		if p.alarm == alarm && !p.over {
+			p.take(relay.TimerFired{})
+		}
+	})
+}
+
+// startWatch opens a watch of the endpoint list in place of any other.
+func (p *process) startWatch(number, after uint64) {
+	p.unwatch()
+	w := &follower{p: p, number: number}
+	p.follow = w
+	p.pass(p.number, experiment.Discovery, func() {
+		if p.follow == w {
+			w.id = p.list.Watch(after, w)
+		}
+	})
+}
+
+func (p *process) setAcceptPaused(paused bool) {
+	p.holds = paused
+	p.updateAccept()
+}
+
+// sendEndpoints sends the endpoint list to the sibling process.
+func (p *process) sendEndpoints(update *relay.EndpointUpdate) {
+	p.net.after(siblingDelay, func() {
+		if p.beside != nil && !p.beside.over {
+			p.beside.take(relay.SiblingEndpointsUpdated{Update: update})
+		}
+	})
+}
+
+func (p *process) scheduleExit() {
+	p.net.after(exitTime, func() {
+		if !p.over {
+			p.stop(false)
+			p.exit()
+		}
+	})
+}
+
 // endOwn ends a connection of the relay's, by the relay's own number.
 func (p *process) endOwn(own uint64, broken bool) {
 	if conn, open := p.conns[own]; open {
@@ -180,24 +210,23 @@
 	}
 }
 
-// listens has this process accept at the node's socket.
-func (p *process) listens() {
-	p.node.actor, p.node.refuse = p, false
-	p.door()
+// listen has this process accept at the node's socket.
+func (p *process) listen() {
+	p.node.actor = p
+	p.node.refuse = false
+	p.updateAccept()
 }
 
-// door has who waits at the door let in, if this is the process that does.
-func (p *process) door() {
+// updateAccept accepts waiting clients, or pauses, if this is the process that accepts.
+func (p *process) updateAccept() {
 	if p.node.actor == p {
 		p.node.closed = p.holds
 		p.net.after(0, p.acceptWaiting)
 	}
 }
 
-const passing = 0.5 // for one link to go from one process to the other
-
-// handOver passes a standing link to the process beside, in the form that it has between two real ones.
-func (p *process) handOver(client, server uint64) {
+// transfer hands an established session to the sibling process, in the form that it has between two real ones.
+func (p *process) transfer(client, server uint64) {
 	if p.over || p.beside == nil {
 		return
 	}
@@ -206,30 +235,46 @@
 	if p.passed == nil {
 		return
 	}
-	text, err := json.Marshal(p.passed)
-	passed, next := &relay.TransferredSession{}, p.beside
-	if err == nil {
-		err = json.Unmarshal(text, passed)
+	next := p.beside
+	accepted := !next.over && next.receive(decodeSession(encodeSession(p.passed)))
+	if accepted {
+		p.moveConnection(next, client, next.count)
+		p.moveConnection(next, server, next.given)
 	}
+	p.take(relay.SessionTransferred{Conn: client, Accepted: accepted})
+}
+
+// receive takes in a session of the sibling process; false: it was not accepted.
+func (p *process) receive(session *relay.TransferredSession) bool {
+	p.count++
+	p.given = 0
+	p.take(relay.SessionReceived{Conn: p.count, Session: session})
+	return p.given != 0
+}
+
+// moveConnection makes the connection that is own here the other process's, under that process's number.
+func (p *process) moveConnection(to *process, own, number uint64) {
+	conn := p.conns[own]
+	delete(p.conns, own)
+	delete(p.back, conn)
+	to.conns[number] = conn
+	to.back[conn] = number
+}
+
+func encodeSession(session *relay.TransferredSession) []byte {
+	text, err := json.Marshal(session)
 	if err != nil {
 		panic(err) // of plain values
 	}
-	gone := !next.over
-	if gone {
-		next.count++
-		next.given = 0
-		next.take(relay.SessionReceived{Conn: next.count, Session: passed})
-		gone = next.given != 0
-	}
-	if gone {
-		for own, its := range map[uint64]uint64{client: next.count, server: next.given} {
-			conn := p.conns[own]
-			delete(p.conns, own)
-			delete(p.back, conn)
-			next.conns[its], next.back[conn] = conn, its
-		}
+	return text
+}
+
+func decodeSession(text []byte) *relay.TransferredSession {
+	session := &relay.TransferredSession{}
+	if err := json.Unmarshal(text, session); err != nil {
+		panic(err) // it was encoded just now
 	}
-	p.take(relay.SessionTransferred{Conn: client, Accepted: gone})
+	return session
 }
 
 func (p *process) unwatch() {
@@ -297,87 +342,3 @@
 	delete(p.conns, of)
 	p.take(relay.ConnClosed{Conn: of, Reset: broken})
 }
-
-// follower is one watch: what it tells arrives in order.
-type follower struct {
-	p      *process
-	number uint64
-	id     uint64
-	arrive float64
-}
-
-func (w *follower) tell(do func()) {
-	w.arrive = max(w.arrive, w.p.net.now+w.p.net.way())
-	w.p.net.after(w.arrive-w.p.net.now, func() {
-		w.p.pass(experiment.Discovery, w.p.number, func() {
-			if w.p.follow == w && !w.p.over {
-				do()
-			}
-		})
-	})
-}
-
-const reopens = 5.0 // between two looks at a way that is cut
-
-// pass has bytes go from one machine to another, as the way between them is: held while it is cut.
-func (p *process) pass(from, to int, do func()) {
-	way := p.ways[[2]int{from, to}]
-	switch {
-	case way.Cut || p.ways[[2]int{to, from}].Cut: // no answer comes either, so nothing more is sent
-		p.net.after(reopens, func() { p.pass(from, to, do) })
-	case way.Reset:
-		p.reset()
-	case way.Delay > 0 || way.Jitter > 0:
-		p.net.after(float64(way.Delay)+float64(way.Jitter)*p.net.chance.Float64(), do)
-	case way.BytesPerSecond > 0: // a list is some kilobytes
-		p.net.after(4096*1000/float64(way.BytesPerSecond), do)
-	default:
-		p.net.after(p.net.way(), do)
-	}
-}
-
-// reset has the watch end, as its connection was reset.
-func (p *process) reset() {
-	if w := p.follow; w != nil {
-		p.unwatch()
-		p.take(relay.WatchFailed{Watch: w.number, Err: errReset})
-	}
-}
-
-var errReset = errors.New("watch: connection reset")
-
-// OnUpdate brings the list or its changes.
-func (w *follower) OnUpdate(n *relay.EndpointUpdate) {
-	w.tell(func() {
-		p := w.p
-		seen := map[string]bool{}
-		for _, e := range n.Endpoints {
-			p.told[e.Name], seen[e.Name] = true, true
-			p.watch.EndpointUpdated(p.net.now, p.number, e.Name, e.Status, e.StartedAt)
-		}
-		if n.Complete {
-			for _, name := range sorted(p.told) {
-				if !seen[name] {
-					p.watch.EndpointUpdated(p.net.now, p.number, name, "left", 0)
-				}
-			}
-		}
-		p.net.tell("%s news %d of %d", p.address, len(n.Endpoints), n.Index)
-		dated := *n
-		dated.DiscoveryTime = p.net.now
-		p.take(relay.EndpointsUpdated{Watch: w.number, Update: &dated})
-	})
-}
-
-// OnHeartbeat brings an empty line.
-func (w *follower) OnHeartbeat() {
-	w.tell(func() { w.p.take(relay.WatchHeartbeat{Watch: w.number}) })
-}
-
-// OnFailure brings the watch's end.
-func (w *follower) OnFailure(err error) {
-	w.tell(func() {
-		w.p.follow = nil
-		w.p.take(relay.WatchFailed{Watch: w.number, Err: err})
-	})
-}
--- /dev/null
+++ b/internal/testbed/sim/variant.go
@@ -0,0 +1,68 @@
+package sim
+
+import (
+	"valeshift/balancer"
+	"valeshift/internal/dispatch"
+	"valeshift/internal/relay"
+	"valeshift/internal/settings"
+	"valeshift/internal/testbed/baseline"
+	"valeshift/internal/testbed/experiment"
+)
+
+const loadOfUnreachable = 1e6 // above that of any backend that can be reached
+
+// Policy makes the balancer of one relay for a variant: the program's own, or a baseline, which may ask for a
+// backend's true load and for whether it has capacity for one more session.
+func Policy(x *experiment.Experiment, variant string, zone int, config *relay.Config,
+	loadOf func(uint32) float64, hasCapacity func(uint32) bool) (dispatch.Balancer, error) {
+	if variant == experiment.Policies[0] {
+		return settings.NewReader(config.Settings).BuildBalancer(config.Seed)
+	}
+	return baseline.New(baseline.Config{
+		Kind:        baseline.Kind(variant),
+		Zone:        zone,
+		Seed:        config.Seed,
+		Classes:     classes(x),
+		MaxAttempts: x.Relays.MaxAttempts,
+		RetryAfter:  float64(x.Relays.MaxRetryAfter),
+		LoadOf:      loadOf,
+		HasCapacity: hasCapacity,
+	})
+}
+
+func classes(x *experiment.Experiment) []balancer.Class {
+	idempotency := map[string]balancer.Idempotency{
+		"replayable": balancer.Idempotent,
+		"referenced": balancer.IdempotentByKey,
+		"single-use": balancer.NonIdempotent,
+	}
+	var classes []balancer.Class
+	for _, t := range x.Classes() {
+		classes = append(classes, balancer.Class{
+			LatencyObjective: float64(t.LatencyObjective),
+			PriorityWeight:   t.PriorityWeight,
+			Idempotency:      idempotency[t.Effect],
+		})
+	}
+	return classes
+}
+
+// loadOf returns a backend's true load; one that is dead counts as full.
+func (s *Sim) loadOf(id uint32) float64 {
+	for _, b := range s.world.Backends {
+		if relay.BackendID(b.Name) == id && !b.Dead {
+			return b.Demand / max(b.Capacity(s.net.now), 1e-6)
+		}
+	}
+	return loadOfUnreachable
+}
+
+// hasCapacity reports whether a backend has capacity for one more session.
+func (s *Sim) hasCapacity(id uint32) bool {
+	for _, b := range s.world.Backends {
+		if relay.BackendID(b.Name) == id {
+			return s.world.HasCapacity(b)
+		}
+	}
+	return false
+}
