--- a/cmd/valeshift-testbed/main.go
+++ b/cmd/valeshift-testbed/main.go
@@ -139,44 +139,14 @@
 	return os.WriteFile(o.Report+".json", text, 0o644)
 }
 
-type reportCommand struct {
-	Files []string `arg:"" help:"Reports as sim and load wrote them, in JSON." type:"existingfile"`
-	Out   string   `default:"report" help:"Where the page goes: NAME.html and NAME.json." placeholder:"NAME" type:"path"`
-}
-
-// Run puts the runs of several reports on one page, side by side: of simulation and sockets, or of two
-// builds.
-func (c *reportCommand) Run() error {
-	var all *report.Report
-	for _, path := range c.Files {
-		text, err := os.ReadFile(path)
-		if err != nil {
-			return err
-		}
-		var r report.Report
-		if err := json.Unmarshal(text, &r); err != nil {
-			return fmt.Errorf("%s: %w", path, err)
-		}
-		if all == nil {
-			all = &r
-			continue
-		}
-		if r.Name != all.Name {
-			return fmt.Errorf("%s: a report of %q expected, got %q", path, all.Name, r.Name)
-		}
-		all.Runs = append(all.Runs, r.Runs...)
-	}
-	return out{c.Out}.write(all)
-}
-
 // say prints a run, and gives an error where it broke a rule that it is held to.
 func say(r *report.Run, held bool, more string) error {
-	fmt.Printf("%-12s %s: service %.4f, worst second %.3f, answers %v, rules broken %v %s\n", r.Variant, r.How,
-		r.Service, r.Worst, r.Answers, r.Rules, more)
-	if !held || len(r.Rules) == 0 {
+	fmt.Printf("%-12s %s: service %.4f, worst second %.3f, answers %v, rules broken %v %s\n", r.Variant, r.Mode,
+		r.ServedShare, r.WorstSecond, r.Answers, r.ViolationCounts, more)
+	if !held || len(r.ViolationCounts) == 0 {
 		return nil
 	}
-	for _, b := range r.Breaks {
+	for _, b := range r.Violations {
 		fmt.Println("  ", b)
 	}
 	return fmt.Errorf("%s broke a rule", r.Variant)
@@ -214,7 +184,14 @@
 		if err != nil {
 			return err
 		}
-		run := r.AddRun(x, variant, "simulated", result.Tally, result.Marks, result.Audit, result.Fallen)
+		run := r.AddRun(x, report.Outcome{
+			Variant:       variant,
+			Mode:          report.Simulated,
+			Metrics:       result.Tally,
+			FaultSpans:    result.Marks,
+			Audit:         result.Audit,
+			ColdOverloads: result.Fallen,
+		})
 		err = say(run, i == 0, fmt.Sprintf("(%.1f simulated seconds a second, %.2f M events/s)",
 			float64(x.Length)/1000/result.Took.Seconds(), float64(result.Events)/1e6/result.Took.Seconds()))
 		if broken == nil {
@@ -273,8 +250,17 @@
 		return err
 	}
 	r := report.New(x)
-	run := r.AddRun(x, experiment.Policies[0], "on sockets", result.Tally, result.Marks, result.Audit, result.Fallen)
-	run.Late, run.Memory, run.CPU = result.Late, result.Memory, result.CPU
+	run := r.AddRun(x, report.Outcome{
+		Variant:       experiment.Policies[0],
+		Mode:          report.OnSockets,
+		Metrics:       result.Tally,
+		FaultSpans:    result.Marks,
+		Audit:         result.Audit,
+		ColdOverloads: result.Fallen,
+	})
+	run.IsLate = result.Late
+	run.Memory = result.Memory
+	run.CPU = result.CPU
 	broken := say(run, !result.Late, fmt.Sprintf("(%.0f ms behind its schedule at the most)",
 		result.Tally.MaxLag))
 	if err := c.write(r); err != nil {
--- a/internal/testbed/report/golden_test.go
+++ b/internal/testbed/report/golden_test.go
@@ -19,18 +19,43 @@
 // goldenReport has no field left zero.
 func goldenReport() *Report {
 	recovered := 1250.5
-	return &Report{Name: "golden", Seed: 7, Warm: 1000,
-		Marks: []model.FaultSpan{{From: 2000, To: 3500.5, Text: "slow"}, {From: 4000, To: 9000, Text: "relay-kill"}},
-		Runs: []Run{{Variant: "module", How: "simulated", Service: 0.9875, Worst: 0.75,
-			Answers: map[string]int{"UP": 12, "BUSY": 3, "ERR": 1, "none": 2, "cut": 4},
-			Rules:   map[string]int{"final answer": 1, "twice": 2, "drain": 3, "cold": 4, "lines": 5},
-			Breaks:  []string{"1.0 drain: what it was (link 1)"}, Fallen: 6, Recovered: &recovered,
-			Categories: map[string]map[string]Quantile{"chat": {
-				"setup": {Count: 12, P50: 1.5, P99: 2.5, P999: 3.5},
-				"line":  {Count: 13, P50: 4.5, P99: 5.5, P999: 6.5}}},
-			Seconds: []model.Second{{Offered: 1.5, Served: 2.5, Established: 3, Rejected: 4, Errored: 5, Unanswered: 6,
-				Disconnected: 7, Sessions: 8, UtilizationStdDev: 9.5, MeanUtilization: 10.5, MaxUtilization: 11.5}},
-			Late: true, Memory: map[int]int64{0: 1 << 20}, CPU: map[int]float64{1: 2.25}}}}
+	return &Report{
+		Name:   "golden",
+		Seed:   7,
+		Warmup: 1000,
+		Faults: []model.FaultSpan{{From: 2000, To: 3500.5, Text: "slow"}, {From: 4000, To: 9000, Text: "relay-kill"}},
+		Runs: []Run{{
+			Variant:         "module",
+			Mode:            Simulated,
+			ServedShare:     0.9875,
+			WorstSecond:     0.75,
+			Answers:         map[string]int{"UP": 12, "BUSY": 3, "ERR": 1, "none": 2, "cut": 4},
+			ViolationCounts: map[string]int{"final answer": 1, "twice": 2, "drain": 3, "cold": 4, "lines": 5},
+			Violations:      []string{"1.0 drain: what it was (link 1)"},
+			ColdOverloads:   6,
+			RecoveryTime:    &recovered,
+			Classes: map[string]*Latency{"chat": {
+				Setup: Quantiles{Count: 12, P50: 1.5, P99: 2.5, P999: 3.5},
+				Line:  Quantiles{Count: 13, P50: 4.5, P99: 5.5, P999: 6.5},
+			}},
+			Seconds: []model.Second{{
+				Offered:           1.5,
+				Served:            2.5,
+				Established:       3,
+				Rejected:          4,
+				Errored:           5,
+				Unanswered:        6,
+				Disconnected:      7,
+				Sessions:          8,
+				UtilizationStdDev: 9.5,
+				MeanUtilization:   10.5,
+				MaxUtilization:    11.5,
+			}},
+			IsLate: true,
+			Memory: map[int]int64{0: 1 << 20},
+			CPU:    map[int]float64{1: 2.25},
+		}},
+	}
 }
 
 // A report is written as the same bytes as before, and read as what it was written from.
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -14,9 +14,7 @@
 	"valeshift/internal/testbed/sim"
 )
 
-// A report says what the runs came to, on one page that needs nothing else.
-func TestReport(t *testing.T) {
-	x, err := experiment.Parse([]byte(`
+const twoVariants = `
 name = "two <variants>"
 length = "8s"
 warm = "1s"
@@ -30,37 +28,64 @@
 kind = "slow"
 at = "3s"
 for = "1s"
-`))
+`
+
+// playReport simulates two variants and returns their report.
+func playReport(t *testing.T) *Report {
+	t.Helper()
+	x, err := experiment.Parse([]byte(twoVariants))
 	require.NoError(t, err)
 	r := New(x)
 	for _, variant := range x.Variants {
-		s, err := sim.Run(x, variant, nil)
+		result, err := sim.Run(x, variant, nil)
 		require.NoError(t, err)
-		r.AddRun(x, variant, "simulated", s.Tally, s.Marks, s.Audit, s.Fallen)
+		r.AddRun(x, Outcome{
+			Variant:       variant,
+			Mode:          Simulated,
+			Metrics:       result.Tally,
+			FaultSpans:    result.Marks,
+			Audit:         result.Audit,
+			ColdOverloads: result.Fallen,
+		})
 	}
-	text, err := r.JSON()
+	return r
+}
+
+func TestReportSaysWhatTheRunsCameTo(t *testing.T) {
+	text, err := playReport(t).JSON()
 	require.NoError(t, err)
-	var back Report
-	require.NoError(t, json.Unmarshal(text, &back))
-	require.Len(t, back.Runs, 2)
-	assert.Equal(t, "random", back.Runs[1].Variant)
-	assert.InDelta(t, 1, back.Runs[0].Service, 0.05)
-	assert.Greater(t, back.Runs[0].Categories["chat"]["line"].Count, int64(500))
-	assert.Equal(t, "slow", back.Marks[0].Text)
-	require.NotNil(t, back.Runs[0].Recovered)
+	var read Report
+	require.NoError(t, json.Unmarshal(text, &read))
+	require.Len(t, read.Runs, 2)
+	assert.Equal(t, "random", read.Runs[1].Variant)
+	assert.InDelta(t, 1, read.Runs[0].ServedShare, 0.05)
+	assert.Greater(t, read.Runs[0].Classes["chat"].Line.Count, int64(500))
+	assert.Equal(t, "slow", read.Faults[0].Text)
+	require.NotNil(t, read.Runs[0].RecoveryTime)
+}
 
-	page, err := r.HTML()
+// The page needs nothing else, and each of its plots is well formed.
+func TestPageIsSelfContained(t *testing.T) {
+	html, err := playReport(t).HTML()
 	require.NoError(t, err)
-	assert.Contains(t, string(page), "two &lt;variants&gt;")
-	assert.Equal(t, 8, strings.Count(string(page), "<svg"))
-	assert.NotContains(t, string(page), "src=")
-	for rest := string(page); strings.Contains(rest, "<svg"); { // each plot is well formed
-		at, end := strings.Index(rest, "<svg"), strings.Index(rest, "</svg>")+len("</svg>")
-		in := xml.NewDecoder(strings.NewReader(rest[at:end]))
-		for err = nil; err == nil; {
-			_, err = in.Token()
-		}
-		require.ErrorIs(t, err, io.EOF)
-		rest = rest[end:]
+	page := string(html)
+	assert.Contains(t, page, "two &lt;variants&gt;")
+	assert.Equal(t, 8, strings.Count(page, "<svg"))
+	assert.NotContains(t, page, "src=")
+	for strings.Contains(page, "<svg") {
+		start := strings.Index(page, "<svg")
+		end := strings.Index(page, "</svg>") + len("</svg>")
+		requireWellFormed(t, page[start:end])
+		page = page[end:]
+	}
+}
+
+func requireWellFormed(t *testing.T, text string) {
+	t.Helper()
+	decoder := xml.NewDecoder(strings.NewReader(text))
+	var err error
+	for err == nil {
+		_, err = decoder.Token()
 	}
+	require.ErrorIs(t, err, io.EOF)
 }
