--- a/cmd/valeshift-testbed/main.go
+++ b/cmd/valeshift-testbed/main.go
@@ -253,20 +253,20 @@
 	run := r.AddRun(x, report.Outcome{
 		Variant:       experiment.Policies[0],
 		Mode:          report.OnSockets,
-		Metrics:       result.Tally,
-		FaultSpans:    result.Marks,
-		Audit:         result.Audit,
-		ColdOverloads: result.Fallen,
+		Metrics:       result.Metrics,
+		FaultSpans:    result.FaultSpans,
+		Audit:         result.Auditor,
+		ColdOverloads: result.ColdOverloads,
 	})
-	run.IsLate = result.Late
+	run.IsLate = result.BehindSchedule
 	run.Memory = result.Memory
 	run.CPU = result.CPU
-	broken := say(run, !result.Late, fmt.Sprintf("(%.0f ms behind its schedule at the most)",
-		result.Tally.MaxLag))
+	broken := say(run, !result.BehindSchedule, fmt.Sprintf("(%.0f ms behind its schedule at the most)",
+		result.Metrics.MaxLag))
 	if err := c.write(r); err != nil {
 		return err
 	}
-	if result.Late {
+	if result.BehindSchedule {
 		return fmt.Errorf("the machine was too slow for the schedule: the run is not counted")
 	}
 	return broken
@@ -367,10 +367,10 @@
 			return nil
 		case err != nil:
 			return &explore.Finding{Experiment: x, Panic: err.Error()}
-		case r.Late:
+		case r.BehindSchedule:
 			continue
 		}
-		found := explore.NewFinding(x, r.Audit)
+		found := explore.NewFinding(x, r.Auditor)
 		if found == nil {
 			os.RemoveAll(dir) // logs and disks are kept of what broke a rule
 		}
--- a/internal/jsonstream/jsonstream.go
+++ b/internal/jsonstream/jsonstream.go
@@ -1,6 +1,6 @@
 // Package jsonstream splits a byte stream into JSON objects and blank lines, whatever the layout of the objects:
-// one a line, indented over several lines, or several on one line. It checks nesting only, so that an object which
-// can never end is found out at once; whether one is valid JSON is for its reader to find out.
+// one a line, indented over several lines, or several on one line. It checks nesting only, so that an object that
+// can never end is found at once; whether an object is valid JSON is for its decoder to find out.
 package jsonstream
 
 import (
@@ -9,78 +9,82 @@
 	"io"
 )
 
-// ErrNotObject says that the stream holds something else than objects and white space.
+// ErrNotObject reports that the stream holds something else than objects and white space.
 var ErrNotObject = errors.New("a JSON object expected")
 
-// ErrNesting says that a bracket closes another kind of bracket.
+// ErrNesting reports a bracket that closes another kind of bracket.
 var ErrNesting = errors.New("brackets that do not match")
 
-// MaxObject is the size in bytes from which on an object is refused with bufio.ErrTooLong.
-const MaxObject = 16 << 20
+// MaxObjectBytes is the size from which on an object ends the stream with bufio.ErrTooLong.
+const MaxObjectBytes = 16 << 20
 
-const firstBuffer = 4096
+const initialBufferBytes = 4096
 
 // Scanner reads one object or blank line after the other.
 type Scanner struct {
-	lines   *bufio.Scanner
-	scanned int    // bytes of the pending object that were looked at already
-	nesting []byte // the brackets that are open, by those that close them
-	quoted  bool
-	escaped bool
-	ended   bool // an object ended on the current line, whose end is no blank line
+	tokens      *bufio.Scanner
+	scanned     int    // bytes of the pending object that were examined already
+	closers     []byte // the brackets that close the open ones, the innermost last
+	inString    bool
+	escaped     bool // the next byte of the string stands for itself
+	objectEnded bool // an object ended on the current line, so that the line's end is no blank line
 }
 
-// NewScanner reads from r.
+// NewScanner returns a scanner that reads from r.
 func NewScanner(r io.Reader) *Scanner {
-	s := &Scanner{lines: bufio.NewScanner(r)}
-	s.lines.Buffer(make([]byte, 0, firstBuffer), MaxObject)
-	s.lines.Split(s.split)
+	s := &Scanner{tokens: bufio.NewScanner(r)}
+	s.tokens.Buffer(make([]byte, 0, initialBufferBytes), MaxObjectBytes)
+	s.tokens.Split(s.split)
 	return s
 }
 
-// Scan advances to the next object or blank line, and tells whether there is one.
-func (s *Scanner) Scan() bool { return s.lines.Scan() }
+// Scan advances to the next object or blank line, and reports whether there is one.
+func (s *Scanner) Scan() bool { return s.tokens.Scan() }
 
-// Object is the object found by the last Scan, good until the next; it is empty for a blank line.
-func (s *Scanner) Object() []byte { return s.lines.Bytes() }
+// Object returns what the last Scan found, empty for a blank line. It is valid until the next Scan.
+func (s *Scanner) Object() []byte { return s.tokens.Bytes() }
 
-// Err is why Scan found nothing more; nil at the end of the stream.
-func (s *Scanner) Err() error { return s.lines.Err() }
+// Err returns why Scan found nothing more: nil at the end of the stream, io.ErrUnexpectedEOF where that came
+// within an object, ErrNotObject, ErrNesting, bufio.ErrTooLong, or the reader's error.
+func (s *Scanner) Err() error { return s.tokens.Err() }
 
-// split is a bufio.SplitFunc that keeps where it got to, so that each byte is looked at once.
+// split is a bufio.SplitFunc that remembers how far it got, so that each byte is examined once.
 func (s *Scanner) split(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	start := 0
-	if len(s.nesting) == 0 {
-		blank := false
-		if start, blank, err = s.skip(data); err != nil || blank {
-			return start, data[:0], err
+	if len(s.closers) == 0 {
+		skipped, blankLine, err := s.skipSpace(data)
+		if err != nil || blankLine {
+			return skipped, data[:0], err
 		}
+		start = skipped
 	}
 	for i := max(s.scanned, start); i < len(data); i++ {
-		last, err := s.take(data[i])
+		complete, err := s.consume(data[i])
 		if err != nil {
 			return i, nil, err
 		}
-		if last {
-			s.scanned, s.ended = 0, true
+		if complete {
+			s.scanned = 0
+			s.objectEnded = true
 			return i + 1, data[start : i+1], nil
 		}
 	}
 	s.scanned = len(data) - start
-	if atEOF && len(s.nesting) > 0 {
+	if atEOF && len(s.closers) > 0 {
 		return 0, nil, io.ErrUnexpectedEOF
 	}
 	return start, nil, nil
 }
 
-// skip passes over white space before an object, up to the end of a blank line.
-func (s *Scanner) skip(data []byte) (n int, blank bool, err error) {
+// skipSpace passes over white space before an object, up to the end of a blank line.
+func (s *Scanner) skipSpace(data []byte) (skipped int, blankLine bool, err error) {
 	for i, c := range data {
 		switch c {
 		case ' ', '\t', '\r':
 		case '\n':
-			blank, s.ended = !s.ended, false
-			if blank {
+			blankLine := !s.objectEnded
+			s.objectEnded = false
+			if blankLine {
 				return i + 1, true, nil
 			}
 		case '{':
@@ -92,26 +96,32 @@
 	return len(data), false, nil
 }
 
-// take takes one byte of an object and tells whether it is the last.
-func (s *Scanner) take(c byte) (last bool, err error) {
+// consume examines one byte of an object, and reports whether it completes it.
+func (s *Scanner) consume(c byte) (complete bool, err error) {
 	switch {
 	case s.escaped:
 		s.escaped = false
-	case s.quoted:
-		s.escaped, s.quoted = c == '\\', c != '"'
+	case s.inString:
+		s.escaped = c == '\\'
+		s.inString = c != '"'
 	case c == '"':
-		s.quoted = true
+		s.inString = true
 	case c == '{':
-		s.nesting = append(s.nesting, '}')
+		s.closers = append(s.closers, '}')
 	case c == '[':
-		s.nesting = append(s.nesting, ']')
+		s.closers = append(s.closers, ']')
 	case c == '}' || c == ']':
-		inner := len(s.nesting) - 1
-		if s.nesting[inner] != c {
-			return false, ErrNesting
-		}
-		s.nesting = s.nesting[:inner]
-		return inner == 0, nil
+		return s.closeBracket(c)
 	}
 	return false, nil
 }
+
+// closeBracket reports whether the bracket closes the object's first one.
+func (s *Scanner) closeBracket(c byte) (outermost bool, err error) {
+	innermost := len(s.closers) - 1
+	if s.closers[innermost] != c {
+		return false, ErrNesting
+	}
+	s.closers = s.closers[:innermost]
+	return innermost == 0, nil
+}
--- a/internal/testbed/sim/mates.go
+++ b/internal/testbed/sim/mates.go
@@ -67,14 +67,14 @@
 	}
 	m := &mates{s: s, i: i, p: p, core: fleet.New(p.clock(), own, seeds, fleetKey, x.Relays.Disk, chance)}
 	if x.Relays.Coordinators > 0 {
-		_, voters := s.voters()
-		m.core.FollowCoordinators(own.Name, own.Zone, voters, fleetKey, chance)
-		if i < len(voters) {
-			s.vote(i, p)
+		coordinators := s.coordinatorAddresses()
+		m.core.FollowCoordinators(own.Name, own.Zone, coordinators, fleetKey, chance)
+		if i < len(coordinators) {
+			s.startCoordinator(i, p)
 		}
 	}
 	p.mates = m
-	p.take(relay.Event{Kind: relay.IncarnationChanged})
+	p.take(relay.IncarnationChanged{})
 	if x.Relays.Replicas > 0 {
 		m.do(m.core.EnableReplication(own.Name, own.Incarnation, x.Relays.Replicas, float64(x.Relays.MarkerRetention), x.Relays.ReplicatesAffinity,
 			fleetKey, chance))
@@ -132,7 +132,7 @@
 }
 
 // trust is what the relay asks for; nothing of it is done in the event that asks.
-func (m *mates) trust(f relay.Effect) {
+func (m *mates) trust(f relay.ReplicationRequest) {
 	m.s.net.after(0, func() {
 		if !m.p.over {
 			m.do(m.core.HandleReplicationEffect(m.p.clock(), f))
@@ -160,7 +160,7 @@
 			}
 			m.save(*a.Persist, done)
 		case a.Event != nil:
-			m.p.take(*a.Event)
+			m.p.take(a.Event)
 		case a.Log != "":
 			m.s.net.tell("relay %d fleet: %s", m.i, a.Log)
 		}
@@ -225,8 +225,8 @@
 			switch {
 			case p == nil:
 			case strings.HasPrefix(d.To, "voter-"):
-				if v := s.seats[to]; v != nil && !v.p.over {
-					v.heard(by, d.Data)
+				if v := s.coordinatorProcesses[to]; v != nil && !v.process.over {
+					v.receive(by, d.Data)
 				}
 			case p.mates != nil:
 				p.mates.do(p.mates.core.ReceiveDatagram(p.clock(), by, d.Data))
