--- a/internal/testbed/live/mates.go
+++ b/internal/testbed/live/mates.go
@@ -111,7 +111,7 @@
 }
 
 // DamageDisk does something to the disk of a relay that is down.
-func (r *Run) DamageDisk(i int, what string) {
+func (r *Run) DamageDisk(i int, what experiment.DiskFault) {
 	p := r.relays[i]
 	if p.diskFolder == "" {
 		return
@@ -127,22 +127,22 @@
 		}
 	}
 	switch what {
-	case "wiped":
+	case experiment.DiskWiped:
 		for _, name := range files(p.diskFolder) {
 			os.Remove(filepath.Join(p.diskFolder, name))
 		}
-	case "torn":
+	case experiment.DiskTorn:
 		each(func(data []byte) []byte { return data[:chance.Intn(len(data))] })
-	case "flipped":
+	case experiment.DiskFlipped:
 		each(func(data []byte) []byte {
 			for range 8 {
 				data[chance.Intn(len(data))] ^= 1 << chance.Intn(8)
 			}
 			return data
 		})
-	case "older":
+	case experiment.DiskOlder:
 		copyDisk(p.diskFolder+".older", p.diskFolder)
-	case "another's":
+	case experiment.DiskAnothers:
 		copyDisk(r.relays[(i+1)%len(r.relays)].diskFolder, p.diskFolder)
 	}
 }
--- a/internal/testbed/sim/variant.go
+++ b/internal/testbed/sim/variant.go
@@ -31,10 +31,10 @@
 }
 
 func classes(x *experiment.Experiment) []balancer.Class {
-	idempotency := map[string]balancer.Idempotency{
-		"replayable": balancer.Idempotent,
-		"referenced": balancer.IdempotentByKey,
-		"single-use": balancer.NonIdempotent,
+	idempotency := map[experiment.Effect]balancer.Idempotency{
+		experiment.EffectReplayable: balancer.Idempotent,
+		experiment.EffectReferenced: balancer.IdempotentByKey,
+		experiment.EffectSingleUse:  balancer.NonIdempotent,
 	}
 	var classes []balancer.Class
 	for _, t := range x.Classes() {
