--- a/cmd/valeshift/main.go
+++ b/cmd/valeshift/main.go
@@ -34,7 +34,11 @@
 
 func main() {
 	// Before all else: against a signal that comes early ending the program.
-	signals := signals{on(syscall.SIGTERM, os.Interrupt), on(syscall.SIGUSR1), on(syscall.SIGHUP)}
+	signals := relay.Signals{
+		Shutdown:    on(syscall.SIGTERM, os.Interrupt),
+		LogCounters: on(syscall.SIGUSR1),
+		Reload:      on(syscall.SIGHUP),
+	}
 	var l line
 	run := func() error { return runCommand{}.Run(&l, signals) }
 	if len(os.Args) > 1 {
@@ -49,12 +53,10 @@
 	}
 }
 
-type signals struct{ stop, print, reload <-chan struct{} }
-
 type runCommand struct{}
 
 // Run serves. All errors are logged here, in the form that the operators chose.
-func (runCommand) Run(l *line, signals signals) error {
+func (runCommand) Run(l *line, signals relay.Signals) error {
 	log := config.NewLogger(os.Stderr, config.Log{})
 	told, file, err := read(l, relay.LoadConfig)
 	if err != nil {
@@ -85,7 +87,7 @@
 		}
 		return told, func() { log.Configure(file.Log) }, nil
 	}
-	err = relay.Serve(told, mates, again, log.Slog(), signals.stop, signals.print, signals.reload)
+	err = relay.Serve(told, relay.Options{Log: log.Slog(), Fleet: mates, Reload: again, Signals: signals})
 	if err != nil {
 		log.Slog().Error("can't serve", "err", err)
 	}
--- a/internal/relay/closing.go
+++ b/internal/relay/closing.go
@@ -1,8 +1,8 @@
 package relay
 
 // This file closes connections: all that was written goes out first, and a client's connection is then closed for
-// sending alone and read until the client closes too. A close over unread input would reset the connection, and
-// the reset may overtake the answer. It also closes the listener at the end of the process. It decides nothing.
+// sending alone and read until the client closes, too. A close over unread input would reset the connection, and
+// the reset may overtake the answer. It also closes the listener at the end of the process.
 
 import (
 	"slices"
@@ -11,65 +11,69 @@
 )
 
 const (
-	flushTimeout            = 2 * time.Second        // for a peer to take what was written before the close
-	lingerTimeout           = time.Second            // for a client to close after its connection was closed for sending
-	spareClosingDescriptors = 8                      // descriptors beyond those of open connections that closing ones may use
-	maxClosing              = 1024                   // closing connections, where descriptors are not limited
-	backlogIdleTimeout      = 10 * time.Millisecond  // without a connection from the backlog, after which that is empty
-	backlogTimeout          = 100 * time.Millisecond // for the backlog to be emptied at the end of the process
-	finalWriteTimeout       = 200 * time.Millisecond // for the last answers to be taken then
-	finalCloseTimeout       = 50 * time.Millisecond  // and for the clients to close
-	finalCheckInterval      = time.Millisecond
+	flushTimeout  = 2 * time.Second // for a peer to take what was written before the close
+	lingerTimeout = time.Second     // for a client to close after its connection was closed for sending
+
+	maxClosing              = 1024 // closing connections, where descriptors are not limited
+	spareClosingDescriptors = 8    // that closing connections may use beyond those of open ones
+
+	// At the end of the process:
+	backlogTimeout     = 100 * time.Millisecond // for the backlog to be emptied
+	backlogIdleTimeout = 10 * time.Millisecond  // without a connection from it, after which it is empty
+	finalWriteTimeout  = 200 * time.Millisecond // for the last answers to be taken
+	finalCloseTimeout  = 50 * time.Millisecond  // for the clients to close
+	finalCheckInterval = time.Millisecond
 )
 
-// closeOrReset closes a connection that the reducer is done with, or stops it from being dialed. The lock is held.
-func (s *driver) closeOrReset(conn uint64, how closeMode) {
-	if d := s.dials[conn]; d != nil {
-		delete(s.dials, conn)
-		d.cancel()
+// closeOrReset closes or resets a connection, or cancels its dial. The lock is held.
+func (d *driver) closeOrReset(conn uint64, how closeMode) {
+	if pending := d.dials[conn]; pending != nil {
+		delete(d.dials, conn)
+		pending.cancel()
 		return
 	}
-	c := s.sockets[conn]
+	c := d.sockets[conn]
 	switch {
 	case c == nil:
 	case how == byReset:
-		delete(s.sockets, conn)
+		delete(d.sockets, conn)
 		c.nbConn.SetLinger(1, 0)
 		c.nbConn.Close()
 	default:
-		s.close(c)
+		d.close(c)
 	}
 }
 
-// close closes a connection once all that was written is out.
-func (s *driver) close(c *socket) {
+// close closes a connection once all that was written is sent. The lock is held.
+func (d *driver) close(c *socket) {
 	c.closing.Store(true)
-	if c.unsent.Load() == 0 {
-		s.finishClose(c)
-	} else if !c.awaitsRelease { // nbio has no deadlines before it polls
+	switch {
+	case c.unsent.Load() == 0:
+		d.finishClose(c)
+	case !c.awaitsRelease: // nbio has no deadlines before it polls
 		c.setFlushDeadline()
 	}
-	if s.sockets[c.conn] == c {
-		s.closing = append(s.closing, c)
-		s.evictClosing(0)
+	if d.sockets[c.conn] == c {
+		d.closing = append(d.closing, c)
+		d.evictClosing(0)
 	}
 }
 
-// setFlushDeadline gives the peer some time for what is not written yet. Against one that never takes it holding its
-// descriptor for ever.
+// setFlushDeadline gives the peer some time for what is unsent: one that never takes it must not hold a descriptor for
+// ever.
 func (c *socket) setFlushDeadline() { c.nbConn.SetWriteDeadline(time.Now().Add(flushTimeout)) }
 
-// finishClose takes that all was written to a closing connection.
-func (s *driver) finishClose(c *socket) {
+// finishClose closes a connection to which all was written. The lock is held.
+func (d *driver) finishClose(c *socket) {
 	if c.conn < firstDialedID && c.polled && c.shutdownSend() {
 		c.nbConn.SetReadDeadline(time.Now().Add(lingerTimeout))
 		return
 	}
-	s.closeNow(c)
+	d.closeNow(c)
 }
 
-// shutdownSend tells whether it could. nbio marks a connection as closed under the same lock before it gives up
-// the descriptor, so that the number is not another's.
+// shutdownSend closes the connection for sending, and reports whether that was done. nbio marks a connection as closed
+// under the same lock before it gives up the descriptor, so that the number is not another connection's.
 func (c *socket) shutdownSend() bool {
 	c.nbConn.Lock()
 	defer c.nbConn.Unlock()
@@ -79,99 +83,113 @@
 	return syscall.Shutdown(c.nbConn.Hash(), syscall.SHUT_WR) == nil
 }
 
-// closeNow closes both ways, less what came up to now.
-func (s *driver) closeNow(c *socket) {
-	delete(s.sockets, c.conn)
+// closeNow closes the connection both ways, and drops what came up to now. The lock is held.
+func (d *driver) closeNow(c *socket) {
+	delete(d.sockets, c.conn)
 	c.discardUnread()
 	c.nbConn.Close()
 }
 
 // discardUnread drops what the peer has sent, up to a bound.
 func (c *socket) discardUnread() {
-	var piece [4 << 10]byte
-	for range readBufferBytes / len(piece) {
-		if n, err := c.nbConn.Read(piece[:]); n <= 0 || err != nil {
+	var buffer [4 << 10]byte
+	for range readBufferBytes / len(buffer) {
+		n, err := c.nbConn.Read(buffer[:])
+		if n <= 0 || err != nil {
 			return
 		}
 	}
 }
 
-// removeSocket takes that a connection is gone. The lock is held.
-func (s *driver) removeSocket(c *socket) {
-	if s.sockets[c.conn] == c {
-		delete(s.sockets, c.conn)
+// removeSocket forgets a connection that nbio has closed. The lock is held.
+func (d *driver) removeSocket(c *socket) {
+	if d.sockets[c.conn] == c {
+		delete(d.sockets, c.conn)
 	}
 	if c.closing.Load() {
-		s.closing = slices.DeleteFunc(s.closing, func(other *socket) bool { return other == c })
+		d.closing = slices.DeleteFunc(d.closing, func(other *socket) bool { return other == c })
 	}
 }
 
-// evictClosing closes connections that have been closing for longest where they hold descriptors that so many new
-// connections need.
-func (s *driver) evictClosing(more int) {
-	for len(s.closing) > 0 &&
-		(len(s.closing) > maxClosing || len(s.sockets)+len(s.dials)+more > s.maxOpenSockets()) {
-		oldest := s.closing[0]
-		s.closing = s.closing[1:]
-		if s.sockets[oldest.conn] == oldest {
-			s.closeNow(oldest)
+// evictClosing closes at once the connections that have been closing for longest, where there are too many or so many
+// new connections need their descriptors. The lock is held.
+func (d *driver) evictClosing(newConns int) {
+	for len(d.closing) > 0 {
+		needed := len(d.sockets) + len(d.dials) + newConns
+		if len(d.closing) <= maxClosing && needed <= d.maxOpenSockets() {
+			return
+		}
+		oldest := d.closing[0]
+		d.closing = d.closing[1:]
+		if d.sockets[oldest.conn] == oldest {
+			d.closeNow(oldest)
 		}
 	}
 }
 
-// maxOpenSockets is how many connections may hold a descriptor, closing ones among them.
-func (s *driver) maxOpenSockets() int {
-	if s.machine == nil || s.machine.ownDescriptors > unlimitedSockets {
+// maxOpenSockets returns how many connections may hold a descriptor, closing ones among them.
+func (d *driver) maxOpenSockets() int {
+	if d.machine == nil || d.machine.ownDescriptors > unlimitedSockets {
 		return unlimitedSockets
 	}
-	return s.machine.ownDescriptors + spareClosingDescriptors
+	return d.machine.ownDescriptors + spareClosingDescriptors
 }
 
-// closeListener takes in what waits to be accepted, and then has no more come: the machine has accepted it, so that
-// it is owed an answer. The reducer has said that it is done, and turns away whatever comes from now on. Where a
-// younger process has the listener too, what waits is left to that.
-func (s *driver) closeListener() {
-	s.mutex.Lock()
-	s.acceptEnding = true
-	yielded := s.machine.yieldedToChild
-	s.acceptChanged.Broadcast()
-	s.listener.SetDeadline(time.Unix(1, 0))
-	s.mutex.Unlock()
-	<-s.acceptDone
-	for until := time.Now().Add(backlogTimeout); !yielded && time.Now().Before(until); {
-		s.listener.SetDeadline(time.Now().Add(backlogIdleTimeout))
-		if !s.acceptClient() {
-			break
+// closeListener accepts what is in the backlog, and then no more: the kernel has accepted it, so that it is owed an
+// answer. The state machine is done, and rejects whatever comes from now on. Where a child process has the listener,
+// too, the backlog is left to that.
+func (d *driver) closeListener() {
+	d.mutex.Lock()
+	d.acceptEnding = true
+	yielded := d.machine.yieldedToChild
+	d.acceptChanged.Broadcast()
+	d.listener.SetDeadline(time.Unix(1, 0))
+	d.mutex.Unlock()
+	<-d.acceptDone
+	if !yielded {
+		d.acceptBacklog()
+	}
+	d.listener.Close()
+}
+
+func (d *driver) acceptBacklog() {
+	deadline := time.Now().Add(backlogTimeout)
+	for time.Now().Before(deadline) {
+		d.listener.SetDeadline(time.Now().Add(backlogIdleTimeout))
+		if !d.acceptClient() {
+			return
 		}
 	}
-	s.listener.Close()
 }
 
 // finish answers whoever has no answer yet, and waits for the last answers to be taken.
-func (s *driver) finish() {
-	s.closeListener()
-	s.waitFor(finalCloseTimeout, func() bool { return s.machine.isIdle() })
-	s.handle(ProcessExiting{})
-	s.waitFor(finalWriteTimeout, func() bool { return s.unsentBytes() == 0 })
-	s.waitFor(finalCloseTimeout, func() bool { return len(s.closing) == 0 })
+func (d *driver) finish() {
+	d.closeListener()
+	d.waitFor(finalCloseTimeout, func() bool { return d.machine.isIdle() })
+	d.handle(ProcessExiting{})
+	d.waitFor(finalWriteTimeout, func() bool { return d.unsentBytes() == 0 })
+	d.waitFor(finalCloseTimeout, func() bool { return len(d.closing) == 0 })
 }
 
-// waitFor waits until it is done, asked under the lock, but no longer than that.
-func (s *driver) waitFor(limit time.Duration, done func() bool) {
-	for until := time.Now().Add(limit); time.Now().Before(until); time.Sleep(finalCheckInterval) {
-		s.mutex.Lock()
-		over := done()
-		s.mutex.Unlock()
-		if over {
+// waitFor returns once isDone, which is called under the lock, is true, or after the timeout.
+func (d *driver) waitFor(timeout time.Duration, isDone func() bool) {
+	deadline := time.Now().Add(timeout)
+	for time.Now().Before(deadline) {
+		d.mutex.Lock()
+		done := isDone()
+		d.mutex.Unlock()
+		if done {
 			return
 		}
+		time.Sleep(finalCheckInterval)
 	}
 }
 
-// unsentBytes is how many bytes written to open connections the system has not taken.
-func (s *driver) unsentBytes() (left int64) {
-	for _, c := range s.sockets {
-		left += c.unsent.Load()
+// unsentBytes returns how much of what was written to all connections the kernel has not taken. The lock is held.
+func (d *driver) unsentBytes() int64 {
+	var unsent int64
+	for _, c := range d.sockets {
+		unsent += c.unsent.Load()
 	}
-	return left
+	return unsent
 }
--- a/internal/relay/dialing.go
+++ b/internal/relay/dialing.go
@@ -1,8 +1,5 @@
 package relay
 
-// This file dials backends beside the reducer, and has it know of a client that left meanwhile before the
-// connection is used. It decides nothing.
-
 import (
 	"errors"
 	"net"
@@ -10,78 +7,80 @@
 	"syscall"
 )
 
-// pendingDial is a connection that is being dialed. Against a context for each, which costs a routine and a timer
-// more than the connecting itself: whoever gives the dial up shuts its socket down.
+// pendingDial is a connection that is being dialed. A context for each would cost a goroutine and a timer more than the
+// connecting itself: whoever cancels the dial shuts its socket down.
 type pendingDial struct {
 	mutex    sync.Mutex
-	rawConn  syscall.RawConn // once there is a socket
+	rawConn  syscall.RawConn // nil until there is a socket
 	canceled bool
 }
 
-var errDialCanceled = errors.New("dial: given up")
+var errDialCanceled = errors.New("dial canceled")
 
-// control is told of the socket before it connects.
-func (d *pendingDial) control(_, _ string, raw syscall.RawConn) error {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	if d.rawConn = raw; d.canceled {
+// control is a net.Dialer's Control hook, called once there is a socket and before it connects.
+func (p *pendingDial) control(_, _ string, rawConn syscall.RawConn) error {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.rawConn = rawConn
+	if p.canceled {
 		return errDialCanceled
 	}
 	return nil
 }
 
-func (d *pendingDial) cancel() {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.canceled = true
-	if d.rawConn != nil {
-		d.rawConn.Control(func(fd uintptr) { syscall.Shutdown(int(fd), syscall.SHUT_RDWR) })
+func (p *pendingDial) cancel() {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.canceled = true
+	if p.rawConn != nil {
+		p.rawConn.Control(func(fd uintptr) { syscall.Shutdown(int(fd), syscall.SHUT_RDWR) })
 	}
 }
 
-// dial connects beside the reducer. A connection that comes up after it was given up is dropped here. The
-// reducer gives up each that does not come up in time, so that there is no other limit.
-func (s *driver) dial(conn, client uint64, address string) {
-	s.evictClosing(1)
-	d := &pendingDial{}
-	s.dials[conn] = d
-	s.workers.run(func() {
-		dialer := net.Dialer{KeepAlive: -1, Control: d.control}
-		plain, err := dialer.Dial("tcp", address)
+// dial connects to a backend beside the driver. A connection that comes up after it was canceled is closed here. The
+// state machine cancels each that doesn't come up in time, so that there is no other timeout. The lock is held.
+func (d *driver) dial(conn, forClient uint64, address string) {
+	d.evictClosing(1)
+	pending := &pendingDial{}
+	d.dials[conn] = pending
+	d.workers.run(func() {
+		dialer := net.Dialer{KeepAlive: -1, Control: pending.control}
+		netConn, err := dialer.Dial("tcp", address)
 		if err != nil {
-			s.mutex.Lock()
-			delete(s.dials, conn)
-			s.mutex.Unlock()
-			s.handle(ConnClosed{Conn: conn, Reset: true})
+			d.mutex.Lock()
+			delete(d.dials, conn)
+			d.mutex.Unlock()
+			d.handle(ConnClosed{Conn: conn, Reset: true})
 			return
 		}
-		if s.register(conn, plain, true) {
-			s.reportEstablished(conn, client)
+		if d.register(conn, netConn, true) {
+			d.reportEstablished(conn, forClient)
 		}
 	})
 }
 
-// reportEstablished tells that a dialed connection is up. Where the client that it is for has closed by now, that is told
-// first, as the poller may not have come to it yet: nothing is sent for a client that has gone.
-func (s *driver) reportEstablished(conn, client uint64) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if c := s.sockets[client]; c != nil {
-		if over, broken := c.hasPeerClosed(); over {
-			s.handleLocked(ConnClosed{Conn: client, Reset: broken})
+// reportEstablished reports that a dialed connection is up. Where the client that it is for has closed by now, that is
+// reported first, as the poller may not have come to it yet: nothing is sent for a client that has left.
+func (d *driver) reportEstablished(conn, forClient uint64) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if client := d.sockets[forClient]; client != nil {
+		if closed, reset := client.hasPeerClosed(); closed {
+			d.handleLocked(ConnClosed{Conn: forClient, Reset: reset})
 		}
 	}
-	s.handleLocked(ConnEstablished{Conn: conn})
+	d.handleLocked(ConnEstablished{Conn: conn})
 }
 
-// hasPeerClosed tells whether the peer has closed or reset the connection, with nothing left to be read before that.
-func (c *socket) hasPeerClosed() (closed, broken bool) {
+// hasPeerClosed reports whether the peer has closed or reset the connection, with nothing left to be read before that.
+func (c *socket) hasPeerClosed() (closed, reset bool) {
 	c.nbConn.Lock()
 	defer c.nbConn.Unlock()
 	if closed, _ := c.nbConn.IsClosed(); closed {
 		return true, false
 	}
-	var one [1]byte
-	n, _, err := syscall.Recvfrom(c.nbConn.Hash(), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	return n == 0 && err == nil || errors.Is(err, syscall.ECONNRESET), err != nil
+	var peeked [1]byte
+	n, _, err := syscall.Recvfrom(c.nbConn.Hash(), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	isEnd := n == 0 && err == nil
+	return isEnd || errors.Is(err, syscall.ECONNRESET), err != nil
 }
--- a/internal/relay/transfer.go
+++ b/internal/relay/transfer.go
@@ -1,8 +1,7 @@
 package relay
 
-// This file is where the sockets of a link that stands go from the elder process to the younger. It carries
-// out what the reducer asks for and tells how it went; it must never decide which link goes, nor know what
-// its bytes mean.
+// This file sends the connections of established sessions from the parent process to its child. It carries out what the
+// state machine asks for and tells it how that went; it doesn't decide which session goes, nor know what its bytes mean.
 
 import (
 	"encoding/json"
@@ -17,213 +16,273 @@
 	"valeshift/internal/hotrestart"
 )
 
-const maxEpollDescriptor = 64 // descriptors among which the poller's own is looked for: it is opened at the start
+// maxEpollDescriptor bounds the descriptors among which the poller's own is looked for: it is opened at the start.
+const maxEpollDescriptor = 64
 
-// transferChannel is the way to the younger process.
+var errConnClosed = errors.New("connection closed")
+
+// transferChannel sends sessions to the child process.
 type transferChannel struct {
-	mutex   sync.Mutex // over the way, one link at a time
-	channel *hotrestart.Channel
-	closed  bool
-	pending sync.WaitGroup
-	epoll   int // the poller's own descriptor, once found
+	pending sync.WaitGroup // sessions whose transfer was asked for
+
+	mutex   sync.Mutex          // held while one session is sent; guards all below
+	channel *hotrestart.Channel // nil until the first session
+	failed  bool                // no further session is sent
+	epollFD int                 // the poller's descriptor; 0 until it is found
 }
 
-// transferSession passes one link, and tells the reducer whether it is gone. Both sockets' reads are locked from before
-// the reducer gives the link up until that is known: against bytes read here that belong to the other
-// process.
-func (s *driver) transferSession(client, server uint64) {
-	p := &s.transfers
-	defer p.pending.Done()
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	s.mutex.Lock()
-	c, b, number := s.sockets[client], s.sockets[server], s.handoffChild
-	s.mutex.Unlock()
-	if c == nil || b == nil || !s.openTransferChannel(number) {
+// transferSession sends one session, and tells the state machine what has become of it. Both sockets' reads are locked
+// from before the state machine gives the session up until that is known: bytes that belong to the child must not be
+// read here.
+func (d *driver) transferSession(clientConn, backendConn uint64) {
+	t := &d.transfers
+	defer t.pending.Done()
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	d.mutex.Lock()
+	client := d.sockets[clientConn]
+	backend := d.sockets[backendConn]
+	child := d.handoffChild
+	d.mutex.Unlock()
+	if client == nil || backend == nil || !d.openTransferChannel(child) {
 		return
 	}
-	c.readMutex.Lock()
-	defer c.readMutex.Unlock()
-	b.readMutex.Lock()
-	defer b.readMutex.Unlock()
-	record, fds := s.detachSession(client, c, b)
-	if record == nil {
+	client.readMutex.Lock()
+	defer client.readMutex.Unlock()
+	backend.readMutex.Lock()
+	defer backend.readMutex.Unlock()
+	session, fds := d.detachSession(client, backend)
+	if session == nil {
 		return
 	}
-	text, err := json.Marshal(record)
-	gone := false
-	if err == nil {
-		gone, err = p.channel.SendSession(text, fds)
+	sent := d.sendSession(session, fds)
+	d.settleTransfer(client, backend, sent)
+}
+
+// openTransferChannel reports whether sessions can be sent.
+func (d *driver) openTransferChannel(child int) bool {
+	t := &d.transfers
+	if t.channel != nil || t.failed {
+		return !t.failed
 	}
-	for _, fd := range fds {
-		syscall.Close(fd)
+	channel, err := d.slot.OpenChannel(child)
+	if err != nil {
+		d.log.Warn("no channel to the child process", "err", err)
+		t.failed = true
+		return false
 	}
-	if err != nil && !errors.Is(err, hotrestart.ErrRejected) {
-		s.log.Warn("can't pass a link", "err", err)
-		p.channel.Close()
-		p.closed = true
-	}
-	s.mutex.Lock()
-	if gone {
-		c.transferred, b.transferred = true, true
-		delete(s.sockets, client)
-		delete(s.sockets, server)
-	} else {
-		s.resumePolling(c)
-		s.resumePolling(b)
-	}
-	s.mutex.Unlock()
-	s.handle(SessionTransferred{Conn: client, Accepted: gone})
-	if gone { // the other process's descriptors keep them up
-		c.nbConn.Close()
-		b.nbConn.Close()
-		if err := p.channel.ConfirmRelease(); err != nil && !p.closed {
-			s.log.Warn("can't say that a link was let go", "err", err)
+	t.channel = channel
+	return true
+}
+
+// detachSession has the state machine give the session up, and takes its sockets out of the poller. It returns
+// descriptors of their own to be sent; no session where it stays here. All is done under the driver's lock: no
+// descriptor's number can come to another connection meanwhile.
+func (d *driver) detachSession(client, backend *socket) (session *TransferredSession,
+	fds [hotrestart.FilesPerSession]int) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	both := [hotrestart.FilesPerSession]*socket{client, backend}
+	for _, c := range both {
+		if c.unsent.Load() > 0 || c.closing.Load() || isClosed(c.nbConn) {
+			return nil, fds
 		}
 	}
+	d.detached = nil
+	d.handleLocked(DetachRequested{Conn: client.conn})
+	session = d.detached
+	if session == nil {
+		return nil, fds
+	}
+	fds, err := d.takeDescriptors(both)
+	if err != nil {
+		d.handleLocked(SessionTransferred{Conn: client.conn})
+		return nil, fds
+	}
+	return session, fds
 }
 
-func (s *driver) openTransferChannel(number int) bool {
-	p := &s.transfers
-	if p.channel == nil && !p.closed {
-		var err error
-		if p.channel, err = s.slot.OpenChannel(number); err != nil {
-			s.log.Warn("no way to the younger process", "err", err)
-			p.closed = true
+// takeDescriptors has the poller forget both sockets and duplicates their descriptors, or leaves all as it was.
+func (d *driver) takeDescriptors(both [hotrestart.FilesPerSession]*socket) (fds [hotrestart.FilesPerSession]int,
+	err error) {
+	for i, c := range both {
+		fds[i], err = d.takeDescriptor(c)
+		if err == nil {
+			continue
+		}
+		for _, fd := range fds[:i] {
+			syscall.Close(fd)
 		}
+		for _, c := range both {
+			d.resumePolling(c)
+		}
+		return fds, err
 	}
-	return !p.closed
+	return fds, nil
 }
 
-// detachSession has the reducer give the link up, and takes its sockets out of the poller, with descriptors of their
-// own to be sent. All under the relay's lock: no descriptor's number can come to another connection
-// meanwhile.
-func (s *driver) detachSession(client uint64, c, b *socket) (*TransferredSession, [hotrestart.FilesPerSession]int) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	var fds [hotrestart.FilesPerSession]int
-	both := [...]*socket{c, b}
-	for _, k := range both {
-		if k.unsent.Load() > 0 || k.closing.Load() || isClosed(k.nbConn) {
-			return nil, fds
-		}
+func (d *driver) takeDescriptor(c *socket) (int, error) {
+	if err := d.stopPolling(c.nbConn.Hash()); err != nil {
+		return 0, err
 	}
-	s.detached = nil
-	s.handleLocked(DetachRequested{Conn: client})
-	record := s.detached
-	if record == nil {
-		return nil, fds
+	fd, err := syscall.Dup(c.nbConn.Hash())
+	if err != nil {
+		return 0, err
 	}
-	ok := true
-	for i, k := range both {
-		fds[i] = -1
-		if ok = ok && s.stopPolling(k.nbConn.Hash()) == nil; ok {
-			fd, err := syscall.Dup(k.nbConn.Hash())
-			if ok = err == nil && !isClosed(k.nbConn); err == nil {
-				fds[i] = fd
-			}
-		}
+	if isClosed(c.nbConn) {
+		syscall.Close(fd)
+		return 0, errConnClosed
+	}
+	return fd, nil
+}
+
+// sendSession closes the descriptors, and reports whether the child has the session or may have it.
+func (d *driver) sendSession(session *TransferredSession, fds [hotrestart.FilesPerSession]int) (sent bool) {
+	t := &d.transfers
+	record, err := json.Marshal(session)
+	if err == nil {
+		sent, err = t.channel.SendSession(record, fds)
 	}
-	if ok {
-		return record, fds
+	for _, fd := range fds {
+		syscall.Close(fd)
 	}
-	for i, k := range both {
-		if fds[i] >= 0 {
-			syscall.Close(fds[i])
+	if err != nil && !errors.Is(err, hotrestart.ErrRejected) {
+		d.log.Warn("can't transfer a session", "err", err)
+		t.channel.Close()
+		t.failed = true
+	}
+	return sent
+}
+
+// settleTransfer lets go of a session that was sent, or goes on with one that stays.
+func (d *driver) settleTransfer(client, backend *socket, sent bool) {
+	d.mutex.Lock()
+	for _, c := range [...]*socket{client, backend} {
+		if sent {
+			c.transferred = true
+			delete(d.sockets, c.conn)
+		} else {
+			d.resumePolling(c)
 		}
-		s.resumePolling(k)
 	}
-	s.handleLocked(SessionTransferred{Conn: client})
-	return nil, fds
+	d.mutex.Unlock()
+	d.handle(SessionTransferred{Conn: client.conn, Accepted: sent})
+	if !sent {
+		return
+	}
+	client.nbConn.Close() // the child's descriptors keep the connections up
+	backend.nbConn.Close()
+	t := &d.transfers
+	if err := t.channel.ConfirmRelease(); err != nil && !t.failed {
+		d.log.Warn("can't confirm the release of a session", "err", err)
+	}
 }
 
-// isClosed tells whether nbio has closed the connection; its lock orders that before.
-func isClosed(nb *nbio.Conn) bool {
-	nb.ExecuteLen()
-	closed, _ := nb.IsClosed()
+// isClosed reports whether nbio has closed the connection; taking nbio's lock by ExecuteLen orders that before.
+func isClosed(nbConn *nbio.Conn) bool {
+	nbConn.ExecuteLen()
+	closed, _ := nbConn.IsClosed()
 	return closed
 }
 
 // resumePolling has the poller look after the connection as before.
-func (s *driver) resumePolling(c *socket) {
+func (d *driver) resumePolling(c *socket) {
 	if !isClosed(c.nbConn) {
-		s.engine.AddConn(c.nbConn)
+		d.engine.AddConn(c.nbConn)
 	}
 }
 
-// stopPolling takes a descriptor out of the poller's set. nbio 1.6.8 leaves that to the kernel, which does so only
-// once no process holds the connection; and it tells nobody its set, which is found as the one that has the
+// stopPolling takes a descriptor out of the poller's epoll set. nbio 1.6.8 leaves that to the kernel, which does so only
+// once no process holds the connection; and it doesn't export its set, which is found as the one that has the
 // descriptor.
-func (s *driver) stopPolling(fd int) error {
-	p := &s.transfers
-	if p.epoll > 0 {
-		return syscall.EpollCtl(p.epoll, syscall.EPOLL_CTL_DEL, fd, nil)
-	}
-	for set := 3; set < maxEpollDescriptor; set++ {
-		if set != fd && syscall.EpollCtl(set, syscall.EPOLL_CTL_DEL, fd, nil) == nil {
-			p.epoll = set
+func (d *driver) stopPolling(fd int) error {
+	t := &d.transfers
+	if t.epollFD > 0 {
+		return syscall.EpollCtl(t.epollFD, syscall.EPOLL_CTL_DEL, fd, nil)
+	}
+	const firstDescriptor = 3 // behind standard input, output and error
+	for candidate := firstDescriptor; candidate < maxEpollDescriptor; candidate++ {
+		if candidate != fd && syscall.EpollCtl(candidate, syscall.EPOLL_CTL_DEL, fd, nil) == nil {
+			t.epollFD = candidate
 			return nil
 		}
 	}
 	return syscall.ENOENT
 }
 
-// receiveSession takes a link that the elder process passes. Where that says when it has let go, nothing is read or
-// written before.
-func (s *driver) receiveSession(text []byte, files [hotrestart.FilesPerSession]*os.File) (bool, func()) {
-	record := &TransferredSession{}
-	if json.Unmarshal(text, record) != nil {
+// receiveSession takes over a session that the parent process sends. It is a hotrestart.SessionHandler. Where the parent
+// confirms its release, nothing is read or written before.
+func (d *driver) receiveSession(record []byte, files [hotrestart.FilesPerSession]*os.File) (accepted bool,
+	released func()) {
+	session := &TransferredSession{}
+	if json.Unmarshal(record, session) != nil {
 		return false, nil
 	}
-	var both [hotrestart.FilesPerSession]*nbio.Conn
-	for i, f := range files {
-		plain, err := net.FileConn(f)
-		if err == nil {
-			both[i], err = nbio.NBConn(plain)
+	nbConns, err := newNbioConns(files)
+	if err != nil {
+		return false, nil
+	}
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.lastClientConn++
+	clientConn := d.lastClientConn
+	d.acceptedBackendConn = 0
+	d.handleLocked(SessionReceived{Conn: clientConn, Session: session})
+	if d.acceptedBackendConn == 0 {
+		for _, nbConn := range nbConns {
+			nbConn.Close()
 		}
+		return false, nil
+	}
+	conns := [...]uint64{clientConn, d.acceptedBackendConn}
+	var sockets [hotrestart.FilesPerSession]*socket
+	for i, nbConn := range nbConns {
+		sockets[i] = &socket{conn: conns[i], nbConn: nbConn, awaitsRelease: true}
+		nbConn.SetSession(sockets[i])
+		d.sockets[conns[i]] = sockets[i]
+	}
+	if !session.ConfirmsRelease {
+		d.startPolling(sockets)
+		return true, nil
+	}
+	return true, func() {
+		d.mutex.Lock()
+		defer d.mutex.Unlock()
+		d.startPolling(sockets)
+	}
+}
+
+func newNbioConns(files [hotrestart.FilesPerSession]*os.File) (nbConns [hotrestart.FilesPerSession]*nbio.Conn,
+	err error) {
+	for i, file := range files {
+		nbConns[i], err = newNbioConn(file)
 		if err != nil {
-			if both[0] != nil {
-				both[0].Close()
+			for _, nbConn := range nbConns[:i] {
+				nbConn.Close()
 			}
-			return false, nil
+			return nbConns, err
 		}
 	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.lastClientConn++
-	client := s.lastClientConn
-	s.acceptedBackendConn = 0
-	s.handleLocked(SessionReceived{Conn: client, Session: record})
-	if s.acceptedBackendConn == 0 {
-		both[0].Close()
-		both[1].Close()
-		return false, nil
-	}
-	var links [hotrestart.FilesPerSession]*socket
-	for i, conn := range [...]uint64{client, s.acceptedBackendConn} {
-		links[i] = &socket{conn: conn, nbConn: both[i], awaitsRelease: true}
-		both[i].SetSession(links[i])
-		s.sockets[conn] = links[i]
-	}
-	if record.ConfirmsRelease {
-		return true, func() {
-			s.mutex.Lock()
-			defer s.mutex.Unlock()
-			s.startPolling(links)
-		}
+	return nbConns, nil
+}
+
+func newNbioConn(file *os.File) (*nbio.Conn, error) {
+	netConn, err := net.FileConn(file)
+	if err != nil {
+		return nil, err
 	}
-	s.startPolling(links)
-	return true, nil
+	return nbio.NBConn(netConn)
 }
 
-// startPolling begins to read what was adopted, and writes what is to be written by now.
-func (s *driver) startPolling(links [hotrestart.FilesPerSession]*socket) {
-	for _, c := range links {
-		if c.awaitsRelease = false; s.sockets[c.conn] != c {
+// startPolling begins to read a session that was received, and writes what was deferred. The lock is held.
+func (d *driver) startPolling(sockets [hotrestart.FilesPerSession]*socket) {
+	for _, c := range sockets {
+		c.awaitsRelease = false
+		if d.sockets[c.conn] != c { // closed meanwhile
 			continue
 		}
-		if _, err := s.engine.AddConn(c.nbConn); err != nil {
-			s.workers.run(func() { s.handle(ConnClosed{Conn: c.conn, Reset: true}) })
+		if _, err := d.engine.AddConn(c.nbConn); err != nil {
+			d.workers.run(func() { d.handle(ConnClosed{Conn: c.conn, Reset: true}) })
 			continue
 		}
 		c.polled = true
--- a/internal/relay/workers.go
+++ b/internal/relay/workers.go
@@ -2,38 +2,55 @@
 
 import "sync"
 
-const maxIdleWorkers = 64 // workers kept, with their stacks as they have grown
+const maxIdleWorkers = 64
 
-// workerPool do things beside their caller, each at once. Against a new routine for each set-up's dial and ends,
-// whose stack grows anew every time: those that are done wait for the next.
+// workerPool runs jobs beside their callers, each at once. A goroutine that is done waits for the next job: the stack of
+// a new one would grow anew for each dial and each close. The zero value is ready to use.
 type workerPool struct {
 	mutex sync.Mutex
-	idle  []chan func()
+	idle  []chan func() // the job channels of those that wait
 }
 
-func (w *workerPool) run(job func()) {
-	w.mutex.Lock()
-	var to chan func()
-	if n := len(w.idle); n > 0 {
-		to, w.idle = w.idle[n-1], w.idle[:n-1]
+// run starts the job without waiting.
+func (p *workerPool) run(job func()) {
+	jobs := p.takeIdle()
+	if jobs == nil {
+		jobs = make(chan func(), 1)
+		go p.work(jobs)
 	}
-	w.mutex.Unlock()
-	if to == nil {
-		to = make(chan func(), 1)
-		go w.work(to)
+	jobs <- job // doesn't block: a worker has one job at a time, and a channel with room for it
+}
+
+// takeIdle returns the job channel of the worker that became idle last; nil where none is.
+func (p *workerPool) takeIdle() chan func() {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if len(p.idle) == 0 {
+		return nil
 	}
-	to <- job // never waits: a worker has one job at a time, and room for it
+	last := len(p.idle) - 1
+	jobs := p.idle[last]
+	p.idle = p.idle[:last]
+	return jobs
 }
 
-func (w *workerPool) work(jobs chan func()) {
+// work runs jobs until enough others are idle.
+func (p *workerPool) work(jobs chan func()) {
 	for job := range jobs {
 		job()
-		w.mutex.Lock()
-		if len(w.idle) >= maxIdleWorkers {
-			w.mutex.Unlock()
+		if !p.putIdle(jobs) {
 			return
 		}
-		w.idle = append(w.idle, jobs)
-		w.mutex.Unlock()
 	}
 }
+
+// putIdle reports whether the worker is kept.
+func (p *workerPool) putIdle(jobs chan func()) bool {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if len(p.idle) >= maxIdleWorkers {
+		return false
+	}
+	p.idle = append(p.idle, jobs)
+	return true
+}
--- a/internal/relay/writing.go
+++ b/internal/relay/writing.go
@@ -1,7 +1,5 @@
 package relay
 
-// This file writes to connections, and counts what the system has not taken of it.
-
 import (
 	"errors"
 	"syscall"
@@ -9,67 +7,79 @@
 	"github.com/lesismal/nbio"
 )
 
-// write hands all parts over at once; what the kernel does not take stays with nbio, within its bound.
-func (s *driver) write(conn uint64, parts [][]byte) {
-	c := s.sockets[conn]
+// write writes all chunks at once. What the kernel doesn't take stays with nbio, within its bound. The lock is held.
+func (d *driver) write(conn uint64, chunks [][]byte) {
+	c := d.sockets[conn]
 	if c == nil {
 		return
 	}
 	size := 0
-	for _, p := range parts {
-		size += len(p)
+	for _, chunk := range chunks {
+		size += len(chunk)
 	}
 	if c.awaitsRelease {
-		for _, p := range parts {
-			c.deferredWrites = append(c.deferredWrites, p...)
+		for _, chunk := range chunks {
+			c.deferredWrites = append(c.deferredWrites, chunk...)
 		}
 		c.unsent.Add(int64(size))
 		return
 	}
-	if len(parts) == 1 || c.unsent.Load() > 0 {
-		for _, p := range parts {
-			s.writeChunk(c, p)
+	if len(chunks) == 1 || c.unsent.Load() > 0 {
+		for _, chunk := range chunks {
+			c.writeChunk(chunk)
 		}
 		return
 	}
-	n, err := c.nbConn.Writev(parts)
+	written, err := c.nbConn.Writev(chunks)
 	if err != nil && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR) {
 		c.unsent.Add(int64(size))
 		return
 	}
-	if n >= size {
-		return
+	if written < size {
+		c.writeRest(chunks, written)
 	}
-	// nbio counted the n bytes and kept the rest of the piece they end in; the pieces after it are given again.
-	c.unsent.Add(int64(n))
-	for _, p := range parts {
+}
+
+// writeRest writes what Writev has not taken. nbio has counted the written bytes, and kept the rest of the chunk that
+// they end in; the chunks behind it are written again.
+func (c *socket) writeRest(chunks [][]byte, written int) {
+	c.unsent.Add(int64(written)) // onWritten subtracts it
+	remaining := written
+	for _, chunk := range chunks {
 		switch {
-		case n >= len(p):
-			n -= len(p)
-		case n > 0:
-			c.unsent.Add(int64(len(p) - n))
-			n = 0
+		case remaining >= len(chunk):
+			remaining -= len(chunk)
+		case remaining > 0:
+			c.unsent.Add(int64(len(chunk) - remaining))
+			remaining = 0
 		default:
-			s.writeChunk(c, p)
+			c.writeChunk(chunk)
 		}
 	}
 }
 
-func (s *driver) writeChunk(c *socket, p []byte) {
-	c.unsent.Add(int64(len(p)))
-	c.nbConn.Write(p) // an error closes it, and is told by that
+// writeChunk writes to nbio. An error closes the connection, and is reported by that.
+func (c *socket) writeChunk(chunk []byte) {
+	c.unsent.Add(int64(len(chunk)))
+	c.nbConn.Write(chunk)
 }
 
-// onWritten is told what the kernel took; nbio holds its connection's lock meanwhile.
-func (s *driver) onWritten(nb *nbio.Conn, _ []byte, n int) {
-	c, ok := nb.Session().(*socket)
-	if ok && c.unsent.Add(int64(-n)) == 0 && c.closing.Load() {
-		s.workers.run(func() {
-			s.mutex.Lock()
-			defer s.mutex.Unlock()
-			if s.sockets[c.conn] == c {
-				s.finishClose(c)
-			}
-		})
+// onWritten is nbio's hook for what the kernel has taken. nbio holds its connection's lock meanwhile, so that a closing
+// connection is finished by another goroutine.
+func (d *driver) onWritten(nbConn *nbio.Conn, _ []byte, n int) {
+	c, ok := nbConn.Session().(*socket)
+	if !ok {
+		return
+	}
+	isAllSent := c.unsent.Add(int64(-n)) == 0
+	if !isAllSent || !c.closing.Load() {
+		return
 	}
+	d.workers.run(func() {
+		d.mutex.Lock()
+		defer d.mutex.Unlock()
+		if d.sockets[c.conn] == c {
+			d.finishClose(c)
+		}
+	})
 }
