--- a/internal/relay/closing.go
+++ b/internal/relay/closing.go
@@ -129,10 +129,10 @@
 
 // maxOpenSockets returns how many connections may hold a descriptor, closing ones among them.
 func (d *driver) maxOpenSockets() int {
-	if d.machine == nil || d.machine.ownDescriptors > unlimitedSockets {
+	if d.machine == nil || d.machine.limits.ownDescriptors > unlimitedSockets {
 		return unlimitedSockets
 	}
-	return d.machine.ownDescriptors + spareClosingDescriptors
+	return d.machine.limits.ownDescriptors + spareClosingDescriptors
 }
 
 // closeListener accepts what is in the backlog, and then no more: the kernel has accepted it, so that it is owed an
@@ -141,7 +141,7 @@
 func (d *driver) closeListener() {
 	d.mutex.Lock()
 	d.acceptEnding = true
-	yielded := d.machine.yieldedToChild
+	yielded := d.machine.siblings.yielded
 	d.acceptChanged.Broadcast()
 	d.listener.SetDeadline(time.Unix(1, 0))
 	d.mutex.Unlock()
