--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -1,11 +1,8 @@
 package relay
 
-// This file reads what a relay is told at its start and at a reload: a JSON file, and the environment before
-// it. It owns the names of those fields and says which of them is missing or wrong. It must never act on what
-// it reads, nor keep it.
-
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net/netip"
 	"os"
@@ -15,117 +12,227 @@
 	"valeshift/internal/settings"
 )
 
-// Config is what a relay is told at its start.
+// Environment variables that the platform sets.
+const (
+	configPathVariable = "RELAY_CONFIG" // the path of the configuration, a JSON file
+	nameVariable       = "RELAY_NAME"
+	listenVariable     = "RELAY_LISTEN"
+	discoveryVariable  = "RELAY_DISCOVERY"
+	adminVariable      = "RELAY_OPS"
+	socketFDVariable   = "RELAY_SOCKET_FD" // the clients' listening socket, where the platform holds it
+	sharedDirVariable  = "TMPDIR"
+)
+
+const firstInheritedFD = 3 // behind standard input, output and error
+
+// Config is what a relay is started with.
 type Config struct {
-	Name, Listen, Discovery string
-	AdminAddress            string // where operators call; none where empty
-	SocketFD                int    // of the clients' socket, where the platform holds it; else 0
-	SharedDir               string // that the relay's processes share then
-	Seed                    uint64
-	Cores, MemoryMB         float64
-	MaxSockets              int
-	MaxReportAgeMillis      float64          // ms that a server's report may be old; 0: nobody says
-	Clock                   func() time.Time // the machine's
-	ReservedDescriptors     int              // descriptors needed besides, for the disk and other relays
-	InitialEndpoints        *EndpointUpdate
-	Settings                map[string]string
-
-	// Found out at the start of a process beside another: that there is one, and what it left.
+	Name         string
+	Listen       string // address:port for clients
+	Discovery    string // address:port that tells the endpoint list
+	AdminAddress string // address:port of the admin API; empty: none
+	Seed         uint64 // of the balancer's random draws
+
+	SocketFD  int    // descriptor of the clients' socket where the platform holds it; else 0
+	SharedDir string // the folder that the relay's processes share then
+
+	Cores      float64 // of the machine that the relay may use; 0: not said
+	MemoryMB   float64 // that it may use; 0: not limited
+	MaxSockets int     // descriptors that it may use; 0: not limited
+
+	MaxReportAgeMillis  float64          // that a backend's load report may have as it arrives; 0: not known
+	Clock               func() time.Time // the machine's
+	ReservedDescriptors int              // needed for the disk and for other relays
+	InitialEndpoints    *EndpointUpdate  // never nil
+	Settings            map[string]string
+
+	// Set at the start of a process beside another of the same relay:
+
 	HasParent bool
-	Handoff   *Handoff
+	Handoff   *Handoff // nil where there is no parent, or its handoff can't be used
+}
+
+// configFile is the form of the configuration.
+type configFile struct {
+	Name      string `json:"name"`
+	Listen    string `json:"listen"`
+	Discovery string `json:"discovery"`
+	Ops       string `json:"ops"`
+	Seed      string `json:"seed"` // hexadecimal
+	Limits    struct {
+		Cores    float64 `json:"cores"`
+		MemoryMB float64 `json:"memory_mb"`
+		Sockets  int     `json:"sockets"`
+	} `json:"limits"`
+	Known    json.RawMessage `json:"known"` // as discovery tells the list
+	Settings json.RawMessage `json:"settings"`
+}
+
+// LoadConfig reads the file that RELAY_CONFIG names. What the environment says goes before the file. Its errors begin
+// with the field or variable that is missing or wrong.
+func LoadConfig(getenv func(string) string) (*Config, error) {
+	file, err := readConfigFile(getenv(configPathVariable))
+	if err != nil {
+		return nil, err
+	}
+	config := &Config{
+		Name:         file.Name,
+		Listen:       file.Listen,
+		Discovery:    file.Discovery,
+		AdminAddress: file.Ops,
+		Cores:        file.Limits.Cores,
+		MemoryMB:     file.Limits.MemoryMB,
+		MaxSockets:   file.Limits.Sockets,
+	}
+	config.applyEnvironment(getenv)
+	if err := config.validate(); err != nil {
+		return nil, err
+	}
+	if err := config.parseSeed(file.Seed); err != nil {
+		return nil, err
+	}
+	if err := config.validateLimits(); err != nil {
+		return nil, err
+	}
+	if err := config.parseSocketFD(getenv); err != nil {
+		return nil, err
+	}
+	if err := config.parseInitialEndpoints(file.Known); err != nil {
+		return nil, err
+	}
+	if err := config.parseSettings(file.Settings); err != nil {
+		return nil, err
+	}
+	return config, nil
 }
 
-// ReloadConfig reads the file for a reload. Against staying with a discovery that is gone: the environment names
-// that of the start, so the file's goes before it now.
+// ReloadConfig reads the file again. The file's discovery goes before the environment's then, which is that of the start
+// and may be gone.
 func ReloadConfig(getenv func(string) string) (*Config, error) {
 	return LoadConfig(func(name string) string {
-		if name == "RELAY_DISCOVERY" {
+		if name == discoveryVariable {
 			return ""
 		}
 		return getenv(name)
 	})
 }
 
-// LoadConfig reads the file that RELAY_CONFIG names. What the environment says goes before the file.
-func LoadConfig(getenv func(string) string) (*Config, error) {
-	path := getenv("RELAY_CONFIG")
+func readConfigFile(path string) (*configFile, error) {
 	if path == "" {
-		return nil, fmt.Errorf("RELAY_CONFIG: the path of a file expected, got nothing")
+		return nil, fmt.Errorf("%s: the path of a file expected, got nothing", configPathVariable)
 	}
-	raw, err := os.ReadFile(path)
+	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("RELAY_CONFIG: %w", err)
-	}
-	var file struct {
-		Name      string `json:"name"`
-		Listen    string `json:"listen"`
-		Discovery string `json:"discovery"`
-		Ops       string `json:"ops"`
-		Seed      string `json:"seed"`
-		Limits    struct {
-			Cores    float64 `json:"cores"`
-			MemoryMB float64 `json:"memory_mb"`
-			Sockets  int     `json:"sockets"`
-		} `json:"limits"`
-		Known    json.RawMessage `json:"known"`
-		Settings json.RawMessage `json:"settings"`
-	}
-	if err := json.Unmarshal(raw, &file); err != nil {
+		return nil, fmt.Errorf("%s: %w", configPathVariable, err)
+	}
+	file := &configFile{}
+	if err := json.Unmarshal(text, file); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	t := &Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, AdminAddress: file.Ops,
-		Cores: file.Limits.Cores, MemoryMB: file.Limits.MemoryMB, MaxSockets: file.Limits.Sockets}
-	for _, over := range []struct {
-		name string
-		to   *string
-	}{
-		{"RELAY_NAME", &t.Name}, {"RELAY_LISTEN", &t.Listen}, {"RELAY_DISCOVERY", &t.Discovery},
-		{"RELAY_OPS", &t.AdminAddress},
+	return file, nil
+}
+
+func (c *Config) applyEnvironment(getenv func(string) string) {
+	for variable, field := range map[string]*string{
+		nameVariable:      &c.Name,
+		listenVariable:    &c.Listen,
+		discoveryVariable: &c.Discovery,
+		adminVariable:     &c.AdminAddress,
 	} {
-		if v := getenv(over.name); v != "" {
-			*over.to = v
+		if value := getenv(variable); value != "" {
+			*field = value
 		}
 	}
-	if t.Name == "" {
-		return nil, fmt.Errorf("name: a name expected, got nothing")
+}
+
+func (c *Config) validate() error {
+	if c.Name == "" {
+		return errors.New("name: a name expected, got nothing")
+	}
+	if err := validateAddress("listen", c.Listen); err != nil {
+		return err
 	}
-	for _, address := range []struct{ field, value string }{{"listen", t.Listen}, {"discovery", t.Discovery}} {
-		if _, err := netip.ParseAddrPort(address.value); err != nil {
-			return nil, fmt.Errorf("%s: address:port expected, got %q", address.field, address.value)
-		}
+	if err := validateAddress("discovery", c.Discovery); err != nil {
+		return err
+	}
+	if c.AdminAddress == "" {
+		return nil
 	}
-	if _, err := netip.ParseAddrPort(t.AdminAddress); t.AdminAddress != "" && err != nil {
-		return nil, fmt.Errorf("ops: address:port or nothing expected, got %q", t.AdminAddress)
+	if _, err := netip.ParseAddrPort(c.AdminAddress); err != nil {
+		return fmt.Errorf("ops: address:port or nothing expected, got %q", c.AdminAddress)
 	}
-	if t.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed: up to 16 hexadecimal digits expected, got %q", file.Seed)
+	return nil
+}
+
+func validateAddress(field, address string) error {
+	if _, err := netip.ParseAddrPort(address); err != nil {
+		return fmt.Errorf("%s: address:port expected, got %q", field, address)
+	}
+	return nil
+}
+
+func (c *Config) parseSeed(text string) error {
+	seed, err := strconv.ParseUint(text, 16, 64)
+	if err != nil {
+		return fmt.Errorf("seed: up to 16 hexadecimal digits expected, got %q", text)
 	}
+	c.Seed = seed
+	return nil
+}
+
+func (c *Config) validateLimits() error {
 	for _, limit := range []struct {
 		field string
 		value float64
-	}{{"cores", t.Cores}, {"memory_mb", t.MemoryMB}, {"sockets", float64(t.MaxSockets)}} {
+	}{
+		{"cores", c.Cores},
+		{"memory_mb", c.MemoryMB},
+		{"sockets", float64(c.MaxSockets)},
+	} {
 		if limit.value < 0 {
-			return nil, fmt.Errorf("limits.%s: no less than 0 expected, got %v", limit.field, limit.value)
+			return fmt.Errorf("limits.%s: no less than 0 expected, got %v", limit.field, limit.value)
 		}
 	}
-	if fd := getenv("RELAY_SOCKET_FD"); fd != "" {
-		if t.SocketFD, err = strconv.Atoi(fd); err != nil || t.SocketFD < 3 {
-			return nil, fmt.Errorf("RELAY_SOCKET_FD: a descriptor from 3 on expected, got %q", fd)
-		}
-		t.SharedDir = getenv("TMPDIR")
+	return nil
+}
+
+func (c *Config) parseSocketFD(getenv func(string) string) error {
+	text := getenv(socketFDVariable)
+	if text == "" {
+		return nil
 	}
-	t.InitialEndpoints = &EndpointUpdate{Complete: true}
-	if len(file.Known) > 0 {
-		if t.InitialEndpoints, err = parseEndpointUpdate(file.Known); err != nil {
-			return nil, fmt.Errorf("known: %w", err)
-		}
-		t.InitialEndpoints.Complete = true
+	fd, err := strconv.Atoi(text)
+	if err != nil || fd < firstInheritedFD {
+		return fmt.Errorf("%s: a descriptor from %d on expected, got %q", socketFDVariable, firstInheritedFD, text)
 	}
-	if len(file.Settings) == 0 {
-		return nil, fmt.Errorf("settings: an object expected, got nothing")
+	c.SocketFD = fd
+	c.SharedDir = getenv(sharedDirVariable)
+	return nil
+}
+
+// parseInitialEndpoints reads the list that is known at the start, which is complete whatever it says.
+func (c *Config) parseInitialEndpoints(text []byte) error {
+	if len(text) == 0 {
+		c.InitialEndpoints = &EndpointUpdate{Complete: true}
+		return nil
 	}
-	if t.Settings, err = settings.Flatten(file.Settings); err != nil {
-		return nil, err
+	update, err := parseEndpointUpdate(text)
+	if err != nil {
+		return fmt.Errorf("known: %w", err)
+	}
+	update.Complete = true
+	c.InitialEndpoints = update
+	return nil
+}
+
+func (c *Config) parseSettings(text []byte) error {
+	if len(text) == 0 {
+		return errors.New("settings: an object expected, got nothing")
+	}
+	values, err := settings.Flatten(text)
+	if err != nil {
+		return err
 	}
-	return t, nil
+	c.Settings = values
+	return nil
 }
--- a/internal/relay/counters.go
+++ b/internal/relay/counters.go
@@ -1,54 +1,102 @@
 package relay
 
-// This file owns the counters: what the relay took in, sent and answered. They only grow, are counted by the
-// reducer alone, and must never be read to decide anything.
-
 import "log/slog"
 
-// Counters is what was counted since the start.
+// Counters is what the relay has counted since its start. The state machine alone counts; no decision goes by them.
 type Counters struct {
-	Accepted, Pings, Requests, Reestablished, AcceptPauses, SessionsReceived uint64 // taken in; Handed: by the elder process
-	Reloads, FailedReloads                                                   uint64
-	RequestErrors                                                            [len(requestErrorNames)]uint64
-	Attempts, RequestsSent, Polls, Watches                                   uint64 // sent; Written: heads
-	Succeeded, Rejected, Failed, Abandoned, Migrated                         uint64 // answered: UP, BUSY, ERR; client gone first; MOVE
-	// BUSY that other relays hold as well; or that they should
-	RejectionsReplicated, RejectionsUnreplicated uint64
-	// heads sent with a mark and without; further tries marked
-	AttemptsMarked, AttemptsUnmarked, RepeatsDetected uint64
-	AffinityHits                                      uint64 // clients of whom others knew where they stood
-	ClientChunks, BackendLines                        uint64 // of what standing clients said; passed to them
-	EndReasons                                        [len(endReasonNames)]uint64
-	OpenConns, Established, MaxOpenConns              int // now, now, and the most sockets at once
+	// What came in.
+	Accepted         uint64 // clients' connections
+	Pings            uint64
+	Requests         uint64 // first lines of clients
+	Reestablished    uint64 // requests that named the backend of an earlier session
+	SessionsReceived uint64 // from the parent process
+	AcceptPauses     uint64
+	ClientChunks     uint64 // of data in established sessions
+	Reloads          uint64
+	FailedReloads    uint64
+	RequestErrors    [len(requestErrorNames)]uint64 // by RequestError
+
+	// What was sent.
+	Attempts     uint64
+	RequestsSent uint64 // to backends
+	Polls        uint64 // of backends' load
+	Watches      uint64 // of the endpoint list
+	BackendLines uint64 // passed to clients in established sessions
+
+	// How clients were answered.
+	Succeeded uint64 // UP
+	Rejected  uint64 // BUSY
+	Failed    uint64 // ERR
+	Abandoned uint64 // the client left first
+	Migrated  uint64 // MOVE
+
+	// Records at other relays.
+	RejectionsReplicated   uint64 // rejections that other relays have a reservation of
+	RejectionsUnreplicated uint64 // those that they should have one of, and don't
+	AttemptsMarked         uint64 // requests sent with an attempt marker
+	AttemptsUnmarked       uint64 // those sent without one
+	RepeatsDetected        uint64 // retries of clients whose earlier attempt had a marker
+	AffinityHits           uint64 // clients of whom others knew where they were established
+
+	EndReasons [len(endReasonNames)]uint64 // by EndReason
+
+	// Gauges of connections.
+	OpenConns    int
+	Established  int // sessions
+	MaxOpenConns int // the most at a time
 }
 
-// Log writes them as one record.
+// Log logs all counters as one record. Those of reasons and request errors are left out where they are 0.
 func (c Counters) Log(log *slog.Logger, why string) {
-	endings, bad := nonZero[EndReason](c.EndReasons[:]), nonZero[RequestError](c.RequestErrors[:])
+	endReasons := nonZero[EndReason](c.EndReasons[:])
+	requestErrors := nonZero[RequestError](c.RequestErrors[:])
 	log.Info("counters", "why", why,
-		slog.Group("in", "accepted", c.Accepted, "pings", c.Pings, "heads", c.Requests,
-			"resumed", c.Reestablished, "handed", c.SessionsReceived, "holds", c.AcceptPauses, "pieces", c.ClientChunks,
-			"reloads", c.Reloads, "bad reloads", c.FailedReloads),
-		slog.Group("sent", "tries", c.Attempts, "written", c.RequestsSent, "probes", c.Polls, "watches", c.Watches,
+		slog.Group("in",
+			"accepted", c.Accepted,
+			"pings", c.Pings,
+			"heads", c.Requests,
+			"resumed", c.Reestablished,
+			"handed", c.SessionsReceived,
+			"holds", c.AcceptPauses,
+			"pieces", c.ClientChunks,
+			"reloads", c.Reloads,
+			"bad reloads", c.FailedReloads),
+		slog.Group("sent",
+			"tries", c.Attempts,
+			"written", c.RequestsSent,
+			"probes", c.Polls,
+			"watches", c.Watches,
 			"lines", c.BackendLines),
-		slog.Group("answered", "satisfied", c.Succeeded, "rejected", c.Rejected, "errored", c.Failed,
-			"unwanted", c.Abandoned, "moved", c.Migrated,
-			"entrusted", c.RejectionsReplicated, "alone", c.RejectionsUnreplicated,
-			"marked", c.AttemptsMarked, "unmarked", c.AttemptsUnmarked, "repeats", c.RepeatsDetected, "returned", c.AffinityHits),
-		slog.Group("endings", endings...),
-		slog.Group("bad clients", bad...),
-		slog.Group("sockets", "open", c.OpenConns, "standing", c.Established, "most", c.MaxOpenConns))
+		slog.Group("answered",
+			"satisfied", c.Succeeded,
+			"rejected", c.Rejected,
+			"errored", c.Failed,
+			"unwanted", c.Abandoned,
+			"moved", c.Migrated,
+			"entrusted", c.RejectionsReplicated,
+			"alone", c.RejectionsUnreplicated,
+			"marked", c.AttemptsMarked,
+			"unmarked", c.AttemptsUnmarked,
+			"repeats", c.RepeatsDetected,
+			"returned", c.AffinityHits),
+		slog.Group("endings", endReasons...),
+		slog.Group("bad clients", requestErrors...),
+		slog.Group("sockets",
+			"open", c.OpenConns,
+			"standing", c.Established,
+			"most", c.MaxOpenConns))
 }
 
-// nonZero are those of the counts that are not 0, under their names.
-func nonZero[K interface {
+// nonZero returns the counts that are not 0, as log attributes by their names.
+func nonZero[Kind interface {
 	~uint8
 	String() string
-}](counts []uint64) (all []any) {
-	for k, n := range counts {
-		if n > 0 {
-			all = append(all, slog.Uint64(K(k).String(), n))
+}](counts []uint64) []any {
+	var attributes []any
+	for kind, count := range counts {
+		if count > 0 {
+			attributes = append(attributes, slog.Uint64(Kind(kind).String(), count))
 		}
 	}
-	return all
+	return attributes
 }
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -1,158 +1,120 @@
 package relay
 
-// This file speaks to discovery over HTTP: it owns the watch that is open, reads what it says, and hands it
-// on as events in the order it came. It must never keep a list, judge what an entry means, or decide when to
-// ask again.
-
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"net"
 	"net/http"
-	"net/netip"
 	"strconv"
 	"time"
 
 	"valeshift/internal/jsonstream"
 )
 
-// Endpoint is a backend as the list has it. Bad says why it can't be used; only its name counts then.
-type Endpoint struct {
-	Name      string  `json:"Name"`
-	Address   string  `json:"Address"`
-	Zone      string  `json:"Zone"`
-	Status    string  `json:"Status"`
-	Group     int     `json:"Group"`
-	Weight    float64 `json:"Weight"`
-	StartedAt float64 `json:"Since"`
-	Invalid   string  `json:"Bad"`
-}
-
-// EndpointUpdate is a list, or the changes of one.
-type EndpointUpdate struct {
-	Index         uint64     `json:"Index"`
-	Complete      bool       `json:"Whole"`
-	Endpoints     []Endpoint `json:"Entries"`
-	DiscoveryTime float64    `json:"-"` // discovery's; 0: not told
-}
+const (
+	discoveryConnectTimeout = time.Second // a machine that doesn't answer is asked again
 
-func parseEndpointUpdate(text []byte) (*EndpointUpdate, error) {
-	var raw struct {
-		Index     *uint64 `json:"index"`
-		Snapshot  *bool   `json:"snapshot"`
-		Endpoints []struct {
-			Name    string   `json:"name"`
-			Address string   `json:"address"`
-			Zone    string   `json:"zone"`
-			Status  string   `json:"status"`
-			Group   int      `json:"group"`
-			Weight  *float64 `json:"weight"`
-			Since   float64  `json:"since_ms"`
-		} `json:"endpoints"`
-	}
-	if err := json.Unmarshal(text, &raw); err != nil {
-		return nil, fmt.Errorf("list: %w", err)
-	}
-	if raw.Index == nil || raw.Snapshot == nil || raw.Endpoints == nil {
-		return nil, errors.New("list: index, snapshot and endpoints expected")
-	}
-	n := &EndpointUpdate{Index: *raw.Index, Complete: *raw.Snapshot}
-	for _, r := range raw.Endpoints {
-		e := Endpoint{Name: r.Name, Address: r.Address, Zone: r.Zone, Status: r.Status, Group: r.Group,
-			Weight: 1, StartedAt: r.Since}
-		if r.Weight != nil {
-			e.Weight = *r.Weight
-		}
-		// Against one bad entry taking the others out: it is marked, and what was known of it stays.
-		_, err := netip.ParseAddrPort(e.Address)
-		switch {
-		case e.Name == "":
-			e.Invalid = "a name expected"
-		case e.Status != "active" && e.Status != "leaving" && e.Status != "left":
-			e.Invalid = fmt.Sprintf("status %q is not known", e.Status)
-		case err != nil && e.Status != "left":
-			e.Invalid = fmt.Sprintf("address:port expected, got %q", e.Address)
-		}
-		n.Endpoints = append(n.Endpoints, e)
-	}
-	return n, nil
-}
-
-// discoveryTime is discovery's clock as it answered, to half a second; 0: it does not say.
-func discoveryTime(answer *http.Response) float64 {
-	at, err := http.ParseTime(answer.Header.Get("Date"))
-	if err != nil {
-		return 0
-	}
-	return float64(at.UnixMilli()) + 500 // cut off to seconds there
-}
+	// dateTruncationMillis is half of what an HTTP date cuts off, as it has whole seconds.
+	dateTruncationMillis = 500
+)
 
-// connectTimeout is for a connection to discovery to come up; a machine that does not answer is asked again.
-const connectTimeout = time.Second
+var errWatchEnded = errors.New("watch: ended")
 
-// discoveryWatch holds one watch at a time.
+// discoveryWatch watches the endpoint list at discovery over HTTP, one watch at a time. It passes on what comes as
+// events, in order; it keeps no list, doesn't judge what an entry means, and doesn't decide when to ask again.
 type discoveryWatch struct {
 	client *http.Client
 	handle func(Event)
-	stop   context.CancelFunc
+	stop   context.CancelFunc // ends the watch that is open
 }
 
-func newDiscoveryWatch(take func(Event)) *discoveryWatch {
-	dialer := &net.Dialer{Timeout: connectTimeout, KeepAlive: -1}
-	return &discoveryWatch{handle: take, stop: func() {}, client: &http.Client{
-		Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}}}
+func newDiscoveryWatch(handle func(Event)) *discoveryWatch {
+	dialer := &net.Dialer{Timeout: discoveryConnectTimeout, KeepAlive: -1}
+	transport := &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}
+	return &discoveryWatch{
+		client: &http.Client{Transport: transport},
+		handle: handle,
+		stop:   func() {},
+	}
 }
 
-// start opens a watch at the address in place of the one before, whose events are known by their number and
-// dropped.
+// start opens a watch in place of the one before. Events of that may still come: they are known by their number, and
+// dropped. The goroutine ends soon after the watch is stopped; the last event is WatchFailed.
 func (d *discoveryWatch) start(address string, number, after uint64) {
 	d.stop()
-	ctx, stop := context.WithCancel(context.Background())
-	d.stop = stop
+	ctx, cancel := context.WithCancel(context.Background())
+	d.stop = cancel
 	go func() {
 		err := d.follow(ctx, address, number, after)
-		stop()
+		cancel()
 		d.handle(WatchFailed{Watch: number, Err: err})
 	}()
 }
 
+// follow passes on the list from the version after, and returns why the watch has ended. Errors begin with "watch" or,
+// where the list itself is wrong, with "list".
 func (d *discoveryWatch) follow(ctx context.Context, address string, number, after uint64) error {
 	url := "http://" + address + "/api/targets?watch=1&after=" + strconv.FormatUint(after, 10)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return fmt.Errorf("watch: %w", err)
 	}
-	answer, err := d.client.Do(request)
+	response, err := d.client.Do(request)
 	if err != nil {
 		return fmt.Errorf("watch: %w", err)
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return fmt.Errorf("watch: status %d", answer.StatusCode)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("watch: status %d", response.StatusCode)
 	}
-	clock, came := discoveryTime(answer), time.Now()
-	stream := jsonstream.NewScanner(answer.Body)
+	clock := newDiscoveryClock(response)
+	stream := jsonstream.NewScanner(response.Body)
 	for stream.Scan() {
 		if len(stream.Object()) == 0 {
 			d.handle(WatchHeartbeat{Watch: number})
 			continue
 		}
-		news, err := parseEndpointUpdate(stream.Object())
+		update, err := parseEndpointUpdate(stream.Object())
 		if err != nil {
 			return err
 		}
-		if clock > 0 {
-			news.DiscoveryTime = clock + float64(time.Since(came))/float64(time.Millisecond)
-		}
-		d.handle(EndpointsUpdated{Watch: number, Update: news})
+		update.DiscoveryTime = clock.now()
+		d.handle(EndpointsUpdated{Watch: number, Update: update})
 	}
-	switch err := stream.Err(); {
+	return streamError(stream.Err())
+}
+
+func streamError(err error) error {
+	switch {
+	case err == nil:
+		return errWatchEnded
 	case errors.Is(err, jsonstream.ErrNotObject), errors.Is(err, jsonstream.ErrNesting):
 		return fmt.Errorf("list: %w", err)
-	case err != nil:
+	default:
 		return fmt.Errorf("watch: %w", err)
 	}
-	return errors.New("watch: ended")
+}
+
+// discoveryClock is discovery's clock, to half a second.
+type discoveryClock struct {
+	answeredMillis float64 // as it answered, in Unix milliseconds; 0: it didn't tell
+	receivedAt     time.Time
+}
+
+func newDiscoveryClock(response *http.Response) discoveryClock {
+	clock := discoveryClock{receivedAt: time.Now()}
+	date, err := http.ParseTime(response.Header.Get("Date"))
+	if err == nil {
+		clock.answeredMillis = float64(date.UnixMilli()) + dateTruncationMillis
+	}
+	return clock
+}
+
+// now returns the clock's time in Unix milliseconds; 0 where it is not known.
+func (c discoveryClock) now() float64 {
+	if c.answeredMillis <= 0 {
+		return 0
+	}
+	return c.answeredMillis + float64(time.Since(c.receivedAt))/float64(time.Millisecond)
 }
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -155,9 +155,9 @@
 // nothing new here either.
 func (m *StateMachine) conditionOf(endpoint Endpoint) balancer.EndpointState {
 	switch {
-	case endpoint.Status == "active" && !m.siblings.drained[endpoint.Name]:
+	case endpoint.Status == EndpointActive && !m.siblings.drained[endpoint.Name]:
 		return balancer.Ready
-	case endpoint.Status == "active" || endpoint.Status == "leaving":
+	case endpoint.Status == EndpointActive || endpoint.Status == EndpointLeaving:
 		return balancer.Draining
 	}
 	return balancer.Gone
--- a/internal/relay/handoff.go
+++ b/internal/relay/handoff.go
@@ -149,7 +149,7 @@
 	var changed []Endpoint
 	for _, backend := range m.endpoints.inOrder {
 		endpoint, isListed := told[backend.Name]
-		isDrained := !isListed || endpoint.Status != "active"
+		isDrained := !isListed || endpoint.Status != EndpointActive
 		if isDrained {
 			m.siblings.drained[backend.Name] = true
 		}
--- a/internal/relay/handoff_test.go
+++ b/internal/relay/handoff_test.go
@@ -38,22 +38,22 @@
 	assert.Equal(t, balancer.Draining, s.endpoints.byName["b2"].condition, "a drain that the elder was told")
 	assert.Nil(t, s.endpoints.byName["b9"], "the elder's list is the newer")
 	s.play("fit with the elder's figures as soon as the list is heard", step{1, "tick", ""})
-	assert.False(t, s.serving())
+	assert.False(t, s.isServing())
 	s.play("not before", step{100, "news 1 5 whole b1=active b2=leaving", "free"})
-	assert.True(t, s.serving())
+	assert.True(t, s.isServing())
 
 	s = beside(t, nil, 0)
 	assert.True(t, s.intake.acceptPaused, "nobody is accepted")
 	s.play("without a record: after the first probes", step{10, "news 1 5 whole b1=active", ""},
 		step{308, "tick", "dial s1 10.0.0.1:9000"}, step{310, "up s1", "write s1 STATS|"})
-	assert.False(t, s.serving())
+	assert.False(t, s.isServing())
 	s.play("told", step{312, "came s1 PONG x0=0.5|", "free"})
-	assert.True(t, s.serving())
+	assert.True(t, s.isServing())
 
 	s = beside(t, nil, 0)
 	s.play("nothing answers: within the platform's time all the same", step{10, "news 1 5 whole", ""},
 		step{childReadyTimeout - 1, "heard 1", ""}, step{childReadyTimeout, "tick", "free"})
-	assert.True(t, s.serving())
+	assert.True(t, s.isServing())
 	bad := *old.siblings.handoff
 	bad.Balancer.ConcurrencyLimit = -1
 	s = begin(t, nil, &Config{HasParent: true, Handoff: &bad, Discovery: "10.1.0.1:85", InitialEndpoints: &EndpointUpdate{}})
--- a/internal/relay/figures_test.go
+++ b/internal/relay/metrics_test.go
@@ -13,8 +13,8 @@
 // told gives the figures that are not 0, by name.
 func (s *scene) told() string {
 	var said []string
-	values := s.figures(nil)
-	for i, f := range s.figureNames() {
+	values := s.metricValues(nil)
+	for i, f := range s.metricNames() {
 		if values[i] > 0 {
 			said = append(said, fmt.Sprint(f.Name, " ", values[i]))
 		}
@@ -97,14 +97,14 @@
 		step{1300, "open 3", ""}, step{1300, "came 3 OPEN b 1f c=feed,d=2000|", "dial s2 10.0.0.1:9000"},
 		step{1301, "up s2", "write s2 OPEN b 1f c=feed,d=1989|"}, step{1899, "tick", ""},
 		step{2650, "tick", "write 1 MOVE|; end 1; end s1"}, step{2651, "heard 1", ""})
-	assert.False(t, s.serving())
+	assert.False(t, s.isServing())
 	s.play("what came is served and goes at once", step{3399, "came s2 UP r|",
 		"write 3 UP r|; write 3 MOVE|; end 3; end s2"},
 		step{3400, "tick", ""}, step{9000, "heard 1", ""})
 	assert.Zero(t, s.queue.sessions)
 	s.play("back at once", step{9001, "lame off", ""}, step{9001, "lame off", ""}, step{9002, "open 4", ""},
 		step{9002, "came 4 PING|", "write 4 PONG|"})
-	assert.True(t, s.serving())
+	assert.True(t, s.isServing())
 
 	s = open(t, two, 0, "b1=active", "b2=active")
 	s.stands()
@@ -125,7 +125,7 @@
 		"lame off", ""},
 		step{1601, "lame on", ""})
 	assert.True(t, s.drain.stopping)
-	assert.False(t, s.serving())
+	assert.False(t, s.isServing())
 	for now := 1700.0; now < 5000 && !s.drain.exiting; now += 50 {
 		s.at(now, "tick")
 	}
@@ -133,7 +133,7 @@
 	s = open(t, nil, 0, "b1=active")
 	s.play("a reload meanwhile is taken", step{1, "lame on", ""}, step{2, "reload 10.1.0.2:85",
 		"watch 2 after 0 at 10.1.0.2:85"}, step{3, "news 2 1 whole b1=active", ""}, step{4, "lame off", ""})
-	assert.True(t, s.serving())
+	assert.True(t, s.isServing())
 }
 
 // seenAtNote is a log handler that looks at the board as the reducer's notes are written, in the middle of effects.
@@ -148,7 +148,7 @@
 // Handle is called under the lock of the sockets. The watch's failures are noted too, as discovery is not there.
 func (h *seenAtNote) Handle(_ context.Context, note slog.Record) error {
 	if note.Message == "lame duck" {
-		h.ready = append(h.ready, h.board().ready.Load())
+		h.ready = append(h.ready, h.board().serving.Load())
 	}
 	return nil
 }
