--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -165,8 +165,14 @@
 
 // updateBalancer tells the balancer what is known of the backend.
 func (m *StateMachine) updateBalancer(backend *backend) {
-	m.balancer().UpdateEndpoint(backend.id, m.endpoints.zoneNumber(backend.Zone), backend.condition, backend.Group,
-		m.endpoints.localStartTime(backend.Endpoint), backend.Weight)
+	m.balancer().UpdateEndpoint(balancer.Endpoint{
+		ID:        backend.id,
+		Zone:      m.endpoints.zoneNumber(backend.Zone),
+		State:     backend.condition,
+		Cell:      backend.Group,
+		StartedAt: m.endpoints.localStartTime(backend.Endpoint),
+		Weight:    backend.Weight,
+	})
 }
 
 // followCondition does what follows of a backend's condition: its sessions are migrated, its connection for polls ends,
@@ -183,7 +189,7 @@
 	if backend.pollConn != nil {
 		m.failPoll(backend)
 	}
-	if reserved, _, _ := m.balancer().BackendStatus(backend.id); reserved == 0 {
+	if m.balancer().BackendStatus(backend.id).Sessions == 0 {
 		m.endpoints.remove(backend)
 	}
 }
--- a/internal/relay/status.go
+++ b/internal/relay/status.go
@@ -55,14 +55,14 @@
 	}
 	var all []BackendStatus
 	for _, backend := range m.endpoints.byName {
-		reserved, reportedAt, ejected := m.balancer().BackendStatus(backend.id)
+		known := m.balancer().BackendStatus(backend.id)
 		all = append(all, BackendStatus{
 			Name:            backend.Name,
 			Established:     len(backend.sessions),
 			Attempts:        attempts[backend],
-			Reserved:        reserved,
-			ReportAgeMillis: now - reportedAt,
-			Ejected:         ejected,
+			Reserved:        known.Sessions,
+			ReportAgeMillis: now - known.ReportedAt,
+			Ejected:         known.IsAvoided,
 		})
 	}
 	slices.SortFunc(all, func(a, b BackendStatus) int { return cmp.Compare(a.Name, b.Name) })
--- a/internal/settings/balancer.go
+++ b/internal/settings/balancer.go
@@ -32,16 +32,24 @@
 	poller := balancer.NewLoadPoller(r.Bool("limits.probes"), r.FloatOr("fees.probe", 0), reportFields)
 	attempts := balancer.NewAttemptPolicy(classes, r.Count("limits.most-setup-tries"), maxRetryAfter, relays,
 		r.retryBudget())
-	shares := balancer.NewQuotas(classes, quotas, r.FloatOr("beyond-share-gain", 1), relays)
+	sessionQuotas := balancer.NewQuotas(classes, quotas, r.FloatOr("beyond-share-gain", 1), relays)
 	zone := r.Count("zone")
 	if r.err != nil {
 		return nil, r.err
 	}
 	rng := rand.New(rand.NewSource(int64(seed)))
-	hasAffinityGroups := r.Text("family-info.groups") == "true"
-	isPassMode := r.Text("family-info.mode") == "pass"
-	return balancer.New(endpoints, balancer.NewRoundRobin(rng), slowStart, poller, attempts, shares,
-		zone, r.FloatOr("fees.cross-zone", 0), hasAffinityGroups, isPassMode), nil
+	return balancer.New(balancer.Config{
+		Endpoints:            endpoints,
+		RoundRobin:           balancer.NewRoundRobin(rng),
+		SlowStart:            slowStart,
+		Poller:               poller,
+		Attempts:             attempts,
+		Quotas:               sessionQuotas,
+		LocalZone:            zone,
+		CrossZoneFee:         r.FloatOr("fees.cross-zone", 0),
+		UsesAffinityGroups:   r.Text("family-info.groups") == "true",
+		SessionsOutliveRelay: r.Text("family-info.mode") == "pass",
+	}), nil
 }
 
 func (r *Reader) classes() []balancer.Class {
@@ -98,8 +106,13 @@
 }
 
 func (r *Reader) slowStart(relays int) *balancer.SlowStart {
-	return balancer.NewSlowStart(r.Float("contract.cold-from"), r.Float("contract.cold-ms"),
-		r.Float("contract.tip-multiple"), r.Float("contract.fall-ms"), relays)
+	return balancer.NewSlowStart(balancer.SlowStartConfig{
+		InitialCapacity:  r.Float("contract.cold-from"),
+		Duration:         r.Float("contract.cold-ms"),
+		OverloadMultiple: r.Float("contract.tip-multiple"),
+		OverloadSpan:     r.Float("contract.fall-ms"),
+		Relays:           relays,
+	})
 }
 
 // retryBudget returns nil where attempts beyond a session's first are not bounded together.
