--- a/internal/relay/transfer.go
+++ b/internal/relay/transfer.go
@@ -1,11 +1,9 @@
 package relay
 
-// This file sends the connections of established sessions from the parent process to its child. It carries out what the
-// state machine asks for and tells it how that went; it doesn't decide which session goes, nor know what its bytes mean.
-
 import (
 	"encoding/json"
 	"errors"
+	"fmt"
 	"net"
 	"os"
 	"sync"
@@ -16,176 +14,180 @@
 	"valeshift/internal/hotrestart"
 )
 
-// maxEpollDescriptor bounds the descriptors among which the poller's own is looked for: it is opened at the start.
-const maxEpollDescriptor = 64
+// This file moves the sockets of established sessions from the parent process to the child. Which session goes, and what
+// its bytes mean, is the state machine's business.
 
-var errConnClosed = errors.New("connection closed")
+// maxEpollDescriptor bounds the search for the poller's own descriptor, which was opened at the start.
+const maxEpollDescriptor = 64
 
-// transferChannel sends sessions to the child process.
+// transferChannel is the channel to the child process.
 type transferChannel struct {
-	pending sync.WaitGroup // sessions whose transfer was asked for
-
-	mutex   sync.Mutex          // held while one session is sent; guards all below
-	channel *hotrestart.Channel // nil until the first session
-	failed  bool                // no further session is sent
-	epollFD int                 // the poller's descriptor; 0 until it is found
+	mutex   sync.Mutex // held while a session is sent: one at a time
+	channel *hotrestart.Channel
+	closed  bool
+	pending sync.WaitGroup // transfers that were asked for
+	epoll   int            // the poller's own descriptor; 0: not found yet
 }
 
-// transferSession sends one session, and tells the state machine what has become of it. Both sockets' reads are locked
-// from before the state machine gives the session up until that is known: bytes that belong to the child must not be
-// read here.
+// sessionSockets are the sockets of one session: the client's, then the backend's.
+type sessionSockets [hotrestart.FilesPerSession]*socket
+
+// sessionDescriptors are duplicates of their descriptors, to be sent; -1: none.
+type sessionDescriptors [hotrestart.FilesPerSession]int
+
+// transferSession sends one session to the child, and tells the state machine whether it is there. The reads of both
+// sockets are locked from before the state machine gives the session up until that is known, so that this process reads
+// no bytes that belong to the other.
 func (d *driver) transferSession(clientConn, backendConn uint64) {
-	t := &d.transfers
-	defer t.pending.Done()
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
+	p := &d.transfers
+	defer p.pending.Done()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	d.mutex.Lock()
-	client := d.sockets[clientConn]
-	backend := d.sockets[backendConn]
-	child := d.handoffChild
+	both, child := sessionSockets{d.sockets[clientConn], d.sockets[backendConn]}, d.handoffChild
 	d.mutex.Unlock()
-	if client == nil || backend == nil || !d.openTransferChannel(child) {
+	if both[0] == nil || both[1] == nil || !d.openTransferChannel(child) {
 		return
 	}
-	client.readMutex.Lock()
-	defer client.readMutex.Unlock()
-	backend.readMutex.Lock()
-	defer backend.readMutex.Unlock()
-	session, fds := d.detachSession(client, backend)
+	for _, c := range both {
+		c.readMutex.Lock()
+		defer c.readMutex.Unlock()
+	}
+	session, descriptors := d.detachSession(clientConn, both)
 	if session == nil {
 		return
 	}
-	sent := d.sendSession(session, fds)
-	d.settleTransfer(client, backend, sent)
+	accepted := d.sendSession(session, descriptors)
+	d.settleTransfer(both, accepted)
+	d.handle(SessionTransferred{Conn: clientConn, Accepted: accepted})
+	if accepted {
+		d.releaseTransferred(both)
+	}
 }
 
-// openTransferChannel reports whether sessions can be sent.
+// openTransferChannel opens the channel to the child where there is none, and tells whether it is open.
 func (d *driver) openTransferChannel(child int) bool {
-	t := &d.transfers
-	if t.channel != nil || t.failed {
-		return !t.failed
-	}
-	channel, err := d.slot.OpenChannel(child)
-	if err != nil {
-		d.log.Warn("no channel to the child process", "err", err)
-		t.failed = true
-		return false
+	p := &d.transfers
+	if p.channel == nil && !p.closed {
+		var err error
+		if p.channel, err = d.slot.OpenChannel(child); err != nil {
+			d.log.Warn("no channel to the child process", "err", err)
+			p.closed = true
+		}
 	}
-	t.channel = channel
-	return true
+	return !p.closed
 }
 
-// detachSession has the state machine give the session up, and takes its sockets out of the poller. It returns
-// descriptors of their own to be sent; no session where it stays here. All is done under the driver's lock: no
-// descriptor's number can come to another connection meanwhile.
-func (d *driver) detachSession(client, backend *socket) (session *TransferredSession,
-	fds [hotrestart.FilesPerSession]int) {
+// detachSession has the state machine give the session up, and takes its sockets out of the poller, with descriptors of
+// their own to be sent; nil: the session stays. All is done under the relay's lock, so that no descriptor's number can
+// come to another connection meanwhile.
+func (d *driver) detachSession(clientConn uint64, both sessionSockets) (*TransferredSession, sessionDescriptors) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	both := [hotrestart.FilesPerSession]*socket{client, backend}
 	for _, c := range both {
 		if c.unsent.Load() > 0 || c.closing.Load() || isClosed(c.nbConn) {
-			return nil, fds
+			return nil, sessionDescriptors{}
 		}
 	}
 	d.detached = nil
-	d.handleLocked(DetachRequested{Conn: client.conn})
-	session = d.detached
+	d.handleLocked(DetachRequested{Conn: clientConn})
+	session := d.detached
 	if session == nil {
-		return nil, fds
+		return nil, sessionDescriptors{}
 	}
-	fds, err := d.takeDescriptors(both)
-	if err != nil {
-		d.handleLocked(SessionTransferred{Conn: client.conn})
-		return nil, fds
+	descriptors, err := d.duplicate(both)
+	if err == nil {
+		return session, descriptors
+	}
+	descriptors.close()
+	for _, c := range both {
+		d.resumePolling(c)
 	}
-	return session, fds
+	d.handleLocked(SessionTransferred{Conn: clientConn})
+	return nil, sessionDescriptors{}
 }
 
-// takeDescriptors has the poller forget both sockets and duplicates their descriptors, or leaves all as it was.
-func (d *driver) takeDescriptors(both [hotrestart.FilesPerSession]*socket) (fds [hotrestart.FilesPerSession]int,
-	err error) {
+var errConnectionClosed = errors.New("connection is closed")
+
+// duplicate takes the sockets out of the poller and duplicates their descriptors. What it has duplicated before an error
+// is the caller's to close.
+func (d *driver) duplicate(both sessionSockets) (sessionDescriptors, error) {
+	descriptors := sessionDescriptors{-1, -1}
 	for i, c := range both {
-		fds[i], err = d.takeDescriptor(c)
-		if err == nil {
-			continue
+		if err := d.stopPolling(c.nbConn.Hash()); err != nil {
+			return descriptors, fmt.Errorf("stop polling: %w", err)
 		}
-		for _, fd := range fds[:i] {
-			syscall.Close(fd)
+		duplicate, err := syscall.Dup(c.nbConn.Hash())
+		if err != nil {
+			return descriptors, fmt.Errorf("duplicate descriptor: %w", err)
 		}
-		for _, c := range both {
-			d.resumePolling(c)
+		descriptors[i] = duplicate
+		if isClosed(c.nbConn) {
+			return descriptors, errConnectionClosed
 		}
-		return fds, err
 	}
-	return fds, nil
+	return descriptors, nil
 }
 
-func (d *driver) takeDescriptor(c *socket) (int, error) {
-	if err := d.stopPolling(c.nbConn.Hash()); err != nil {
-		return 0, err
-	}
-	fd, err := syscall.Dup(c.nbConn.Hash())
-	if err != nil {
-		return 0, err
-	}
-	if isClosed(c.nbConn) {
-		syscall.Close(fd)
-		return 0, errConnClosed
+func (d sessionDescriptors) close() {
+	for _, descriptor := range d {
+		if descriptor >= 0 {
+			syscall.Close(descriptor)
+		}
 	}
-	return fd, nil
 }
 
-// sendSession closes the descriptors, and reports whether the child has the session or may have it.
-func (d *driver) sendSession(session *TransferredSession, fds [hotrestart.FilesPerSession]int) (sent bool) {
-	t := &d.transfers
-	record, err := json.Marshal(session)
+// sendSession sends a detached session, closes the descriptors, and tells whether the child has accepted it. After an
+// error other than the child's refusal the channel is not used again.
+func (d *driver) sendSession(session *TransferredSession, descriptors sessionDescriptors) bool {
+	p := &d.transfers
+	text, err := json.Marshal(session)
+	accepted := false
 	if err == nil {
-		sent, err = t.channel.SendSession(record, fds)
-	}
-	for _, fd := range fds {
-		syscall.Close(fd)
+		accepted, err = p.channel.SendSession(text, descriptors)
 	}
+	descriptors.close()
 	if err != nil && !errors.Is(err, hotrestart.ErrRejected) {
-		d.log.Warn("can't transfer a session", "err", err)
-		t.channel.Close()
-		t.failed = true
+		d.log.Warn("can't send a session", "err", err)
+		p.channel.Close()
+		p.closed = true
 	}
-	return sent
+	return accepted
 }
 
-// settleTransfer lets go of a session that was sent, or goes on with one that stays.
-func (d *driver) settleTransfer(client, backend *socket, sent bool) {
+// settleTransfer forgets the sockets of a session that the child has, or goes on with those of one that stays.
+func (d *driver) settleTransfer(both sessionSockets, accepted bool) {
 	d.mutex.Lock()
-	for _, c := range [...]*socket{client, backend} {
-		if sent {
+	defer d.mutex.Unlock()
+	for _, c := range both {
+		if accepted {
 			c.transferred = true
 			delete(d.sockets, c.conn)
 		} else {
 			d.resumePolling(c)
 		}
 	}
-	d.mutex.Unlock()
-	d.handle(SessionTransferred{Conn: client.conn, Accepted: sent})
-	if !sent {
-		return
+}
+
+// releaseTransferred closes this process's descriptors of a session that the child has, and tells the child so. The
+// child's own descriptors keep the connections up.
+func (d *driver) releaseTransferred(both sessionSockets) {
+	for _, c := range both {
+		c.nbConn.Close()
 	}
-	client.nbConn.Close() // the child's descriptors keep the connections up
-	backend.nbConn.Close()
-	t := &d.transfers
-	if err := t.channel.ConfirmRelease(); err != nil && !t.failed {
+	if err := d.transfers.channel.ConfirmRelease(); err != nil && !d.transfers.closed {
 		d.log.Warn("can't confirm the release of a session", "err", err)
 	}
 }
 
-// isClosed reports whether nbio has closed the connection; taking nbio's lock by ExecuteLen orders that before.
+// isClosed tells whether nbio has closed the connection; its lock orders that before.
 func isClosed(nbConn *nbio.Conn) bool {
 	nbConn.ExecuteLen()
 	closed, _ := nbConn.IsClosed()
 	return closed
 }
 
-// resumePolling has the poller look after the connection as before.
+// resumePolling has the poller read the connection as before.
 func (d *driver) resumePolling(c *socket) {
 	if !isClosed(c.nbConn) {
 		d.engine.AddConn(c.nbConn)
@@ -193,32 +195,29 @@
 }
 
 // stopPolling takes a descriptor out of the poller's epoll set. nbio 1.6.8 leaves that to the kernel, which does so only
-// once no process holds the connection; and it doesn't export its set, which is found as the one that has the
-// descriptor.
-func (d *driver) stopPolling(fd int) error {
-	t := &d.transfers
-	if t.epollFD > 0 {
-		return syscall.EpollCtl(t.epollFD, syscall.EPOLL_CTL_DEL, fd, nil)
+// once no process holds the connection; and it tells nobody its set, which is found as the one that has the descriptor.
+func (d *driver) stopPolling(descriptor int) error {
+	p := &d.transfers
+	if p.epoll > 0 {
+		return syscall.EpollCtl(p.epoll, syscall.EPOLL_CTL_DEL, descriptor, nil)
 	}
-	const firstDescriptor = 3 // behind standard input, output and error
-	for candidate := firstDescriptor; candidate < maxEpollDescriptor; candidate++ {
-		if candidate != fd && syscall.EpollCtl(candidate, syscall.EPOLL_CTL_DEL, fd, nil) == nil {
-			t.epollFD = candidate
+	for set := 3; set < maxEpollDescriptor; set++ {
+		if set != descriptor && syscall.EpollCtl(set, syscall.EPOLL_CTL_DEL, descriptor, nil) == nil {
+			p.epoll = set
 			return nil
 		}
 	}
 	return syscall.ENOENT
 }
 
-// receiveSession takes over a session that the parent process sends. It is a hotrestart.SessionHandler. Where the parent
-// confirms its release, nothing is read or written before.
-func (d *driver) receiveSession(record []byte, files [hotrestart.FilesPerSession]*os.File) (accepted bool,
-	released func()) {
+// receiveSession takes over a session that the parent sends, and tells whether it did. Where the parent confirms that it
+// has let go of its descriptors, nothing is read or written before the returned function is called.
+func (d *driver) receiveSession(text []byte, files [hotrestart.FilesPerSession]*os.File) (accepted bool, released func()) {
 	session := &TransferredSession{}
-	if json.Unmarshal(record, session) != nil {
+	if json.Unmarshal(text, session) != nil {
 		return false, nil
 	}
-	nbConns, err := newNbioConns(files)
+	nbConns, err := openTransferred(files)
 	if err != nil {
 		return false, nil
 	}
@@ -234,51 +233,46 @@
 		}
 		return false, nil
 	}
-	conns := [...]uint64{clientConn, d.acceptedBackendConn}
-	var sockets [hotrestart.FilesPerSession]*socket
-	for i, nbConn := range nbConns {
-		sockets[i] = &socket{conn: conns[i], nbConn: nbConn, awaitsRelease: true}
-		nbConn.SetSession(sockets[i])
-		d.sockets[conns[i]] = sockets[i]
+	var both sessionSockets
+	for i, conn := range [...]uint64{clientConn, d.acceptedBackendConn} {
+		both[i] = &socket{conn: conn, nbConn: nbConns[i], awaitsRelease: true}
+		nbConns[i].SetSession(both[i])
+		d.sockets[conn] = both[i]
 	}
 	if !session.ConfirmsRelease {
-		d.startPolling(sockets)
+		d.startPolling(both)
 		return true, nil
 	}
 	return true, func() {
 		d.mutex.Lock()
 		defer d.mutex.Unlock()
-		d.startPolling(sockets)
+		d.startPolling(both)
 	}
 }
 
-func newNbioConns(files [hotrestart.FilesPerSession]*os.File) (nbConns [hotrestart.FilesPerSession]*nbio.Conn,
-	err error) {
+// openTransferred makes connections of the descriptors that came with a session.
+func openTransferred(files [hotrestart.FilesPerSession]*os.File) (all [hotrestart.FilesPerSession]*nbio.Conn, err error) {
 	for i, file := range files {
-		nbConns[i], err = newNbioConn(file)
+		conn, err := net.FileConn(file)
+		if err == nil {
+			all[i], err = nbio.NBConn(conn)
+		}
 		if err != nil {
-			for _, nbConn := range nbConns[:i] {
-				nbConn.Close()
+			if all[0] != nil {
+				all[0].Close()
 			}
-			return nbConns, err
+			return all, fmt.Errorf("open transferred connection: %w", err)
 		}
 	}
-	return nbConns, nil
+	return all, nil
 }
 
-func newNbioConn(file *os.File) (*nbio.Conn, error) {
-	netConn, err := net.FileConn(file)
-	if err != nil {
-		return nil, err
-	}
-	return nbio.NBConn(netConn)
-}
-
-// startPolling begins to read a session that was received, and writes what was deferred. The lock is held.
-func (d *driver) startPolling(sockets [hotrestart.FilesPerSession]*socket) {
-	for _, c := range sockets {
+// startPolling begins to read the sockets of a received session, and writes what is to be written by now. The lock is
+// held.
+func (d *driver) startPolling(both sessionSockets) {
+	for _, c := range both {
 		c.awaitsRelease = false
-		if d.sockets[c.conn] != c { // closed meanwhile
+		if d.sockets[c.conn] != c {
 			continue
 		}
 		if _, err := d.engine.AddConn(c.nbConn); err != nil {
