--- a/cmd/valeshift/golden_test.go
+++ b/cmd/valeshift/golden_test.go
@@ -38,11 +38,11 @@
 			Show  fleetShow  `cmd:"" name:"show" default:"withargs"`
 			Leave fleetLeave `cmd:"" name:"leave"`
 		}{}},
-		{"valeshift zone", &zoneLine{}},
+		{"valeshift zone", &zoneArguments{}},
 		{"valeshift holdings", &struct {
-			Show   holdingsShow   `cmd:"" name:"show" default:"withargs"`
-			Export holdingsExport `cmd:"" name:"export"`
-			Verify holdingsVerify `cmd:"" name:"verify"`
+			Show   replicationSummary `cmd:"" name:"show" default:"withargs"`
+			Export replicationExport  `cmd:"" name:"export"`
+			Verify replicationVerify  `cmd:"" name:"verify"`
 		}{}},
 	} {
 		parser, err := kong.New(c.grammar, kong.Name(c.name))
--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -83,7 +83,7 @@
 		}
 		c.expiryProposedAt[id] = now
 		// What is refused now is proposed again after the timeout.
-		c.propose(now, failover.Command{ExpiredOrderID: id, Cause: "the order has ended"})
+		c.propose(now, failover.Command{ExpiredOrderID: id, Cause: failover.CauseOrderExpired})
 	}
 }
 
@@ -128,8 +128,7 @@
 	if _, isDecided := c.decisions.DecisionOnOrder(order.ID); isDecided {
 		return nil
 	}
-	cause := fmt.Sprintf("%s %s by %s: %s", order.Action, order.Zone, order.IssuedBy, order.Reason)
-	return c.propose(now, failover.Command{Order: &order, Cause: cause})
+	return c.propose(now, failover.Command{Order: &order, Cause: failover.CauseOrdered(order)})
 }
 
 // DecisionOnOrder returns what was decided on the order of that ID; false: nothing yet.
