--- a/cmd/valeshift/disk.go
+++ b/cmd/valeshift/disk.go
@@ -8,6 +8,6 @@
 	"valeshift/internal/store"
 )
 
-func folder(path string) store.FS { return store.DirFS(path) }
+func openFolder(path string) store.FS { return store.DirFS(path) }
 
 var clock = time.Now
--- a/cmd/valeshift/golden_test.go
+++ b/cmd/valeshift/golden_test.go
@@ -33,7 +33,7 @@
 		name    string
 		grammar any
 	}{
-		{"valeshift", &line{}},
+		{"valeshift", &commandLine{}},
 		{"valeshift fleet", &struct {
 			Show  fleetShow  `cmd:"" name:"show" default:"withargs"`
 			Leave fleetLeave `cmd:"" name:"leave"`
