--- a/internal/fleet/replication.go
+++ b/internal/fleet/replication.go
@@ -162,9 +162,7 @@
 	}
 	state.members = members
 	state.replicator.UpdateMembers(members)
-	seenAt := c.membership.DuplicateSeenAt
-	hasDuplicate := seenAt > 0 && now < seenAt+duplicateMillis
-	state.replicator.SetSuspended(!c.diskRead || hasDuplicate || c.plan.Phase() < recovery.Admitting)
+	state.replicator.SetSuspended(!c.diskRead || c.hasDuplicate(now) || c.plan.Phase() < recovery.Admitting)
 }
 
 // ReplicationDelay gives after how many ms TickReplication is due; +Inf: never.
