--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,5 @@
-// Command adapter puts the decision module behind the simulator's wire on standard input and output.
+// Command adapter runs the balancer in the simulator: it answers batches of events on standard input with replies on
+// standard output, until the input ends. It exits with 1 where the input breaks the protocol.
 package main
 
 import (
--- a/internal/adapter/adapter_test.go
+++ b/internal/adapter/adapter_test.go
@@ -70,11 +70,11 @@
 		batch(900, 1, 0),
 		batch(1000, 2, 6, about, hello(profile), page, cached, incoming("01000000"), "0201 01000000 0000 09000000 "+
 			"0000000000000000"),
-		// An outcome for a link never seen, a timer nobody set, a client gone that was never here.
+		// An outcome for a session never seen, a timer nobody set, a client gone that was never here.
 		batch(1100, 3, 4, about, "0d01 63000000 00 0000 09000000 0000000000000000 04 00", "0401 63000000",
 			"0101 63000000"),
 		batch(1200, 4, 2, about, "0d01 01000000 01 0000 09000000 0000000000000000 0a 00"),
-		// Killed and begun anew in one batch; the old link's outcome says nothing to it.
+		// Killed and begun anew in one batch; the old session's outcome says nothing to it.
 		batch(1300, 5, 5, about, "0901", hello(profile), page, cached),
 		batch(1400, 6, 2, about, "0d01 01000000 00 0000 09000000 0000000000000000 04 00"),
 	}, nil)
@@ -106,7 +106,7 @@
 		return code + u32(id) + "00" + u32(7) + "1100000000000000" + f64(limit) + f64(hint) + "2200000000000000 0100"
 	}
 	report := "02" + f32(0.25) + f32(3)
-	health := func(server uint32, reason string) string { return "0601" + u32(server) + f64(4) + reason + report }
+	health := func(backend uint32, reason string) string { return "0601" + u32(backend) + f64(4) + reason + report }
 	completed := func(id uint32, last, reason string) string {
 		return "0d01" + u32(id) + last + "0000" + u32(9) + f64(5) + reason + report
 	}
@@ -160,7 +160,7 @@
 	}
 }
 
-func TestSettingsThatAreNeeded(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for _, c := range []struct{ old, new, key string }{
 		{"contract.cold-ms=9000\n", "", "contract.cold-ms"},
 		{"effect=idempotent", "effect=perhaps", "categories.0.effect"},
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -43,6 +43,6 @@
 	assert.ErrorContains(t, r.Err, "8 bytes of a record expected, 0 are left")
 }
 
-func TestPairs(t *testing.T) {
+func TestParseSettings(t *testing.T) {
 	assert.Equal(t, map[string]string{"a.b": "1", "c": "x=y", "d": ""}, ParseSettings("a.b=1\r\nc=x=y\nnothing\nd="))
 }
