--- a/balancer/assignment.go
+++ b/balancer/assignment.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	loadLimit         = 0.80 // above this a backend has no room for a session of the mean priority
-	priorityLoadRange = 0.08 // how far a session's relative priority moves that limit
-	maxPriorityLog    = 1.0  // doublings of the mean priority, that count for it
-	blindLoadMargin   = 0.15 // less where candidates are polled for each session: others assign meanwhile
-	calmLoadLimit     = 0.45 // below this no backend sits out a turn for being busier than the mean
-	crowdedFactor     = 1.5  // times the mean load, the limit where loads are no shares of a capacity
-
-	localZoneLoad       = 0.40 // below this a backend of the local zone comes first where crossing zones costs
-	localZoneLoadPerFee = 4.0  // by how much more for a fee of one
-
-	queueRetryDelay = 50.0 // until a queued session is asked about again
-	maxQueueShare   = 0.5  // of the time to its deadline, that a session may be queued
+	loadLimit         = 0.80 // load at which a backend is full for a session of mean priority
+	priorityLoadRange = 0.08 // how far the priority of a session moves that limit at most
+	maxPriorityLog    = 1.0  // doublings of the mean priority that move it that far
+	blindLoadMargin   = 0.15 // lowers it where candidates are polled: others assign meanwhile unseen
+	calmLoadLimit     = 0.45 // below this load no backend sits out a turn for being busier than the mean
+	crowdedFactor     = 1.5  // multiple of the mean load that replaces the limits if loads are not absolute
+
+	localZoneLoad       = 0.40 // backends of the local zone come first up to this load, if crossing zones costs
+	localZoneLoadPerFee = 4.0  // and up to so much more, for a fee of one
+
+	queueRetryDelay = 50.0 // until a queued session is decided on again
+	maxQueueShare   = 0.5  // share of the time to its deadline that a session may be queued
 )
 
-// Assign decides where the session goes: to a backend, into the queue, or nowhere.
+// Assign decides where the session goes: to a backend, into the queue, or nowhere. A queued session is put to
+// it again.
 func (b *Balancer) Assign(now float64, session *Session) Decision {
 	if !session.known {
 		b.admitSession(now, session)
@@ -58,7 +59,7 @@
 
 func queueFor(wait float64) Decision { return Decision{Kind: Queue, Wait: wait} }
 
-// admitSession prepares a session that has just come.
+// admitSession prepares a session that has just arrived.
 func (b *Balancer) admitSession(now float64, session *Session) {
 	session.known = true
 	session.arrivedAt = now
@@ -68,23 +69,23 @@
 	b.estimateSessionLoad(session)
 	b.activeShare, _ = b.pollingPlan()
 	if b.activeShare < 1 && b.capacity == 0 {
-		// Against a relay's first session, often its only one, finding no budget for slow starts.
+		// Otherwise a relay's first session, often its only one, finds no budget for slow starts.
 		b.refreshWeights(now)
 	}
 	session.warmingBackend = b.drawWarmingBackend(now, session)
 }
 
-// readmitSession draws again for a queued session while the fleet recovers: it waits for a backend in slow
-// start, as there are no others.
+// readmitSession draws again for a session that is queued while the fleet recovers: all backends are in slow
+// start then, so it waits for one of them.
 func (b *Balancer) readmitSession(now float64, session *Session) {
-	if session.LoadHint <= 0 { // against those that came before anything was known counting for nothing now
+	if session.LoadHint <= 0 { // its estimate may be from before any load was known
 		b.estimateSessionLoad(session)
 	}
 	session.warmingBackend = b.drawWarmingBackend(now, session)
 }
 
-// returnSlowStartGrant gives the budget of slow starts back that a session can't use, as the backend drawn
-// for it has no room; it is drawn for anew with another hash.
+// returnSlowStartGrant returns the slow-start budget that the session can't use, as the backend drawn for it
+// is full. The next draw uses another hash.
 func (b *Balancer) returnSlowStartGrant(session *Session) {
 	b.slowStart.requestedAt -= session.slowStartGrant
 	session.warmingBackend = noBackend
@@ -98,14 +99,15 @@
 	now      float64
 	avoided  int // backend of the session's last attempt, or noBackend
 
-	targetZone   int     // that the session is meant for by a decision on zones; -1: none
-	firstZone    int     // whose backends come first
-	firstLimit   float64 // of a backend's load, up to which they do
-	calmLimit    float64 // up to which backends take turns first
-	limit        float64 // above which none takes the session
-	sessionShare float64 // of a warm backend's capacity, that the session takes; 0 while no capacity is known
+	targetZone   int     // zone drawn for the session by the zone weights, or -1
+	firstZone    int     // zone whose backends come first
+	firstLimit   float64 // load up to which they come first
+	calmLimit    float64 // load up to which backends take turns, whatever their zone
+	limit        float64 // load at which a backend is full for the session
+	sessionShare float64 // share of a warm backend's capacity that the session needs; 0 while it is unknown
 }
 
+// newSelection computes the limits on backends' loads for the session.
 func (b *Balancer) newSelection(session *Session, now float64) selection {
 	s := selection{
 		balancer:     b,
@@ -161,13 +163,13 @@
 }
 
 // chooseBackend returns the backend for the session's next attempt, or noBackend; full reports that there are
-// backends but none has room, so that nothing is worth waiting for.
+// backends but all are full, so that waiting does not help.
 func (b *Balancer) chooseBackend(session *Session, now float64) (backend int, full bool) {
 	s := b.newSelection(session, now)
 	if s.hasRoomAt(session.warmingBackend) {
 		return session.warmingBackend, false
 	}
-	// The one departure from turns for a session that returns: its backend, or its group's, if that has room.
+	// A returning session departs from the turns: it goes to its or its group's backend, if that has room.
 	if preferred := session.preferred - 1; session.attempts == 0 && s.hasRoomAt(preferred) {
 		return preferred, false
 	}
@@ -184,8 +186,7 @@
 	return noBackend, full
 }
 
-// chooseByTurn walks the table of buckets up to four times, each time with more backends that may have the
-// session.
+// chooseByTurn walks the table of buckets up to four times, accepting more backends each time.
 func (b *Balancer) chooseByTurn(s *selection) int {
 	// Where nothing is paid for crossing zones and none is decided on, the local zone does not come first.
 	if b.crossZoneFee > 0 || s.targetZone >= 0 {
@@ -208,9 +209,9 @@
 	return b.pickBackend(s.session, hasRoom)
 }
 
-// pickBackend takes the next bucket whose backend is accepted, or the one that the session's group or key
-// draws with the same chances: all relays draw alike, so shared work is paid once, and a session that goes on
-// at another relay finds its backend.
+// pickBackend picks the next bucket whose backend is accepted. Where affinity groups or keys decide, it draws
+// with the same chances from the hash instead: all relays draw alike, so the work that a group shares is done
+// once, and a session that moves to another relay finds its backend.
 func (b *Balancer) pickBackend(session *Session, accepts func(backend int) bool) int {
 	if !b.usesAffinityGroups && !b.sessionsOutliveRelay {
 		return b.roundRobin.pick(accepts)
@@ -229,7 +230,8 @@
 	return picked
 }
 
-// affinityHash is what the session's draws depend on: its group or key where that decides, else its own hash.
+// affinityHash returns what the session's draws depend on: its group or key where that decides, else its own
+// hash.
 func (b *Balancer) affinityHash(session *Session) uint64 {
 	if b.usesAffinityGroups && session.AffinityGroup != 0 {
 		return session.AffinityGroup
--- a/balancer/attempt_outcome.go
+++ b/balancer/attempt_outcome.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// AttemptFinished takes the outcome of an attempt, or of the session that it established, and decides what
+// AttemptFinished records the outcome of an attempt, or of the session that it established, and decides what
 // follows: another attempt, the queue, or the client's answer. With last the session is over, whatever the
 // outcome.
 func (b *Balancer) AttemptFinished(now float64, session *Session, outcome AttemptOutcome,
@@ -27,7 +27,7 @@
 	return b.Assign(now, session)
 }
 
-// applyOutcome takes what the outcome says of the backend and of the limit of attempts in flight.
+// applyOutcome updates the backend's health and the concurrency limit by the outcome.
 func (b *Balancer) applyOutcome(now float64, session *Session, outcome AttemptOutcome) {
 	backend := session.backend
 	wasSilent := b.outliers.consecutiveFailures[backend] > 0
@@ -35,7 +35,7 @@
 	case outcome == OutcomeConnectionLost && session.established && wasSilent:
 		b.outliers.sessionsLost[backend] = true
 	case session.established && session.isShed(now, outcome):
-		// Against sessions that go round: shed by one full backend they all come to the next, at every relay.
+		// Sessions shed by a full backend all come to the next one, at every relay, and may go round.
 		b.attempts.reduceConcurrency(now, shedConcurrencyFactor)
 	case outcome == OutcomeUnreachable:
 		b.recordFailure(backend)
@@ -48,11 +48,11 @@
 	}
 }
 
-// countAttempt takes that an attempt which established no session is over.
+// countAttempt records the end of an attempt that established no session.
 func (b *Balancer) countAttempt(now float64, session *Session, outcome AttemptOutcome) {
 	backend := session.backend
 	isLate := outcome == OutcomeFailed || outcome == OutcomeTimedOut
-	// A backend that is silent itself says nothing of the store: against a cut zone being taken for a wave.
+	// A silent backend says nothing of the store: a zone that is cut off must not be taken for a wave.
 	if isLate && b.outliers.consecutiveFailures[backend] == 0 {
 		b.attempts.recordOutcome(session, now, false)
 	}
@@ -60,10 +60,10 @@
 	b.observeAttempt(backend, isLate || outcome == OutcomeUnreachable || outcome == OutcomeConnectionLost)
 }
 
-// SessionEstablished takes that the session's attempt was answered and the session goes on.
+// SessionEstablished records that the attempt was accepted and the session goes on.
 func (b *Balancer) SessionEstablished(now float64, session *Session) {
 	if !session.reserved || session.established {
-		return // told twice, or too late
+		return // reported twice, or too late
 	}
 	session.established = true
 	b.attempts.inFlight--
@@ -71,7 +71,7 @@
 	b.recordEstablished(now, session)
 }
 
-// recordEstablished takes that an attempt was answered in good order.
+// recordEstablished records that an attempt was answered without error.
 func (b *Balancer) recordEstablished(now float64, session *Session) {
 	b.attempts.countEstablished(now)
 	b.outliers.consecutiveFailures[session.backend] = 0
@@ -80,8 +80,8 @@
 	b.attempts.recordOutcome(session, now, now-session.attemptedAt <= timelyShare*objective)
 }
 
-// giveUp ends the session without another attempt. Against telling a client to repeat what may have been
-// executed: then it is an error.
+// giveUp ends the session without another attempt. The client is told to repeat its request only if that is
+// safe.
 func (b *Balancer) giveUp(session *Session, now float64) Decision {
 	if !b.attempts.canBeRepeated(session, now) {
 		return Decision{Kind: Fail}
--- a/balancer/attempt_policy.go
+++ b/balancer/attempt_policy.go
@@ -4,10 +4,10 @@
 
 const (
 	maxConcurrentAttempts = 64.0     // of all relays together
-	lateAttemptFactor     = 0.5      // of the concurrency limit, that a late or failed attempt leaves
-	shedConcurrencyFactor = 1.0 / 16 // the same, for a session that was shed
-	timelyShare           = 0.5      // of the latency objective: an attempt within it shows no overrun store
-	establishedDecay      = 10000.0  // over which counted sessions fade to 1/e
+	lateAttemptFactor     = 0.5      // share of the concurrency limit left by a late or failed attempt
+	shedConcurrencyFactor = 1.0 / 16 // share of it left by a shed session
+	timelyShare           = 0.5      // share of the latency objective within which an attempt is timely
+	establishedDecay      = 10000.0  // time in which the count of sessions fades to 1/e
 )
 
 // AttemptPolicy bounds attempts: how many a session has, whether one may follow another that may have been
@@ -15,21 +15,21 @@
 type AttemptPolicy struct {
 	classes       []Class
 	maxAttempts   int
-	maxRetryAfter float64 // the longest wait that clients follow; 0: none may be told
+	maxRetryAfter float64 // longest Retry-After that clients honour; 0: none is sent
 	relays        float64
 	budget        *RetryBudget // nil: retries are not bounded
-	draining      bool         // another process of this relay has the retry budget and that of slow starts
+	draining      bool         // another process of this relay owns the retry and slow-start budgets
 
-	established      float64 // sessions established, fading
-	establishedSpan  float64 // the time over which they were, fading alike
-	establishedAsOf  float64
+	established      float64 // fading count of established sessions
+	establishedSpan  float64 // time over which they were counted, fading alike
+	establishedAsOf  float64 // when both were last updated
 	inFlight         int
-	concurrencyLimit float64 // of attempts in flight; below 1 it is the chance of a single one
-	limitReducedAt   float64
+	concurrencyLimit float64 // of attempts in flight; below 1, the chance of a single one
+	limitReducedAt   float64 // when the limit was last cut
 }
 
-// NewAttemptPolicy takes the classes, the most attempts of a session, the longest Retry-After in milliseconds
-// (0: none), the number of relays and the budget of retries (nil: they are not bounded).
+// NewAttemptPolicy returns a policy with nothing in flight. The longest Retry-After is in milliseconds (0:
+// none is sent); a nil budget does not bound retries.
 func NewAttemptPolicy(classes []Class, maxAttempts int, maxRetryAfter float64, relays int,
 	budget *RetryBudget) *AttemptPolicy {
 	return &AttemptPolicy{
@@ -42,7 +42,7 @@
 	}
 }
 
-// canRetry reports whether the session may have another attempt; the first included.
+// canRetry reports whether the session may have another attempt, or its first.
 func (p *AttemptPolicy) canRetry(session *Session, now float64) bool {
 	if session.attempts >= p.maxAttempts || now >= session.Deadline {
 		return false
@@ -61,13 +61,14 @@
 	}
 }
 
-// withinBudget reports whether the retry budget, where there is one and this process has it, allows a retry.
+// withinBudget reports whether the retry budget allows a retry. A process that drains has left the budget to
+// its successor.
 func (p *AttemptPolicy) withinBudget(now float64) bool {
 	return p.budget.allowsRetry(now) && !(p.draining && p.budget != nil)
 }
 
-// canBeRepeated reports whether a client may be told to repeat a request that is given up, as it was not
-// executed or a repeat does no harm.
+// canBeRepeated reports whether a client may be told to repeat a request that is given up: it was not
+// executed, or a repeat does no harm.
 func (p *AttemptPolicy) canBeRepeated(session *Session, now float64) bool {
 	class := &p.classes[session.Class]
 	if !session.mayHaveRun || class.Idempotency == Idempotent {
@@ -77,16 +78,16 @@
 		now+p.maxRetryAfter < session.executedAt+class.DeduplicationWindow
 }
 
-// allowAttempt reports whether one more attempt may be in flight. Where the limit is under one it is a
-// chance, as one attempt from each of hundreds of relays is a wave.
+// allowAttempt reports whether one more attempt may be in flight. A limit below one is the chance of a single
+// attempt, as one attempt from each of hundreds of relays is a wave.
 func (b *Balancer) allowAttempt() bool {
 	p := b.attempts
 	return p.inFlight < int(p.concurrencyLimit) || (p.inFlight == 0 && b.rng.Float64() < p.concurrencyLimit)
 }
 
-// recordOutcome widens or halves the concurrency limit, by whether an attempt was established in good time;
-// one that began before the last cut says nothing. Against a wave on a shared store, which then works for
-// sessions given up. All relays together start with the same limit.
+// recordOutcome raises the concurrency limit after a timely attempt and halves it after a late or failed one,
+// unless that began before the last cut. So a wave on a shared store is slowed down before the store works
+// for sessions that are given up. All relays start with the same limit.
 func (p *AttemptPolicy) recordOutcome(session *Session, now float64, timely bool) {
 	if timely {
 		widened := p.concurrencyLimit + min(1/p.concurrencyLimit, p.concurrencyLimit)
@@ -96,6 +97,7 @@
 	}
 }
 
+// reduceConcurrency cuts the concurrency limit to that share, at the least to one attempt over all relays.
 func (p *AttemptPolicy) reduceConcurrency(now, factor float64) {
 	p.concurrencyLimit = max(p.concurrencyLimit*factor, 1/p.relays)
 	p.limitReducedAt = now
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -14,8 +14,7 @@
 // reports have an absolute figure.
 //
 // Inside the package a backend is the small dense index that the EndpointSet gives it; -1 (noBackend) is
-// none. Each part of the Balancer keeps its figures in slices under that index. Comments that begin with
-// "Against" name the fault that a rule is there to prevent.
+// none. Each part of the Balancer keeps its figures in slices under that index.
 package balancer
 
 import (
@@ -36,31 +35,31 @@
 	poller     *LoadPoller
 	attempts   *AttemptPolicy
 	quotas     *Quotas
-	admission  *admission.Controller // nil: nothing is known from before the start
+	admission  *admission.Controller // nil until something is known from before the start, or the fleet recovers
 	tracker    backendTracker
-	rng        *rand.Rand // shared with roundRobin; the order of its draws is part of the behaviour
+	rng        *rand.Rand // shared with roundRobin: the order of draws is part of the behaviour
 
 	localZone            int
 	crossZoneFee         float64
 	usesAffinityGroups   bool
 	sessionsOutliveRelay bool
 
-	sessionLoads  []float64 // of this relay's sessions, by backend
-	sessionCounts []int     // the same, counted
-	weights       []float64 // relative capacity of a backend by the endpoint list
+	sessionLoads  []float64 // load of this relay's sessions, by backend
+	sessionCounts []int     // number of this relay's sessions, by backend
+	weights       []float64 // relative capacity in the endpoint list, by backend
 
-	meanLoad          float64 // of the healthy backends, when weights were last refreshed
-	estimatedCapacity float64 // of a backend, by what this relay's own sessions weigh
-	capacity          float64 // of a warm backend, in session load; 0: unknown
-	initialBackends   float64 // ready backends of the first endpoint list
-	activeShare       float64 // of the fleet, polled regularly; below 1 each session has candidates polled
-	candidateDraws    []float64
+	meanLoad          float64   // of the healthy backends, at the last refresh
+	estimatedCapacity float64   // capacity of a backend, by this relay's own sessions alone
+	capacity          float64   // of a warm backend, in session load; 0: unknown
+	initialBackends   float64   // ready backends in the first endpoint list
+	activeShare       float64   // of the fleet, polled regularly; if below 1, sessions have candidates polled
+	candidateDraws    []float64 // scratch space of drawCandidates
 	pausedUntil       float64
 
-	assumedStarts map[int]bool // backends of a cached list, whose start time nobody has confirmed
+	assumedStarts map[int]bool // backends from a cached list whose start time is not confirmed
 
-	zoneWeights      []ZoneWeight // none: no decision on zones is in force
-	zoneObservations []ZoneObservation
+	zoneWeights      []ZoneWeight      // empty while no decision on zones is in force
+	zoneObservations []ZoneObservation // by number of the zone
 }
 
 // Config joins the parts of a Balancer.
@@ -98,7 +97,6 @@
 // HasClass reports whether the settings name the class.
 func (b *Balancer) HasClass(class int) bool { return class < len(b.attempts.classes) }
 
-// Pause queues sessions until the given time, those whose deadline leaves room for it. Against a process that
-// was suspended and forwards to backends that have left since: its endpoint list may be long out of date, and
-// what is new still waits to be read.
+// Pause queues sessions until the given time, except those whose deadline is too close. A process that was
+// suspended uses it until it has read what is new, as its endpoint list may be long out of date.
 func (b *Balancer) Pause(until float64) { b.pausedUntil = until }
--- a/balancer/drain.go
+++ b/balancer/drain.go
@@ -1,17 +1,17 @@
 package balancer
 
 const (
-	drainSpread         = 3000.0 // over which sessions are moved that must leave, as their backend does
-	shutdownDrainSpread = 1500.0 // and as this relay shuts down
+	drainSpread         = 3000.0 // over which the sessions of a draining backend leave it
+	shutdownDrainSpread = 1500.0 // over which all sessions leave, at the end of a shutdown
 )
 
-// DrainDelay returns after how many milliseconds the nth of so many sessions, from 0, that must leave their
-// backend is told so. Within is the time that a shutdown of this relay leaves, of which the end is used, as a
-// relay stopped before may not be back yet; 0 means that the backend drains. Sessions are paced against a
-// fleet whose clients all come again within one late report. Where there are other relays each has a random
-// place within its part of the time, against many relays with a session each: every one is its relay's first,
-// and all would leave in one moment. While another process of this relay takes sessions over at once, a
-// shutdown has all its time.
+// DrainDelay returns after how many milliseconds the nth of so many sessions, from 0, is to leave its
+// backend. Within is the time left until this relay shuts down; 0 means that the backend drains. Sessions
+// leave one after the other, as the clients of a whole backend that return within one report interval would
+// be assigned by a single late report. Where there are other relays each session's time has jitter, since
+// with one session each all relays would move theirs at the same moment. A shutdown uses the end of its time,
+// as a relay that was stopped before may not be back yet, or all of it where another process of this relay
+// takes the sessions over at once.
 func (b *Balancer) DrainDelay(nth, of int, within float64) float64 {
 	isShutdown := within > 0
 	spread := drainSpread
@@ -27,7 +27,7 @@
 	return max(within-spread, 0) + spread*(float64(nth)+jitter)/float64(of)
 }
 
-// SetDraining takes whether another process of this relay has taken over: then this one assigns nothing to
-// backends in slow start and, where there is a retry budget, begins no retries. Against two processes that
-// spend one budget each.
+// SetDraining sets whether another process of this relay has taken over. A draining process assigns nothing
+// to backends in slow start and begins no retries where there is a retry budget, so that the two processes do
+// not spend each budget twice.
 func (b *Balancer) SetDraining(draining bool) { b.attempts.draining = draining }
--- a/balancer/endpoint_set.go
+++ b/balancer/endpoint_set.go
@@ -30,27 +30,27 @@
 }
 
 // EndpointSet is what the endpoint list has said. Each backend has a small dense index, under which this and
-// the other parts of the Balancer keep their figures.
+// the other parts of the Balancer keep their state.
 type EndpointSet struct {
-	mustWatch    bool // the list must be asked for
-	watchTimeout float64
+	mustWatch    bool    // changes come only while the list is watched
+	watchTimeout float64 // silence after which a watch counts as dead; +Inf: never
 
 	indexByID map[uint32]int
 	ids       []uint32
 	states    []EndpointState
 	zones     []int
 	cells     []int
-	startedAt []float64
+	startedAt []float64 // 0: before anybody watched
 
-	inUpdate      []bool // the backend was mentioned since BeginEndpointUpdate
-	fullUpdate    bool   // what is not mentioned is gone
-	listReceived  bool   // an update has ended
-	watchAt       float64
-	watchFailures int // in a row
+	inUpdate      []bool  // mentioned since BeginEndpointUpdate, by backend
+	fullUpdate    bool    // backends that are not mentioned are gone
+	listReceived  bool    // an update has ended
+	watchAt       float64 // when to watch the list anew
+	watchFailures int     // in a row
 }
 
-// NewEndpointSet takes whether the list must be watched, and after how many milliseconds without a word a
-// watch counts as dead.
+// NewEndpointSet returns an empty set. Where the list must be watched, a watch that is silent for
+// watchTimeout milliseconds counts as dead.
 func NewEndpointSet(mustWatch bool, watchTimeout float64) *EndpointSet {
 	if !mustWatch {
 		watchTimeout = math.Inf(1)
@@ -73,13 +73,13 @@
 	e.inUpdate = append(e.inUpdate, false)
 }
 
-// BeginEndpointUpdate begins an update of the list; a full one mentions every backend there is.
+// BeginEndpointUpdate begins an update of the list. A full update mentions every backend there is.
 func (b *Balancer) BeginEndpointUpdate(full bool) {
 	b.fullUpdate = full
 	clear(b.inUpdate)
 }
 
-// UpdateEndpoint takes one entry of the update.
+// UpdateEndpoint applies one entry of the update.
 func (b *Balancer) UpdateEndpoint(endpoint Endpoint) {
 	backend, known := b.indexByID[endpoint.ID]
 	if !known {
@@ -100,7 +100,7 @@
 	b.updateTracking(backend)
 }
 
-// EndEndpointUpdate ends the update.
+// EndEndpointUpdate ends the update. After a full one, backends that it did not mention are gone.
 func (b *Balancer) EndEndpointUpdate(now float64) {
 	if b.fullUpdate {
 		b.removeUnmentioned()
@@ -114,6 +114,7 @@
 	b.listReceived = true
 }
 
+// removeUnmentioned marks backends that the update did not mention as gone.
 func (b *Balancer) removeUnmentioned() {
 	for backend, mentioned := range b.inUpdate {
 		if !mentioned {
@@ -123,6 +124,7 @@
 	}
 }
 
+// countInitialBackends counts the ready backends of the first list.
 func (b *Balancer) countInitialBackends() {
 	for _, state := range b.states {
 		if state == Ready {
@@ -153,6 +155,7 @@
 	return backend
 }
 
+// findFreeIndex returns the index of a backend that is gone and has no session left, or noBackend.
 func (b *Balancer) findFreeIndex() int {
 	for backend, state := range b.states {
 		if state == Gone && b.sessionCounts[backend] == 0 {
@@ -162,7 +165,7 @@
 	return noBackend
 }
 
-// growParts has every part keep figures of one more backend.
+// growParts makes room for one more backend in every part.
 func (b *Balancer) growParts() {
 	b.EndpointSet.grow()
 	b.outliers.grow()
--- a/balancer/endpoint_watch.go
+++ b/balancer/endpoint_watch.go
@@ -1,16 +1,16 @@
 package balancer
 
 const (
-	watchSilenceShare     = 0.8    // of the watch timeout, after which a silent list is asked for anew
-	watchIntervalPerRelay = 1000.0 // between the asking of one relay and the next
-	firstWatchSpread      = 20.0   // the same for the first time
+	watchSilenceShare     = 0.8    // share of the watch timeout after which a silent list is watched anew
+	watchIntervalPerRelay = 1000.0 // time between the watches of two relays, at the least
+	firstWatchSpread      = 20.0   // time between the first watches of two relays
 	firstWatchBackoff     = 200.0  // after one failure; doubled with each further one
-	maxWatchBackoff       = 1000.0 // mean wait before the retry of a failed watch; half as much again at most
-	maxWatchFailures      = 6      // that are counted
-	relaysPerWatchBackoff = 32     // as many relays double the backoff
+	maxWatchBackoff       = 1000.0 // mean wait before a retry; the jitter is half of it either way
+	maxWatchFailures      = 6      // failures that double the backoff
+	relaysPerWatchBackoff = 32     // so many relays double it too
 )
 
-// scheduleWatch sets when the list is asked for anew, as an update has come.
+// scheduleWatch sets when the list is watched anew, after an update.
 func (b *Balancer) scheduleWatch(now float64) {
 	b.watchFailures = 0
 	b.watchAt = now + b.watchSilence()
@@ -19,9 +19,8 @@
 	}
 }
 
-// WatchFailed takes that a call for the list failed or a watch broke, and sets the time of the retry:
-// exponential backoff with jitter, bounded, as a change counts as told a fixed time after discovery can be
-// reached again.
+// WatchFailed schedules a retry after a failed call or a broken watch: exponential backoff with jitter. It is
+// bounded, as a relay counts as notified of a change a fixed time after discovery can be reached again.
 func (b *Balancer) WatchFailed(now float64) {
 	b.watchFailures = min(b.watchFailures+1, maxWatchFailures)
 	doubled := float64(int(firstWatchBackoff) << (b.watchFailures - 1))
@@ -29,8 +28,8 @@
 	b.watchAt = now + min(backoff, maxWatchBackoff, 2.5*b.watchTimeout)*(0.5+b.rng.Float64())
 }
 
-// watchSilence is how many milliseconds without a word pass until the list is asked for anew. Against
-// hundreds of relays drowning discovery: then it tells no drain.
+// watchSilence returns after how many silent milliseconds the list is watched anew. It grows with the number
+// of relays, as hundreds of them would overload discovery, which then notifies nobody of a drain.
 func (b *Balancer) watchSilence() float64 {
 	return max(b.watchTimeout*watchSilenceShare, b.quotas.relays*watchIntervalPerRelay)
 }
--- a/balancer/estimates.go
+++ b/balancer/estimates.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// maxEstimateGrowth bounds the capacity that one incarnation hands on, against what it was told itself.
+// maxEstimateGrowth bounds the capacity that one incarnation hands on, as a multiple of the one it was
+// started with.
 const maxEstimateGrowth = 1.25
 
 // Estimates is what a relay knows of backends and sessions in general, not of any one: a hint to a relay that
@@ -18,10 +19,10 @@
 }
 
 // Estimates returns what this relay has learnt, for its next incarnation and for others. With too few
-// sessions for an estimate of its own, or while the fleet recovers, it hands on what it was told, and later
-// no more than a quarter above it: against estimates of the first seconds, when backends' reports include few
-// of the sessions assigned there, that grow from one incarnation to the next where power is lost over and
-// over.
+// sessions for an estimate of its own, or while the fleet recovers, it hands on the capacity it was started
+// with, and later at most a quarter more. In the first seconds reports include few of the sessions assigned,
+// so estimates are too high; without the bound they would grow from one incarnation to the next while power
+// is lost over and over.
 func (b *Balancer) Estimates() Estimates {
 	estimates := Estimates{
 		Capacity:        b.capacityToHandOn(),
@@ -40,7 +41,7 @@
 	return estimates
 }
 
-// capacityToHandOn is the capacity of a backend that Estimates returns.
+// capacityToHandOn returns the capacity of a backend for Estimates.
 func (b *Balancer) capacityToHandOn() float64 {
 	told := b.admission.Capacity()
 	samples := b.quotas.loadSamples
@@ -56,8 +57,8 @@
 	}
 }
 
-// RestoreEstimates takes what was learnt before this start, here or at another relay, and reports whether it
-// was used: what this incarnation has learnt itself goes before it, and estimates that can't be are refused.
+// RestoreEstimates uses what was learnt before this start, here or at another relay, and reports whether it
+// did: what this incarnation has learnt itself takes precedence, and invalid estimates are refused.
 func (b *Balancer) RestoreEstimates(estimates Estimates) bool {
 	quotas := b.quotas
 	if quotas.loadSamples >= confidentSessions || !estimates.areValid(len(quotas.classes)) {
@@ -74,6 +75,7 @@
 	return true
 }
 
+// areValid reports whether the estimates can be true, for that many classes.
 func (e *Estimates) areValid(classes int) bool {
 	if !isPositive(e.Capacity) || !isPositive(e.MeanSessionLoad) {
 		return false
--- a/balancer/load_accounting.go
+++ b/balancer/load_accounting.go
@@ -17,8 +17,7 @@
 	}
 }
 
-// release takes back what reserve counted. A session that is over is no load that the backend's next report
-// may not include yet, either.
+// release undoes reserve. The backend's next report does not include the session any more, either.
 func (b *Balancer) release(session *Session) {
 	b.poller.removeAssignment(session.backend, session.attemptedAt)
 	b.sessionCounts[session.backend]--
@@ -28,16 +27,17 @@
 	}
 }
 
-// changeLoad has the session count on its backend with that load from now on.
+// changeLoad replaces the session's load on its backend.
 func (b *Balancer) changeLoad(session *Session, load float64) {
 	b.sessionLoads[session.backend] += load - session.load
 	session.load = load
 }
 
-// UnreportedLoad is the session load that this relay has assigned and backends' reports may not include yet.
+// UnreportedLoad returns the session load that this relay has assigned and that backends' reports may not
+// include yet.
 func (b *Balancer) UnreportedLoad() float64 { return b.poller.unreportedTotal }
 
-// SetRemoteLoad takes the same of all other relays, by their own words; below 0: they don't say.
+// SetRemoteLoad sets the unreported load of all other relays together, as they announce it; below 0: unknown.
 func (b *Balancer) SetRemoteLoad(load float64) { b.poller.remoteUnreported = load }
 
 // addAssignment adds load that the backend's report does not include yet.
@@ -47,8 +47,7 @@
 	p.unreportedTotal += added.load
 }
 
-// removeAssignment takes back the load of the assignment made at that time, if a report does not include it
-// yet.
+// removeAssignment removes the assignment made at that time, if a report does not include it yet.
 func (p *LoadPoller) removeAssignment(backend int, at float64) {
 	i := slices.IndexFunc(p.recentAssignments[backend], func(a assignment) bool { return a.at == at })
 	if i < 0 {
@@ -60,7 +59,7 @@
 	p.recentAssignments[backend] = slices.Delete(p.recentAssignments[backend], i, i+1)
 }
 
-// dropReported drops the assignments made before that time, which the latest report includes.
+// dropReported removes the assignments made before that time, which the latest report includes.
 func (p *LoadPoller) dropReported(backend int, before float64) {
 	p.unreportedTotal -= p.unreportedLoads[backend]
 	p.unreportedLoads[backend] = 0
--- a/balancer/load_poller.go
+++ b/balancer/load_poller.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// defaultMaxReportAge is taken where nobody says how old a report may be, milliseconds.
+// defaultMaxReportAge is the age of a report, in milliseconds, that is assumed where none was set.
 const defaultMaxReportAge = 1500.0
 
 // LoadPoller polls backends for their load and keeps what they report. A poll is a health check too.
 type LoadPoller struct {
 	enabled         bool
 	cost            float64 // of one poll, as a share of a session's gain
-	reportField     int     // of a report, that the load is read from
-	hasAbsoluteLoad bool    // loads are shares of a capacity, so that fixed bounds on them mean something
+	reportField     int     // index of the report's field that the load is read from
+	hasAbsoluteLoad bool    // loads are shares of a capacity, so that fixed limits apply to them
 	maxReportAge    float64
 
 	loads          []float64 // NaN: unknown
@@ -18,18 +18,18 @@
 	pollSentAt     []float64 // of the poll in flight; NaN: none
 	polledAt       []float64 // -Inf: never, or due at once
 	selectionDraws []float64 // from 0 to 1: backends below the active share are polled regularly
-	requested      []bool    // for a session
+	requested      []bool    // a poll for a session is due, by backend
 	requestQueue   []int
 
-	// Load that this relay's sessions put on a backend and its report may not include yet.
+	// Sessions of this relay that a backend's report may not include yet.
 	recentAssignments [][]assignment
-	unreportedLoads   []float64 // their sum, by backend
-	unreportedTotal   float64   // and over all backends
+	unreportedLoads   []float64 // sum of their loads, by backend
+	unreportedTotal   float64   // sum over all backends
 	remoteUnreported  float64   // the same of all other relays together; below 0: unknown
 }
 
-// NewLoadPoller takes whether polls may be sent, the cost of one as a share of a session's gain, and the
-// names of the report's fields.
+// NewLoadPoller returns a poller without backends. Cost is that of one poll, as a share of a session's gain;
+// fields are the names of the reports' fields.
 func NewLoadPoller(enabled bool, cost float64, fields []string) *LoadPoller {
 	p := &LoadPoller{
 		enabled:          enabled,
@@ -62,7 +62,7 @@
 	p.requestQueue = append(p.requestQueue, backend)
 }
 
-// nextRequested takes the next backend from the queue of requested polls, or noBackend.
+// nextRequested removes the next backend from the queue of requested polls and returns it, or noBackend.
 func (p *LoadPoller) nextRequested() int {
 	last := len(p.requestQueue) - 1
 	if last < 0 {
@@ -79,7 +79,7 @@
 	return p.requested[backend] || !math.IsNaN(p.pollSentAt[backend])
 }
 
-// PollFinished takes the end of a poll: its report, or that it failed.
+// PollFinished records the end of a poll: its report, or that it failed.
 func (b *Balancer) PollFinished(now float64, id uint32, ok bool, report []float64) {
 	backend, known := b.indexByID[id]
 	if !known {
@@ -95,8 +95,8 @@
 	b.LoadReported(now, id, report)
 }
 
-// PollNotSent takes that a poll that was due was not sent: it says nothing of the backend, and is due again
-// later.
+// PollNotSent records that a poll which was due was not sent. That says nothing of the backend, and the poll
+// is due again later.
 func (b *Balancer) PollNotSent(id uint32) {
 	if backend, known := b.indexByID[id]; known {
 		b.poller.pollSentAt[backend] = math.NaN()
@@ -104,7 +104,7 @@
 	}
 }
 
-// forgetLoad drops what the backend reported.
+// forgetLoad drops what the backend has reported.
 func (b *Balancer) forgetLoad(backend int) {
 	p := b.poller
 	p.unreportedTotal -= p.unreportedLoads[backend]
@@ -114,5 +114,5 @@
 	p.reportedAt[backend] = math.Inf(-1)
 }
 
-// SetMaxReportAge takes how many milliseconds old a report may be, where somebody knows.
+// SetMaxReportAge sets how many milliseconds old a report may be.
 func (b *Balancer) SetMaxReportAge(age float64) { b.poller.maxReportAge = age }
--- a/balancer/load_polling.go
+++ b/balancer/load_polling.go
@@ -3,17 +3,17 @@
 import "slices"
 
 const (
-	pollInterval         = 1000.0 // at which a backend is polled at the soonest
-	maxPollInterval      = 4000.0 // the requirement's bound of five seconds, less the answer's way
-	failedPollInterval   = 300.0  // at which a backend that did not answer is polled again
-	pollSpread           = 0.2    // of the interval, over which backends' polls come to stand apart
-	pollCostShare        = 0.012  // what polls may cost a session, as a share of its gain
-	candidatesPerSession = 5      // that a session is assigned among, where not the whole fleet is polled
-	pollWaitShare        = 0.1    // of its latency objective, that a session waits for their answers
+	pollInterval         = 1000.0 // shortest time between two polls of a healthy backend
+	maxPollInterval      = 4000.0 // longest; the requirement is five seconds, with the answer's way
+	failedPollInterval   = 300.0  // time between polls of a backend that did not answer
+	pollSpread           = 0.2    // share of the interval over which the polls of backends are spread
+	pollCostShare        = 0.012  // cost of polls for one session, as a share of its gain
+	candidatesPerSession = 5      // backends that are polled for a session, at the most
+	pollWaitShare        = 0.1    // share of its latency objective that a session waits for their answers
 
-	assumedSessionInterval  = 2000.0 // a backend is taken to be sent one session in it, until arrivals tell
-	remoteZonePenaltyPerFee = 20.0   // by how much a candidate across zones is less likely to be drawn
-	readyShare              = 0.75   // of the backends, whose reports make a relay ready to take over
+	assumedSessionInterval  = 2000.0 // time between two sessions of a backend, until arrivals tell
+	remoteZonePenaltyPerFee = 20.0   // lowers the chance of a candidate in another zone
+	readyShare              = 0.75   // share of the backends whose reports make a relay ready to take over
 )
 
 // pollingPlan returns the share of the fleet that can be polled regularly for what polls may cost a session,
@@ -26,10 +26,10 @@
 	return min(max(2-interval/maxPollInterval, 0), 1), min(interval, maxPollInterval)
 }
 
-// awaitPolls has the backends polled that a session is to be assigned among, and reports whether that is
-// done. Against hundreds of relays that each poll the whole fleet, at many times what a session may cost.
-// Where all that it polled are full it ends: polling on, sessions of a fleet without room fill the last gaps,
-// and all loads are too high.
+// awaitPolls has the session's candidates polled and reports whether that is done. It is used where polling
+// the whole fleet regularly would cost more than a session may. It is done once, even if all candidates are
+// full: with further candidates the sessions of a full fleet would fill its last gaps, and all loads were too
+// high.
 func (b *Balancer) awaitPolls(now float64, session *Session) bool {
 	b.activeShare, _ = b.pollingPlan()
 	if !b.poller.enabled || b.activeShare >= 1 {
@@ -96,7 +96,7 @@
 func (b *Balancer) NextAction(now float64) Action {
 	untilWatch := b.watchAt - now
 	if untilWatch <= 0 {
-		// Against a watch that died without a word: its silence is counted.
+		// A watch may have died without notice, so a silent one is renewed.
 		b.watchAt = now + b.watchSilence()
 		return Action{Kind: ActionSubscribe}
 	}
@@ -117,8 +117,8 @@
 	return Action{Wait: search.wait}
 }
 
-// scheduleFirstPolls spreads the first polls of backends that were never polled. Against all relays polling
-// all backends at one moment, and against a young relay that is blind.
+// scheduleFirstPolls schedules the first polls of new backends at random times, so that not all relays poll
+// all backends at one moment; yet soon, as a young relay knows no loads.
 func (b *Balancer) scheduleFirstPolls(now, share, interval float64) {
 	for i := 0; i < len(b.tracker.neverPolled); {
 		backend := b.tracker.neverPolled[i]
@@ -139,7 +139,7 @@
 	return b.poller.polledAt[backend] + interval*(1-pollSpread/2+pollSpread*b.poller.selectionDraws[backend])
 }
 
-// startPoll takes that the backend is polled now.
+// startPoll records that the backend is polled now and returns the action.
 func (b *Balancer) startPoll(now float64, backend int) Action {
 	b.poller.polledAt[backend] = now
 	b.poller.pollSentAt[backend] = now
@@ -147,9 +147,9 @@
 	return Action{Kind: ActionPoll, Backend: b.ids[backend]}
 }
 
-// IsReady reports whether what is known is enough to serve beside another process of the same relay, which
-// serves until then: reports of most backends. Where candidates are polled for each session, or nothing can
-// be polled, there is nothing to wait for.
+// IsReady reports whether enough is known to take over from another process of the same relay: reports of
+// most backends. Where candidates are polled for each session, or nothing can be polled, there is nothing to
+// wait for.
 func (b *Balancer) IsReady(now float64) bool {
 	if share, _ := b.pollingPlan(); !b.poller.enabled || share < 1 {
 		return true
--- a/balancer/load_reports.go
+++ b/balancer/load_reports.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// LoadReported takes a load report, however late it is.
+// LoadReported records a load report, however late it is.
 func (b *Balancer) LoadReported(now float64, id uint32, report []float64) {
 	backend, known := b.indexByID[id]
 	if !known {
@@ -41,8 +41,8 @@
 	b.roundRobin.stale = true
 }
 
-// loadFromReport reads a report's load: x0, or a stand-in, by the backend's weight where that is no absolute
-// figure. One that is no number, or negative, is NaN.
+// loadFromReport reads a report's load: x0, or a stand-in, divided by the backend's weight if that is no
+// absolute figure. A load that is negative or no number is NaN.
 func (p *LoadPoller) loadFromReport(report []float64, weight float64) float64 {
 	if p.reportField >= len(report) {
 		return math.NaN()
@@ -57,8 +57,8 @@
 	return load / weight
 }
 
-// setLoad takes a reported load: up at once, down by parts. A session stays for life, so the busy moments of
-// what comes and goes count.
+// setLoad sets a reported load, smoothed when it falls: a session stays for life, so the peaks of a varying
+// load count.
 func (p *LoadPoller) setLoad(backend int, now, load float64) {
 	if load < p.loads[backend] {
 		reports := (now - p.reportedAt[backend]) / pollInterval
--- a/balancer/outliers.go
+++ b/balancer/outliers.go
@@ -3,13 +3,13 @@
 import "math"
 
 const (
-	maxFailures          = 1       // in a row, of a backend that is still healthy
-	outlierPenalty       = 0.8     // of what is left to 1, that a shed session or a timeout adds
-	outlierForgiveness   = 0.5     // of the evidence, that a session which lasted takes back
-	outlierDecay         = 20000.0 // over which evidence fades to 1/e
-	outlierDecayInterval = 100.0
-	shedWindow           = 5000.0 // a session that breaks within it was shed by a full backend
-	unresponsiveAfter    = 1000.0 // of silence, for a backend that doesn't answer polls either
+	maxFailures          = 1       // in a row, of a backend that counts as healthy
+	outlierPenalty       = 0.8     // share of the rest to 1 that a shed session or a timeout adds
+	outlierForgiveness   = 0.5     // share of the evidence that a session which lasted removes
+	outlierDecay         = 20000.0 // time in which evidence fades to 1/e
+	outlierDecayInterval = 100.0   // shortest time between two updates of the fading
+	shedWindow           = 5000.0  // a session that breaks within it was shed by a full backend
+	unresponsiveAfter    = 1000.0  // silence of the sessions of a backend that does not answer polls either
 )
 
 // OutlierDetector knows which backends answer, and how far sessions contradict what a backend reports. The
@@ -19,10 +19,10 @@
 	sessionsLost        []bool // a session broke while the backend was silent: it may have restarted
 
 	// Evidence, from 0 to 1, is how far attempts and sessions speak against a backend's own reports.
-	awaitsReport []bool // sessions went badly there: its next report tells whether it says so itself
+	awaitsReport []bool // sessions ended badly there: the next report tells whether it was full
 	evidence     []float64
 	meanEvidence float64
-	decayedAt    float64 // until when the evidence and its mean have faded
+	decayedAt    float64 // when the evidence and its mean were last faded
 }
 
 // grow adds a backend.
@@ -35,7 +35,7 @@
 	d.evidence = append(d.evidence, 0)
 }
 
-// reset forgets the backend, as its index stands for another from now on.
+// reset clears the backend's state, as its index is used for another.
 func (d *OutlierDetector) reset(backend int) {
 	d.meanEvidence -= d.evidence[backend] / float64(len(d.evidence))
 	d.consecutiveFailures[backend] = 0
@@ -59,9 +59,9 @@
 	d.meanEvidence += (d.evidence[backend] - before) / float64(len(d.evidence))
 }
 
-// score is the evidence against a backend beyond the fleet's mean: where attempts go badly everywhere, as
-// with a slow shared store, they say nothing of one backend. It fades, so that a backend that gets no
-// sessions by it is tried again with ever better chances.
+// score is the evidence against a backend beyond the fleet's mean: where attempts fail everywhere, as with a
+// slow shared store, they say nothing of one backend. It fades, so that a backend without sessions is tried
+// again with growing chances.
 func (d *OutlierDetector) score(backend int, now float64) float64 {
 	if d.meanEvidence == 0 {
 		return 0
@@ -69,7 +69,7 @@
 	return max(d.evidence[backend]-d.meanEvidence, 0) * math.Exp((d.decayedAt-now)/outlierDecay)
 }
 
-// decay applies to all evidence how it has faded; not at each call, as all fades alike.
+// decay fades all evidence. As all fades alike, it need not be done at each call.
 func (d *OutlierDetector) decay(now float64) {
 	if now < d.decayedAt+outlierDecayInterval {
 		return
@@ -87,8 +87,8 @@
 	return outcome == OutcomeConnectionLost && now < s.attemptedAt+shedWindow
 }
 
-// collectEvidence takes what the end of an attempt or session says of its backend's reports: a bad end counts
-// once the backend's next report claims that it has room, a session that lasted speaks for it at once.
+// collectEvidence uses the end of an attempt or session as evidence on its backend's reports. A bad end
+// counts only if the next report claims capacity; a session that lasted counts for the backend at once.
 func (b *Balancer) collectEvidence(now float64, session *Session, outcome AttemptOutcome) {
 	if session.isShed(now, outcome) || outcome == OutcomeTimedOut {
 		b.outliers.awaitsReport[session.backend] = true
@@ -99,8 +99,8 @@
 	}
 }
 
-// judgeReport weighs a report that was awaited. Against blaming a backend for sessions that many relays sent
-// it on reports just gone old: one that says itself that it is full tells the truth, late.
+// judgeReport compares an awaited report with the bad end before it. A backend that reports that it is full
+// was not at fault: many relays assigned sessions to it by outdated reports.
 func (b *Balancer) judgeReport(backend int, now, load float64) {
 	if !b.outliers.awaitsReport[backend] {
 		return
@@ -118,7 +118,7 @@
 	b.updateTracking(backend)
 }
 
-// recordAnswer takes that the backend answered a poll. After a silence in which sessions broke it has
+// recordAnswer records that the backend answered a poll. After a silence in which sessions broke it has
 // restarted.
 func (b *Balancer) recordAnswer(backend int, now float64) {
 	if b.outliers.sessionsLost[backend] {
@@ -132,9 +132,8 @@
 	b.updateTracking(backend)
 }
 
-// IsUnresponsive reports whether a backend whose sessions have brought nothing back for that many
-// milliseconds is gone without a word. Against sessions that earn nothing there until it is back or leaves
-// the endpoint list, many seconds on.
+// IsUnresponsive reports whether a backend that has sent nothing for so many milliseconds, on any session, is
+// gone. Its sessions are better moved than kept until it is back or off the endpoint list.
 func (b *Balancer) IsUnresponsive(id uint32, quiet float64) bool {
 	backend, known := b.indexByID[id]
 	return known && quiet >= unresponsiveAfter && !b.outliers.isHealthy(backend)
--- a/balancer/poll_queue.go
+++ b/balancer/poll_queue.go
@@ -3,7 +3,7 @@
 // pollQueue keeps backends in a binary heap by when a poll is due at the shortest interval.
 type pollQueue struct {
 	heap     []int
-	position []int     // of a backend in the heap, from 1; 0: not there
+	position []int     // of a backend in the heap, from 1; 0: not in it
 	dueAt    []float64 // by backend
 }
 
@@ -25,7 +25,7 @@
 	q.siftDown(q.siftUp(q.position[backend] - 1))
 }
 
-// remove takes the backend out, if it is there.
+// remove removes the backend, if it is there.
 func (q *pollQueue) remove(backend int) {
 	at := q.position[backend] - 1
 	if at < 0 {
@@ -80,9 +80,9 @@
 type pollSearch struct {
 	now      float64
 	interval float64 // between two polls of a healthy backend
-	share    float64 // of the fleet, that is polled
-	backend  int     // found, or noBackend
-	wait     float64
+	share    float64 // of the fleet that is polled
+	backend  int     // result, or noBackend
+	wait     float64 // result: until the next poll is due
 }
 
 // pollRounding is what a heap's time may be off by rounding, in milliseconds.
--- a/balancer/quotas.go
+++ b/balancer/quotas.go
@@ -2,25 +2,25 @@
 
 import "math"
 
-// Quotas says what sessions are worth against each other: the priority weight of their class for the load
-// they bring, less beyond their tenant's quota. It learns what sessions weigh.
+// Quotas ranks sessions: by the priority weight of their class for the load they bring, reduced beyond their
+// tenant's quota. It learns the load of sessions.
 type Quotas struct {
 	classes           []Class
-	sessionQuotas     []float64 // open sessions of each tenant's quota, over all relays; 0: no quota
+	sessionQuotas     []float64 // open sessions over all relays, by tenant; 0: no quota
 	totalQuota        float64
 	beyondQuotaWeight float64 // factor on the priority of sessions beyond the quota
 	relays            float64
 
-	openSessions    []float64 // of each tenant, at this relay
-	classLoads      []float64 // mean load of each class's sessions
-	classSamples    []float64 // sessions that the mean rests on
-	meanSessionLoad float64
-	loadSamples     float64 // and those of all
+	openSessions    []float64 // at this relay, by tenant
+	classLoads      []float64 // mean session load, by class
+	classSamples    []float64 // sessions that the class's mean rests on
+	meanSessionLoad float64   // of all classes
+	loadSamples     float64   // sessions that it rests on
 	endedLoads      loadMemory
 }
 
-// NewQuotas takes the classes, the tenants' quotas of open sessions over all relays (0: none), the factor on
-// the priority of sessions beyond a quota, and the number of relays.
+// NewQuotas returns Quotas without open sessions. A tenant's quota counts its open sessions over all relays
+// (0: none); beyondQuotaWeight is the factor on the priority of sessions beyond it.
 func NewQuotas(classes []Class, sessionQuotas []float64, beyondQuotaWeight float64, relays int) *Quotas {
 	total := 0.0
 	for _, quota := range sessionQuotas {
@@ -39,7 +39,7 @@
 	}
 }
 
-// relativePriority is the session's priority weight for its load, against that of all sessions seen; 1 is the
+// relativePriority is the session's priority weight for its load, relative to all sessions seen; 1 is the
 // mean.
 func (q *Quotas) relativePriority(session *Session) float64 {
 	weightSum, loadSum := 0.0, 0.0
@@ -54,9 +54,9 @@
 	return weight / max(session.load, 1e-9) / (weightSum / loadSum)
 }
 
-// isBeyondQuota reports whether the tenant's open sessions, over all relays, pass its quota. They are
-// estimated from this relay's, less what chance may add: one session would stand for as many as there are
-// relays.
+// isBeyondQuota reports whether the tenant's open sessions, over all relays, exceed its quota. They are
+// estimated from this relay's, less one standard deviation: else a single session would count as many times
+// as there are relays.
 func (q *Quotas) isBeyondQuota(tenant int) bool {
 	if tenant >= len(q.sessionQuotas) || !(q.sessionQuotas[tenant] > 0) {
 		return false
--- a/balancer/retry_budget.go
+++ b/balancer/retry_budget.go
@@ -17,8 +17,8 @@
 	retries           [budgetSlots + 1]float64
 }
 
-// NewRetryBudget takes how many retries are free in a window, how many more each session in it allows, and
-// the window's length in milliseconds.
+// NewRetryBudget returns a budget of so many free retries in a window of that many milliseconds, and so many
+// more for each session in it.
 func NewRetryBudget(freeRetries, retriesPerSession, window float64) *RetryBudget {
 	return &RetryBudget{
 		freeRetries:       freeRetries,
@@ -90,6 +90,6 @@
 	return retries+1 <= b.freeRetries+b.retriesPerSession*sessions
 }
 
-// AssumeRetriesSpent takes that this relay may have served until just before its start, and kept no word of
-// it: the retries that it may have spent count here, so that the budget holds in a window that covers both.
+// AssumeRetriesSpent counts the free retries as spent, as the last incarnation of this relay may have spent
+// them just before its end. So the budget holds in a window that covers both.
 func (b *Balancer) AssumeRetriesSpent(now float64) { b.attempts.budget.assumeSpent(now) }
--- a/balancer/round_robin.go
+++ b/balancer/round_robin.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// goldenSection offsets the backends' buckets against each other.
+// goldenSection shifts the buckets of successive backends, so that they do not clump.
 const goldenSection = 0.6180339887
 
 // RoundRobin is the table of buckets and the walk over it: each backend has as many buckets as its weight,
@@ -15,9 +15,9 @@
 	rng          *rand.Rand
 	bucketCounts []int // by backend
 	table        []bucket
-	position     int     // of the next bucket
-	builtAt      float64 // -Inf: at once, whatever the interval between two builds
-	stale        bool    // there are newer figures than the table's
+	position     int     // index of the next bucket
+	builtAt      float64 // -Inf: the table is rebuilt for the next session
+	stale        bool    // loads have changed since
 
 	sortBins   []int // scratch space of sortTable
 	sortBuffer []bucket
@@ -52,8 +52,8 @@
 	t.builtAt = math.Inf(-1)
 }
 
-// rebuild makes the table anew from the bucket counts. It spreads each backend's buckets evenly, shifted by
-// the golden section against buckets of several backends in clumps, and begins the walk at a random place.
+// rebuild makes the table anew from the bucket counts. Each backend's buckets are spread evenly, shifted by
+// the golden section so that several backends' do not clump; the walk begins at a random place.
 func (t *RoundRobin) rebuild(now float64) {
 	t.table = t.table[:0]
 	for backend, count := range t.bucketCounts {
--- a/balancer/session.go
+++ b/balancer/session.go
@@ -12,16 +12,16 @@
 	Deadline      float64 // when the client's final answer is due
 	LoadHint      float64 // expected load; 0: unknown
 
-	load           float64 // that the session puts on its backend, measured or estimated
+	load           float64 // load on its backend, measured or estimated
 	measured       bool
-	known          bool // to Assign
+	known          bool // Assign has seen it
 	reserved       bool // an attempt is in flight or the session is established: it counts on its backend
 	established    bool
 	clientGone     bool
-	onlyIfFull     bool // warmingBackend may take it only where no warm backend has room
-	mayHaveRun     bool // an attempt may have been executed; the fields executed... say where and when
+	onlyIfFull     bool // warmingBackend may have it only if all warm backends are full
+	mayHaveRun     bool // an attempt may have been executed, where and when the fields below tell
 	arrivedAt      float64
-	hash           uint64 // its own, used where neither group nor key decides
+	hash           uint64 // random; used where neither group nor key decides
 	preferred      int    // index plus one of the backend where it or its group was before; 0: none
 	executedAt     float64
 	executedZone   int // -1: unknown
@@ -30,9 +30,9 @@
 	attempts       int
 	attemptedAt    float64 // when the latest attempt began
 	candidates     []int   // backends polled for it
-	pollsUntil     float64 // when their answers are no longer waited for; 0: none were requested
-	warmingBackend int     // the one that it may go to within the slow-start budget, or noBackend
-	slowStartGrant float64 // time of that budget, that the draw of warmingBackend used up
+	pollsUntil     float64 // when it stops waiting for their answers; 0: none are polled
+	warmingBackend int     // drawn for it among those in slow start, or noBackend
+	slowStartGrant float64 // budget that this draw used, as milliseconds
 }
 
 // Load returns what the session puts on its backend, and whether that was measured.
@@ -40,9 +40,9 @@
 
 // Class is what the settings say of one kind of session.
 type Class struct {
-	LatencyObjective    float64 // for the time from arrival to establishment
+	LatencyObjective    float64 // for the time until the session is established
 	DeduplicationWindow float64 // for which backends recognise a repeated idempotency key
-	PriorityWeight      float64 // gain of one served session, against other classes
+	PriorityWeight      float64 // gain of a served session, relative to other classes
 	Idempotency         Idempotency
 	Scope               DeduplicationScope
 }
--- a/balancer/session_events.go
+++ b/balancer/session_events.go
@@ -1,6 +1,6 @@
 package balancer
 
-// startAttempt takes that an attempt of the session begins, and returns the decision that has it begun.
+// startAttempt records that an attempt of the session begins and returns the decision for it.
 func (b *Balancer) startAttempt(now float64, session *Session, backend int) Decision {
 	b.attempts.inFlight++
 	if session.attempts > 0 {
@@ -22,7 +22,7 @@
 	}
 }
 
-// SessionResumed takes an established session that this relay did not know of, at that backend.
+// SessionResumed adds an established session at that backend, which this relay did not know of.
 func (b *Balancer) SessionResumed(now float64, session *Session, id uint32) {
 	backend, known := b.indexByID[id]
 	if !known {
@@ -39,22 +39,22 @@
 	b.reserve(session)
 }
 
-// SessionReceived takes a session that was established at another process of this relay, with its load there.
+// SessionReceived adds a session that was established at another process of this relay, with its load there.
 func (b *Balancer) SessionReceived(now float64, session *Session, id uint32, load float64, measured bool) {
 	b.SessionResumed(now, session, id)
 	b.changeLoad(session, load)
 	session.measured = measured
 }
 
-// ClientDisconnected takes that the client has left, and reports whether an outcome is still to come.
+// ClientDisconnected records that the client has left, and reports whether an outcome is still to come.
 func (b *Balancer) ClientDisconnected(session *Session) bool {
 	session.clientGone = true
 	return session.reserved
 }
 
-// RecordEarlierAttempt takes, before the session's first Assign, that an attempt of its client at another
-// relay may have been executed, at that backend and time: it is treated as if it had been the session's own.
-// Where the backend is not known, no zone or cell is.
+// RecordEarlierAttempt records, before the session's first Assign, that an attempt of its client at another
+// relay may have been executed at that backend and time. It counts as the session's own. Where the backend is
+// not known, neither zone nor cell is.
 func (b *Balancer) RecordEarlierAttempt(session *Session, id uint32, at float64) {
 	zone, cell := -1, -1
 	if backend, known := b.indexByID[id]; known {
@@ -64,7 +64,8 @@
 	session.setExecuted(at, zone, cell)
 }
 
-// setExecuted takes that an attempt may have been executed, and where: -1 stands for an unknown zone or cell.
+// setExecuted records that an attempt may have been executed, and where: -1 stands for an unknown zone or
+// cell.
 func (s *Session) setExecuted(at float64, zone, cell int) {
 	s.mayHaveRun = true
 	s.executedAt = at
@@ -72,9 +73,9 @@
 	s.executedCell = cell
 }
 
-// PreferBackend takes, before the session's first Assign, where it or its group was established before, by
-// another relay's word. It is a hint: it goes before the session's turn at its first attempt, and only where
-// that backend may have it.
+// PreferBackend sets, before the session's first Assign, where it or its group was established before,
+// according to another relay. It is a hint: the first attempt goes there if that backend may have the
+// session.
 func (b *Balancer) PreferBackend(session *Session, id uint32) {
 	if backend, known := b.indexByID[id]; known {
 		session.preferred = backend + 1
--- a/balancer/session_load.go
+++ b/balancer/session_load.go
@@ -3,12 +3,12 @@
 import "math"
 
 const (
-	maxClassSamples = 50  // sessions that the mean load of a class rests on
-	maxLoadSamples  = 200 // and that of all
-	priorSamples    = 2   // sessions of the mean load, that a class's expected load begins with
+	maxClassSamples = 50  // sessions that a class's mean load rests on, at the most
+	maxLoadSamples  = 200 // sessions that the mean load of all rests on, at the most
+	priorSamples    = 2   // sessions of the mean load that count for a class before its own
 )
 
-// recordLoad takes the load of a session of the class into the means.
+// recordLoad adds the load of a session of the class to the means.
 func (q *Quotas) recordLoad(class int, load float64) {
 	q.classSamples[class] = min(q.classSamples[class]+1, maxClassSamples)
 	q.classLoads[class] += (load - q.classLoads[class]) / q.classSamples[class]
@@ -22,8 +22,8 @@
 	return (q.classLoads[class]*samples + q.meanSessionLoad*priorSamples) / (samples + priorSamples)
 }
 
-// estimateSessionLoad sets the session's load until a measurement: what its key weighed last, against a heavy
-// session that one backend sheds tipping the next; the client's hint; or its class's.
+// estimateSessionLoad sets the session's load until it is measured: what its key weighed last, so that a
+// heavy session shed by one backend does not overload the next; the client's hint; or the class's mean.
 func (b *Balancer) estimateSessionLoad(session *Session) {
 	if load, found := b.quotas.endedLoads.lookup(session.Key); found {
 		session.load = load
@@ -37,7 +37,7 @@
 	session.load = b.quotas.expectedLoad(session.Class)
 }
 
-// LoadMeasured takes what an established session weighs now, in microseconds of work a second.
+// LoadMeasured records the load of an established session, in microseconds of work a second.
 func (b *Balancer) LoadMeasured(session *Session, load float64) {
 	if !(load >= 0) || math.IsInf(load, 1) || !session.reserved {
 		return
@@ -48,9 +48,9 @@
 	b.changeLoad(session, load)
 }
 
-// learnSessionLoad takes a session's first measured load. Against a young relay that measures sessions by one
-// figure and the backends by another, from before the first was known, and finds all backends full: both are
-// estimated anew.
+// learnSessionLoad learns from a session's first measured load. While few are known the weights are refreshed
+// at once; else a young relay would compare sessions by this measure with a capacity from before it, and find
+// all backends full.
 func (b *Balancer) learnSessionLoad(session *Session, load float64) {
 	session.measured = true
 	b.quotas.recordLoad(session.Class, load)
@@ -59,8 +59,7 @@
 	}
 }
 
-// rememberLoad keeps what an established session weighed that did not end in good order, as its client comes
-// again.
+// rememberLoad stores the load of an established session that broke, as its client will return.
 func (b *Balancer) rememberLoad(now float64, session *Session, outcome AttemptOutcome) {
 	if session.established && session.measured && session.Key != 0 && outcome != OutcomeSucceeded {
 		b.quotas.endedLoads.store(now, session.Key, session.load)
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -3,9 +3,9 @@
 import "math"
 
 const (
-	savedSlowStartSpans  = 1.0 // overload spans, for which a slow-start budget that is not used is saved
-	observedPaceFactor   = 3.0 // times the budget of a backend whose report includes what all relays sent it
-	minRelativeSlowStart = 0.1 // of the mean session's load, that a session counts for at the least
+	savedSlowStartSpans  = 1.0 // overload spans for which unused budget is saved
+	observedPaceFactor   = 3.0 // widens the budget of a backend whose report includes what all relays assigned
+	minRelativeSlowStart = 0.1 // least load of a session in the budget, as a share of the mean session's
 )
 
 // SlowStart bounds what a backend that has just started is sent, and how much of its capacity it has.
@@ -20,10 +20,10 @@
 // SlowStartConfig is what the settings say of backends that have just started.
 type SlowStartConfig struct {
 	InitialCapacity  float64 // share of its capacity that a backend starts with
-	Duration         float64 // milliseconds until it has all; 0: there is no slow start
-	OverloadMultiple float64 // times its present capacity, at which it fails ...
-	OverloadSpan     float64 // ... when that much comes within these milliseconds
-	Relays           int     // that share the budget
+	Duration         float64 // milliseconds until it has its full capacity; 0: there is no slow start
+	OverloadMultiple float64 // multiple of its present capacity at which it fails ...
+	OverloadSpan     float64 // ... if that much arrives within so many milliseconds
+	Relays           int     // number of relays that share the budget
 }
 
 // NewSlowStart returns a SlowStart without backends.
@@ -43,8 +43,8 @@
 	return min(1, s.InitialCapacity+(1-s.InitialCapacity)*elapsed/s.Duration)
 }
 
-// recordRestart takes that the backend restarted under the same ID, which begins a slow start: reports from
-// before say nothing of it.
+// recordRestart begins a slow start, as the backend restarted under the same ID. Earlier reports say nothing
+// of it.
 func (b *Balancer) recordRestart(backend int, startedAt float64) {
 	b.forgetLoad(backend)
 	b.startedAt[backend] = startedAt
@@ -52,20 +52,20 @@
 	b.startSlowStart(backend, startedAt)
 }
 
-// warmingDraw is one backend drawn among those that warm up and may have a session.
+// warmingDraw is a backend drawn among those in slow start that may have a session.
 type warmingDraw struct {
 	backend       int     // or noBackend
-	count         float64 // of the backends it was drawn among
-	capacityShare float64 // the sum of theirs
+	count         float64 // of backends that it was drawn among
+	capacityShare float64 // sum of theirs
 }
 
-// drawWarmingBackend returns the backend in slow start that the session may go to, or noBackend. Against
-// hundreds of relays that each spend a session at once: over the time since the last session, the chance
-// comes to this relay's part of what fills such backends over their slow start. To an even share at most;
-// beyond it the session may go there only where no warm backend has room. Little is saved up, for the same
-// reason. Once the span in which a backend can be overloaded is over, and a report's age, what all relays
-// sent it shows in its report; where that is polled for each session the budget is wider, against relays that
-// seldom have a session leaving backends idle while they reject clients.
+// drawWarmingBackend returns the backend in slow start that the session may go to, or noBackend. Of hundreds
+// of relays each may have a session at the same time, so the budget is spent by chance: in proportion to the
+// time since the last session and to this relay's share of what fills such backends over their slow start.
+// Little of it is saved up. Within an even share the session may go there at once, beyond it only if no warm
+// backend has room. Once reports include what all relays assigned during the overload span, and candidates
+// are polled for each session, the budget is wider; else relays with few sessions would leave backends idle
+// while they reject clients.
 func (b *Balancer) drawWarmingBackend(now float64, session *Session) int {
 	s := b.slowStart
 	drawn := b.drawAmongWarming(now, session)
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -117,8 +117,8 @@
 	return snapshot
 }
 
-// Restore takes what another process of this relay has learnt, of those backends that have not restarted
-// since. A snapshot that can't be is refused whole, with an error that says why.
+// Restore uses what another process of this relay has learnt, for those backends that have not restarted
+// since. An invalid snapshot is refused whole, with an error that says why.
 func (b *Balancer) Restore(now float64, snapshot *Snapshot) error {
 	if err := snapshot.validate(len(b.attempts.classes)); err != nil {
 		return fmt.Errorf("restore snapshot: %w", err)
@@ -189,7 +189,7 @@
 	d.evidence[backend] = snapshot.OutlierEvidence
 }
 
-// validate returns what of a snapshot can't be, for a relay with that many classes.
+// validate returns an error if the snapshot can't be true for a relay with that many classes.
 func (s *Snapshot) validate(classes int) error {
 	if err := s.validateBudget(); err != nil {
 		return err
--- a/balancer/start_times.go
+++ b/balancer/start_times.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// AssumeEndpoints takes that the backends of the latest update are from a cached list: whether one has
-// restarted since, nobody has told yet, so that each is taken to have started now. Against backends in
-// slow start taken for warm.
+// AssumeEndpoints marks the backends of the latest update as read from a cached list. Whether one has
+// restarted since is not known, so each is treated as just started, until confirmStart: a backend in slow
+// start must not be taken for a warm one.
 func (b *Balancer) AssumeEndpoints(now float64) {
 	if b.assumedStarts == nil {
 		b.assumedStarts = map[int]bool{}
@@ -18,7 +18,7 @@
 	}
 }
 
-// confirmStart takes discovery's word on when a backend started, where that was only assumed.
+// confirmStart replaces an assumed start time by the one that discovery tells.
 func (b *Balancer) confirmStart(backend int, startedAt float64) {
 	if !b.assumedStarts[backend] {
 		return
@@ -32,8 +32,8 @@
 	b.updateTracking(backend)
 }
 
-// ShiftStartTimes takes that all start times that were told are later by that many milliseconds on this
-// relay's clock, which is off. What it saw of restarts itself is by its own clock and stays.
+// ShiftStartTimes adds that many milliseconds to all start times that discovery told, as the clocks differ.
+// Restarts that this relay saw itself are on its own clock and stay.
 func (b *Balancer) ShiftStartTimes(by float64) {
 	for backend, startedAt := range b.startedAt {
 		if startedAt == 0 || b.assumedStarts[backend] {
--- a/balancer/tracker.go
+++ b/balancer/tracker.go
@@ -11,13 +11,13 @@
 type backendTracker struct {
 	healthyQueue  pollQueue // backends that answered their last poll
 	failedQueue   pollQueue // backends that did not
-	neverPolled   []int     // to be polled for the first time, or as if, in order
+	neverPolled   []int     // backends to be polled for the first time, in order of index
 	isNeverPolled []bool    // by backend
-	warming       []int     // in order; some may be warm by now
+	warming       []int     // backends in slow start, in order of index; some may be warm by now
 
-	usable   int // ready and healthy backends
+	usable   int // number of ready and healthy backends
 	isUsable []bool
-	listed   int // backends that are not gone
+	listed   int // number of backends that are not gone
 	isListed []bool
 }
 
@@ -32,7 +32,7 @@
 	}
 }
 
-// updateTracking takes that the backend's state, health or polls have changed.
+// updateTracking updates the tracker after a change of the backend's state, health or polls.
 func (b *Balancer) updateTracking(backend int) {
 	t := &b.tracker
 	isReady := b.states[backend] == Ready
@@ -89,7 +89,7 @@
 	return b.tracker.listed, b.tracker.listed - b.tracker.usable
 }
 
-// startSlowStart takes that the backend started at the given time.
+// startSlowStart records that the backend started at the given time.
 func (b *Balancer) startSlowStart(backend int, startedAt float64) {
 	b.slowStart.startedAt[backend] = startedAt
 	if i, found := slices.BinarySearch(b.tracker.warming, backend); !found {
--- a/balancer/weights.go
+++ b/balancer/weights.go
@@ -7,23 +7,23 @@
 
 // The paper's constants (section IV-B).
 const (
-	alpha       = 0.5 // how much the mean damps a backend's own load
+	alpha       = 0.5 // weight of the mean against a backend's own load
 	baseBuckets = 10
 	minBuckets  = 2
 	maxBuckets  = 3 * baseBuckets
 )
 
 const (
-	negligibleLoad  = 0.01   // a mean load under this does not tell who is busier
-	rebuildInterval = 1000.0 // no more rebuilds than reports to rebuild from
+	negligibleLoad  = 0.01   // a mean load below this does not tell who is busier
+	rebuildInterval = 1000.0 // shortest time between two rebuilds: reports bring no more
 
-	remoteAssignmentShare = 0.5  // of what this relay assigned, that each other relay is taken to have
-	remoteRelayDamping    = 64.0 // other relays, from which each further one counts for ever less
+	remoteAssignmentShare = 0.5  // of this relay's assignments, assumed of each other relay
+	remoteRelayDamping    = 64.0 // number of other relays from which each further one counts for less
 
-	quotaCapacityShare    = 0.8  // of what the fleet holds, that the tenants' quotas come to
-	confidentSessions     = 20.0 // own sessions, from which a relay trusts their load as much as the quotas
-	minSessionsPerBackend = 10.0 // of the mean load, that a backend holds at the least, without quotas
-	capacityDecay         = 0.99 // of the highest capacity seen, that is kept at each refresh
+	quotaCapacityShare    = 0.8  // share of the fleet's capacity that the tenants' quotas add up to
+	confidentSessions     = 20.0 // own sessions whose load counts as much as the quotas
+	minSessionsPerBackend = 10.0 // least capacity of a backend without quotas, in sessions of mean load
+	capacityDecay         = 0.99 // of the highest estimate, kept at each refresh
 )
 
 // bucketCount is the paper's formula (section IV-B). A load that is not known comes in as the mean.
@@ -59,17 +59,18 @@
 	return b.activeShare >= 1 || now < b.poller.reportedAt[backend]+maxPollInterval
 }
 
-// fleetTotals are sums over the backends. All but sessions are of the ready and healthy ones. Against
-// sessions on backends that drain being held against the others' loads: they make all look larger.
+// fleetTotals are sums over the backends. All but sessions are of the ready and healthy ones: sessions on
+// draining backends, compared with the others' loads, would make each backend look larger.
 type fleetTotals struct {
 	sessions       float64 // of this relay, on all backends
-	ready          float64 // backends
-	reporting      float64 // backends whose load is known
-	estimatedLoad  float64 // of those
+	ready          float64 // number of backends
+	reporting      float64 // number of those whose load is known
+	estimatedLoad  float64 // of the reporting ones
 	ownLoad        float64 // of this relay's sessions
-	unreportedLoad float64 // the part of ownLoad that reports may not include yet
+	unreportedLoad float64 // part of ownLoad that reports may not include yet
 }
 
+// sumFleet computes the totals.
 func (b *Balancer) sumFleet(now float64) fleetTotals {
 	var totals fleetTotals
 	for backend, state := range b.states {
@@ -88,7 +89,7 @@
 	return totals
 }
 
-// refreshCapacity estimates what one warm backend can bear, from the load of this relay's own sessions against
+// refreshCapacity estimates what one warm backend can bear, from the load of this relay's own sessions and
 // what backends report, the tenants' quotas, and what was known before the start (package admission).
 func (b *Balancer) refreshCapacity(totals fleetTotals) {
 	bySessions := b.estimatedCapacity
@@ -108,21 +109,20 @@
 	seen := (totals.sessions*bySessions + quotaWeight*byQuotas) / max(evidence, 1)
 	b.capacity = b.admission.EstimateCapacity(seen, evidence)
 	if quotaWeight == 0 && b.capacity > 0 {
-		// Against a relay just back that knows no quotas: of the few sessions it holds each looks larger than
-		// a backend, so that it assigns none, and never learns better.
+		// A relay that is just back holds so few sessions that, without quotas, each looks larger than a
+		// backend. It would assign none, and never learn better.
 		b.capacity = max(b.capacity, minSessionsPerBackend*b.quotas.meanSessionLoad)
 	}
 }
 
-// effectiveLoad is what a backend is taken to bear: its load estimate, and its outlier score, up to a full
-// load. Against reports of little load from a backend that sheds sessions or does not answer, whose buckets
-// would be the most: a report is believed as far as sessions bear it out.
+// effectiveLoad is a backend's load estimate plus its outlier score, at most a full load. Otherwise a backend
+// that reports little load but sheds sessions or does not answer would get the most buckets.
 func (b *Balancer) effectiveLoad(backend int, now float64) float64 {
 	return b.loadEstimate(backend, now) + b.outliers.score(backend, now)
 }
 
-// loadEstimate is the backend's reported load (the mean, where none is known) with what was assigned to it
-// since. Against a wave that all follows one late report.
+// loadEstimate is the backend's reported load (the mean, where none is known) plus what was assigned to it
+// since, so that a wave of sessions does not follow one late report.
 func (b *Balancer) loadEstimate(backend int, now float64) float64 {
 	reported := b.poller.loads[backend]
 	if math.IsNaN(reported) {
@@ -144,9 +144,8 @@
 		// Backends that warm up stay with this guess, which asks for more room.
 		return own * (1 + remoteFactor)
 	}
-	// The other relays say themselves what they assigned. Against a few sessions of this relay's that came to
-	// one backend by chance counting for everybody's there. Never beyond the guess for all together, as a
-	// young relay's capacity is estimated from its own sessions.
+	// The other relays announce what they assigned, so chance in this relay's few sessions does not count for
+	// theirs. It is at most the guess for all together: a young relay's capacity rests on its own sessions.
 	remote := min(remoteAssignmentShare*b.poller.remoteUnreported, remoteFactor*b.poller.unreportedTotal)
 	return own + remote/max(float64(b.tracker.usable), 1)
 }
--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// handleBatch handles all records, then has every instance that had an event do what is due.
+// handleBatch handles all records of a batch, then lets every instance that had an event do what is due.
 func (h *host) handleBatch() error {
 	h.now = h.reader.Clock
 	h.speaking = -1
@@ -98,7 +98,7 @@
 	return i
 }
 
-// handleRows keeps a page of endpoint list entries for the updates that refer to it.
+// handleRows stores a page of endpoint list entries for the updates that refer to it.
 func (h *host) handleRows(offset int) error {
 	page := h.reader.Uint32()
 	rows := h.reader.Elements(int(h.reader.Uint32()), wire.EndpointSize)
@@ -112,6 +112,7 @@
 	return nil
 }
 
+// checkPage returns an error for a page number out of range, which was read at that offset.
 func checkPage(page uint32, offset int) error {
 	if page >= wire.PageCount {
 		return fmt.Errorf("offset %d: a page number under %d expected, got %d", offset, wire.PageCount, page)
--- a/internal/adapter/instance.go
+++ b/internal/adapter/instance.go
@@ -34,7 +34,7 @@
 }
 
 // handleEvent reads one record and reports it to the balancer. A record for an instance that never began, or
-// of a session or backend not known any more, is read and dropped. A record cut short sets the reader's
+// of a session or backend not known any more, is read and ignored. A record cut short sets the reader's
 // error.
 func (i *instance) handleEvent(code wire.EventCode, offset int) error {
 	reader := i.host.reader
@@ -95,7 +95,7 @@
 	i.dispatcher = dispatch.NewDispatcher[*session](b, i)
 }
 
-// handleDirectoryUpdate takes an update of the endpoint list.
+// handleDirectoryUpdate applies an update of the endpoint list.
 func (i *instance) handleDirectoryUpdate(offset int) error {
 	reader := i.host.reader
 	kind := wire.UpdateKind(reader.Uint8())
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// updateEndpoints takes the entries of a page.
+// updateEndpoints applies the entries of a page.
 func (i *instance) updateEndpoints(full bool, rows []byte) {
 	b := i.dispatcher.Balancer
 	b.BeginEndpointUpdate(full)
@@ -146,7 +146,7 @@
 	return endpoint
 }
 
-// handleIncoming takes a session that has come.
+// handleIncoming assigns a session that has arrived.
 func (i *instance) handleIncoming(offset int) error {
 	s := i.readSession()
 	added, err := i.addSession(s, offset)
@@ -156,7 +156,7 @@
 	return err
 }
 
-// handleResumed takes a session that is established already.
+// handleResumed adds a session that is established already.
 func (i *instance) handleResumed(offset int) error {
 	s := i.readSession()
 	backend := i.host.reader.Uint32()
@@ -184,8 +184,7 @@
 	return s
 }
 
-// addSession keeps the session, where it was read whole and the instance has begun, and reports whether it
-// did.
+// addSession adds the session if it was read whole and the instance has begun, and reports whether it did.
 func (i *instance) addSession(s *session, offset int) (added bool, err error) {
 	if i.host.reader.Err != nil || i.dispatcher == nil {
 		return false, nil
@@ -208,7 +207,7 @@
 	return s
 }
 
-// handleAccepted takes that an attempt is established.
+// handleAccepted reports that an attempt is established.
 func (i *instance) handleAccepted() {
 	reader := i.host.reader
 	s := i.readAttempt()
@@ -219,7 +218,7 @@
 	}
 }
 
-// handleHintUpdate takes what an established session weighs.
+// handleHintUpdate reports the load of an established session.
 func (i *instance) handleHintUpdate() {
 	reader := i.host.reader
 	s := i.readAttempt()
@@ -231,7 +230,7 @@
 	}
 }
 
-// handleCompleted takes the end of an attempt, or of the session that it established.
+// handleCompleted reports the end of an attempt, or of the session that it established.
 func (i *instance) handleCompleted() {
 	reader := i.host.reader
 	s := i.sessions[reader.Uint32()]
@@ -252,7 +251,7 @@
 	}
 }
 
-// handleVanished takes that a client has gone.
+// handleVanished reports that a client has disconnected.
 func (i *instance) handleVanished() {
 	s := i.sessions[i.host.reader.Uint32()]
 	if i.host.reader.Err != nil || s == nil {
@@ -263,7 +262,7 @@
 	}
 }
 
-// handleHealth takes the answer to a poll.
+// handleHealth reports the answer to a poll.
 func (i *instance) handleHealth() {
 	reader := i.host.reader
 	backend := reader.Uint32()
@@ -341,7 +340,7 @@
 	return i.host.writer.Begin(code)
 }
 
-// forget drops a session that is over.
+// forget removes a session that is over.
 func (i *instance) forget(s *session) {
 	i.dispatcher.Forget(s)
 	delete(i.sessions, s.id)
--- a/internal/dispatch/balancer.go
+++ b/internal/dispatch/balancer.go
@@ -17,7 +17,7 @@
 type Decider interface {
 	// Assign decides where a session goes; it is asked again about one that is queued.
 	Assign(now float64, session *balancer.Session) balancer.Decision
-	// AttemptFinished takes an outcome and decides what follows.
+	// AttemptFinished records an outcome and decides what follows.
 	AttemptFinished(now float64, session *balancer.Session, outcome balancer.AttemptOutcome,
 		last bool) balancer.Decision
 	// NextAction returns what is due now, and is asked until it is to wait.
@@ -28,41 +28,41 @@
 	Pause(until float64)
 }
 
-// SessionObserver takes what happens to sessions.
+// SessionObserver is notified of what happens to sessions.
 type SessionObserver interface {
 	SessionEstablished(now float64, session *balancer.Session)
-	// LoadMeasured takes what an established session weighs, in microseconds of work a second.
+	// LoadMeasured records the load of an established session, in microseconds of work a second.
 	LoadMeasured(session *balancer.Session, load float64)
-	// SessionResumed takes an established session that the balancer did not know of.
+	// SessionResumed adds an established session that the balancer did not know of.
 	SessionResumed(now float64, session *balancer.Session, id uint32)
-	// SessionReceived takes a session from another process of this relay.
+	// SessionReceived adds a session from another process of this relay.
 	SessionReceived(now float64, session *balancer.Session, id uint32, load float64, measured bool)
 	// ClientDisconnected reports whether an outcome is still to come.
 	ClientDisconnected(session *balancer.Session) bool
-	// RecordEarlierAttempt takes, before the first Assign, that an attempt at another relay may have been
+	// RecordEarlierAttempt records, before the first Assign, that an attempt at another relay may have been
 	// executed.
 	RecordEarlierAttempt(session *balancer.Session, id uint32, at float64)
-	// PreferBackend takes, before the first Assign, where the session or its group was established: a hint.
+	// PreferBackend sets, before the first Assign, where the session or its group was established: a hint.
 	PreferBackend(session *balancer.Session, id uint32)
 }
 
-// EndpointObserver takes what the endpoint list says and what backends report.
+// EndpointObserver is notified of what the endpoint list says and what backends report.
 type EndpointObserver interface {
-	// BeginEndpointUpdate, UpdateEndpoint and EndEndpointUpdate take an update of the list; a full one leaves
-	// out what is gone.
+	// BeginEndpointUpdate, UpdateEndpoint and EndEndpointUpdate apply an update of the list; a full one
+	// leaves out what is gone.
 	BeginEndpointUpdate(full bool)
 	UpdateEndpoint(endpoint balancer.Endpoint)
 	EndEndpointUpdate(now float64)
 	WatchFailed(now float64)
-	// AssumeEndpoints takes that the latest update is from a cached list.
+	// AssumeEndpoints marks the latest update as read from a cached list.
 	AssumeEndpoints(now float64)
-	// ShiftStartTimes takes that start times which were told are later by that many milliseconds.
+	// ShiftStartTimes adds that many milliseconds to the start times that discovery told.
 	ShiftStartTimes(by float64)
 
 	PollFinished(now float64, id uint32, ok bool, report []float64)
 	PollNotSent(id uint32)
 	LoadReported(now float64, id uint32, report []float64)
-	// SetMaxReportAge takes how many milliseconds old a report may be.
+	// SetMaxReportAge sets how many milliseconds old a report may be.
 	SetMaxReportAge(age float64)
 	// UnreportedLoad and SetRemoteLoad are the load that reports may not include yet, of this relay and of
 	// all others.
@@ -90,7 +90,7 @@
 type Drainer interface {
 	// DrainDelay returns after how many milliseconds the nth of so many sessions leaves its backend.
 	DrainDelay(nth, of int, within float64) float64
-	// SetDraining takes whether another process of this relay has taken over.
+	// SetDraining sets whether another process of this relay has taken over.
 	SetDraining(draining bool)
 	// IsReady reports whether enough is known to take over from another process.
 	IsReady(now float64) bool
@@ -103,9 +103,9 @@
 	Estimates() balancer.Estimates
 	// RestoreEstimates reports whether they were used.
 	RestoreEstimates(estimates balancer.Estimates) bool
-	// SetRecovering takes whether the fleet recovers from a full outage, and this relay's share.
+	// SetRecovering sets whether the fleet recovers from a full outage, and this relay's share.
 	SetRecovering(recovering bool, share float64)
-	// AssumeRetriesSpent takes that this relay may have served until just before its start.
+	// AssumeRetriesSpent counts the free retries as spent before the start.
 	AssumeRetriesSpent(now float64)
 	// Reservations, RestoreReservations and DropReservation are of clients told when to come again, by key.
 	Reservations(now float64) map[uint64]float64
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -35,9 +35,8 @@
 	afterTimeout  []byte // and from there on
 }
 
-// ParseRequest reads a whole line, in place. It lets nothing through that a backend could stumble over: one
-// that closes on what it can't read would take that for a fault of this relay's. All errors are
-// ErrMalformedRequest.
+// ParseRequest parses a whole line, in place. It accepts nothing that a backend may fail to parse: a backend
+// that closes the connection on it would be taken for faulty. All errors are ErrMalformedRequest.
 func ParseRequest(line []byte) (Request, error) {
 	var request Request
 	content, hasEnd := bytes.CutSuffix(line, []byte("\r\n"))
@@ -117,8 +116,7 @@
 	return nil
 }
 
-// setField takes one field, whose value begins at that offset of the line. Names that are not known are
-// passed over.
+// setField sets one field, whose value begins at that offset of the line. Unknown names are ignored.
 func (r *Request) setField(name, value, line []byte, offset int) (err error) {
 	switch string(name) {
 	case "c":
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// readBody reads what follows the header of a frame of that size. Against a length that lies: the buffer
-// grows with the bytes that come, not with what is claimed.
+// readBody reads what follows the header of a frame of that size. The buffer grows with the bytes that
+// arrive, not with the claimed size, which may be wrong.
 func (r *Reader) readBody(size int64) error {
 	if size < batchHeaderSize {
 		return fmt.Errorf("offset 4: a frame length of %d or more expected, got %d", batchHeaderSize, size)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -2,8 +2,7 @@
 
 import "strings"
 
-// ParseSettings reads an instance's settings: lines of path=value. A line without '=' says nothing and is
-// passed over.
+// ParseSettings parses an instance's settings: lines of path=value. A line without '=' is ignored.
 func ParseSettings(text string) map[string]string {
 	settings := make(map[string]string, strings.Count(text, "\n")+1)
 	for line := range strings.Lines(text) {
