--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -1,7 +1,8 @@
-// Package coordinator is one voter of the council as a whole: what relays see of zones comes in, what is judged
-// of it is agreed on with the other voters, and what was decided goes out to whoever asks. Core has all
-// state and no I/O, so that it runs under virtual time; Run drives it on sockets and a disk. No relay's link
-// ever waits for it.
+// Package coordinator is one failover coordinator as a whole: it receives what relays observe of zones, agrees
+// with the other coordinators on what follows from that (packages failover and consensus), and announces the
+// decisions to whoever asks. Core holds all state and does no I/O, so that it runs under virtual time; Node
+// drives it on a socket, a store and HTTP. No relay's session ever waits for a coordinator. Times without a
+// unit are milliseconds.
 package coordinator
 
 import (
@@ -15,172 +16,159 @@
 )
 
 const (
-	judgeEvery = 100.0
-	proposeFor = 1000.0 // for what was proposed to be decided, before it is judged anew
+	policyIntervalMillis  = 100.0
+	proposalTimeoutMillis = 1000.0 // for a proposal to be decided, before another is made
 )
 
-// Core is one voter.
+// Core is one coordinator without its I/O. It isn't safe for concurrent use.
 type Core struct {
-	voter  *consensus.Voter
-	book   *failover.DecisionLog
-	judge  *failover.Policy
-	wall   float64 // clock time less the time that comes in
-	judged float64
-	out    float64               // when something was proposed that is not decided yet; +Inf: nothing is
-	outAt  uint64                // the length of the history then
-	told   failover.Announcement // by the leader, where another leads
-	toldAt float64
-	ending map[string]float64
-	said   []byte // the zones of the word said last, of that number
-	saidOf uint64
+	voter            *consensus.Voter
+	decisions        *failover.DecisionLog // what the voters have agreed on
+	policy           *failover.Policy
+	clockOffset      float64 // Unix time less the time that comes in
+	evaluatedAt      float64 // when the policy was evaluated last; -Inf: never
+	proposal         policyProposal
+	expiryProposedAt map[string]float64   // by the order's ID
+	fromLeader       receivedAnnouncement // where another leads
+	encoded          encodedZones
 }
 
-// New starts a voter on what its disk has.
-func New(now float64, me consensus.Member, voters []consensus.Member, zones []failover.Zone, disk []byte,
-	chance *rand.Rand) (*Core, error) {
-	c := &Core{book: &failover.DecisionLog{}, judge: failover.NewPolicy(zones), judged: math.Inf(-1), out: math.Inf(1),
-		toldAt: math.Inf(-1), ending: map[string]float64{}}
-	var err error
-	c.voter, err = consensus.New(now, me, voters, disk, c.book, chance)
-	return c, err
+// policyProposal is a proposal of the policy that is not decided yet.
+type policyProposal struct {
+	madeAt float64 // +Inf: there is none
+	after  uint64  // number of the last decision then
 }
 
-// Tick goes on to that time; wall is the machine's clock, for the ends of orders and the history.
-func (c *Core) Tick(now, wall float64) {
-	c.wall = wall - now
+// New starts a coordinator on what its disk holds (nil: nothing). Its errors are those of consensus.New.
+func New(now float64, self consensus.Member, voters []consensus.Member, zones []failover.Zone, disk []byte,
+	rng *rand.Rand) (*Core, error) {
+	c := &Core{
+		decisions:        &failover.DecisionLog{},
+		policy:           failover.NewPolicy(zones),
+		evaluatedAt:      math.Inf(-1),
+		proposal:         policyProposal{madeAt: math.Inf(1)},
+		expiryProposedAt: map[string]float64{},
+		fromLeader:       receivedAnnouncement{receivedAt: math.Inf(-1)},
+	}
+	voter, err := consensus.New(now, self, voters, disk, c.decisions, rng)
+	if err != nil {
+		return nil, fmt.Errorf("start coordinator: %w", err)
+	}
+	c.voter = voter
+	return c, nil
+}
+
+// Tick advances the coordinator to that time. Unix time, by the machine's clock, is for the expiry of orders
+// and for the history.
+func (c *Core) Tick(now, unixMillis float64) {
+	c.clockOffset = unixMillis - now
 	c.voter.Tick(now)
-	if !c.voter.HasLease(now) || now < c.judged+judgeEvery {
+	if !c.voter.HasLease(now) || now < c.evaluatedAt+policyIntervalMillis {
 		return
 	}
-	c.judged = now
-	if c.total() != c.outAt || now > c.out+proposeFor {
-		c.out = math.Inf(1)
+	c.evaluatedAt = now
+	isDecided := c.lastDecisionNumber() != c.proposal.after
+	if isDecided || now > c.proposal.madeAt+proposalTimeoutMillis {
+		c.proposal.madeAt = math.Inf(1)
 	}
-	for _, id := range c.book.ExpiredOrderIDs(wall) {
-		if now > c.ending[id]+proposeFor {
-			c.ending[id] = now
-			c.propose(now, failover.Command{ExpiredOrderID: id, Cause: "the order has ended"})
+	c.proposeExpiries(now, unixMillis)
+	c.proposePolicy(now)
+}
+
+// proposeExpiries proposes the end of each order that has expired.
+func (c *Core) proposeExpiries(now, unixMillis float64) {
+	for _, id := range c.decisions.ExpiredOrderIDs(unixMillis) {
+		if now <= c.expiryProposedAt[id]+proposalTimeoutMillis {
+			continue
 		}
+		c.expiryProposedAt[id] = now
+		// What is refused now is proposed again after the timeout.
+		c.propose(now, failover.Command{ExpiredOrderID: id, Cause: failover.CauseOrderExpired})
 	}
-	if !math.IsInf(c.out, 1) {
+}
+
+// proposePolicy proposes what the policy would change, unless an earlier proposal awaits its decision.
+func (c *Core) proposePolicy(now float64) {
+	if !math.IsInf(c.proposal.madeAt, 1) {
 		return
 	}
-	if command, changed := c.judge.Evaluate(now, c.book); changed && c.propose(now, command) == nil {
-		c.out, c.outAt = now, c.total()
+	command, isChanged := c.policy.Evaluate(now, c.decisions)
+	if !isChanged || c.propose(now, command) != nil {
+		return
 	}
+	c.proposal = policyProposal{madeAt: now, after: c.lastDecisionNumber()}
 }
 
-// SetZones has those zones decided on from now on, once this voter leads.
-func (c *Core) SetZones(zones []failover.Zone) { c.judge.SetZones(zones) }
+// SetZones sets the zones that are decided on from now on, once this coordinator leads.
+func (c *Core) SetZones(zones []failover.Zone) { c.policy.SetZones(zones) }
 
-// total counts what was decided so far.
-func (c *Core) total() uint64 {
-	if n := len(c.book.History); n > 0 {
-		return c.book.History[n-1].Number
+// lastDecisionNumber returns the number of the last decision, a rejected one included; 0: there is none.
+func (c *Core) lastDecisionNumber() uint64 {
+	history := c.decisions.History
+	if len(history) == 0 {
+		return 0
 	}
-	return 0
+	return history[len(history)-1].Number
 }
 
+// propose proposes a command to the voters. Its errors are those of consensus.Voter.Propose.
 func (c *Core) propose(now float64, command failover.Command) error {
-	command.ProposedAt = now + c.wall
+	command.ProposedAt = now + c.clockOffset
 	data, err := json.Marshal(command)
 	if err != nil {
-		return err
+		return fmt.Errorf("encode command: %w", err)
 	}
 	return c.voter.Propose(now, data)
 }
 
-// SubmitOrder has an operators' order decided: Answer tells what has become of it. Only who leads takes one.
-func (c *Core) SubmitOrder(now float64, o failover.OperatorOrder) error {
-	if _, there := c.book.DecisionOnOrder(o.ID); there { // given again: it has its answer
+// SubmitOrder proposes an operator's order; DecisionOnOrder tells what has become of it. An order that was
+// decided before is not proposed again. Only the leader accepts orders: the errors are those of
+// consensus.Voter.Propose.
+func (c *Core) SubmitOrder(now float64, order failover.OperatorOrder) error {
+	if _, isDecided := c.decisions.DecisionOnOrder(order.ID); isDecided {
 		return nil
 	}
-	return c.propose(now, failover.Command{Order: &o, Cause: fmt.Sprintf("%s %s by %s: %s", o.Action, o.Zone, o.IssuedBy,
-		o.Reason)})
+	return c.propose(now, failover.Command{Order: &order, Cause: failover.CauseOrdered(order)})
 }
 
-// DecisionOnOrder is what has become of the order of that ID.
+// DecisionOnOrder returns what was decided on the order of that ID; false: nothing yet.
 func (c *Core) DecisionOnOrder(id string) (failover.Decision, bool) {
-	return c.book.DecisionOnOrder(id)
+	return c.decisions.DecisionOnOrder(id)
 }
 
-// ReceiveMessage takes another voter's frame.
+// ReceiveMessage processes a message between voters.
 func (c *Core) ReceiveMessage(now float64, data []byte) { c.voter.Receive(now, data) }
 
-// Ready and Saved are the voter's: what is to be saved before what is to be sent, and that it is.
+// Ready returns what is to be stored and sent now, as consensus.Voter.Ready does.
 func (c *Core) Ready() consensus.Ready { return c.voter.Ready() }
 
-// Advance says so.
+// Advance confirms that what Ready returned is durable.
 func (c *Core) Advance() { c.voter.Advance() }
 
-// ReceiveObservations takes a relay's evidence, or another voter's question where there is none, and gives the word that it
-// is answered with.
-func (c *Core) ReceiveObservations(now float64, data []byte) ([]byte, error) {
-	if len(data) > 0 {
-		e, err := failover.DecodeObservations(data)
-		if err != nil {
-			return nil, err
-		}
-		c.judge.AddObservations(now, e)
-	}
-	return c.say(c.Announcement(now)), nil
-}
+// HasLease tells whether this coordinator leads and no other can.
+func (c *Core) HasLease(now float64) bool { return c.voter.HasLease(now) }
 
-// say writes a word; its zones are written once for each picture, as hundreds of relays ask for it.
-func (c *Core) say(w failover.Announcement) []byte {
-	if c.said == nil || w.Number != c.saidOf || len(w.Zones) == 0 {
-		c.said, _ = json.Marshal(w.Zones) // of plain values
-		c.saidOf = w.Number
-	}
-	return fmt.Appendf(nil, `{"Number":%d,"Age":%g,"Leads":%t,"Zones":%s}`, w.Number, w.AgeMillis, w.FromLeader, c.said)
-}
-
-// ReceiveAnnouncement takes the leader's word, where another leads.
-func (c *Core) ReceiveAnnouncement(now float64, data []byte) {
-	var w failover.Announcement
-	if json.Unmarshal(data, &w) == nil && w.AgeMillis >= 0 && w.Number >= c.told.Number &&
-		(w.Number > c.told.Number || now-w.AgeMillis > c.toldAt-c.told.AgeMillis) {
-		c.told, c.toldAt = w, now
-	}
-}
-
-// AnnouncementSource is whom this voter asks for the word, as another leads; empty: nobody.
-func (c *Core) AnnouncementSource(now float64) string {
-	if c.voter.HasLease(now) {
-		return ""
-	}
-	return c.voter.LeaderAddress()
-}
-
-// Announcement is what holds, as far as this voter knows: its own while it leads, else the leader's as it was told.
-func (c *Core) Announcement(now float64) failover.Announcement {
-	if c.voter.HasLease(now) {
-		return failover.Announcement{Number: c.book.Number, Zones: c.book.EffectiveZones(), AgeMillis: now - c.voter.LeaseRenewedAt(),
-			FromLeader: true}
-	}
-	w := c.told
-	if w.AgeMillis += now - c.toldAt; !(w.AgeMillis < failover.DecisionTTL) {
-		w = failover.Announcement{AgeMillis: -1}
-	}
-	w.FromLeader = false
-	return w
-}
-
-// Status is what operators are told.
+// Status is what operators are told of a coordinator.
 type Status struct {
 	consensus.Status
 	HasLease       bool                     `json:"Leads"`
-	DecisionNumber uint64                   `json:"Number"`
-	Zones          []failover.Zone          `json:"Zones"`
+	DecisionNumber uint64                   `json:"Number"` // of the last that was not rejected
+	Zones          []failover.Zone          `json:"Zones"`  // as they hold, orders included
 	Orders         []failover.OperatorOrder `json:"Orders"`
 }
 
-// Status is how things stand here.
+// Status returns how things stand at this coordinator. Its orders are those of the core: they are to be read
+// before the core's next call.
 func (c *Core) Status(now float64) Status {
-	return Status{Status: c.voter.Status(), HasLease: c.voter.HasLease(now), DecisionNumber: c.book.Number,
-		Zones:  c.book.EffectiveZones(),
-		Orders: c.book.Orders}
+	return Status{
+		Status:         c.voter.Status(),
+		HasLease:       c.voter.HasLease(now),
+		DecisionNumber: c.decisions.Number,
+		Zones:          c.decisions.EffectiveZones(),
+		Orders:         c.decisions.Orders,
+	}
 }
 
-// History is what was decided of late.
-func (c *Core) History() []failover.Decision { return c.book.History }
+// History returns the latest decisions, the oldest first. They are the core's: to be read before its next
+// call.
+func (c *Core) History() []failover.Decision { return c.decisions.History }
--- a/internal/settings/balancer.go
+++ b/internal/settings/balancer.go
@@ -32,25 +32,23 @@
 	poller := balancer.NewLoadPoller(r.Bool("limits.probes"), r.FloatOr("fees.probe", 0), reportFields)
 	attempts := balancer.NewAttemptPolicy(classes, r.Count("limits.most-setup-tries"), maxRetryAfter, relays,
 		r.retryBudget())
-	shares := balancer.NewQuotas(classes, quotas, r.FloatOr("beyond-share-gain", 1), relays)
+	sessionQuotas := balancer.NewQuotas(classes, quotas, r.FloatOr("beyond-share-gain", 1), relays)
 	zone := r.Count("zone")
 	if r.err != nil {
 		return nil, r.err
 	}
 	rng := rand.New(rand.NewSource(int64(seed)))
-	hasAffinityGroups := r.Text("family-info.groups") == "true"
-	isPassMode := r.Text("family-info.mode") == "pass"
 	return balancer.New(balancer.Config{
 		Endpoints:            endpoints,
 		RoundRobin:           balancer.NewRoundRobin(rng),
 		SlowStart:            slowStart,
 		Poller:               poller,
 		Attempts:             attempts,
-		Quotas:               shares,
+		Quotas:               sessionQuotas,
 		LocalZone:            zone,
 		CrossZoneFee:         r.FloatOr("fees.cross-zone", 0),
-		UsesAffinityGroups:   hasAffinityGroups,
-		SessionsOutliveRelay: isPassMode,
+		UsesAffinityGroups:   r.Text("family-info.groups") == "true",
+		SessionsOutliveRelay: r.Text("family-info.mode") == "pass",
 	}), nil
 }
 
