--- a/internal/coordinator/process_harness_test.go
+++ b/internal/coordinator/process_harness_test.go
@@ -157,7 +157,7 @@
 	body, _ := json.Marshal(failover.OperatorOrder{
 		ID:       id,
 		Zone:     zone,
-		Action:   action,
+		Action:   failover.OrderAction(action),
 		Reason:   "test",
 		IssuedBy: "t",
 	})
