--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -39,7 +39,7 @@
 		Self:                v.self,
 		Boot:                v.boot,
 		Role:                RoleAwaitingAdmission,
-		Leader:              v.Leader().Name,
+		Leader:              v.leader().Name,
 		AppliedIndex:        v.log.appliedIndex,
 		DiskConfirmed:       v.identity.confirmed,
 		OversizedMessages:   v.output.oversized,
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -213,8 +213,8 @@
 	return v.log.node != nil && v.log.node.BasicStatus().RaftState == raft.StateLeader
 }
 
-// Leader returns the leader as far as this voter knows; the zero Member: none is known.
-func (v *Voter) Leader() Member {
+// leader returns the leader as far as this voter knows; the zero Member: none is known.
+func (v *Voter) leader() Member {
 	if v.log.node == nil {
 		return Member{}
 	}
@@ -223,7 +223,7 @@
 
 // LeaderAddress returns the leader's address by the configuration file; empty: none is known.
 func (v *Voter) LeaderAddress() string {
-	leader := v.Leader()
+	leader := v.leader()
 	if leader.Name == "" {
 		return ""
 	}
