--- a/cmd/valeshift-coordinator/main.go
+++ b/cmd/valeshift-coordinator/main.go
@@ -51,7 +51,7 @@
 	case configPath != "":
 		return serve(configPath, log, signals)
 	default:
-		return errors.New("which file?")
+		return errors.New("a configuration file expected")
 	}
 }
 
@@ -75,7 +75,7 @@
 		return err
 	}
 	stopAdmin := serveAdmin(listener, node.Handler())
-	log.Info("voting", "name", self.Name, "listen", self.Address, "ops", listener.Addr().String())
+	log.Info("serving", "name", self.Name, "listen", self.Address, "ops", listener.Addr().String())
 	reloadUntilStopped(configPath, config, node, log, signals)
 	stopAdmin()
 	node.Stop()
--- a/internal/coordinator/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -130,7 +130,7 @@
 	}{
 		{"decided", `{"ID":"ticket-9","Zone":"d","Do":"empty","Reason":"cooling","Who":"jo"}`, http.StatusOK},
 		{"given before the restart", `{"ID":"ticket-1","Zone":"b","Do":"empty"}`, http.StatusOK},
-		{"refused", `{"ID":"ticket-10","Zone":"nowhere","Do":"empty"}`, http.StatusConflict},
+		{"rejected", `{"ID":"ticket-10","Zone":"nowhere","Do":"empty"}`, http.StatusConflict},
 		{"without an ID", `{"Zone":"b","Do":"empty"}`, http.StatusBadRequest},
 		{"no JSON", `{`, http.StatusBadRequest},
 		{"too long", `{"ID":"ticket-11","Reason":"` + strings.Repeat("x", maxOrderBytes) + `"}`, http.StatusBadRequest},
