--- a/internal/testbed/cost/cost_test.go
+++ b/internal/testbed/cost/cost_test.go
@@ -1,7 +1,10 @@
 package cost
 
 import (
+	"bufio"
 	"context"
+	"io"
+	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -12,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A short measurement runs to its end with nothing failed, and has a figure for each way. What the figures
+// A short measurement runs to its end with nothing failed, and has a result for each path. What the figures
 // are is the machine's.
 func TestMeasure(t *testing.T) {
 	dir := t.TempDir()
@@ -23,24 +26,53 @@
 	}
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
-	all, err := Measure(ctx, Plan{RelayCommand: []string{filepath.Join(dir, "valeshift")},
-		ForwarderCommand: []string{filepath.Join(dir, "valeshift-testbed"), "forward"}, Servers: 30, Clients: 4,
-		Duration: 300 * time.Millisecond, ActiveSessions: 5, LineInterval: 10 * time.Millisecond, IdleSessions: 50, Rounds: 1, Dir: dir})
+	all, err := Measure(ctx, Plan{
+		RelayCommand:     []string{filepath.Join(dir, "valeshift")},
+		ForwarderCommand: []string{filepath.Join(dir, "valeshift-testbed"), "forward"},
+		Servers:          30,
+		Clients:          4,
+		Duration:         300 * time.Millisecond,
+		ActiveSessions:   5,
+		LineInterval:     10 * time.Millisecond,
+		IdleSessions:     50,
+		Rounds:           1,
+		Dir:              dir,
+	})
 	require.NoError(t, err)
 	require.Len(t, all, 3)
-	for i, way := range []string{"relay", "forwarder", "direct"} {
-		assert.Equal(t, way, all[i].Path)
-		assert.Zero(t, all[i].Failed, way)
-		assert.Greater(t, all[i].Setups, 20, way)
-		assert.Greater(t, all[i].Lines, int64(50), way)
-		assert.Greater(t, all[i].LineP50Millis, 0.0, way)
+	for i, path := range []string{"relay", "forwarder", "direct"} {
+		assert.Equal(t, path, all[i].Path)
+		assert.Zero(t, all[i].Failed, path)
+		assert.Greater(t, all[i].Setups, 20, path)
+		assert.Greater(t, all[i].Lines, int64(50), path)
+		assert.Greater(t, all[i].LineP50Millis, 0.0, path)
 	}
 }
 
-// The forwarder says what it misses.
-func TestForwardWantsServers(t *testing.T) {
+func TestForwarderNeedsBackends(t *testing.T) {
 	in, err := os.Open(os.DevNull)
 	require.NoError(t, err)
 	defer in.Close()
-	assert.ErrorContains(t, RunForwarder(context.Background(), in, "127.0.0.1:0"), "servers' addresses expected")
+	assert.ErrorIs(t, RunForwarder(context.Background(), in, "127.0.0.1:0"), errNoBackends)
+}
+
+// A line that is lost ends the measurement: its time must not be missing among the figures unnoticed.
+func TestLostLineIsReported(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	defer listener.Close()
+	go func() {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		defer conn.Close()
+		in := bufio.NewReader(conn)
+		in.ReadString('\n')
+		conn.Write([]byte("UP receipt\r\n"))
+		in.ReadString('\n') // the first line, which is not answered
+	}()
+	p := &path{name: "lossy", address: func() string { return listener.Addr().String() }}
+	plan := Plan{ActiveSessions: 1, Duration: time.Second, LineInterval: 10 * time.Millisecond}
+	assert.ErrorIs(t, p.runLines(context.Background(), plan, newLineHistogram()), io.EOF)
 }
--- a/internal/testbed/cost/golden_test.go
+++ b/internal/testbed/cost/golden_test.go
@@ -9,11 +9,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The figures of a measurement as they are written to a file, by the build before all of them had tags.
-func TestFiguresGolden(t *testing.T) {
-	want := Result{Path: "relay", Servers: 30, Setups: 900, Failed: 2, SetupsPerSecond: 300.5, SetupsPerCPUSecond: 2500.25, LineP50Millis: 0.125,
-		LineP99Millis: 0.5, LineP999Millis: 1.5, Lines: 4000, CPUMicrosPerLine: 12.5, BytesPerSession: 4096, IdleSessions: 1000}
-	data, err := os.ReadFile("testdata/golden/figures.json")
+// The result of a measurement as the build wrote it to a file before all fields had tags.
+func TestResultGolden(t *testing.T) {
+	want := Result{
+		Path:               "relay",
+		Servers:            30,
+		Setups:             900,
+		Failed:             2,
+		SetupsPerSecond:    300.5,
+		SetupsPerCPUSecond: 2500.25,
+		LineP50Millis:      0.125,
+		LineP99Millis:      0.5,
+		LineP999Millis:     1.5,
+		Lines:              4000,
+		CPUMicrosPerLine:   12.5,
+		BytesPerSession:    4096,
+		IdleSessions:       1000,
+	}
+	data, err := os.ReadFile("testdata/golden/result.json")
 	require.NoError(t, err)
 	var read Result
 	require.NoError(t, json.Unmarshal(data, &read))
--- /dev/null
+++ b/internal/testbed/cost/programs.go
@@ -0,0 +1,220 @@
+package cost
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
+	"time"
+
+	"valeshift/internal/testbed/experiment"
+	"valeshift/internal/testbed/procstat"
+)
+
+const (
+	startTimeout      = 20 * time.Second
+	startPollInterval = 20 * time.Millisecond
+	heartbeatInterval = 2 * time.Second // of the endpoint list
+)
+
+// program is a process that is to serve at an address.
+type program struct {
+	name    string
+	command []string
+	env     []string // added to the environment
+	stdin   io.Reader
+	address string
+	logFile string
+}
+
+// start starts the program and waits until it serves.
+func (g program) start(ctx context.Context) (*path, error) {
+	cmd := exec.CommandContext(ctx, g.command[0], g.command[1:]...)
+	cmd.Env = append(os.Environ(), g.env...)
+	cmd.Stdin = g.stdin
+	log, err := os.Create(g.logFile)
+	if err != nil {
+		return nil, fmt.Errorf("start %s: %w", g.name, err)
+	}
+	defer log.Close()
+	cmd.Stderr = log
+	if err := cmd.Start(); err != nil {
+		return nil, fmt.Errorf("start %s: %w", g.name, err)
+	}
+	p := &path{name: g.name, cmd: cmd, address: func() string { return g.address }}
+	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(startPollInterval) {
+		if conn, _, err := p.open(); err == nil {
+			conn.Close()
+			return p, nil
+		}
+	}
+	p.stop()
+	return nil, fmt.Errorf("start %s: it does not serve; its log is %s", g.name, g.logFile)
+}
+
+func startForwarder(ctx context.Context, plan Plan, b *backends) (*path, error) {
+	address, err := procstat.FreeAddress()
+	if err != nil {
+		return nil, err
+	}
+	return program{
+		name:    "forwarder",
+		command: append(slices.Clone(plan.ForwarderCommand), address),
+		env:     []string{"GOMAXPROCS=2"},
+		stdin:   strings.NewReader(strings.Join(b.addresses, "\n")),
+		address: address,
+		logFile: filepath.Join(plan.Dir, "forwarder.log"),
+	}.start(ctx)
+}
+
+// startRelay starts a relay, and a discovery service that lists the backends to it.
+func startRelay(ctx context.Context, plan Plan, b *backends) (*path, error) {
+	address, err := procstat.FreeAddress()
+	if err != nil {
+		return nil, err
+	}
+	list, err := encodeEndpointList(b)
+	if err != nil {
+		return nil, err
+	}
+	discovery, err := startDiscovery(ctx, list)
+	if err != nil {
+		return nil, err
+	}
+	configFile, err := writeRelayConfig(plan.Dir, address, discovery.address, list)
+	if err != nil {
+		discovery.close()
+		return nil, err
+	}
+	relay, err := program{
+		name:    "relay",
+		command: plan.RelayCommand,
+		env:     []string{"RELAY_CONFIG=" + configFile, "RELAY_NAME=", "RELAY_LISTEN=", "RELAY_DISCOVERY="},
+		address: address,
+		logFile: filepath.Join(plan.Dir, "relay.log"),
+	}.start(ctx)
+	if err != nil {
+		discovery.close()
+		return nil, err
+	}
+	relay.release = discovery.close
+	return relay, nil
+}
+
+// endpointList is the endpoint list as discovery sends it.
+type endpointList struct {
+	Endpoints []endpoint `json:"endpoints"`
+	Index     int        `json:"index"`
+	Snapshot  bool       `json:"snapshot"`
+}
+
+type endpoint struct {
+	Address     string `json:"address"`
+	Group       int    `json:"group"`
+	Name        string `json:"name"`
+	SinceMillis int    `json:"since_ms"`
+	Status      string `json:"status"`
+	Weight      int    `json:"weight"`
+	Zone        string `json:"zone"`
+}
+
+func encodeEndpointList(b *backends) ([]byte, error) {
+	list := endpointList{Index: 1, Snapshot: true}
+	for i, address := range b.addresses {
+		list.Endpoints = append(list.Endpoints, endpoint{
+			Address: address,
+			Name:    fmt.Sprintf("s-%05d", i),
+			Status:  "active",
+			Weight:  1,
+			Zone:    "a",
+		})
+	}
+	data, err := json.Marshal(list)
+	if err != nil {
+		return nil, fmt.Errorf("encode endpoint list: %w", err)
+	}
+	return data, nil
+}
+
+// discovery is a stand-in for the platform's discovery service.
+type discovery struct {
+	address string
+	server  *http.Server
+}
+
+// startDiscovery sends the list to whoever subscribes, and heartbeats after it. It ends with the context or by
+// close.
+func startDiscovery(ctx context.Context, list []byte) (*discovery, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, fmt.Errorf("start discovery: %w", err)
+	}
+	firstLine := append(slices.Clone(list), '\n')
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		w.Write(firstLine)
+		for {
+			w.(http.Flusher).Flush()
+			select {
+			case <-time.After(heartbeatInterval):
+				w.Write([]byte("\n"))
+			case <-r.Context().Done():
+				return
+			}
+		}
+	})}
+	go server.Serve(listener)
+	d := &discovery{address: listener.Addr().String(), server: server}
+	context.AfterFunc(ctx, d.close)
+	return d, nil
+}
+
+func (d *discovery) close() { d.server.Close() }
+
+// relayConfig is the platform's configuration of a relay.
+type relayConfig struct {
+	Discovery string          `json:"discovery"`
+	Known     json.RawMessage `json:"known"` // the endpoint list that the platform last saw
+	Limits    relayLimits     `json:"limits"`
+	Listen    string          `json:"listen"`
+	Name      string          `json:"name"`
+	Seed      string          `json:"seed"`
+	Settings  any             `json:"settings"`
+}
+
+type relayLimits struct {
+	Cores int `json:"cores"`
+}
+
+// writeRelayConfig returns the path of the file.
+func writeRelayConfig(dir, listen, discovery string, list []byte) (string, error) {
+	x := experiment.Default()
+	x.Relays.Count = 1
+	x.Traffic = []experiment.Traffic{{Class: "chat", Tenant: "all", HardLimit: 3000, Load: 0.1, Rate: 1}}
+	if err := x.Complete(); err != nil {
+		return "", fmt.Errorf("relay settings: %w", err)
+	}
+	data, err := json.Marshal(relayConfig{
+		Discovery: discovery,
+		Known:     list,
+		Limits:    relayLimits{Cores: 1},
+		Listen:    listen,
+		Name:      "cost",
+		Seed:      "5",
+		Settings:  x.RelaySettings(0),
+	})
+	if err != nil {
+		return "", fmt.Errorf("encode relay configuration: %w", err)
+	}
+	file := filepath.Join(dir, "cost.json")
+	if err := os.WriteFile(file, data, 0o600); err != nil {
+		return "", fmt.Errorf("write relay configuration: %w", err)
+	}
+	return file, nil
+}
