--- a/internal/fleet/coordinator.go
+++ b/internal/fleet/coordinator.go
@@ -181,7 +181,7 @@
 	}
 	client.zoneWeights = weights
 	return []Action{
-		{Event: &relay.Event{Kind: relay.ZoneWeightsChanged, Zones: weights}},
+		{Event: relay.ZoneWeightsChanged{Weights: weights}},
 		{Log: fmt.Sprintf("decision %d: %v", number, weights)},
 	}
 }
--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -41,7 +41,7 @@
 	ConfirmDecision uint64 // where not 0: Core's Kept is to be told of it once that is durable, or can't be
 	// where not nil: Core's Durable is to be told of it once that is durable, and only then
 	ReplicationWrite *replication.Write
-	Event            *relay.Event
+	Event            relay.Event
 	OrderReplicated  *OrderReplicated
 	Log              string
 }
@@ -72,7 +72,7 @@
 	beyondSaid       float64 // what others have placed, as the relay was told
 	diskRead         bool
 	coordinators     *coordinatorClient // nil: no voters are named
-	replication      *held              // nil: nothing is held for others
+	replication      *replicationState  // nil: nothing is held for others
 }
 
 // New starts the relay's side: with others, where an own word is given that says where it hears them, and
@@ -147,7 +147,7 @@
 		c.membership.SetLocalState(w)
 	}
 	if changed {
-		acts = append(acts, Action{Event: &relay.Event{Kind: relay.DrainRequested, Off: !lame}})
+		acts = append(acts, Action{Event: relay.DrainRequested{On: lame}})
 	}
 	return acts
 }
@@ -185,7 +185,7 @@
 	w := c.membership.LocalState()
 	if w.Boot > c.boot && c.diskRead {
 		if c.boot = w.Boot; c.replication != nil {
-			c.replication.older = true
+			c.replication.diskIsOlder = true
 		}
 		acts = append(acts, c.saveBoot(now))
 	}
@@ -249,7 +249,7 @@
 		return nil
 	}
 	c.fleetClockOffset = off
-	return []Action{{Event: &relay.Event{Kind: relay.ClockSkewMeasured, AheadMillis: -off}},
+	return []Action{{Event: relay.ClockSkewMeasured{AheadMillis: -off}},
 		{Log: fmt.Sprintf("this relay's time is ahead by %.0f ms, of %d relays and discovery %t", -off, len(all),
 			!math.IsNaN(dated))}}
 }
@@ -318,7 +318,7 @@
 		return nil
 	}
 	c.beyondSaid = sum
-	return []Action{{Event: &relay.Event{Kind: relay.RemoteLoadChanged, Load: sum}}}
+	return []Action{{Event: relay.RemoteLoadChanged{Load: sum}}}
 }
 
 // IsSnapshotDue tells whether what is known is to be written now.
@@ -427,10 +427,11 @@
 				acts = append(acts, Action{Query: &Query{a.Query, c.membership.Address(m)}})
 			}
 		case a.Event != nil:
-			if a.Event.Snapshot != nil {
-				a.Event.Snapshot = shifted(a.Event.Snapshot, -c.fleetClockOffset)
+			event := a.Event
+			if restored, ok := event.(relay.StateRestored); ok {
+				event = relay.StateRestored{Snapshot: shifted(restored.Snapshot, -c.fleetClockOffset)}
 			}
-			acts = append(acts, Action{Event: a.Event})
+			acts = append(acts, Action{Event: event})
 		case a.Log != "":
 			acts = append(acts, Action{Log: a.Log})
 		}
--- a/internal/testbed/baseline/endpoints.go
+++ b/internal/testbed/baseline/endpoints.go
@@ -31,16 +31,16 @@
 }
 
 // UpdateEndpoint takes one endpoint of the update.
-func (p *Policy) UpdateEndpoint(id uint32, zone int, state balancer.EndpointState, _ int, _, _ float64) {
-	index, isListed := p.endpoints.indices[id]
+func (p *Policy) UpdateEndpoint(update balancer.Endpoint) {
+	index, isListed := p.endpoints.indices[update.ID]
 	if !isListed {
 		index = len(p.endpoints.all)
-		p.endpoints.indices[id] = index
-		p.endpoints.all = append(p.endpoints.all, endpoint{id: id})
+		p.endpoints.indices[update.ID] = index
+		p.endpoints.all = append(p.endpoints.all, endpoint{id: update.ID})
 	}
 	e := &p.endpoints.all[index]
-	e.zone = zone
-	e.isReady = state == balancer.Ready
+	e.zone = update.Zone
+	e.isReady = update.State == balancer.Ready
 	e.isMentioned = true
 }
 
@@ -70,20 +70,19 @@
 func (p *Policy) NextAction(now float64) balancer.Action {
 	if now >= p.resubscribeAt {
 		p.resubscribeAt = math.Inf(1)
-		return balancer.Action{Subscribe: true}
+		return balancer.Action{Kind: balancer.ActionSubscribe}
 	}
 	return balancer.Action{Wait: p.resubscribeAt - now}
 }
 
-// BackendStatus returns the relay's sessions on a backend, that its load was never reported, and whether it is
-// avoided.
-func (p *Policy) BackendStatus(id uint32) (sessions int, reportedAt float64, isAvoided bool) {
+// BackendStatus returns the relay's sessions on a backend and whether it is avoided; no load was ever reported.
+func (p *Policy) BackendStatus(id uint32) balancer.BackendStatus {
 	index, isListed := p.endpoints.indices[id]
 	if !isListed {
-		return 0, math.Inf(-1), true
+		return balancer.BackendStatus{ReportedAt: math.Inf(-1), IsAvoided: true}
 	}
 	e := p.endpoints.all[index]
-	return e.sessions, math.Inf(-1), !e.isReady
+	return balancer.BackendStatus{Sessions: e.sessions, ReportedAt: math.Inf(-1), IsAvoided: !e.isReady}
 }
 
 // Counts returns how many backends were listed, and how many of them get no session.
