--- a/cmd/valeshift/zone.go
+++ b/cmd/valeshift/zone.go
@@ -119,6 +119,7 @@
 // order may hold all the same, and can be sent again under its ID.
 type orderError struct{ answer string }
 
+// Error returns the answer.
 func (e *orderError) Error() string { return e.answer }
 
 // postOrder sends the order to one coordinator. Its error is errNoLeader if that does not lead, an orderError
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -143,19 +143,10 @@
 		delete(p.sessions, s)
 		return balancer.Decision{}
 	}
-	known.mayHaveRun = known.mayHaveRun || mayHaveRun(outcome)
+	known.mayHaveRun = known.mayHaveRun || !outcome.IsUnprocessed()
 	return p.Assign(now, s)
 }
 
-func mayHaveRun(outcome balancer.AttemptOutcome) bool {
-	switch outcome {
-	case balancer.OutcomeRejected, balancer.OutcomeUnreachable, balancer.OutcomeNotSent:
-		return false
-	default:
-		return true
-	}
-}
-
 // SessionEstablished takes note that a session is established.
 func (p *Policy) SessionEstablished(_ float64, s *balancer.Session) {
 	if known := p.sessions[s]; known != nil {
