--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -271,7 +271,7 @@
 		{Operation: relay.Replicate, Record: relay.AttemptRecord, Conn: 3, Key: 79, At: at + 6e5, Backend: "s1"},
 	} {
 		name := n.order[i]
-		n.do(at, name, n.cores[name].HandleReplicationEffect(at, f))
+		n.do(at, name, n.cores[name].HandleReplicationRequest(at, f))
 	}
 	for _, lame := range []bool{true, false, true} {
 		record, acts := n.cores["r1"].SetDraining(at, lame)
--- a/internal/fleet/node_replication.go
+++ b/internal/fleet/node_replication.go
@@ -65,7 +65,7 @@
 		case <-ctx.Done():
 			return
 		case r := <-n.replication.requests:
-			n.update(func(core *Core) []Action { return core.HandleReplicationEffect(n.clock.now(), r) })
+			n.update(func(core *Core) []Action { return core.HandleReplicationRequest(n.clock.now(), r) })
 		case <-timer.C:
 			n.mutex.Lock()
 			n.replication.dueAt = math.Inf(1)
--- a/internal/fleet/replicated_order.go
+++ b/internal/fleet/replicated_order.go
@@ -53,7 +53,7 @@
 	token, requested := state.replicator.Replicate(c.fleetTime(now), record, orderTimeoutMillis)
 	state.order.tokens[token] = true
 	state.order.nextAt = now + orderIntervalMillis
-	return token, c.apply(now, requested)
+	return token, c.applyReplicationActions(now, requested)
 }
 
 // maintainOrder looks up what others store of this relay's orders, discards superseded ones, and replicates the
@@ -70,7 +70,7 @@
 		return c.lookUpOrder(now)
 	case order.superseded.ID != 0 && order.discardsLeft > 0:
 		order.discardsLeft--
-		return c.apply(now, state.replicator.Discard(c.fleetTime(now), order.superseded))
+		return c.applyReplicationActions(now, state.replicator.Discard(c.fleetTime(now), order.superseded))
 	case c.orderNumber != 0 && !c.isOrderReplicated(now):
 		_, actions := c.ReplicateOrder(now)
 		return actions
@@ -86,7 +86,7 @@
 	token, actions := state.replicator.Lookup(c.fleetTime(now), replication.OperatorOrder,
 		c.membership.LocalState().Name, orderLookupTimeoutMillis)
 	state.order.tokens[token] = true
-	return c.apply(now, actions)
+	return c.applyReplicationActions(now, actions)
 }
 
 // isOrderReplicated tells whether the latest order is replicated, has half of its lifetime left, and all its
--- a/internal/fleet/replicated_records.go
+++ b/internal/fleet/replicated_records.go
@@ -72,8 +72,8 @@
 // recordKey is the replicator's key for a client's or group's.
 func recordKey(key uint64) string { return fmt.Sprintf("%016x", key) }
 
-// HandleReplicationEffect does what the relay's state machine asks for: Replicate, Lookup or Release.
-func (c *Core) HandleReplicationEffect(now float64, request relay.ReplicationRequest) []Action {
+// HandleReplicationRequest does what the relay's state machine asks for: Replicate, Lookup or Release.
+func (c *Core) HandleReplicationRequest(now float64, request relay.ReplicationRequest) []Action {
 	if c.replication == nil {
 		return nil
 	}
@@ -92,7 +92,7 @@
 	key := revocableKey{request.Record, request.Conn}
 	token := state.records.revocable[key]
 	delete(state.records.revocable, key)
-	return c.apply(now, state.replicator.Revoke(c.fleetTime(now), token))
+	return c.applyReplicationActions(now, state.replicator.Revoke(c.fleetTime(now), token))
 }
 
 // lookUpRecord acquires a reservation, or looks up a marker or affinity until shortly before the time until which
@@ -110,7 +110,7 @@
 		token, actions = state.replicator.Lookup(fleetNow, replicationKinds[request.Record], key, timeout)
 	}
 	state.records.lookups[token] = request
-	return c.apply(now, actions)
+	return c.applyReplicationActions(now, actions)
 }
 
 func (c *Core) replicateRecord(now float64, request relay.ReplicationRequest) []Action {
@@ -126,7 +126,7 @@
 		key := revocableKey{request.Record, request.Conn}
 		state.records.addRevocable(key, token, record.ExpiresAt-c.fleetClockOffset)
 	}
-	return c.apply(now, actions)
+	return c.applyReplicationActions(now, actions)
 }
 
 // newRecord gives the record that a request of the relay asks to replicate. The request's time is that of a
@@ -188,7 +188,7 @@
 	var actions []Action
 	for _, request := range records.retries[:n] {
 		if _, known := records.revocable[revocableKey{request.Record, request.Conn}]; known {
-			actions = append(actions, c.HandleReplicationEffect(now, request)...)
+			actions = append(actions, c.HandleReplicationRequest(now, request)...)
 		}
 	}
 	records.retries = slices.Clone(records.retries[n:]) // those that failed again just now included
--- a/internal/fleet/replication.go
+++ b/internal/fleet/replication.go
@@ -69,16 +69,16 @@
 	if err != nil {
 		return nil, true
 	}
-	return c.apply(now, actions), true
+	return c.applyReplicationActions(now, actions), true
 }
 
 // CompleteReplicationWrite is called once a ReplicationWrite is durable.
 func (c *Core) CompleteReplicationWrite(now float64, write *replication.Write) []Action {
-	return c.apply(now, c.replication.replicator.CompleteWrite(c.fleetTime(now), write))
+	return c.applyReplicationActions(now, c.replication.replicator.CompleteWrite(c.fleetTime(now), write))
 }
 
-// apply turns the replicator's actions into the core's.
-func (c *Core) apply(now float64, requested []replication.Action) []Action {
+// applyReplicationActions turns the replicator's actions into the core's.
+func (c *Core) applyReplicationActions(now float64, requested []replication.Action) []Action {
 	var actions []Action
 	for _, action := range requested {
 		switch {
@@ -89,7 +89,7 @@
 			sealed := membership.Seal(c.replication.key, frame)
 			actions = append(actions, Action{Send: &membership.Datagram{To: action.To, Data: sealed}})
 		case action.Outcome != nil:
-			actions = append(actions, c.handleOutcome(now, action.Outcome)...)
+			actions = append(actions, c.handleReplicationOutcome(now, action.Outcome)...)
 		}
 	}
 	return actions
@@ -106,8 +106,8 @@
 	return Action{Persist: record, ReplicationWrite: write}
 }
 
-// handleOutcome gives an operation's outcome to whoever began it.
-func (c *Core) handleOutcome(now float64, outcome *replication.Outcome) []Action {
+// handleReplicationOutcome gives an operation's outcome to whoever began it.
+func (c *Core) handleReplicationOutcome(now float64, outcome *replication.Outcome) []Action {
 	if c.replication.order.tokens[outcome.Token] {
 		return c.handleOrderOutcome(now, outcome)
 	}
@@ -130,7 +130,7 @@
 	if state.diskIsOlder {
 		state.diskIsOlder = false
 		actions = append(actions, Action{Log: "the disk is an older one: the replicas stored on it are discarded"})
-		actions = append(actions, c.apply(now, state.replicator.DiscardAll())...)
+		actions = append(actions, c.applyReplicationActions(now, state.replicator.DiscardAll())...)
 	}
 	return append(actions, c.TickReplication(now)...)
 }
@@ -162,9 +162,7 @@
 	}
 	state.members = members
 	state.replicator.UpdateMembers(members)
-	seenAt := c.membership.DuplicateSeenAt
-	hasDuplicate := seenAt > 0 && now < seenAt+duplicateMillis
-	state.replicator.SetSuspended(!c.diskRead || hasDuplicate || c.plan.Phase() < recovery.Admitting)
+	state.replicator.SetSuspended(!c.diskRead || c.hasDuplicate(now) || c.plan.Phase() < recovery.Admitting)
 }
 
 // ReplicationDelay gives after how many ms TickReplication is due; +Inf: never.
@@ -177,7 +175,7 @@
 
 // TickReplication goes on with operations under way. It is due more often than the core's own tick.
 func (c *Core) TickReplication(now float64) []Action {
-	return c.apply(now, c.replication.replicator.Tick(c.fleetTime(now)))
+	return c.applyReplicationActions(now, c.replication.replicator.Tick(c.fleetTime(now)))
 }
 
 // restoreReplicas loads the records that the disk has. They are discarded later where other relays know a later
--- a/internal/testbed/sim/mates.go
+++ b/internal/testbed/sim/mates.go
@@ -135,7 +135,7 @@
 func (m *mates) trust(f relay.ReplicationRequest) {
 	m.s.net.after(0, func() {
 		if !m.p.over {
-			m.do(m.core.HandleReplicationEffect(m.p.clock(), f))
+			m.do(m.core.HandleReplicationRequest(m.p.clock(), f))
 		}
 	})
 }
