--- a/internal/fleet/replicated_order.go
+++ b/internal/fleet/replicated_order.go
@@ -8,7 +8,7 @@
 	"valeshift/internal/replication"
 )
 
-// This file has the operator's latest order to this relay replicated, so that it holds if the relay's disk is lost.
+// This file replicates the operator's latest order to this relay, so that it is still known if the disk is lost.
 
 const (
 	orderLifetimeMillis      = 3e6 // unless it is replicated anew
@@ -16,7 +16,7 @@
 	orderIntervalMillis      = 2000.0 // between two looks at the order's replicas
 	orderLookupTimeoutMillis = 1000.0
 	maxOrderLookups          = 10 // at the start, as relays that store the order may start later
-	orderDiscards            = 3  // times that the replicas of a superseded order are told to discard it
+	orderDiscards            = 3  // discard messages to the replicas of a superseded order
 )
 
 // OrderReplicated is the outcome of ReplicateOrder.
@@ -31,7 +31,7 @@
 	lookups      int             // so far
 	nextAt       float64         // when the order is looked up or replicated again, at the soonest
 	replicated   replication.Record
-	superseded   replication.Record // what was replicated before: its replicas are told several times, as nobody replies
+	superseded   replication.Record // what was replicated before: its replicas are to discard it
 	discardsLeft int
 }
 
@@ -89,7 +89,7 @@
 	return c.applyReplicationActions(now, actions)
 }
 
-// isOrderReplicated tells whether the latest order is replicated, has half of its lifetime left, and all its
+// isOrderReplicated reports whether the latest order is replicated, has half of its lifetime left, and all its
 // replicas are alive and not draining.
 func (c *Core) isOrderReplicated(now float64) bool {
 	replicated := &c.replication.order.replicated
@@ -98,7 +98,7 @@
 		c.fleetTime(now) < replicated.ExpiresAt-orderLifetimeMillis/2
 }
 
-// isReplicaLeaving tells whether a replica is gone or draining.
+// isReplicaLeaving reports whether a replica is gone or draining.
 func (c *Core) isReplicaLeaving(replica replication.Replica) bool {
 	return !slices.ContainsFunc(c.replication.members, func(m replication.Member) bool {
 		return m.Name == replica.Name && !m.Draining
--- a/internal/fleet/replicated_records.go
+++ b/internal/fleet/replicated_records.go
@@ -129,7 +129,7 @@
 	return c.applyReplicationActions(now, actions)
 }
 
-// newRecord gives the record that a request of the relay asks to replicate. The request's time is that of a
+// newRecord returns the record that a request of the relay asks to replicate. The request's time is that of a
 // reservation, or the expiry of a marker.
 func (c *Core) newRecord(now float64, request relay.ReplicationRequest) replication.Record {
 	fleetNow := c.fleetTime(now)
@@ -195,8 +195,8 @@
 	return actions
 }
 
-// handleRecordOutcome tells the relay's state machine how a replication or lookup ended. Of a reservation that isn't
-// found nothing is told.
+// handleRecordOutcome notifies the relay's state machine of the end of a replication or lookup. It is not notified
+// of a reservation that wasn't found.
 func (c *Core) handleRecordOutcome(now float64, outcome *replication.Outcome) []Action {
 	records := &c.replication.records
 	succeeded := outcome.Err == nil
--- a/internal/fleet/replication.go
+++ b/internal/fleet/replication.go
@@ -52,7 +52,7 @@
 	return []Action{{Event: relay.ReplicationEnabled{MarkerRetentionMillis: markerRetention, Affinity: affinity}}}
 }
 
-// fleetTime gives the fleet's clock at this relay's time, both in Unix milliseconds.
+// fleetTime returns the fleet's clock at this relay's time, both in Unix milliseconds.
 func (c *Core) fleetTime(now float64) float64 { return now + c.fleetClockOffset }
 
 // receiveReplicationDatagram handles a datagram of replication; false: it is none. One that can't be authenticated
@@ -106,7 +106,7 @@
 	return Action{Persist: record, ReplicationWrite: write}
 }
 
-// handleReplicationOutcome gives an operation's outcome to whoever began it.
+// handleReplicationOutcome passes an operation's outcome to the part that began it.
 func (c *Core) handleReplicationOutcome(now float64, outcome *replication.Outcome) []Action {
 	if c.replication.order.tokens[outcome.Token] {
 		return c.handleOrderOutcome(now, outcome)
@@ -135,7 +135,7 @@
 	return append(actions, c.TickReplication(now)...)
 }
 
-// updateReplicationView tells the replicator who is alive. It is suspended while this disk is not known to be the
+// updateReplicationView updates the replicator's view of the members. It is suspended while this disk is not known to be the
 // latest that the relay has replied from, and while another process uses the relay's name.
 func (c *Core) updateReplicationView(now float64) {
 	state := c.replication
@@ -165,7 +165,7 @@
 	state.replicator.SetSuspended(!c.diskRead || c.hasDuplicate(now) || c.plan.Phase() < recovery.Admitting)
 }
 
-// ReplicationDelay gives after how many ms TickReplication is due; +Inf: never.
+// ReplicationDelay returns the time in ms until TickReplication is due; +Inf: never.
 func (c *Core) ReplicationDelay(now float64) float64 {
 	if c.replication == nil {
 		return math.Inf(1)
--- a/internal/fleet/replication_golden_test.go
+++ b/internal/fleet/replication_golden_test.go
@@ -14,16 +14,20 @@
 )
 
 // What /_fleet has under Holdings, as the build before the fields had tags wrote it.
-func TestGoldenHoldingsStatus(t *testing.T) {
+func TestGoldenReplicationStatus(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", "holdings-status.json"))
 	require.NoError(t, err)
 	golden := strings.TrimSpace(string(text))
 	want := ReplicationStatus{
-		Kinds: map[string]replication.KindStatus{"marks": {Stored: 1, Open: 2, UnderReplicated: 3, BelowQuorum: 4},
-			"places": {Stored: 5, Open: 6, UnderReplicated: 7, BelowQuorum: 8}},
+		Kinds: map[string]replication.KindStatus{
+			"marks":  {Stored: 1, Open: 2, UnderReplicated: 3, BelowQuorum: 4},
+			"places": {Stored: 5, Open: 6, UnderReplicated: 7, BelowQuorum: 8},
+		},
 		HasEnoughMembers: true,
-		Counts: map[string]replication.Counts{"places": {Stored: 1, RejectedFull: 2, Replicated: 3, NotReplicated: 4, Lookups: 5,
-			Found: 6, AlreadyUsed: 7, Missed: 8, Accepted: 9}},
+		Counts: map[string]replication.Counts{
+			"places": {Stored: 1, RejectedFull: 2, Replicated: 3, NotReplicated: 4, Lookups: 5, Found: 6,
+				AlreadyUsed: 7, Missed: 8, Accepted: 9},
+		},
 		P50Millis: 0.75,
 		P99Millis: 12.5,
 	}
--- a/internal/replication/codec.go
+++ b/internal/replication/codec.go
@@ -50,7 +50,7 @@
 	return to
 }
 
-// encode gives the message's binary form.
+// encode returns the message's binary form.
 func (m *message) encode() []byte {
 	to := []byte{formatVersion, byte(m.Type)}
 	to = binary.AppendUvarint(to, m.Token)
--- a/internal/replication/fleet_test.go
+++ b/internal/replication/fleet_test.go
@@ -203,14 +203,14 @@
 	}
 }
 
-// relayNumber gives the number of the relay with that name.
+// relayNumber returns the number of the relay with that name.
 func (f *testFleet) relayNumber(name string) int {
 	return slices.IndexFunc(f.relays, func(r *testRelay) bool { return r.name == name })
 }
 
 func (f *testFleet) relayNamed(name string) *testRelay { return f.relays[f.relayNumber(name)] }
 
-// replicasOf gives the numbers of the relays that a record was replicated at.
+// replicasOf returns the numbers of the relays that a record was replicated at.
 func (f *testFleet) replicasOf(record Record) []int {
 	var numbers []int
 	for _, replica := range record.Replicas {
@@ -418,13 +418,13 @@
 	f.perform(i, actions)
 }
 
-// lookUpMarker has relay i look up a marker, and gives what it found.
+// lookUpMarker has relay i look up a marker, and returns what it found.
 func (f *testFleet) lookUpMarker(i int, key string) Record {
 	f.t.Helper()
 	return f.lookUp(i, AttemptMarker, key, replicateLimit, 60)
 }
 
-// lookUp has relay i look up a record, and gives what it found after a while.
+// lookUp has relay i look up a record, and returns what it found after a while.
 func (f *testFleet) lookUp(i int, kind Kind, key string, timeout, wait float64) Record {
 	f.t.Helper()
 	found := newHistory(f.now)
@@ -447,7 +447,7 @@
 	return lost
 }
 
-// isWithinGuarantee tells whether a replicated record must still be there.
+// isWithinGuarantee reports whether a replicated record must still be there.
 func (f *testFleet) isWithinGuarantee(history *recordHistory) bool {
 	return history.replicatedAt > 0 && 2*f.lostReplicas(history) < len(history.record.Replicas)
 }
@@ -484,7 +484,7 @@
 	},
 }
 
-// checkHistories gives the violations so far, and those of single use.
+// checkHistories returns the violations so far, and those of single use.
 func (f *testFleet) checkHistories() []string {
 	for _, key := range slices.Sorted(maps.Keys(f.histories)) {
 		history := f.histories[key]
--- a/internal/replication/golden_test.go
+++ b/internal/replication/golden_test.go
@@ -14,14 +14,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The files of testdata/golden were written by the build before the fields had tags and the names that they
-// have now. Relays of both builds run in one fleet, and a new build reads what an old one saved.
+// The files of testdata/golden were written by the build before the fields had tags and the names that they have
+// now. Relays of both builds run in one fleet, and a new build reads what an old one stored.
 
-func readGoldenFile(t *testing.T, name string) []byte {
+// readGoldenFile returns a golden file without the newline at its end.
+func readGoldenFile(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", name))
 	require.NoError(t, err)
-	return text
+	return strings.TrimSpace(string(text))
 }
 
 // goldenRecord has no field that is zero.
@@ -41,25 +42,26 @@
 // Each kind of message and of record, as they go between relays.
 func TestGoldenMessages(t *testing.T) {
 	golden := map[string]string{}
-	for _, line := range strings.Split(strings.TrimSpace(string(readGoldenFile(t, "messages.hex"))), "\n") {
+	for _, line := range strings.Split(readGoldenFile(t, "messages.hex"), "\n") {
 		name, digits, _ := strings.Cut(line, " ")
 		golden[name] = digits
 	}
 	cases := map[string]message{
-		"put":                goldenMessage(messageStore, Reservation),
-		"held":               goldenMessage(messageStored, OperatorOrder),
-		"refuse":             goldenMessage(messageReject, AttemptMarker),
-		"seek":               goldenMessage(messageLookup, Affinity),
-		"found":              goldenMessage(messageFound, Reservation),
-		"bind":               goldenMessage(messagePrepare, Reservation),
-		"bound":              goldenMessage(messagePromise, Reservation),
-		"accept":             goldenMessage(messageAccept, Reservation),
-		"accepted":           goldenMessage(messageAccepted, Reservation),
-		"dropped":            goldenMessage(messageDiscard, AttemptMarker),
-		"point":              goldenMessage(messagePublish, OperatorOrder),
-		"refuse-never":       {Type: messageReject, Token: 1, From: "relay-3", Ballot: ballot{Round: math.MaxUint64}},
-		"found-without-any":  {Type: messageFound, Token: 2, From: "relay-3", Incarnation: 9},
-		"found-mark-is-over": {Type: messageFound, Token: 3, From: "relay-3", Incarnation: 9, Records: []Record{{Kind: AttemptMarker, Key: "k", ID: 5}}},
+		"store":         goldenMessage(messageStore, Reservation),
+		"stored":        goldenMessage(messageStored, OperatorOrder),
+		"reject":        goldenMessage(messageReject, AttemptMarker),
+		"lookup":        goldenMessage(messageLookup, Affinity),
+		"found":         goldenMessage(messageFound, Reservation),
+		"prepare":       goldenMessage(messagePrepare, Reservation),
+		"promise":       goldenMessage(messagePromise, Reservation),
+		"accept":        goldenMessage(messageAccept, Reservation),
+		"accepted":      goldenMessage(messageAccepted, Reservation),
+		"discard":       goldenMessage(messageDiscard, AttemptMarker),
+		"publish":       goldenMessage(messagePublish, OperatorOrder),
+		"reject-sealed": {Type: messageReject, Token: 1, From: "relay-3", Ballot: ballot{Round: math.MaxUint64}},
+		"found-nothing": {Type: messageFound, Token: 2, From: "relay-3", Incarnation: 9},
+		"found-revoked-marker": {Type: messageFound, Token: 3, From: "relay-3", Incarnation: 9,
+			Records: []Record{{Kind: AttemptMarker, Key: "k", ID: 5}}},
 	}
 	assert.Len(t, golden, len(cases))
 	for name, message := range cases {
@@ -74,13 +76,20 @@
 	}
 }
 
-// What is saved of a record, under its name in the store, is loaded, and saved again as it was.
-func TestGoldenSavedRecord(t *testing.T) {
-	name, digits, _ := strings.Cut(strings.TrimSpace(string(readGoldenFile(t, "saved.hex"))), " ")
+// loadGoldenRecord returns a replica that has loaded the stored record of the golden file, with its name and form.
+func loadGoldenRecord(t *testing.T) (r *Replicator, name, digits string) {
+	t.Helper()
+	name, digits, _ = strings.Cut(readGoldenFile(t, "stored-record.hex"), " ")
 	body, err := hex.DecodeString(digits)
 	require.NoError(t, err)
-	r := New("relay-2", 1<<40, 3, 10, rand.New(rand.NewSource(1)))
+	r = New("relay-2", 1<<40, 3, 10, rand.New(rand.NewSource(1)))
 	require.True(t, r.LoadRecord(1700000000000, name, body))
+	return r, name, digits
+}
+
+// A stored record is loaded with its register, and stored again as it was.
+func TestGoldenStoredRecord(t *testing.T) {
+	r, name, digits := loadGoldenRecord(t)
 	stored := r.records.byID[0x0123456789abcdef]
 	assert.Equal(t, &storedRecord{
 		Record:   goldenRecord(Reservation),
@@ -94,7 +103,7 @@
 // The numbers of the kinds and their names, which stand in /_holdings and in /_fleet.
 func TestGoldenKinds(t *testing.T) {
 	var names []string
-	require.NoError(t, json.Unmarshal(readGoldenFile(t, "kinds.json"), &names))
+	require.NoError(t, json.Unmarshal([]byte(readGoldenFile(t, "kinds.json")), &names))
 	for i, kind := range []Kind{Reservation, OperatorOrder, AttemptMarker, Affinity} {
 		assert.Equal(t, i+1, int(kind))
 		assert.Equal(t, names[i], kind.String())
@@ -102,31 +111,35 @@
 	assert.Len(t, names, int(kindLimit)-1)
 }
 
-// goldenPage has no field that is zero.
-func goldenPage() Page {
-	snapshot := func(kind, id string, state RecordState) RecordSnapshot {
-		return RecordSnapshot{Kind: kind, Key: "00000000deadbeef", ID: id, Owner: "relay-1", Version: 300,
-			ValidFrom: 1700000000123.5, ExpiresAt: 1700000060000, Replicas: []Replica{{"relay-1", 7}, {"relay-2", 1 << 40}},
-			State: state, Body: []byte("s1\x00\xff")}
-	}
-	return Page{Relay: "relay-2", Now: 1700000000500.25, Records: []RecordSnapshot{snapshot("places", "0123456789abcdef", "used"),
-		snapshot("orders", "1123456789abcdef", "open"), snapshot("marks", "2123456789abcdef", "over"),
-		{Kind: "affinities", ID: "3123456789abcdef", Replicas: []Replica{}}}}
+// goldenSnapshot has no field that is zero.
+func goldenSnapshot(kind, id string, state RecordState) RecordSnapshot {
+	return RecordSnapshot{Kind: kind, Key: "00000000deadbeef", ID: id, Owner: "relay-1", Version: 300,
+		ValidFrom: 1700000000123.5, ExpiresAt: 1700000060000, State: state, Body: []byte("s1\x00\xff"),
+		Replicas: []Replica{{"relay-1", 7}, {"relay-2", 1 << 40}}}
+}
+
+func goldenPage() *Page {
+	return &Page{Relay: "relay-2", Now: 1700000000500.25, Records: []RecordSnapshot{
+		goldenSnapshot("places", "0123456789abcdef", StateUsed),
+		goldenSnapshot("orders", "1123456789abcdef", StateOpen),
+		goldenSnapshot("marks", "2123456789abcdef", StateOver),
+		{Kind: "affinities", ID: "3123456789abcdef", Replicas: []Replica{}},
+	}}
 }
 
 // The forms in JSON: a page of /_holdings, and what /_fleet has of a kind.
 func TestGoldenJSON(t *testing.T) {
 	for name, c := range map[string]struct{ value, read any }{
-		"empty-page.json": {&Page{Relay: "relay-2", Now: 1, Records: []RecordSnapshot{}}, new(Page)},
-		"page.json":       {func() *Page { p := goldenPage(); return &p }(), new(Page)},
-		"standing.json":   {&KindStatus{Stored: 9, Open: 8, UnderReplicated: 7, BelowQuorum: 6}, new(KindStatus)},
-		"counts.json": {&Counts{Stored: 1, RejectedFull: 2, Replicated: 3, NotReplicated: 4, Lookups: 5, Found: 6, AlreadyUsed: 7, Missed: 8,
-			Accepted: 9}, new(Counts)},
-		"finding.json": {&Report{Records: 1, FullyReplicated: 2, UnderReplicated: 3, BelowQuorum: 4, Unknown: 5, Inconsistencies: []string{"w"}},
-			new(Report)},
+		"empty-page.json":  {&Page{Relay: "relay-2", Now: 1, Records: []RecordSnapshot{}}, new(Page)},
+		"page.json":        {goldenPage(), new(Page)},
+		"kind-status.json": {&KindStatus{Stored: 9, Open: 8, UnderReplicated: 7, BelowQuorum: 6}, new(KindStatus)},
+		"counts.json": {&Counts{Stored: 1, RejectedFull: 2, Replicated: 3, NotReplicated: 4, Lookups: 5, Found: 6,
+			AlreadyUsed: 7, Missed: 8, Accepted: 9}, new(Counts)},
+		"report.json": {&Report{Records: 1, FullyReplicated: 2, UnderReplicated: 3, BelowQuorum: 4, Unknown: 5,
+			Inconsistencies: []string{"w"}}, new(Report)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			golden := strings.TrimSpace(string(readGoldenFile(t, name)))
+			golden := readGoldenFile(t, name)
 			require.NoError(t, json.Unmarshal([]byte(golden), c.read))
 			assert.Equal(t, c.value, c.read)
 			text, err := json.Marshal(c.value)
@@ -136,14 +149,10 @@
 	}
 }
 
-// A loaded record is shown as it was by the build before.
+// A loaded record is shown as the build before showed it.
 func TestGoldenPageOfLoadedRecord(t *testing.T) {
-	name, digits, _ := strings.Cut(strings.TrimSpace(string(readGoldenFile(t, "saved.hex"))), " ")
-	body, err := hex.DecodeString(digits)
-	require.NoError(t, err)
-	r := New("relay-2", 1<<40, 3, 10, rand.New(rand.NewSource(1)))
-	require.True(t, r.LoadRecord(1700000000000, name, body))
+	r, _, _ := loadGoldenRecord(t)
 	text, err := json.Marshal(r.Page(1700000000000, 0x0123456789abcdef%Partitions))
 	require.NoError(t, err)
-	assert.Equal(t, strings.TrimSpace(string(readGoldenFile(t, "page-of-saved.json"))), string(text))
+	assert.Equal(t, readGoldenFile(t, "page-of-stored-record.json"), string(text))
 }
--- a/internal/replication/guarantee_test.go
+++ b/internal/replication/guarantee_test.go
@@ -98,7 +98,7 @@
 	expiresAt    float64
 }
 
-// randomRelay gives the number of a relay that is up.
+// randomRelay returns the number of a relay that is up.
 func (s *schedule) randomRelay() int {
 	for {
 		i := s.rng.Intn(len(s.relays))
@@ -141,7 +141,7 @@
 	}
 }
 
-// awayCount gives how many relays are down or paused.
+// awayCount returns how many relays are down or paused.
 func (s *schedule) awayCount() int {
 	away := 0
 	for _, r := range s.relays {
@@ -224,7 +224,7 @@
 	}
 }
 
-// playRandomSchedule gives the violations in a schedule that the seed draws.
+// playRandomSchedule returns the violations in a schedule that the seed draws.
 func playRandomSchedule(t *testing.T, count int, seed int64, faults injectedFaults, disksLoseWrites bool) []string {
 	t.Helper()
 	rng := rand.New(rand.NewSource(seed))
--- a/internal/replication/lookup.go
+++ b/internal/replication/lookup.go
@@ -74,7 +74,7 @@
 	return r.startPrepare(now, op, candidate)
 }
 
-// bestCandidate gives the found record with the highest version, nil where there is none. Of equal versions it is
+// bestCandidate returns the found record with the highest version, nil where there is none. Of equal versions it is
 // one at random, so that operations on the same key spread over its records.
 func (r *Replicator) bestCandidate(now float64, op *operation) *Record {
 	revoked := op.revokedIDs()
--- a/internal/replication/members.go
+++ b/internal/replication/members.go
@@ -20,7 +20,7 @@
 type memberList []Member
 
 // UpdateMembers sets who can store records now, this relay included. Where names have changed, other relays may
-// look up a record at members that don't store it: those are told where it is.
+// look up a record at members that don't store it: those are notified of its location.
 func (r *Replicator) UpdateMembers(members []Member) {
 	sameNames := slices.EqualFunc(members, r.members, func(a, b Member) bool { return a.Name == b.Name })
 	r.members = members
@@ -29,7 +29,7 @@
 	}
 }
 
-// HasEnoughMembers tells whether there are members enough for all copies of a record.
+// HasEnoughMembers reports whether there are members enough for all copies of a record.
 func (r *Replicator) HasEnoughMembers() bool {
 	return len(r.members.rank("", r.copies, false)) >= r.copies
 }
@@ -56,7 +56,7 @@
 	return cmp.Or(cmp.Compare(m.hash, other.hash), cmp.Compare(m.Name, other.Name))
 }
 
-// rank gives the first n members in the order in which they store records of that key. It is drawn by rendezvous
+// rank returns the first n members in the order in which they store records of that key. It is drawn by rendezvous
 // hashing, the same at all relays with the same view. No zone comes twice before each has come once, so that the
 // loss of a zone takes few copies.
 func (l memberList) rank(key string, n int, includeDraining bool) []Member {
@@ -76,7 +76,7 @@
 	return ranked
 }
 
-// rankByZone gives each zone's members in order, and the zones in the order of their first members.
+// rankByZone returns each zone's members in order, and the zones in the order of their first members.
 func (l memberList) rankByZone(key string, includeDraining bool) [][]rankedMember {
 	byZone := map[string][]rankedMember{}
 	for _, m := range l {
@@ -94,7 +94,7 @@
 	return zones
 }
 
-// rendezvousHash mixes the bits of an FNV hash once more: names that differ in their end only would else come out
+// rendezvousHash mixes the bits of an FNV hash once more: names that differ in their end only would otherwise come out
 // side by side.
 func rendezvousHash(key, name string) uint64 {
 	h := fnv.New64a()
--- a/internal/replication/message.go
+++ b/internal/replication/message.go
@@ -1,6 +1,6 @@
 package replication
 
-// messageType tells what a message between relays asks for or answers. The numbers are sent and stored.
+// messageType is the type of a message between relays. The numbers are sent and stored.
 type messageType uint8
 
 const (
@@ -19,7 +19,7 @@
 	messageTypeLimit // one past the last type
 )
 
-// isRequest tells whether the message is for a replica, not for the relay that began the operation.
+// isRequest reports whether the message is for a replica, not for the relay that began the operation.
 func (t messageType) isRequest() bool {
 	switch t {
 	case messageStore, messageLookup, messagePrepare, messageAccept, messageDiscard, messagePublish:
@@ -29,7 +29,7 @@
 	}
 }
 
-// isReplyTo tells whether a message of this type answers a request of that type.
+// isReplyTo reports whether a message of this type answers a request of that type.
 func (t messageType) isReplyTo(request messageType) bool {
 	switch request {
 	case messageStore:
--- a/internal/replication/operation.go
+++ b/internal/replication/operation.go
@@ -44,20 +44,21 @@
 
 	round          uint64 // of the current ballot
 	ballotAttempts int
-	claimant       uint64   // token of the operation that the accept request proposes: another's, where that may have been decided
-	usedIDs        []uint64 // records of the key that it found used
+	// claimant is the token that the accept request proposes: another operation's, where that may have been decided.
+	claimant uint64
+	usedIDs  []uint64 // records of the key that it found used
 }
 
 func (op *operation) ballot() ballot { return ballot{Round: op.round, Token: op.token} }
 
-// isPaxos tells whether the operation is in one of the two phases of Paxos.
+// isPaxos reports whether the operation is in one of the two phases of Paxos.
 func (op *operation) isPaxos() bool { return op.phase == messagePrepare || op.phase == messageAccept }
 
 func (op *operation) isTarget(name string) bool {
 	return slices.ContainsFunc(op.targets, func(m Member) bool { return m.Name == name })
 }
 
-// replyCount gives how many members have replied with a message of that type.
+// replyCount returns how many members have replied with a message of that type.
 func (op *operation) replyCount(kind messageType) int {
 	count := 0
 	for _, reply := range op.replies {
@@ -68,12 +69,12 @@
 	return count
 }
 
-// hasMajority tells whether more than half of the record's replicas have replied with a message of that type.
+// hasMajority reports whether more than half of the record's replicas have replied with a message of that type.
 func (op *operation) hasMajority(kind messageType) bool {
 	return 2*op.replyCount(kind) > len(op.record.Replicas)
 }
 
-// expects tells whether a reply belongs to the operation's current request.
+// expects reports whether a reply belongs to the operation's current request.
 func (op *operation) expects(reply message) bool {
 	if !op.isTarget(reply.From) || !reply.Type.isReplyTo(op.phase) {
 		return false
@@ -169,11 +170,11 @@
 	return []Action{{Outcome: &Outcome{Token: op.token, Record: op.record, Err: err}}}
 }
 
-// NextDeadline gives when Tick has something to send again or give up, at the soonest; +Inf: never. Expiry and
+// NextDeadline returns the time when Tick has something to send again or give up, at the soonest; +Inf: never. Expiry and
 // announcements may wait for a Tick that comes anyway.
 func (r *Replicator) NextDeadline() float64 { return r.nextDeadline }
 
-// sortedTokens gives the operations under way in a fixed order, so that a simulation repeats.
+// sortedTokens returns the operations under way in a fixed order, so that a simulation repeats.
 func (r *Replicator) sortedTokens() []uint64 {
 	tokens := make([]uint64, 0, len(r.operations))
 	for token := range r.operations {
--- a/internal/replication/publish.go
+++ b/internal/replication/publish.go
@@ -4,8 +4,8 @@
 	"slices"
 )
 
-// This file is about records that are looked up at a relay that doesn't store them, as members have changed since
-// they were made: their replicas tell it where they are.
+// After the members have changed, a record may be looked up at a relay that doesn't store it. In this file its
+// replicas publish its location to such relays.
 
 const (
 	publishRounds         = 3 // times that all records are announced after a change, as messages get lost
@@ -45,7 +45,7 @@
 	return batch
 }
 
-// publishLocations tells the members that a record's key is looked up at, and that don't store it, where it is.
+// publishLocations sends each record's location to the members that its key is looked up at and that don't store it.
 func (r *Replicator) publishLocations(now float64) []Action {
 	if len(r.publisher.queue) == 0 {
 		if r.publisher.roundsLeft == 0 || now < r.publisher.nextRoundAt || r.suspended {
@@ -98,7 +98,7 @@
 	}
 }
 
-// find gives the record of a key that has not expired.
+// find returns the record of a key that has not expired.
 func (l *locationCache) find(now float64, key recordKey) (record Record, ok bool) {
 	record, ok = l.byKey[key]
 	return record, ok && record.ExpiresAt > now
--- a/internal/replication/record.go
+++ b/internal/replication/record.go
@@ -24,16 +24,16 @@
 // String is the kind's name in /_fleet, in /_holdings and on the command line.
 func (k Kind) String() string { return kindNames[k] }
 
-// isSingleUse tells whether a record of that kind is used up by whoever acquires it.
+// isSingleUse reports whether a record of that kind is used up by whoever acquires it.
 func (k Kind) isSingleUse() bool { return k == Reservation }
 
-// isVersioned tells whether only the highest version of a key counts.
+// isVersioned reports whether only the highest version of a key counts.
 func (k Kind) isVersioned() bool { return k == OperatorOrder || k == Affinity }
 
-// isBestEffort tells whether a kind is held in memory only, in a bounded share of it, and never durable.
+// isBestEffort reports whether a kind is held in memory only, in a bounded share of it, and never durable.
 func (k Kind) isBestEffort() bool { return k == Affinity }
 
-// isRevocable tells whether the owner may revoke a record of that kind before it expires. Such a record is
+// isRevocable reports whether the owner may revoke a record of that kind before it expires. Such a record is
 // useful at a single replica already.
 func (k Kind) isRevocable() bool { return k == AttemptMarker || k == Affinity }
 
@@ -73,7 +73,7 @@
 
 func (r *Record) lookupKey() recordKey { return recordKey{r.Kind, r.Key} }
 
-// isValid tells whether the record is within the limits. It may have expired.
+// isValid reports whether the record is within the limits. It may have expired.
 func (r *Record) isValid(now float64) bool {
 	return r.ID != 0 &&
 		r.Key != "" &&
@@ -84,10 +84,10 @@
 		r.ExpiresAt < now+maxLifetimeMillis
 }
 
-// isCurrent tells whether the record is within the limits and has not expired.
+// isCurrent reports whether the record is within the limits and has not expired.
 func (r *Record) isCurrent(now float64) bool { return r.isValid(now) && r.ExpiresAt > now }
 
-// isReplicaAt tells whether the relay of that name, in any incarnation, is one of the record's replicas.
+// isReplicaAt reports whether the relay of that name, in any incarnation, is one of the record's replicas.
 func (r *Record) isReplicaAt(name string) bool {
 	for i := range r.Replicas {
 		if r.Replicas[i].Name == name {
@@ -97,8 +97,8 @@
 	return false
 }
 
-// hasDistinctReplicas tells whether the record has as many replicas as copies are made, each at another relay.
-// A faulty relay that announces a record of its own making could else grant it alone.
+// hasDistinctReplicas reports whether the record has as many replicas as copies are made, each at another relay.
+// A faulty relay that announces a record of its own making could otherwise grant it alone.
 func (r *Record) hasDistinctReplicas(copies int) bool {
 	names := make(map[string]bool, len(r.Replicas))
 	for _, replica := range r.Replicas {
--- a/internal/replication/register.go
+++ b/internal/replication/register.go
@@ -31,13 +31,13 @@
 	Claimant uint64 // token of the operation whose claim was accepted
 }
 
-// isOpen tells whether the record can still be found: no claim was accepted, and it isn't sealed.
+// isOpen reports whether the record can still be found: no claim was accepted, and it isn't sealed.
 func (g *register) isOpen() bool { return !g.isUsed() && !g.isSealed() }
 
-// isUsed tells whether a claim was accepted here.
+// isUsed reports whether a claim was accepted here.
 func (g *register) isUsed() bool { return g.Accepted != ballot{} }
 
-// isSealed tells whether no ballot can be promised any more.
+// isSealed reports whether no ballot can be promised any more.
 func (g *register) isSealed() bool { return g.Promised.Round == sealedRound }
 
 // seal makes sure that no operation acquires the record. A claim that was accepted stays accepted.
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -63,7 +63,7 @@
 	return r.replyWhenDurable(now, from, reply, r.newWrite(stored))
 }
 
-// hasCapacity tells whether one more record fits in. A best-effort one of a key that is there already does.
+// hasCapacity reports whether one more record fits in. A best-effort one of a key that is there already does.
 func (r *Replicator) hasCapacity(record Record) bool {
 	if r.records.isFull() {
 		return false
@@ -72,7 +72,7 @@
 		!r.records.isBestEffortFull(record.Owner, len(r.members))
 }
 
-// accepts tells whether this relay may become a replica of the record.
+// accepts reports whether this relay may become a replica of the record.
 func (r *Replicator) accepts(now float64, record Record) bool {
 	return !r.members.isDraining(r.name) &&
 		record.isCurrent(now) &&
@@ -121,11 +121,11 @@
 	return Record{Kind: AttemptMarker, Key: key, ID: id}
 }
 
-// isRevokedMarker tells whether a record in a reply is a revokedMarker.
+// isRevokedMarker reports whether a record in a reply is a revokedMarker.
 func (r *Record) isRevokedMarker() bool { return r.Kind == AttemptMarker && len(r.Replicas) == 0 }
 
 // handleDiscard forgets a record, at its owner's request. Reservations and markers are sealed and kept until
-// their retention ends: a copy that arrives late would else be stored, and acquired or found, as if nothing had
+// their retention ends: a copy that arrives late would otherwise be stored, and acquired or found, as if nothing had
 // happened.
 func (r *Replicator) handleDiscard(now float64, request message) []Action {
 	record := request.Records[0]
@@ -143,8 +143,8 @@
 	return r.remove(stored)
 }
 
-// isEarlyRevocation tells whether a marker was revoked before the request to store it arrived. It is stored for
-// that: the later request would else leave a marker that nobody revokes again.
+// isEarlyRevocation reports whether a marker was revoked before the request to store it arrived. It is stored for
+// that: the later request would otherwise leave a marker that nobody revokes again.
 func (r *Replicator) isEarlyRevocation(now float64, from string, record Record) bool {
 	return record.Kind == AttemptMarker && record.Owner == from && record.isCurrent(now) && !r.records.isFull()
 }
@@ -180,7 +180,7 @@
 	return actions
 }
 
-// newWrite gives the write that makes a record durable, with its register.
+// newWrite returns the write that makes a record durable, with its register.
 func (r *Replicator) newWrite(stored *storedRecord) *Write {
 	m := r.newMessage(messagePromise, 0, stored.Record)
 	m.Ballot = stored.Promised
@@ -189,7 +189,7 @@
 	return &Write{Name: recordName(stored.ID), Body: m.encode()}
 }
 
-// LoadRecord stores what the disk has under that name. It gives false where that can't be read, or its retention
+// LoadRecord stores what the disk has under that name. It returns false where that can't be read, or its retention
 // has ended.
 func (r *Replicator) LoadRecord(now float64, name string, body []byte) bool {
 	m, err := decodeMessage(body)
@@ -209,7 +209,7 @@
 	return true
 }
 
-// replyTo gives an empty reply to a request.
+// replyTo returns an empty reply to a request.
 func (r *Replicator) replyTo(request message, kind messageType) message {
 	reply := r.newMessage(kind, request.Token)
 	reply.Ballot = request.Ballot
--- a/internal/replication/replicate.go
+++ b/internal/replication/replicate.go
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// abandonReplication gives up, and has the replicas discard the record: no client was notified of it. A revocable
+// abandonReplication returns up, and has the replicas discard the record: no client was notified of it. A revocable
 // record is useful without being stored everywhere, and stays where it is.
 func (r *Replicator) abandonReplication(op *operation, err error) []Action {
 	if op.record.Kind.isRevocable() {
@@ -87,8 +87,8 @@
 	return append(actions, r.finish(op, err)...)
 }
 
-// Revoke tells the replicas of the marker or best-effort record that Replicate gave that token for that it holds no
-// more, and again a moment later. It cancels a replication that is still under way, without an Outcome.
+// Revoke revokes the marker or best-effort record that Replicate returned the token for: its replicas are sent a
+// discard message, and again a moment later. A replication that is still under way is cancelled without an Outcome.
 func (r *Replicator) Revoke(now float64, token uint64) []Action {
 	record, ok := r.revocable[token]
 	if !ok {
@@ -103,7 +103,7 @@
 	return r.Discard(now, record)
 }
 
-// Discard tells the replicas of a record of this relay to forget it, as it is over or replicated anew elsewhere.
+// Discard has the replicas of a record of this relay discard it, as it is over or was replicated anew elsewhere.
 func (r *Replicator) Discard(now float64, record Record) []Action {
 	request := r.newMessage(messageDiscard, 0, record)
 	var actions []Action
--- a/internal/replication/replicator.go
+++ b/internal/replication/replicator.go
@@ -49,8 +49,8 @@
 	forgetRevoked   bool // drops a revoked marker at once
 }
 
-// New gives a replicator that stores nothing yet. incarnation is the number of this start of the relay, copies
-// how many replicas a record has (1, 3, 5 or 7), maxRecords how many records are stored here at the most.
+// New returns a replicator that stores nothing yet. incarnation is the number of this start of the relay, copies
+// how many replicas a record has (1, 3, 5 or 7), maxRecords how many records are stored here at most.
 func New(name string, incarnation uint64, copies, maxRecords int, rng *rand.Rand) *Replicator {
 	return &Replicator{
 		name:         name,
@@ -106,7 +106,7 @@
 	return r.handleReply(now, m), nil
 }
 
-// CompleteWrite is called once a write is durable, and gives what waited for that. It is not called for a write
+// CompleteWrite is called once a write is durable, and returns what waited for that. It is not called for a write
 // that failed: nothing that depends on it may be sent.
 func (r *Replicator) CompleteWrite(now float64, write *Write) []Action {
 	actions := write.replies
@@ -116,7 +116,7 @@
 	return actions
 }
 
-// newMessage gives a message from this relay.
+// newMessage returns a message from this relay.
 func (r *Replicator) newMessage(kind messageType, token uint64, records ...Record) message {
 	return message{Type: kind, Token: token, From: r.name, Incarnation: r.incarnation, Records: records}
 }
--- a/internal/replication/status.go
+++ b/internal/replication/status.go
@@ -10,14 +10,14 @@
 	fullScanLimit      = 4096 // records, up to which Status scans all of them itself
 )
 
-// KindStatus tells how the stored records of a kind are replicated. UnderReplicated and BelowQuorum count the
+// KindStatus is the state of the stored records of a kind. UnderReplicated and BelowQuorum count the
 // records that this relay is the first living replica of, so that the sums over all relays count each record
 // once.
 type KindStatus struct {
 	Stored          int `json:"Held"`  // here
 	Open            int `json:"Open"`  // of those: neither used, revoked nor expired
 	UnderReplicated int `json:"Under"` // some replica is not alive
-	BelowQuorum     int `json:"Short"` // no more than half of them are: it can't be acquired, or read for certain, until more are
+	BelowQuorum     int `json:"Short"` // no more than half are: it can't be acquired, or read for certain, until more are
 }
 
 // Add adds another relay's status.
@@ -89,7 +89,7 @@
 	s.partitions[partition] = result
 }
 
-// sum gives a kind's status over all partitions. Stored is left at 0.
+// sum returns a kind's status over all partitions. Stored is left at 0.
 func (s *statusScanner) sum(kind Kind) KindStatus {
 	var sum KindStatus
 	for i := range s.partitions {
@@ -132,7 +132,7 @@
 	r.scanPartition(now, r.scanner.last, r.members.names())
 }
 
-// Status gives the state of the stored records and the counts, by the kind's name. Where very many records are
+// Status returns the state of the stored records and the counts, by the kind's name. Where very many records are
 // stored, all but Stored is as it was within the last seconds: a scan of all of them would take a hundred
 // milliseconds.
 func (r *Replicator) Status(now float64) (map[string]KindStatus, map[string]Counts) {
--- a/internal/replication/table.go
+++ b/internal/replication/table.go
@@ -64,7 +64,7 @@
 
 func (t *recordTable) isFull() bool { return len(t.byID) >= t.maxRecords }
 
-// isBestEffortFull tells whether there is no capacity for one more best-effort record of that owner in a fleet of
+// isBestEffortFull reports whether there is no capacity for one more best-effort record of that owner in a fleet of
 // so many members. Those that are stored stay until they expire: a flood of new ones can't evict them.
 func (t *recordTable) isBestEffortFull(owner string, members int) bool {
 	capacity := t.maxRecords / bestEffortDivisor
@@ -72,7 +72,7 @@
 	return t.bestEffortCount >= capacity || t.bestEffortByOwner[owner] >= ownerCapacity
 }
 
-// withKey gives the records of a kind and key, in the order in which they were inserted.
+// withKey returns the records of a kind and key, in the order in which they were inserted.
 func (t *recordTable) withKey(key recordKey) []*storedRecord {
 	var records []*storedRecord
 	for _, id := range t.idsByKey[key] {
@@ -134,7 +134,7 @@
 	t.partitions[record.ID%Partitions] = partition[:end]
 }
 
-// removeExpired removes the records whose retention has ended, once a second. swept tells whether a second has
+// removeExpired removes the records whose retention has ended, once a second. swept reports whether a second has
 // passed.
 func (t *recordTable) removeExpired(now float64) (removed []*storedRecord, swept bool) {
 	second := int64(now / 1000)
--- a/internal/replication/verify.go
+++ b/internal/replication/verify.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// verifyMarginMillis is how long a record must still be valid to be counted: it may else expire between the
+	// verifyMarginMillis is how long a record must still be valid to be counted: it may otherwise expire between the
 	// answers of two relays.
 	verifyMarginMillis = 1000.0
 	maxInconsistencies = 20 // listed of each kind
@@ -105,7 +105,7 @@
 	}
 }
 
-// isSameRecord tells whether two snapshots with the same ID can be of the same record.
+// isSameRecord reports whether two snapshots with the same ID can be of the same record.
 func (s *RecordSnapshot) isSameRecord(other *RecordSnapshot) bool {
 	return s.Kind == other.Kind &&
 		s.Key == other.Key &&
@@ -136,7 +136,7 @@
 }
 
 // removeSuperseded removes the earlier versions of versioned records, which may be stored on for a while at some
-// relays. Of equal versions the one at the most relays counts.
+// relays. Of equal versions the one at most relays counts.
 func (v *verifier) removeSuperseded() {
 	latest := map[versionedKey]*observedRecord{}
 	for id, record := range v.records {
--- a/internal/replication/verify_test.go
+++ b/internal/replication/verify_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// decodedPages gives all relays' pages as a client decodes them.
+// decodedPages returns all relays' pages as a client decodes them.
 func (f *testFleet) decodedPages() []Page {
 	f.t.Helper()
 	var pages []Page
@@ -28,7 +28,7 @@
 	return decoded
 }
 
-// orderAt gives the snapshot of the only order at its replica with that index.
+// orderAt returns the snapshot of the only order at its replica with that index.
 func orderAt(pages []Page, replica int) *RecordSnapshot {
 	for i := range pages {
 		for k := range pages[i].Records {
--- a/internal/testbed/sim/replication_test.go
+++ b/internal/testbed/sim/replication_test.go
@@ -30,7 +30,7 @@
 	return s, r
 }
 
-// replicationStatuses gives the status of each relay that is up at the end and replicates.
+// replicationStatuses returns the status of each relay that is up at the end and replicates.
 func (s *Sim) replicationStatuses() []*fleet.ReplicationStatus {
 	var statuses []*fleet.ReplicationStatus
 	for _, p := range s.relays {
@@ -53,7 +53,7 @@
 	return sum
 }
 
-// storedRecords gives how many records of each kind are stored at the end, without those of which there are none.
+// storedRecords returns how many records of each kind are stored at the end, without those of which there are none.
 func (s *Sim) storedRecords() map[string]int {
 	stored := map[string]int{}
 	for _, status := range s.replicationStatuses() {
@@ -71,7 +71,8 @@
 func TestReservationsAreFound(t *testing.T) {
 	text := strings.NewReplacer("disk = true", "disk = true\nholdings = 3", "honours-busy = 0.5",
 		"honours-busy = 0.9",
-		`length = "34s"`, `length = "24s"`).Replace(machines) + fault("power-loss", "10s", "for = \"2s\"\nspread = \"1s\"\nshare = 1.0")
+		`length = "34s"`, `length = "24s"`).Replace(machines) +
+		fault("power-loss", "10s", "for = \"2s\"\nspread = \"1s\"\nshare = 1.0")
 	for _, c := range []struct {
 		name           string
 		faults         string
