--- a/internal/testbed/sim/infrastructure.go
+++ b/internal/testbed/sim/infrastructure.go
@@ -42,10 +42,8 @@
 	s.net.tell("relay %d lame duck %t", i, on)
 	p := s.relays[i]
 	p.take(relay.DrainRequested{On: on})
-	if p.mates != nil && !p.over {
-		record, acts := p.mates.core.SetDraining(p.clock(), on)
-		p.mates.do(acts)
-		p.mates.save(record, nil)
+	if p.fleetNode != nil && !p.over {
+		p.fleetNode.setDraining(on)
 	}
 }
 
@@ -56,7 +54,7 @@
 	s.known[i] = s.keeps()
 	p := s.relays[i]
 	p.stop(true)
-	s.lose(i)
+	s.losePower(i)
 	if p.beside != nil && !p.beside.over {
 		p.beside.stop(true)
 	}
--- a/internal/testbed/sim/relayprocess.go
+++ b/internal/testbed/sim/relayprocess.go
@@ -47,13 +47,13 @@
 	taking bool
 	due    []relay.Event
 
-	mates  *mates   // nil: it keeps nothing and knows no other
-	beside *process // another process on the same socket
-	holds  bool
-	left   *relay.Handoff
-	given  uint64 // the backend's connection of what is being passed
-	passed *relay.TransferredSession
-	ready  func()
+	fleetNode *fleetNode // nil: it keeps nothing and knows no other
+	beside    *process   // another process on the same socket
+	holds     bool
+	left      *relay.Handoff
+	given     uint64 // the backend's connection of what is being passed
+	passed    *relay.TransferredSession
+	ready     func()
 }
 
 func newProcess(d *node, number int, brain Brain, list *model.Discovery,
@@ -135,7 +135,7 @@
 			p.net.tell("%s note %s %v", p.address, f.Message, f.Args)
 		}
 	case *relay.ReplicationRequest:
-		p.mates.trust(*f)
+		p.fleetNode.replicate(*f)
 	case *relay.Exit:
 		p.scheduleExit()
 	}
--- a/internal/testbed/sim/simulation.go
+++ b/internal/testbed/sim/simulation.go
@@ -38,7 +38,7 @@
 	known                []*relay.EndpointUpdate
 	past                 []relay.Counters // of lives that are over
 	ways                 map[[2]int]experiment.Impairment
-	disks                []*disk
+	disks                []*simulatedDisk
 	coordinatorProcesses map[int]*coordinatorProcess // voters, by their machines
 	clocks               []float64                   // of relays' machines, ahead of the true time
 	// Spoil, where set, wraps each relay's state machine, for tests of the auditor.
@@ -89,7 +89,7 @@
 		s.relays = append(s.relays, &process{node: n, over: true})
 		s.reducer = append(s.reducer, nil)
 		s.lives = append(s.lives, 0)
-		s.disks = append(s.disks, &disk{memory: store.NewMemoryFS()})
+		s.disks = append(s.disks, &simulatedDisk{memory: store.NewMemoryFS()})
 		s.clocks = append(s.clocks, 0)
 		s.known = append(s.known, s.keeps())
 		s.past = append(s.past, relay.Counters{})
@@ -137,7 +137,7 @@
 	s.relays[i] = p
 	p.listen()
 	p.take(relay.TimerFired{})
-	s.join(i, p)
+	s.startFleetNode(i, p)
 	return nil
 }
 
