--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -10,9 +10,9 @@
 	"valeshift/internal/settings"
 )
 
-// fleetOf is a relay with so many backends that have been probed, and one link that stands.
-func fleetOf(t testing.TB, backends int) (r *StateMachine, now float64, client, server uint64) {
-	values, err := settings.Flatten([]byte(told))
+// newBenchmarkRelay is a relay with so many backends that have been polled, and one session that is established.
+func newBenchmarkRelay(t testing.TB, backends int) (r *StateMachine, now float64, client, server uint64) {
+	values, err := settings.Flatten([]byte(baseSettings))
 	require.NoError(t, err)
 	values["limits.probes"], values["stats.how"] = "true", "probe"
 	values["discovery"], values["family-info.tenant-quota-connections"] = "subscribe", "200000,300000"
@@ -25,7 +25,7 @@
 	require.NoError(t, err)
 	var play func(e Event)
 	play = func(e Event) {
-		for _, next := range answersOf(r.Handle(now, e), &server) {
+		for _, next := range backendAnswers(r.Handle(now, e), &server) {
 			play(next)
 		}
 	}
@@ -38,9 +38,9 @@
 	return r, now, 1, server
 }
 
-// answersOf are the events by which backends answer the effects: each connection comes up, each poll and each request
+// backendAnswers are the events by which backends answer the effects: each connection comes up, each poll and each request
 // is answered. The connection of the last request goes to server.
-func answersOf(effects []Effect, server *uint64) (answers []Event) {
+func backendAnswers(effects []Effect, server *uint64) (answers []Event) {
 	for _, effect := range effects {
 		switch f := effect.(type) {
 		case *Dial:
@@ -63,7 +63,7 @@
 func BenchmarkLine(b *testing.B) {
 	for _, n := range []int{20, 200, 1000, 5000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			r, now, client, server := fleetOf(b, n)
+			r, now, client, server := newBenchmarkRelay(b, n)
 			up, down := []byte("a line of a client\r\n"), []byte("a line of a server\r\n")
 			b.ReportAllocs()
 			b.ResetTimer()
@@ -76,8 +76,8 @@
 }
 
 // A passed line allocates nothing, whatever the size of the fleet.
-func TestPassedLineAllocatesNothing(t *testing.T) {
-	r, now, client, server := fleetOf(t, 200)
+func TestForwardedLineAllocatesNothing(t *testing.T) {
+	r, now, client, server := newBenchmarkRelay(t, 200)
 	up, down := []byte("a line of a client\r\n"), []byte("a line of a server\r\n")
 	said := 0
 	written := func(effects []Effect, conn uint64, line []byte) {
@@ -98,8 +98,8 @@
 	require.Equal(t, 2*111, said)
 }
 
-// placeAndEnd has a client come, its session placed and established at a backend, and the client leave again.
-func placeAndEnd(tb testing.TB, r *StateMachine, now float64, client uint64, request, answer []byte) {
+// playSession has a client come, its session assigned and established at a backend, and the client leave again.
+func playSession(tb testing.TB, r *StateMachine, now float64, client uint64, request, answer []byte) {
 	tb.Helper()
 	r.Handle(now, ConnAccepted{Conn: client})
 	backend := uint64(0)
@@ -116,11 +116,11 @@
 
 // A session from its client's coming to its end.
 func BenchmarkSession(b *testing.B) {
-	r, now, client, _ := fleetOf(b, 20)
+	r, now, client, _ := newBenchmarkRelay(b, 20)
 	request, answer := []byte("OPEN other 1 c=feed,t=one,d=1000\r\n"), []byte("UP receipt\r\n")
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		placeAndEnd(b, r, now+float64(i)*0.1, client+1+uint64(i), request, answer)
+		playSession(b, r, now+float64(i)*0.1, client+1+uint64(i), request, answer)
 	}
 }
--- a/internal/relay/figures.go
+++ b/internal/relay/figures.go
@@ -17,17 +17,17 @@
 
 // figures appends what is published, in the order of names: each category's answers, the attempts written,
 // links from their heads to their ends, the list's backends and those of them that the module avoids.
-func (r *StateMachine) figures(to []uint64) []uint64 {
-	for _, a := range r.queue.answers {
+func (m *StateMachine) figures(to []uint64) []uint64 {
+	for _, a := range m.queue.answers {
 		to = append(to, a.served, a.refused, a.failed)
 	}
-	known, excluded := r.queue.dispatcher.Balancer.Counts()
-	return append(to, r.RequestsSent, uint64(r.queue.sessions), uint64(known), uint64(excluded))
+	known, excluded := m.queue.dispatcher.Balancer.Counts()
+	return append(to, m.RequestsSent, uint64(m.queue.sessions), uint64(known), uint64(excluded))
 }
 
-func (r *StateMachine) figureNames() []admin.Metric {
-	names := make([]admin.Metric, 3*len(r.queue.answers))
-	for name, i := range r.rules.classes {
+func (m *StateMachine) figureNames() []admin.Metric {
+	names := make([]admin.Metric, 3*len(m.queue.answers))
+	for name, i := range m.rules.classes {
 		for k, what := range []string{"served.", "refused.", "failed."} {
 			names[3*i+k] = admin.Metric{Name: what + name, IsCounter: true}
 		}
@@ -37,7 +37,7 @@
 }
 
 // serving tells whether the relay is fit to be sent clients.
-func (r *StateMachine) serving() bool { return r.drain.ready && !r.drain.stopping && !r.drain.draining }
+func (m *StateMachine) serving() bool { return m.drain.ready && !m.drain.stopping && !m.drain.draining }
 
 // metricsBoard is what was published last.
 type metricsBoard struct {
@@ -47,21 +47,21 @@
 	next   []uint64 // the publisher's own
 }
 
-func newMetricsBoard(r *StateMachine) *metricsBoard {
-	names := r.figureNames()
+func newMetricsBoard(m *StateMachine) *metricsBoard {
+	names := m.figureNames()
 	return &metricsBoard{names: names, values: make([]atomic.Uint64, len(names))}
 }
 
 // publish is called under the relay's lock. Against a cost for each line of a busy relay: what stays as it
 // was is not written again.
-func (b *metricsBoard) publish(r *StateMachine) {
-	b.next = r.figures(b.next[:0])
+func (b *metricsBoard) publish(m *StateMachine) {
+	b.next = m.figures(b.next[:0])
 	for i, v := range b.next {
 		if b.values[i].Load() != v {
 			b.values[i].Store(v)
 		}
 	}
-	b.ready.Store(r.serving())
+	b.ready.Store(m.serving())
 }
 
 var errStopping = errors.New("the relay is stopping")
--- a/internal/relay/figures_test.go
+++ b/internal/relay/figures_test.go
@@ -11,7 +11,7 @@
 )
 
 // told gives the figures that are not 0, by name.
-func (s *scene) told() string {
+func (s *harness) told() string {
 	var said []string
 	values := s.figures(nil)
 	for i, f := range s.figureNames() {
@@ -57,42 +57,42 @@
 			"dial s1 10.0.0.1:9000"}, {101, "up s1", "write s1 OPEN a 1f c=order,t=one,d=1989|"}},
 			"came s1 ERR|", "failed.order 1, attempts 1"},
 	} {
-		s := open(t, nil, 0, "b1=active", "b2=active")
+		s := newHarness(t, nil, 0, "b1=active", "b2=active")
 		s.play(c.name, c.start...)
-		s.at(103, c.event)
-		s.at(2000, "tick")
+		s.handle(103, c.event)
+		s.handle(2000, "tick")
 		want := "backends_known 2"
 		if strings.HasPrefix(c.event, "news") {
 			want += ", backends_excluded 1"
 		}
 		assert.Equal(t, strings.TrimPrefix(c.want+", "+want, ", "), s.told(), c.name)
 	}
-	s := open(t, nil, 0)
+	s := newHarness(t, nil, 0)
 	s.play("no backend: given up", step{100, "open 1", ""}, step{100, head, ""})
 	for now := 150.0; now < 1300; now += 50 {
-		s.at(now, "tick")
+		s.handle(now, "tick")
 	}
 	assert.Equal(t, "refused.feed 1", s.told())
 }
 
 // Backends that don't answer and those that drain are avoided; one that is gone is not known.
 func TestFiguresOfBackends(t *testing.T) {
-	s := open(t, with(`"probes": false`, `"probes": true`), 0, "b1=active", "b2=active", "b3=leaving")
+	s := newHarness(t, replacing(`"probes": false`, `"probes": true`), 0, "b1=active", "b2=active", "b3=leaving")
 	assert.Equal(t, "backends_known 3, backends_excluded 1", s.told())
 	for now := 0.0; now < 3000; now += 50 {
-		s.at(now, "tick") // no connection for a probe comes up
+		s.handle(now, "tick") // no connection for a probe comes up
 	}
 	assert.Equal(t, "backends_known 3, backends_excluded 3", s.told())
-	s.at(3000, "heard 1")
-	s.at(3001, "news 1 2 whole b2=active")
+	s.handle(3000, "heard 1")
+	s.handle(3001, "news 1 2 whole b2=active")
 	assert.Equal(t, "backends_known 1, backends_excluded 1", s.told())
 }
 
 func TestLameDuck(t *testing.T) {
-	two := with(`"replicas-of-me": 1`, `"replicas-of-me": 2`)
-	s := open(t, two, 0, "b1=active")
-	s.stands()
-	s.play("emptied over the time of a stop, and goes on", step{1000, "lame on", ""}, step{1001, "lame on", ""},
+	two := replacing(`"replicas-of-me": 1`, `"replicas-of-me": 2`)
+	s := newHarness(t, two, 0, "b1=active")
+	s.establishSession()
+	s.play("emptied over the time of a stop, and goes on", step{1000, "drain on", ""}, step{1001, "drain on", ""},
 		step{1001, "open 2", ""}, step{1001, "came 2 PING|", "write 2 ERR|"}, step{1002, "end 2", "end 2"},
 		step{1300, "open 3", ""}, step{1300, "came 3 OPEN b 1f c=feed,d=2000|", "dial s2 10.0.0.1:9000"},
 		step{1301, "up s2", "write s2 OPEN b 1f c=feed,d=1989|"}, step{1899, "tick", ""},
@@ -102,37 +102,37 @@
 		"write 3 UP r|; write 3 MOVE|; end 3; end s2"},
 		step{3400, "tick", ""}, step{9000, "heard 1", ""})
 	assert.Zero(t, s.queue.sessions)
-	s.play("back at once", step{9001, "lame off", ""}, step{9001, "lame off", ""}, step{9002, "open 4", ""},
+	s.play("back at once", step{9001, "drain off", ""}, step{9001, "drain off", ""}, step{9002, "open 4", ""},
 		step{9002, "came 4 PING|", "write 4 PONG|"})
 	assert.True(t, s.serving())
 
-	s = open(t, two, 0, "b1=active", "b2=active")
-	s.stands()
-	s.play("off before it has gone: it stays", step{1000, "lame on", ""}, step{1200, "lame off", ""})
+	s = newHarness(t, two, 0, "b1=active", "b2=active")
+	s.establishSession()
+	s.play("off before it has gone: it stays", step{1000, "drain on", ""}, step{1200, "drain off", ""})
 	for now := 1500.0; now < 9000; now += 500 {
 		s.play("still", step{now, "came 1 x|", "write s1 x|"}, step{now + 1, "came s1 y|", "write 1 y|"})
-		s.at(now+2, "heard 1")
+		s.handle(now+2, "heard 1")
 	}
-	s.play("but not if its backend goes", step{9100, "lame on", ""}, step{9101, "news 1 2 delta b1=leaving", ""},
-		step{9102, "lame off", ""})
-	s.at(12200, "tick")
+	s.play("but not if its backend goes", step{9100, "drain on", ""}, step{9101, "news 1 2 delta b1=leaving", ""},
+		step{9102, "drain off", ""})
+	s.handle(12200, "tick")
 	assert.Zero(t, s.Established)
 	assert.Equal(t, uint64(1), s.Migrated)
 
-	s = open(t, two, 0, "b1=active")
-	s.stands()
-	s.play("a stop goes before both", step{1000, "lame on", ""}, step{1500, "stop", ""}, step{1600,
-		"lame off", ""},
-		step{1601, "lame on", ""})
+	s = newHarness(t, two, 0, "b1=active")
+	s.establishSession()
+	s.play("a stop goes before both", step{1000, "drain on", ""}, step{1500, "stop", ""}, step{1600,
+		"drain off", ""},
+		step{1601, "drain on", ""})
 	assert.True(t, s.drain.stopping)
 	assert.False(t, s.serving())
 	for now := 1700.0; now < 5000 && !s.drain.exiting; now += 50 {
-		s.at(now, "tick")
+		s.handle(now, "tick")
 	}
 	assert.True(t, s.drain.exiting)
-	s = open(t, nil, 0, "b1=active")
-	s.play("a reload meanwhile is taken", step{1, "lame on", ""}, step{2, "reload 10.1.0.2:85",
-		"watch 2 after 0 at 10.1.0.2:85"}, step{3, "news 2 1 whole b1=active", ""}, step{4, "lame off", ""})
+	s = newHarness(t, nil, 0, "b1=active")
+	s.play("a reload meanwhile is taken", step{1, "drain on", ""}, step{2, "reload 10.1.0.2:85",
+		"watch 2 after 0 at 10.1.0.2:85"}, step{3, "news 2 1 whole b1=active", ""}, step{4, "drain off", ""})
 	assert.True(t, s.serving())
 }
 
--- a/internal/relay/random_test.go
+++ b/internal/relay/random_test.go
@@ -21,7 +21,7 @@
 func TestAnyOrderOfEvents(t *testing.T) {
 	for seed := range int64(300) {
 		chance := rand.New(rand.NewSource(seed))
-		s := open(t, func(text string) string {
+		s := newHarness(t, func(text string) string {
 			text = strings.Replace(text, `"probes": false`, fmt.Sprintf(`"probes": %t`, seed%2 == 0), 1)
 			return strings.Replace(text, `"may-cancel": true`, fmt.Sprintf(`"may-cancel": %t`, seed%3 > 0), 1) + " "
 		}, 70, "b1=active", "b2=active", "b3=leaving")
@@ -42,7 +42,7 @@
 			return all[chance.Intn(len(all))]
 		}
 		tell := func(event string) {
-			for _, said := range strings.Split(s.at(now, event), "; ") {
+			for _, said := range strings.Split(s.handle(now, event), "; ") {
 				f := strings.Fields(said)
 				if len(f) == 0 {
 					continue
@@ -55,7 +55,7 @@
 					require.False(t, c.session != nil && s.drain.exiting, "seed %d: %s after the exit was decided", seed, said)
 				case "watch":
 					fmt.Sscan(f[1], &watch)
-				case "end", "break":
+				case "end", "reset":
 					delete(open, f[1])
 					delete(up, f[1])
 				case "write":
@@ -151,9 +151,9 @@
 			case 0:
 				tell(fmt.Sprintf("reload 10.1.0.%d:85", 1+chance.Intn(3)))
 			case 1:
-				tell("refuse")
+				tell("reload-error")
 			case 2:
-				tell([]string{"lame on", "lame off"}[chance.Intn(2)])
+				tell([]string{"drain on", "drain off"}[chance.Intn(2)])
 			}
 		}
 		tell("stop")
--- a/internal/relay/replication_test.go
+++ b/internal/relay/replication_test.go
@@ -7,95 +7,95 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A try that may not simply be done again goes out once others hold that it may run, or a little later; the
+// An attempt that may not simply be done again goes out once others hold that it may run, or a little later; the
 // mark is taken back where nothing ran, or the client has its answer, and stays where it may have run.
-func TestTriesAreMarked(t *testing.T) {
+func TestAttemptMarkers(t *testing.T) {
 	const order, feed = "came 1 OPEN a 1f c=order,d=2000|", "came 1 OPEN a 1f c=feed,d=2000|"
 	const sent = "write s1 OPEN a 1f c=order,d=1982|"
-	begins := []step{{1000, "open 1", ""}, {1001, order, "dial s1 10.0.0.1:9000; entrust s1 b1"}}
+	begins := []step{{1000, "open 1", ""}, {1001, order, "dial s1 10.0.0.1:9000; replicate s1 b1"}}
 	for _, c := range []struct {
 		name  string
 		steps []step
 	}{
-		{"held while it connects", append(begins[:2:2], step{1002, "held s1", ""}, step{1009, "up s1", sent},
+		{"replicated while it connects", append(begins[:2:2], step{1002, "replicated s1", ""}, step{1009, "up s1", sent},
 			step{1020, "came s1 UP r|", "release s1; write 1 UP r|"})},
-		{"held later", append(begins[:2:2], step{1003, "up s1", ""},
-			step{1009, "held s1", sent}, step{1020, "came s1 UP r|", "release s1; write 1 UP r|"})},
-		{"not held", append(begins[:2:2], step{1003, "up s1", ""}, step{1009, "unheld s1", sent},
+		{"replicated later", append(begins[:2:2], step{1003, "up s1", ""},
+			step{1009, "replicated s1", sent}, step{1020, "came s1 UP r|", "release s1; write 1 UP r|"})},
+		{"not held", append(begins[:2:2], step{1003, "up s1", ""}, step{1009, "unreplicated s1", sent},
 			step{1020, "came s1 ERR|", "end s1; write 1 ERR|; end 1"})},
 		{"nobody says anything", append(begins[:2:2], step{1003, "up s1", ""},
-			step{1009, "tick", sent}, step{1009.5, "held s1", ""})},
+			step{1009, "tick", sent}, step{1009.5, "replicated s1", ""})},
 		{"it breaks while it waits: nothing ran", append(begins[:2:2], step{1003, "up s1", ""},
-			step{1004, "reset s1", "end s1; release s1; dial s2 10.0.0.2:9000; entrust s2 b2"},
-			step{1005, "held s1", ""}, step{1006, "held s2", ""}, step{1009, "up s2",
+			step{1004, "reset s1", "end s1; release s1; dial s2 10.0.0.2:9000; replicate s2 b2"},
+			step{1005, "replicated s1", ""}, step{1006, "replicated s2", ""}, step{1009, "up s2",
 				"write s2 OPEN a 1f c=order,d=1982|"})},
-		{"turned down: nothing ran", append(begins[:2:2], step{1002, "held s1", ""}, step{1009, "up s1", sent},
-			step{1010, "came s1 BUSY|", "end s1; release s1; dial s2 10.0.0.2:9000; entrust s2 b2"})},
-		{"it may have run", append(begins[:2:2], step{1002, "held s1", ""}, step{1009, "up s1", sent},
+		{"rejected: nothing ran", append(begins[:2:2], step{1002, "replicated s1", ""}, step{1009, "up s1", sent},
+			step{1010, "came s1 BUSY|", "end s1; release s1; dial s2 10.0.0.2:9000; replicate s2 b2"})},
+		{"it may have run", append(begins[:2:2], step{1002, "replicated s1", ""}, step{1009, "up s1", sent},
 			step{1100, "reset s1", "end s1; write 1 ERR|; end 1"})},
 		{"one that may be done again", []step{{1000, "open 1", ""}, {1001, feed, "dial s1 10.0.0.1:9000"}}},
 		{"its client leaves while it waits", append(begins[:2:2], step{1003, "up s1", ""},
-			step{1004, "end 1", "end 1; break s1; release s1"}, step{1009, "held s1", ""})},
+			step{1004, "end 1", "end 1; reset s1; release s1"}, step{1009, "replicated s1", ""})},
 	} {
-		s := open(t, nil, 0, "b1=active", "b2=active")
-		s.at(10, "holds")
+		s := newHarness(t, nil, 0, "b1=active", "b2=active")
+		s.handle(10, "replication")
 		s.play(c.name, c.steps...)
 	}
 }
 
-// A client's further try waits for word of a former one, for a bounded time; one that may have run is not run
+// A client's retry waits for word of an earlier attempt, for a bounded time; one that may have run is not run
 // again, and its client not told that trying again is harmless.
-func TestFurtherTriesAsk(t *testing.T) {
+func TestRetriesLookUpEarlierAttempts(t *testing.T) {
 	const again = "came 1 OPEN a 1f c=order,d=2000,r=1|"
-	asks := []step{{1000, "open 1", ""}, {1001, again, "claim 1"}}
-	goes := "dial s1 10.0.0.1:9000; entrust s1 b1"
+	asks := []step{{1000, "open 1", ""}, {1001, again, "lookup 1"}}
+	goes := "dial s1 10.0.0.1:9000; replicate s1 b1"
 	for _, c := range []struct {
 		name  string
 		steps []step
 	}{
-		{"nobody holds a mark", append(asks[:2:2], step{1003, "none 1", goes})},
+		{"nobody holds a marker", append(asks[:2:2], step{1003, "no-attempt 1", goes})},
 		{"nobody answers", append(asks[:2:2], step{1050, "tick", ""}, step{1051, "tick", goes}, step{1052,
-			"ran 1 b1", ""})},
-		{"it may have run", append(asks[:2:2], step{1003, "ran 1 b1", "write 1 ERR|; end 1"})},
-		{"at a server that nobody knows any more", append(asks[:2:2], step{1003, "ran 1 b9",
+			"found-attempt 1 b1", ""})},
+		{"it may have run", append(asks[:2:2], step{1003, "found-attempt 1 b1", "write 1 ERR|; end 1"})},
+		{"at a backend that nobody knows any more", append(asks[:2:2], step{1003, "found-attempt 1 b9",
 			"write 1 ERR|; end 1"})},
 		{"little time is left", []step{{1000, "open 1", ""}, {1001, strings.Replace(again, "2000", "50", 1),
-			"claim 1"},
+			"lookup 1"},
 			{1011, "tick", goes}}},
-		{"its client leaves meanwhile", append(asks[:2:2], step{1003, "end 1", "end 1"}, step{1004, "none 1", ""})},
+		{"its client leaves meanwhile", append(asks[:2:2], step{1003, "end 1", "end 1"}, step{1004, "no-attempt 1", ""})},
 		{"the relay ends meanwhile", append(asks[:2:2], step{1002, "stop", ""}, step{1051, "tick", goes})},
-		{"a first try", []step{{1000, "open 1", ""}, {1001, strings.Replace(again, ",r=1", "", 1), goes}}},
+		{"a first attempt", []step{{1000, "open 1", ""}, {1001, strings.Replace(again, ",r=1", "", 1), goes}}},
 	} {
-		s := open(t, nil, 0, "b1=active")
-		s.at(10, "holds")
+		s := newHarness(t, nil, 0, "b1=active")
+		s.handle(10, "replication")
 		s.play(c.name, c.steps...)
 	}
 }
 
 // A client that is told to come again while the fleet recovers gets its answer once others hold it, or 8 ms
 // later; nothing of all this is done where nobody holds anything.
-func TestAnswersAreEntrusted(t *testing.T) {
+func TestRejectionsAreReplicated(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		holds bool
 		steps []step
 	}{
-		{"held", true, []step{{1051, "tick", "entrust 1"}, {1055, "held 1", "BUSY"}}},
-		{"not held", true, []step{{1051, "tick", "entrust 1"}, {1055, "unheld 1", "BUSY"}}},
-		{"late", true, []step{{1051, "tick", "entrust 1"}, {1059, "tick", "BUSY"}, {1060, "held 1", ""}}},
-		{"its client leaves", true, []step{{1051, "tick", "entrust 1"}, {1055, "end 1", "end 1"}, {1056, "held 1",
+		{"replicated", true, []step{{1051, "tick", "replicate 1"}, {1055, "replicated 1", "BUSY"}}},
+		{"not held", true, []step{{1051, "tick", "replicate 1"}, {1055, "unreplicated 1", "BUSY"}}},
+		{"late", true, []step{{1051, "tick", "replicate 1"}, {1059, "tick", "BUSY"}, {1060, "replicated 1", ""}}},
+		{"its client leaves", true, []step{{1051, "tick", "replicate 1"}, {1055, "end 1", "end 1"}, {1056, "replicated 1",
 			""}}},
 		{"nobody holds anything", false, []step{{1051, "tick", "BUSY"}}},
 	} {
-		s := open(t, nil, 0, "b1=leaving")
+		s := newHarness(t, nil, 0, "b1=leaving")
 		if c.holds {
-			s.at(10, "holds")
+			s.handle(10, "replication")
 		}
-		s.at(11, "recovers")
-		s.at(1000, "open 1")
-		assert.Equal(t, c.holds, s.at(1001, "came 1 OPEN a 1f c=feed,d=200|") == "claim 0", c.name)
+		s.handle(11, "recovers")
+		s.handle(1000, "open 1")
+		assert.Equal(t, c.holds, s.handle(1001, "came 1 OPEN a 1f c=feed,d=200|") == "lookup 0", c.name)
 		for _, p := range c.steps {
-			if said := s.at(p.at, p.event); p.want == "BUSY" {
+			if said := s.handle(p.at, p.event); p.want == "BUSY" {
 				assert.Regexp(t, `^write 1 BUSY \d+\|; end 1$`, said, c.name)
 			} else {
 				assert.Equal(t, p.want, said, c.name)
@@ -104,38 +104,38 @@
 	}
 }
 
-// Where a client stands is told to others, and taken back as it ends; one that returns goes there, if others
+// Where a client is established is told to others, and taken back as it ends; one that returns goes there, if others
 // say so within 8 ms.
-func TestWhereClientsStand(t *testing.T) {
+func TestAffinityRecords(t *testing.T) {
 	const back = "came 1 OPEN a 1f c=feed,d=2000,again=1|"
-	asks := []step{{1000, "open 1", ""}, {1001, back, "claim 1"}}
+	asks := []step{{1000, "open 1", ""}, {1001, back, "lookup 1"}}
 	stands := func(change string, last step) []step {
 		return []step{{1000, "open 1", ""}, {1001, "came 1 OPEN a 1f c=feed,d=2000" + change + "|",
 			"dial s1 10.0.0.1:9000"},
 			{1002, "up s1", "write s1 OPEN a 1f c=feed,d=1989" + change + "|"},
-			{1003, "came s1 UP r|", "entrust s1 b1; write 1 UP r|"}, last}
+			{1003, "came s1 UP r|", "replicate s1 b1; write 1 UP r|"}, last}
 	}
 	for _, c := range []struct {
 		name  string
 		steps []step
 	}{
 		{"it ends by itself", stands("", step{2000, "end 1", "end 1; release s1; end s1"})},
-		{"it breaks", stands("", step{2000, "reset 1", "end 1; break s1"})},
+		{"it breaks", stands("", step{2000, "reset 1", "end 1; reset s1"})},
 		{"of a group", stands(",g=2a", step{2000, "end 1", "end 1; end s1"})},
-		{"it returns there", append(asks[:2:2], step{1003, "stood 1 b2", "dial s1 10.0.0.2:9000"})},
-		{"nobody knows", append(asks[:2:2], step{1003, "stands 1", "dial s1 10.0.0.1:9000"})},
+		{"it returns there", append(asks[:2:2], step{1003, "found-affinity 1 b2", "dial s1 10.0.0.2:9000"})},
+		{"nobody knows", append(asks[:2:2], step{1003, "no-affinity 1", "dial s1 10.0.0.1:9000"})},
 		{"nobody says so in time", append(asks[:2:2], step{1009, "tick", "dial s1 10.0.0.1:9000"}, step{1010,
-			"stood 1 b2", ""})},
-		{"at a server that is not known", append(asks[:2:2], step{1003, "stood 1 b9", "dial s1 10.0.0.1:9000"})},
-		{"a mark as well", []step{{1000, "open 1", ""}, {1001, "came 1 OPEN a 1f c=order,d=2000,again=1|",
-			"claim 1; claim 1"},
-			{1002, "stood 1 b2", ""}, {1004, "none 1", "dial s1 10.0.0.2:9000; entrust s1 b2"}}},
-		{"a mark alone is told in time", []step{{1000, "open 1", ""},
-			{1001, "came 1 OPEN a 1f c=order,d=2000,again=1|", "claim 1; claim 1"}, {1002, "ran 1 b1", ""},
+			"found-affinity 1 b2", ""})},
+		{"at a backend that is not known", append(asks[:2:2], step{1003, "found-affinity 1 b9", "dial s1 10.0.0.1:9000"})},
+		{"a marker as well", []step{{1000, "open 1", ""}, {1001, "came 1 OPEN a 1f c=order,d=2000,again=1|",
+			"lookup 1; lookup 1"},
+			{1002, "found-affinity 1 b2", ""}, {1004, "no-attempt 1", "dial s1 10.0.0.2:9000; replicate s1 b2"}}},
+		{"a marker alone is told in time", []step{{1000, "open 1", ""},
+			{1001, "came 1 OPEN a 1f c=order,d=2000,again=1|", "lookup 1; lookup 1"}, {1002, "found-attempt 1 b1", ""},
 			{1051, "tick", "write 1 ERR|; end 1"}}},
 	} {
-		s := open(t, nil, 0, "b1=active", "b2=active")
-		s.at(10, "holds stood")
+		s := newHarness(t, nil, 0, "b1=active", "b2=active")
+		s.handle(10, "replication affinity")
 		s.play(c.name, c.steps...)
 	}
 }
--- a/internal/relay/session_test.go
+++ b/internal/relay/session_test.go
@@ -18,7 +18,7 @@
 
 // A change that the table doesn't list is counted and logged, and the session goes on in its new state.
 func TestIllegalTransitionIsCounted(t *testing.T) {
-	s := open(t, nil, 0, "b1=active")
+	s := newHarness(t, nil, 0, "b1=active")
 	broken := &session{state: finished, id: "a"}
 	s.enter(broken, established)
 	s.Handle(1, TimerFired{})
--- a/internal/relay/sockets_test.go
+++ b/internal/relay/sockets_test.go
@@ -100,10 +100,10 @@
 
 // serving gives them a relay with one backend, to which it can't connect.
 func serving(t *testing.T, s *driver) {
-	values, err := settings.Flatten([]byte(told))
+	values, err := settings.Flatten([]byte(baseSettings))
 	require.NoError(t, err)
 	reducer, err := New(s.now(), &Config{Settings: values, Discovery: "127.0.0.1:1",
-		InitialEndpoints: &EndpointUpdate{Complete: true, Endpoints: entries([]string{"b1=active"})}})
+		InitialEndpoints: &EndpointUpdate{Complete: true, Endpoints: parseEndpoints([]string{"b1=active"})}})
 	require.NoError(t, err)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- /dev/null
+++ b/internal/relay/watch_test.go
@@ -0,0 +1,58 @@
+package relay
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+
+	"valeshift/balancer"
+)
+
+func TestWatch(t *testing.T) {
+	s := newHarness(t, nil, 0, "b1=active")
+	s.play("one that fell silent is opened anew at once", step{2000, "heard 1", ""}, step{4799, "tick", ""},
+		step{4800, "tick", "watch 2 after 0"}, step{4801, "news 1 9 whole", ""}, step{8099, "tick", ""})
+	s.play("a call that is never answered is made again soon", step{8100, "tick", "stop-watch"},
+		step{9700, "tick", "watch 3 after 0"})
+	s.play("whatever else ends it", step{9701, "news 3 9 whole b1=active", ""}, step{9702, "failed 1", ""},
+		step{9703, "failed 3", ""}, step{11300, "tick", "watch 4 after 9"},
+		step{11301, "news 4 8 delta b1=leaving", "watch 5 after 0"}, // at once: it may have told a drain
+		step{11302, "news 5 3 whole b1=active b2=active", ""},
+		step{11303, "news 5 2 delta b1=leaving", "stop-watch"}, // and not at once for ever
+		step{12900, "tick", "watch 6 after 0"}, step{12900, "news 6 3 whole b1=active b2=active", ""})
+	assert.Equal(t, uint64(3), s.endpoints.index, "a list that was asked for whole may go back")
+	s.endpoints.findOrAdd("b1").Endpoint.Invalid = ""
+	bad := []Endpoint{{Name: "b1", Status: "odd", Invalid: "status"}, {Name: "b2", Status: "left"}}
+	s.Handle(12902, EndpointsUpdated{Watch: 6, Update: &EndpointUpdate{Index: 4, Complete: true, Endpoints: bad}})
+	assert.Equal(t, balancer.Ready, s.endpoints.findOrAdd("b1").condition, "what was known of a bad entry stays")
+	assert.Equal(t, balancer.Gone, s.endpoints.findOrAdd("b2").condition)
+}
+
+// Against a reload that loses what is known, waits too long for a new discovery, or refuses its fresh count.
+func TestReload(t *testing.T) {
+	s := newHarness(t, nil, 0, "b1=active")
+	s.establishSession()
+	s.play("to another discovery", step{200, "news 1 7 whole b1=active b2=active", ""},
+		step{300, "reload-error", ""}, step{301, "reload 10.1.0.1:85", ""},
+		step{302, "reload 10.1.0.2:85", "watch 2 after 0 at 10.1.0.2:85"},
+		step{303, "news 1 8 delta b1=leaving", ""},
+		step{310, "failed 2", ""}, step{560, "tick", "watch 3 after 0 at 10.1.0.2:85"},
+		step{2011, "came 1 x|", "write s1 x|"}, step{2012, "came s1 x|", "write 1 x|"}, step{3859, "tick", ""},
+		step{3860, "tick", "stop-watch"}, step{4110, "tick", "watch 4 after 0 at 10.1.0.2:85"},
+		step{4111, "news 4 2 whole b1=active b3=active", ""}, step{6910, "tick", ""},
+		step{6911, "tick", "watch 5 after 2 at 10.1.0.2:85"})
+	assert.Equal(t, balancer.Gone, s.endpoints.findOrAdd("b2").condition)
+	assert.Equal(t, []uint64{2, 1}, []uint64{s.Reloads, s.FailedReloads})
+	assert.Equal(t, 1, s.Established)
+	s = newHarness(t, nil, 0, "b1=active")
+	s.play("while the former watch is failing", step{1, "failed 1", ""},
+		step{2, "reload 10.1.0.2:85", "watch 2 after 0 at 10.1.0.2:85"}, step{3, "heard 2", ""},
+		step{3000, "heard 2", ""}, step{3001, "news 2 1 whole b1=active", ""}, step{6500, "heard 2", ""})
+	s = newHarness(t, nil, 0, "b1=active")
+	s.play("many in a row, one in a stop", step{1, "reload 10.1.0.2:85", "watch 2 after 0 at 10.1.0.2:85"},
+		step{2, "reload 10.1.0.3:85", "watch 3 after 0 at 10.1.0.3:85"}, step{3, "failed 2", ""},
+		step{4, "stop", ""},
+		step{5, "reload 10.1.0.1:85", "watch 4 after 0"}, step{6, "news 4 1 delta b1=leaving", ""},
+		step{504, "tick", "exit"})
+	assert.Equal(t, balancer.Draining, s.endpoints.findOrAdd("b1").condition)
+}
