--- a/internal/coordinator/processes_test.go
+++ b/internal/coordinator/processes_test.go
@@ -103,9 +103,9 @@
 	require.Equal(s.t, [2]int{http.StatusOK, http.StatusOK}, codes)
 	orders := s.status(leader).Orders
 	last := orders[len(orders)-1]
-	s.relays.awaitFollowed(map[string]string{
-		"empty":  "b emptied, c emptied, d emptied",
-		"return": "b emptied, c emptied",
+	s.relays.awaitFollowed(map[failover.OrderAction]string{
+		failover.ActionEmpty:  "b emptied, c emptied, d emptied",
+		failover.ActionReturn: "b emptied, c emptied",
 	}[last.Action])
 	s.requireOrder(leader, "o2b", "d", "return")
 }
--- a/internal/testbed/live/relayprocess.go
+++ b/internal/testbed/live/relayprocess.go
@@ -161,7 +161,7 @@
 // launch starts a process of the relay.
 func (r *Run) launch(p *relayProcess) error {
 	p.launches++
-	if err := r.vote(p.number); err != nil {
+	if err := r.startCoordinator(p.number); err != nil {
 		return err
 	}
 	var err error
@@ -258,7 +258,7 @@
 	p := r.relays[i]
 	p.alive = false
 	r.saveKnownEndpoints(p)
-	r.unseat(i)
+	r.killCoordinator(i)
 	p.cmd.Process.Kill()
 	if p.parent != nil {
 		p.parent.Process.Kill()
@@ -274,8 +274,8 @@
 	if p := r.relays[i]; p.alive {
 		p.cmd.Process.Signal(signal)
 	}
-	if i < len(r.seats) && r.seats[i].cmd != nil {
-		r.seats[i].cmd.Process.Signal(signal)
+	if i < len(r.coordinators) && r.coordinators[i].cmd != nil {
+		r.coordinators[i].cmd.Process.Signal(signal)
 	}
 }
 
