--- a/internal/testbed/sim/fleet.go
+++ b/internal/testbed/sim/fleet.go
@@ -134,7 +134,7 @@
 func (n *fleetNode) replicate(r relay.ReplicationRequest) {
 	n.sim.net.after(0, func() {
 		if !n.process.over {
-			n.execute(n.core.HandleReplicationEffect(n.process.clock(), r))
+			n.execute(n.core.HandleReplicationRequest(n.process.clock(), r))
 		}
 	})
 }
