--- /dev/null
+++ b/cmd/valeshift-testbed/check.go
@@ -0,0 +1,22 @@
+package main
+
+import (
+	"fmt"
+
+	"valeshift/internal/testbed/experiment"
+)
+
+type checkCommand struct {
+	File string `arg:"" name:"file" help:"The experiment, in TOML."`
+}
+
+// Run reads the file and says what it holds, or which field is wrong.
+func (c *checkCommand) Run() error {
+	x, err := experiment.ReadFile(c.File)
+	if err != nil {
+		return err
+	}
+	fmt.Printf("ok: %s, %d relays, %d servers, %d kinds of traffic, %d faults\n", x.Name, x.Relays.Count,
+		x.Fleet.Backends, len(x.Traffic), len(x.Faults))
+	return nil
+}
--- a/internal/testbed/explore/explore_test.go
+++ b/internal/testbed/explore/explore_test.go
@@ -2,9 +2,12 @@
 
 import (
 	"context"
+	"crypto/sha256"
+	"encoding/hex"
 	"os"
 	"os/exec"
 	"path/filepath"
+	"runtime"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -15,53 +18,98 @@
 )
 
 // What is drawn keeps the rules: 200 experiments by the command, which is built without the race detector, as
-// one run is one routine; and some of them here.
+// one run is one goroutine; and some of them here.
 func TestDrawnExperimentsKeepTheRules(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "valeshift-testbed")
-	said, err := exec.Command("go", "build", "-o", binary, "valeshift/cmd/valeshift-testbed").CombinedOutput()
-	require.NoError(t, err, "%s", said)
+	output, err := exec.Command("go", "build", "-o", binary, "valeshift/cmd/valeshift-testbed").CombinedOutput()
+	require.NoError(t, err, "%s", output)
 	cmd := exec.Command(binary, "hunt", "--count", "200", "--shrink", "0", "--out", t.TempDir())
 	cmd.Env = append(os.Environ(), "GOMAXPROCS=3") // other packages' tests run beside this one
-	said, err = cmd.CombinedOutput()
-	require.NoError(t, err, "%s", said)
-	assert.Contains(t, string(said), "200 seeds from 1 on")
-	assert.Contains(t, string(said), "0 break a rule")
+	output, err = cmd.CombinedOutput()
+	require.NoError(t, err, "%s", output)
+	assert.Contains(t, string(output), "200 seeds from 1 on")
+	assert.Contains(t, string(output), "0 break a rule")
 
-	n := 0
-	Explore(context.Background(), 1, 13, func(f *Finding) {
-		t.Errorf("seed %d: %v %s %v", f.Seed, f.Counts, f.Panic, f.Violations[:min(len(f.Violations), 3)])
-	}, func(played int) { n = played })
-	assert.Equal(t, 12, n)
+	playedLast := 0
+	exploration := Exploration{
+		From:        1,
+		To:          13,
+		Generate:    Generate,
+		Play:        Play,
+		Parallelism: runtime.GOMAXPROCS(0),
+		OnFinding: func(f *Finding) {
+			t.Errorf("seed %d: %v %s %v", f.Seed, f.Counts, f.Panic, f.Violations[:min(len(f.Violations), 3)])
+		},
+		OnPlayed: func(played int) { playedLast = played },
+	}
+	exploration.Run(context.Background())
+	assert.Equal(t, 12, playedLast)
+}
+
+// Findings are noted by their seed, so a seed must draw the same experiment for good. The sums are of the files
+// of the seeds below 1000, or of what the seeds below 100 are shrunk to in one step.
+func TestSeedsDrawTheSame(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		seeds    uint64
+		generate func(seed uint64) []*experiment.Experiment
+		want     string
+	}{
+		{"simulated", 1000,
+			func(seed uint64) []*experiment.Experiment { return []*experiment.Experiment{Generate(seed)} },
+			"637ee5ee01f0e5b8a14f1acae595cc8e79d3a69ac8d3a54917294095b5eb91f2"},
+		{"with processes", 1000,
+			func(seed uint64) []*experiment.Experiment {
+				return []*experiment.Experiment{GenerateForProcesses(seed)}
+			},
+			"0278037a6b8cc58569b16af716a41afd75294092bed4b7abae0447cf242153ce"},
+		{"shrunk", 100,
+			func(seed uint64) []*experiment.Experiment { return smallerExperiments(Generate(seed)) },
+			"ed1d4d34195719c74027ddb4d78098892d5270cadd6e81564819dd6c478e2e74"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			sum := sha256.New()
+			for seed := range c.seeds {
+				for _, x := range c.generate(seed) {
+					text, err := (&Finding{Experiment: x}).Text()
+					require.NoError(t, err)
+					sum.Write(text)
+				}
+			}
+			assert.Equal(t, c.want, hex.EncodeToString(sum.Sum(nil)))
+		})
+	}
 }
 
-// What was found at first is written as a file that is read as the same experiment.
+// What was found is written as a file that is read as the same experiment.
 func TestDrawnExperimentsAreFiles(t *testing.T) {
 	for seed := range uint64(200) {
-		x := Generate(seed)
-		text, err := (&Finding{Experiment: x}).Text()
+		text, err := (&Finding{Experiment: Generate(seed)}).Text()
 		require.NoError(t, err)
-		y, err := experiment.Parse(text)
+		read, err := experiment.Parse(text)
 		require.NoError(t, err, "%s", text)
-		again, err := (&Finding{Experiment: y}).Text()
+		again, err := (&Finding{Experiment: read}).Text()
 		require.NoError(t, err)
 		require.Equal(t, string(text), string(again))
 	}
 }
 
-// Shrinking takes away what does not matter: here by a fleet whose cold servers are pushed over by the first
-// links, whatever else goes wrong.
+// Shrinking takes away what does not matter: here from a fleet whose cold backends are pushed over by the first
+// sessions, whatever else goes wrong.
 func TestShrink(t *testing.T) {
 	x := Generate(3)
-	x.Variants = []string{"random"} // which knows nothing of cold servers
-	x.Fleet.SlowStartFrom, x.Fleet.SlowStart, x.Fleet.OverloadMultiple = 0.05, 12000, 0.2
-	x.Faults = append(x.Faults, experiment.Fault{Kind: "growth", At: 2000, Duration: 1, Share: 1})
+	x.Variants = []string{"random"} // which knows nothing of slow start
+	x.Fleet.SlowStartFrom = 0.05
+	x.Fleet.SlowStart = 12000
+	x.Fleet.OverloadMultiple = 0.2
+	x.Faults = append(x.Faults, experiment.Fault{Kind: experiment.FaultGrowth, At: 2000, Duration: 1, Share: 1})
 	require.NoError(t, x.Complete())
-	f := Play(x)
-	require.NotNil(t, f)
-	require.NotZero(t, f.Counts[audit.SlowStart], f.Counts)
-	g := Shrink(f, 120)
-	assert.NotZero(t, g.Counts[audit.SlowStart])
-	assert.Len(t, g.Experiment.Faults, 1)
-	assert.Equal(t, "growth", g.Experiment.Faults[0].Kind)
-	assert.Less(t, g.Experiment.Length, x.Length)
+	found := Play(x)
+	require.NotNil(t, found)
+	require.NotZero(t, found.Counts[audit.SlowStart], found.Counts)
+	shrunk := Shrink(found, 120, Play)
+	assert.NotZero(t, shrunk.Counts[audit.SlowStart])
+	assert.Len(t, shrunk.Experiment.Faults, 1)
+	assert.Equal(t, experiment.FaultGrowth, shrunk.Experiment.Faults[0].Kind)
+	assert.Less(t, shrunk.Experiment.Length, x.Length)
 }
