--- a/internal/relay/transfer.go
+++ b/internal/relay/transfer.go
@@ -1,12 +1,9 @@
 package relay
 
-// This file is where the sockets of a link that stands go from the elder process to the younger. It carries
-// out what the reducer asks for and tells how it went; it must never decide which link goes, nor know what
-// its bytes mean.
-
 import (
 	"encoding/json"
 	"errors"
+	"fmt"
 	"net"
 	"os"
 	"sync"
@@ -17,150 +14,195 @@
 	"valeshift/internal/hotrestart"
 )
 
-const maxEpollDescriptor = 64 // descriptors among which the poller's own is looked for: it is opened at the start
+// This file moves the sockets of established sessions from the parent process to the child. Which session goes, and what
+// its bytes mean, is the state machine's business.
+
+// maxEpollDescriptor bounds the search for the poller's own descriptor, which was opened at the start.
+const maxEpollDescriptor = 64
 
-// transferChannel is the way to the younger process.
+// transferChannel is the channel to the child process.
 type transferChannel struct {
-	mutex   sync.Mutex // over the way, one link at a time
+	mutex   sync.Mutex // held while a session is sent: one at a time
 	channel *hotrestart.Channel
 	closed  bool
-	pending sync.WaitGroup
-	epoll   int // the poller's own descriptor, once found
+	pending sync.WaitGroup // transfers that were asked for
+	epoll   int            // the poller's own descriptor; 0: not found yet
 }
 
-// transferSession passes one link, and tells the reducer whether it is gone. Both sockets' reads are locked from before
-// the reducer gives the link up until that is known: against bytes read here that belong to the other
-// process.
-func (s *driver) transferSession(client, server uint64) {
-	p := &s.transfers
+// sessionSockets are the sockets of one session: the client's, then the backend's.
+type sessionSockets [hotrestart.FilesPerSession]*socket
+
+// sessionDescriptors are duplicates of their descriptors, to be sent; -1: none.
+type sessionDescriptors [hotrestart.FilesPerSession]int
+
+// transferSession sends one session to the child, and tells the state machine whether it is there. The reads of both
+// sockets are locked from before the state machine gives the session up until that is known, so that this process reads
+// no bytes that belong to the other.
+func (d *driver) transferSession(clientConn, backendConn uint64) {
+	p := &d.transfers
 	defer p.pending.Done()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	s.mutex.Lock()
-	c, b, number := s.sockets[client], s.sockets[server], s.handoffChild
-	s.mutex.Unlock()
-	if c == nil || b == nil || !s.openTransferChannel(number) {
+	d.mutex.Lock()
+	both, child := sessionSockets{d.sockets[clientConn], d.sockets[backendConn]}, d.handoffChild
+	d.mutex.Unlock()
+	if both[0] == nil || both[1] == nil || !d.openTransferChannel(child) {
 		return
 	}
-	c.readMutex.Lock()
-	defer c.readMutex.Unlock()
-	b.readMutex.Lock()
-	defer b.readMutex.Unlock()
-	record, fds := s.detachSession(client, c, b)
-	if record == nil {
-		return
-	}
-	text, err := json.Marshal(record)
-	gone := false
-	if err == nil {
-		gone, err = p.channel.SendSession(text, fds)
-	}
-	for _, fd := range fds {
-		syscall.Close(fd)
+	for _, c := range both {
+		c.readMutex.Lock()
+		defer c.readMutex.Unlock()
 	}
-	if err != nil && !errors.Is(err, hotrestart.ErrRejected) {
-		s.log.Warn("can't pass a link", "err", err)
-		p.channel.Close()
-		p.closed = true
+	session, descriptors := d.detachSession(clientConn, both)
+	if session == nil {
+		return
 	}
-	s.mutex.Lock()
-	if gone {
-		c.transferred, b.transferred = true, true
-		delete(s.sockets, client)
-		delete(s.sockets, server)
-	} else {
-		s.resumePolling(c)
-		s.resumePolling(b)
-	}
-	s.mutex.Unlock()
-	s.handle(SessionTransferred{Conn: client, Accepted: gone})
-	if gone { // the other process's descriptors keep them up
-		c.nbConn.Close()
-		b.nbConn.Close()
-		if err := p.channel.ConfirmRelease(); err != nil && !p.closed {
-			s.log.Warn("can't say that a link was let go", "err", err)
-		}
+	accepted := d.sendSession(session, descriptors)
+	d.settleTransfer(both, accepted)
+	d.handle(SessionTransferred{Conn: clientConn, Accepted: accepted})
+	if accepted {
+		d.releaseTransferred(both)
 	}
 }
 
-func (s *driver) openTransferChannel(number int) bool {
-	p := &s.transfers
+// openTransferChannel opens the channel to the child where there is none, and tells whether it is open.
+func (d *driver) openTransferChannel(child int) bool {
+	p := &d.transfers
 	if p.channel == nil && !p.closed {
 		var err error
-		if p.channel, err = s.slot.OpenChannel(number); err != nil {
-			s.log.Warn("no way to the younger process", "err", err)
+		if p.channel, err = d.slot.OpenChannel(child); err != nil {
+			d.log.Warn("no channel to the child process", "err", err)
 			p.closed = true
 		}
 	}
 	return !p.closed
 }
 
-// detachSession has the reducer give the link up, and takes its sockets out of the poller, with descriptors of their
-// own to be sent. All under the relay's lock: no descriptor's number can come to another connection
-// meanwhile.
-func (s *driver) detachSession(client uint64, c, b *socket) (*TransferredSession, [hotrestart.FilesPerSession]int) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	var fds [hotrestart.FilesPerSession]int
-	both := [...]*socket{c, b}
-	for _, k := range both {
-		if k.unsent.Load() > 0 || k.closing.Load() || isClosed(k.nbConn) {
-			return nil, fds
+// detachSession has the state machine give the session up, and takes its sockets out of the poller, with descriptors of
+// their own to be sent; nil: the session stays. All is done under the relay's lock, so that no descriptor's number can
+// come to another connection meanwhile.
+func (d *driver) detachSession(clientConn uint64, both sessionSockets) (*TransferredSession, sessionDescriptors) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	for _, c := range both {
+		if c.unsent.Load() > 0 || c.closing.Load() || isClosed(c.nbConn) {
+			return nil, sessionDescriptors{}
 		}
 	}
-	s.detached = nil
-	s.handleLocked(DetachRequested{Conn: client})
-	record := s.detached
-	if record == nil {
-		return nil, fds
-	}
-	ok := true
-	for i, k := range both {
-		fds[i] = -1
-		if ok = ok && s.stopPolling(k.nbConn.Hash()) == nil; ok {
-			fd, err := syscall.Dup(k.nbConn.Hash())
-			if ok = err == nil && !isClosed(k.nbConn); err == nil {
-				fds[i] = fd
-			}
+	d.detached = nil
+	d.handleLocked(DetachRequested{Conn: clientConn})
+	session := d.detached
+	if session == nil {
+		return nil, sessionDescriptors{}
+	}
+	descriptors, err := d.duplicate(both)
+	if err == nil {
+		return session, descriptors
+	}
+	descriptors.close()
+	for _, c := range both {
+		d.resumePolling(c)
+	}
+	d.handleLocked(SessionTransferred{Conn: clientConn})
+	return nil, sessionDescriptors{}
+}
+
+var errConnectionClosed = errors.New("connection is closed")
+
+// duplicate takes the sockets out of the poller and duplicates their descriptors. What it has duplicated before an error
+// is the caller's to close.
+func (d *driver) duplicate(both sessionSockets) (sessionDescriptors, error) {
+	descriptors := sessionDescriptors{-1, -1}
+	for i, c := range both {
+		if err := d.stopPolling(c.nbConn.Hash()); err != nil {
+			return descriptors, fmt.Errorf("stop polling: %w", err)
+		}
+		duplicate, err := syscall.Dup(c.nbConn.Hash())
+		if err != nil {
+			return descriptors, fmt.Errorf("duplicate descriptor: %w", err)
+		}
+		descriptors[i] = duplicate
+		if isClosed(c.nbConn) {
+			return descriptors, errConnectionClosed
 		}
 	}
-	if ok {
-		return record, fds
+	return descriptors, nil
+}
+
+func (d sessionDescriptors) close() {
+	for _, descriptor := range d {
+		if descriptor >= 0 {
+			syscall.Close(descriptor)
+		}
 	}
-	for i, k := range both {
-		if fds[i] >= 0 {
-			syscall.Close(fds[i])
+}
+
+// sendSession sends a detached session, closes the descriptors, and tells whether the child has accepted it. After an
+// error other than the child's refusal the channel is not used again.
+func (d *driver) sendSession(session *TransferredSession, descriptors sessionDescriptors) bool {
+	p := &d.transfers
+	text, err := json.Marshal(session)
+	accepted := false
+	if err == nil {
+		accepted, err = p.channel.SendSession(text, descriptors)
+	}
+	descriptors.close()
+	if err != nil && !errors.Is(err, hotrestart.ErrRejected) {
+		d.log.Warn("can't send a session", "err", err)
+		p.channel.Close()
+		p.closed = true
+	}
+	return accepted
+}
+
+// settleTransfer forgets the sockets of a session that the child has, or goes on with those of one that stays.
+func (d *driver) settleTransfer(both sessionSockets, accepted bool) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	for _, c := range both {
+		if accepted {
+			c.transferred = true
+			delete(d.sockets, c.conn)
+		} else {
+			d.resumePolling(c)
 		}
-		s.resumePolling(k)
 	}
-	s.handleLocked(SessionTransferred{Conn: client})
-	return nil, fds
+}
+
+// releaseTransferred closes this process's descriptors of a session that the child has, and tells the child so. The
+// child's own descriptors keep the connections up.
+func (d *driver) releaseTransferred(both sessionSockets) {
+	for _, c := range both {
+		c.nbConn.Close()
+	}
+	if err := d.transfers.channel.ConfirmRelease(); err != nil && !d.transfers.closed {
+		d.log.Warn("can't confirm the release of a session", "err", err)
+	}
 }
 
 // isClosed tells whether nbio has closed the connection; its lock orders that before.
-func isClosed(nb *nbio.Conn) bool {
-	nb.ExecuteLen()
-	closed, _ := nb.IsClosed()
+func isClosed(nbConn *nbio.Conn) bool {
+	nbConn.ExecuteLen()
+	closed, _ := nbConn.IsClosed()
 	return closed
 }
 
-// resumePolling has the poller look after the connection as before.
-func (s *driver) resumePolling(c *socket) {
+// resumePolling has the poller read the connection as before.
+func (d *driver) resumePolling(c *socket) {
 	if !isClosed(c.nbConn) {
-		s.engine.AddConn(c.nbConn)
+		d.engine.AddConn(c.nbConn)
 	}
 }
 
-// stopPolling takes a descriptor out of the poller's set. nbio 1.6.8 leaves that to the kernel, which does so only
-// once no process holds the connection; and it tells nobody its set, which is found as the one that has the
-// descriptor.
-func (s *driver) stopPolling(fd int) error {
-	p := &s.transfers
+// stopPolling takes a descriptor out of the poller's epoll set. nbio 1.6.8 leaves that to the kernel, which does so only
+// once no process holds the connection; and it tells nobody its set, which is found as the one that has the descriptor.
+func (d *driver) stopPolling(descriptor int) error {
+	p := &d.transfers
 	if p.epoll > 0 {
-		return syscall.EpollCtl(p.epoll, syscall.EPOLL_CTL_DEL, fd, nil)
+		return syscall.EpollCtl(p.epoll, syscall.EPOLL_CTL_DEL, descriptor, nil)
 	}
 	for set := 3; set < maxEpollDescriptor; set++ {
-		if set != fd && syscall.EpollCtl(set, syscall.EPOLL_CTL_DEL, fd, nil) == nil {
+		if set != descriptor && syscall.EpollCtl(set, syscall.EPOLL_CTL_DEL, descriptor, nil) == nil {
 			p.epoll = set
 			return nil
 		}
@@ -168,62 +210,73 @@
 	return syscall.ENOENT
 }
 
-// receiveSession takes a link that the elder process passes. Where that says when it has let go, nothing is read or
-// written before.
-func (s *driver) receiveSession(text []byte, files [hotrestart.FilesPerSession]*os.File) (bool, func()) {
-	record := &TransferredSession{}
-	if json.Unmarshal(text, record) != nil {
+// receiveSession takes over a session that the parent sends, and tells whether it did. Where the parent confirms that it
+// has let go of its descriptors, nothing is read or written before the returned function is called.
+func (d *driver) receiveSession(text []byte, files [hotrestart.FilesPerSession]*os.File) (accepted bool, released func()) {
+	session := &TransferredSession{}
+	if json.Unmarshal(text, session) != nil {
 		return false, nil
 	}
-	var both [hotrestart.FilesPerSession]*nbio.Conn
-	for i, f := range files {
-		plain, err := net.FileConn(f)
+	nbConns, err := openTransferred(files)
+	if err != nil {
+		return false, nil
+	}
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.lastClientConn++
+	clientConn := d.lastClientConn
+	d.acceptedBackendConn = 0
+	d.handleLocked(SessionReceived{Conn: clientConn, Session: session})
+	if d.acceptedBackendConn == 0 {
+		for _, nbConn := range nbConns {
+			nbConn.Close()
+		}
+		return false, nil
+	}
+	var both sessionSockets
+	for i, conn := range [...]uint64{clientConn, d.acceptedBackendConn} {
+		both[i] = &socket{conn: conn, nbConn: nbConns[i], awaitsRelease: true}
+		nbConns[i].SetSession(both[i])
+		d.sockets[conn] = both[i]
+	}
+	if !session.ConfirmsRelease {
+		d.startPolling(both)
+		return true, nil
+	}
+	return true, func() {
+		d.mutex.Lock()
+		defer d.mutex.Unlock()
+		d.startPolling(both)
+	}
+}
+
+// openTransferred makes connections of the descriptors that came with a session.
+func openTransferred(files [hotrestart.FilesPerSession]*os.File) (all [hotrestart.FilesPerSession]*nbio.Conn, err error) {
+	for i, file := range files {
+		conn, err := net.FileConn(file)
 		if err == nil {
-			both[i], err = nbio.NBConn(plain)
+			all[i], err = nbio.NBConn(conn)
 		}
 		if err != nil {
-			if both[0] != nil {
-				both[0].Close()
+			if all[0] != nil {
+				all[0].Close()
 			}
-			return false, nil
-		}
-	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.lastClientConn++
-	client := s.lastClientConn
-	s.acceptedBackendConn = 0
-	s.handleLocked(SessionReceived{Conn: client, Session: record})
-	if s.acceptedBackendConn == 0 {
-		both[0].Close()
-		both[1].Close()
-		return false, nil
-	}
-	var links [hotrestart.FilesPerSession]*socket
-	for i, conn := range [...]uint64{client, s.acceptedBackendConn} {
-		links[i] = &socket{conn: conn, nbConn: both[i], awaitsRelease: true}
-		both[i].SetSession(links[i])
-		s.sockets[conn] = links[i]
-	}
-	if record.ConfirmsRelease {
-		return true, func() {
-			s.mutex.Lock()
-			defer s.mutex.Unlock()
-			s.startPolling(links)
+			return all, fmt.Errorf("open transferred connection: %w", err)
 		}
 	}
-	s.startPolling(links)
-	return true, nil
+	return all, nil
 }
 
-// startPolling begins to read what was adopted, and writes what is to be written by now.
-func (s *driver) startPolling(links [hotrestart.FilesPerSession]*socket) {
-	for _, c := range links {
-		if c.awaitsRelease = false; s.sockets[c.conn] != c {
+// startPolling begins to read the sockets of a received session, and writes what is to be written by now. The lock is
+// held.
+func (d *driver) startPolling(both sessionSockets) {
+	for _, c := range both {
+		c.awaitsRelease = false
+		if d.sockets[c.conn] != c {
 			continue
 		}
-		if _, err := s.engine.AddConn(c.nbConn); err != nil {
-			s.workers.run(func() { s.handle(ConnClosed{Conn: c.conn, Reset: true}) })
+		if _, err := d.engine.AddConn(c.nbConn); err != nil {
+			d.workers.run(func() { d.handle(ConnClosed{Conn: c.conn, Reset: true}) })
 			continue
 		}
 		c.polled = true
--- a/internal/testbed/live/run.go
+++ b/internal/testbed/live/run.go
@@ -74,7 +74,7 @@
 	}
 	result := &Result{Memory: map[int]int64{}, CPU: map[int]float64{}, Logs: dir}
 	r.measureProcesses(result)
-	result.FleetStatus = r.fleets()
+	result.FleetStatus = r.fleetStatuses()
 	r.mutex.Lock()
 	r.environment.Workload.Close()
 	r.mutex.Unlock()
@@ -121,7 +121,7 @@
 			return err
 		}
 	}
-	if err := r.mates(); err != nil {
+	if err := r.configureFleet(); err != nil {
 		return err
 	}
 	for _, p := range r.relays {
@@ -147,7 +147,7 @@
 	defer r.mutex.Unlock()
 	r.environment.Metrics.Start = r.now()
 	r.environment.Start(addresses)
-	r.after(float64(r.experiment.Warmup)/2, r.early)
+	r.after(float64(r.experiment.Warmup)/2, r.copyDisksForLater)
 }
 
 func (r *Run) measureProcesses(result *Result) {
