--- a/internal/relay/driver.go
+++ b/internal/relay/driver.go
@@ -94,10 +94,11 @@
 	Reload      <-chan struct{}
 }
 
-// Serve runs the relay until it has shut down, or returns why it can't start. It is to be called once a process: its
-// poller, timer and idle workers end with that.
+// Serve runs the relay until it has shut down, or returns why it can't start. It is to be called once a process: nbio's
+// poller and the watch of the endpoint list end with that.
 func Serve(config *Config, options Options) error {
 	d := newDriver(config, options)
+	defer d.workers.stop()
 	if err := d.openListener(config); err != nil {
 		return err
 	}
--- a/internal/relay/metrics_test.go
+++ b/internal/relay/metrics_test.go
@@ -155,8 +155,8 @@
 
 // Against a caller who has seen an effect, and is told figures from before it.
 func TestFiguresArePublishedBeforeEffects(t *testing.T) {
-	s, _ := narrow(t)
-	serving(t, s)
+	s, _ := newTestDriver(t)
+	startMachine(t, s)
 	seen := &seenAtNote{board: func() *metricsBoard { return s.metrics }}
 	s.mutex.Lock()
 	s.log, s.metrics = slog.New(seen), newMetricsBoard(s.machine)
--- a/internal/relay/workers.go
+++ b/internal/relay/workers.go
@@ -7,8 +7,9 @@
 // workerPool runs jobs beside their callers, each at once. A goroutine that is done waits for the next job: the stack of
 // a new one would grow anew for each dial and each close. The zero value is ready to use.
 type workerPool struct {
-	mutex sync.Mutex
-	idle  []chan func() // the job channels of those that wait
+	mutex   sync.Mutex
+	idle    []chan func() // the job channels of those that wait
+	stopped bool          // nobody waits from now on
 }
 
 // run starts the job without waiting.
@@ -48,9 +49,21 @@
 func (p *workerPool) putIdle(jobs chan func()) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if len(p.idle) >= maxIdleWorkers {
+	if p.stopped || len(p.idle) >= maxIdleWorkers {
 		return false
 	}
 	p.idle = append(p.idle, jobs)
 	return true
 }
+
+// stop ends idle workers at once, and others once their job is done. It doesn't wait for those: a job may take as long
+// as a peer does.
+func (p *workerPool) stop() {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.stopped = true
+	for _, jobs := range p.idle {
+		close(jobs)
+	}
+	p.idle = nil
+}
