--- a/balancer/endpoint_watch.go
+++ b/balancer/endpoint_watch.go
@@ -6,6 +6,7 @@
 	firstWatchSpread      = 20.0   // time between the first watches of two relays
 	firstWatchBackoff     = 200.0  // after one failure; doubled with each further one
 	maxWatchBackoff       = 1000.0 // mean wait before a retry; the jitter is half of it either way
+	maxBackoffPerTimeout  = 2.5    // times the watch timeout, which bounds it too
 	maxWatchFailures      = 6      // failures that double the backoff
 	relaysPerWatchBackoff = 32     // so many relays double it too
 )
@@ -25,7 +26,8 @@
 	b.watchFailures = min(b.watchFailures+1, maxWatchFailures)
 	doubled := float64(int(firstWatchBackoff) << (b.watchFailures - 1))
 	backoff := doubled * (1 + b.quotas.relays/relaysPerWatchBackoff)
-	b.watchAt = now + min(backoff, maxWatchBackoff, 2.5*b.watchTimeout)*(0.5+b.rng.Float64())
+	mean := min(backoff, maxWatchBackoff, maxBackoffPerTimeout*b.watchTimeout)
+	b.watchAt = now + mean*(0.5+b.rng.Float64())
 }
 
 // watchSilence returns after how many silent milliseconds the list is watched anew. It grows with the number
--- a/balancer/load_polling.go
+++ b/balancer/load_polling.go
@@ -27,9 +27,8 @@
 }
 
 // awaitPolls has the session's candidates polled and reports whether that is done. It is used where polling
-// the whole fleet regularly would cost more than a session may. It is done once, even if all candidates are
-// full: with further candidates the sessions of a full fleet would fill its last gaps, and all loads were too
-// high.
+// the whole fleet regularly would cost more than a session may. If all candidates are full no others are
+// polled: the sessions of a full fleet would fill its last gaps, and all loads were too high.
 func (b *Balancer) awaitPolls(now float64, session *Session) bool {
 	b.activeShare, _ = b.pollingPlan()
 	if !b.poller.enabled || b.activeShare >= 1 {
--- a/balancer/quotas.go
+++ b/balancer/quotas.go
@@ -39,8 +39,7 @@
 	}
 }
 
-// relativePriority is the session's priority weight for its load, relative to all sessions seen; 1 is the
-// mean.
+// relativePriority is the session's priority weight for its load, relative to that of all sessions (1).
 func (q *Quotas) relativePriority(session *Session) float64 {
 	weightSum, loadSum := 0.0, 0.0
 	for class, samples := range q.classSamples {
