--- a/internal/fleet/replication.go
+++ b/internal/fleet/replication.go
@@ -135,8 +135,8 @@
 	return append(actions, c.TickReplication(now)...)
 }
 
-// updateReplicationView updates the replicator's view of the members. It is suspended while this disk is not known to be the
-// latest that the relay has replied from, and while another process uses the relay's name.
+// updateReplicationView updates the replicator's view of the members. It is suspended while this disk is not known to
+// be the latest that the relay has replied from, and while another process uses the relay's name.
 func (c *Core) updateReplicationView(now float64) {
 	state := c.replication
 	local := c.membership.LocalState()
--- a/internal/replication/operation.go
+++ b/internal/replication/operation.go
@@ -170,8 +170,8 @@
 	return []Action{{Outcome: &Outcome{Token: op.token, Record: op.record, Err: err}}}
 }
 
-// NextDeadline returns the time when Tick has something to send again or give up, at the soonest; +Inf: never. Expiry and
-// announcements may wait for a Tick that comes anyway.
+// NextDeadline returns the time when Tick has something to send again or give up, at the soonest; +Inf: never. Expiry
+// and announcements may wait for a Tick that comes anyway.
 func (r *Replicator) NextDeadline() float64 { return r.nextDeadline }
 
 // sortedTokens returns the operations under way in a fixed order, so that a simulation repeats.
--- a/internal/replication/verify_test.go
+++ b/internal/replication/verify_test.go
@@ -57,24 +57,24 @@
 
 // Missing replicas are counted, and contradictions are listed.
 func TestVerify(t *testing.T) {
-	whole := Report{Records: 1, FullyReplicated: 1}
+	whole := &Report{Records: 1, FullyReplicated: 1}
 	for _, c := range []struct {
 		name          string
 		change        func(pages []Page) []Page
-		want          Report // of orders, of which there is one
+		want          *Report // of orders, of which there is one; nil: not checked
 		inconsistency string
 	}{
 		{"unchanged", func(pages []Page) []Page { return pages }, whole, ""},
 		{"a replica was not asked", func(pages []Page) []Page {
 			return withoutRelay(pages, orderAt(pages, 0).Replicas[1].Name)
-		}, Report{Records: 1, Unknown: 1}, ""},
+		}, &Report{Records: 1, Unknown: 1}, ""},
 		{"a replica has lost it", func(pages []Page) []Page {
 			return withRecordsLost(pages, orderAt(pages, 0).Replicas[1].Name)
-		}, Report{Records: 1, UnderReplicated: 1}, ""},
+		}, &Report{Records: 1, UnderReplicated: 1}, ""},
 		{"two replicas have lost it", func(pages []Page) []Page {
 			replicas := orderAt(pages, 0).Replicas
 			return withRecordsLost(pages, replicas[0].Name, replicas[2].Name)
-		}, Report{Records: 1, BelowQuorum: 1}, ""},
+		}, &Report{Records: 1, BelowQuorum: 1}, ""},
 		{"an earlier version is left at a replica", func(pages []Page) []Page {
 			earlier := *orderAt(pages, 0)
 			earlier.ID = "0000000000000001"
@@ -98,9 +98,9 @@
 		}, whole, "beyond all bounds"},
 		{"stored by a relay that is no replica", func(pages []Page) []Page {
 			pages[0].Records = append(pages[0].Records, *orderAt(pages, 0))
-			pages[0].Relay = "stranger"
+			pages[0].Relay = "stranger" // the page that is changed may be a replica's
 			return pages
-		}, whole, "none of its holders"},
+		}, nil, "none of its holders"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newTestFleet(t, 9, 3, 3, 4, injectedFaults{})
@@ -116,8 +116,8 @@
 			orders := *reports["orders"]
 			inconsistencies := orders.Inconsistencies
 			orders.Inconsistencies = nil
-			if c.inconsistency != "none of its holders" { // the stranger's page may be a replica's
-				assert.Equal(t, c.want, orders)
+			if c.want != nil {
+				assert.Equal(t, *c.want, orders)
 			}
 			assert.Zero(t, reports["places"].Records, "it is used")
 			if c.inconsistency == "" {
