--- a/cmd/valeshift/crossings_test.go
+++ b/cmd/valeshift/crossings_test.go
@@ -258,7 +258,7 @@
 		close(stop)
 		<-gone
 	}()
-	r.wait(`msg="client turned away" why="pushed out"`)
+	r.wait(`msg="client rejected" why="pushed out"`)
 	r.list.answer(0)
 	from := time.Now()
 	r.list.set(r.list.entry("b2", b2.address, "active"))
--- a/cmd/valeshift/upgrade_test.go
+++ b/cmd/valeshift/upgrade_test.go
@@ -122,8 +122,8 @@
 		r.signal(syscall.SIGTERM)
 		assert.Zero(t, r.exit(), r.text())
 		r.wait(`msg=stopping "for a younger process"=true`)
-		next.wait(`msg="took over what the elder process knew"`)
-		next.wait(`msg="elder process" there=false`)
+		next.wait(`msg="restored the handoff of the parent process"`)
+		next.wait(`msg="parent process" alive=false`)
 		r = next
 	}
 	time.Sleep(little)
@@ -215,11 +215,11 @@
 	bad, _ := json.Marshal(map[string]any{"Version": 99})
 	require.NoError(t, os.WriteFile(g.dir+"/valeshift.2.left", bad, 0o600))
 	next, at := g.starts()
-	next.wait(`level=WARN msg="nothing of what the elder process knew" err="handover: version 1 expected, got 99"`)
+	next.wait(`level=WARN msg="nothing of what the elder process knew" err="parse handoff: version 1 expected, got 99"`)
 	yes(t, at)
 	next.signal(syscall.SIGKILL) // the younger dies: the elder goes on, and its stop is a plain one
 	next.exit()
-	first.wait(`msg="younger process" there=false`)
+	first.wait(`msg="child process" alive=false`)
 	first.stands(b)
 	first.signal(syscall.SIGTERM)
 	first.wait(`msg=stopping "for a younger process"=false`)
--- a/internal/relay/attempts.go
+++ b/internal/relay/attempts.go
@@ -12,10 +12,12 @@
 	byID       map[string]*session
 	sessions   int
 	answers    []answerCounts // by class
-
-	illegalTransitions int // changes of a session's state that sessionTransitions doesn't list
 }
 
+func (q *sessionQueue) countServed(class int)   { q.answers[class].served++ }
+func (q *sessionQueue) countRejected(class int) { q.answers[class].refused++ }
+func (q *sessionQueue) countFailed(class int)   { q.answers[class].failed++ }
+
 // balancer decides where sessions go.
 func (m *StateMachine) balancer() dispatch.Balancer { return m.queue.dispatcher.Balancer }
 
@@ -53,13 +55,13 @@
 		m.startAttempt(session, m.endpoints.byID[decision.Backend], decision.Timeout)
 	case balancer.Reject:
 		m.Rejected++
-		m.queue.answers[session.Class].refused++
+		m.queue.countRejected(session.Class)
 		if !m.replicateRejection(session, decision.Wait) {
 			m.sendFinalAnswer(session, formatBusy(decision.Wait))
 		}
 	case balancer.Fail:
 		m.Failed++
-		m.queue.answers[session.Class].failed++
+		m.queue.countFailed(session.Class)
 		m.sendFinalAnswer(session, errorAnswer)
 	}
 }
--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -48,7 +48,7 @@
 	if m.drain.stopping {
 		return
 	}
-	m.siblings.yielded = yieldToChild
+	m.siblings.yield(yieldToChild)
 	m.drain.stopping = true
 	m.drain.draining = false
 	m.startDrain()
@@ -63,7 +63,7 @@
 		return
 	}
 	m.drain.draining = on
-	m.log("lame duck", "on", on, "standing", m.Established)
+	m.log("draining", "on", on, "established", m.Established)
 	if on {
 		m.startDrain()
 		return
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -50,6 +50,15 @@
 	return endpointSet{byName: map[string]*backend{}, byID: map[uint32]*backend{}, zones: zones}
 }
 
+// confirm says that discovery has told the list, or that the one held is still true.
+func (s *endpointSet) confirm() { s.confirmed = true }
+
+// markReceived says that an update of discovery's has been applied.
+func (s *endpointSet) markReceived() { s.received = true }
+
+// forgetVersion has the whole list asked for.
+func (s *endpointSet) forgetVersion() { s.index = 0 }
+
 // findOrAdd finds the backend, or takes in a new one. Its number comes of its name, so that all relays draw alike.
 func (s *endpointSet) findOrAdd(name string) *backend {
 	found := s.byName[name]
@@ -133,7 +142,7 @@
 // of a backend stays where its entry is invalid.
 func (m *StateMachine) applyEndpoint(endpoint Endpoint) *backend {
 	if endpoint.Invalid != "" {
-		m.log("bad entry in the list", "backend", endpoint.Name, "why", endpoint.Invalid)
+		m.log("invalid endpoint in the list", "backend", endpoint.Name, "why", endpoint.Invalid)
 		known := m.endpoints.byName[endpoint.Name]
 		if known == nil {
 			return nil
@@ -208,7 +217,7 @@
 		if successor == nil || named[backend] || backend.condition == balancer.Gone {
 			continue
 		}
-		m.log("backend's address is another's now", "backend", backend.Name, "by", successor.Name)
+		m.log("backend superseded at its address", "backend", backend.Name, "by", successor.Name)
 		backend.condition = balancer.Gone
 		m.updateBalancer(backend)
 	}
@@ -217,6 +226,6 @@
 // setClockAhead corrects start times by how far this relay's clock is ahead of the one that the fleet goes by.
 func (m *StateMachine) setClockAhead(aheadMillis float64) {
 	m.balancer().ShiftStartTimes(aheadMillis - m.endpoints.clockAhead)
-	m.log("clock", "ahead of the fleet's, ms", math.Round(aheadMillis))
+	m.log("clock skew", "ahead ms", math.Round(aheadMillis))
 	m.endpoints.clockAhead = aheadMillis
 }
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -37,7 +37,7 @@
 	s.establishSession()
 	s.play("moved as for a backend that goes", step{200, "news 1 2 delta c1=leaving",
 		"write 1 MOVE|; end 1; end s1"})
-	assert.Contains(t, s.logs, "backend's address is another's now[backend b1 by c1]")
+	assert.Contains(t, s.logs, "backend superseded at its address[backend b1 by c1]")
 	s.play("nothing new", step{300, "open 2", ""}, step{300, "came 2 OPEN b 1f c=feed,t=one,d=2000|", ""})
 
 	s = newHarness(t, nil, 0, "b1=active")
--- a/internal/relay/established.go
+++ b/internal/relay/established.go
@@ -65,7 +65,7 @@
 		m.releaseMarker(session)
 		m.replicateAffinity(session)
 	}
-	m.queue.answers[session.Class].served++
+	m.queue.countServed(session.Class)
 	m.write(session.clientConn, line)
 	session.request = protocol.Request{}
 	m.addEstablished(session)
@@ -206,7 +206,7 @@
 	if !m.balancer().IsUnresponsive(backend.id, min(silence, m.now-backend.lastDataAt)) {
 		return
 	}
-	m.log("backend fell silent", "backend", backend.Name, "links", len(backend.sessions))
+	m.log("backend fell silent", "backend", backend.Name, "sessions", len(backend.sessions))
 	for _, session := range slices.Clone(backend.sessions) {
 		m.migrate(session, BackendSilent)
 	}
--- a/internal/relay/figures_test.go
+++ b/internal/relay/figures_test.go
@@ -147,7 +147,7 @@
 
 // Handle is called under the lock of the sockets. The watch's failures are noted too, as discovery is not there.
 func (h *seenAtNote) Handle(_ context.Context, note slog.Record) error {
-	if note.Message == "lame duck" {
+	if note.Message == "draining" {
 		h.ready = append(h.ready, h.board().ready.Load())
 	}
 	return nil
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -44,20 +44,25 @@
 			Backends: []balancer.BackendSnapshot{{ID: 77, StartedAt: 1700000000123.5, Load: 0.5, ReportedAt: 1700000003000,
 				PolledAt: 1700000003100, SlowStartAt: 1700000000200, ConsecutiveFailures: 2, SessionsLost: true, OutlierEvidence: 0.75,
 				RecentAssignments: []balancer.AssignmentSnapshot{{At: 1700000003900, Load: 40000.5}}}},
-			ClassLoads: []float64{39000.5, 43000.5}, ClassSamples: []float64{12.5, 7.25}, MeanSessionLoad: 41000.25, LoadSamples: 900000.5,
-			EstimatedCapacity: 0.125, ListedBackends: 1700000001000, EstablishedSessions: 11.5, EstablishedSpan: 10.25, EstablishedAsOf: 1700000003500, ConcurrencyLimit: 1.75,
-			ConcurrencyReducedAt: 1700000002500, SlowStartRequestedAt: 1700000000300, BudgetSlot: 17000000, BudgetSessions: []float64{1.5, 2.5},
+			ClassLoads: []float64{39000.5, 43000.5}, ClassSamples: []float64{12.5, 7.25}, MeanSessionLoad: 41000.25,
+			LoadSamples: 900000.5, EstimatedCapacity: 0.125, ListedBackends: 1700000001000, EstablishedSessions: 11.5,
+			EstablishedSpan: 10.25, EstablishedAsOf: 1700000003500, ConcurrencyLimit: 1.75, ConcurrencyReducedAt: 1700000002500,
+			SlowStartRequestedAt: 1700000000300, BudgetSlot: 17000000, BudgetSessions: []float64{1.5, 2.5},
 			BudgetRetries: []float64{3.5, 4.5}, EndedSessionLoads: map[uint64]float64{31: 41000.5},
 		},
 		BackendNames: []string{"b1"}, Descriptors: 512, Sessions: 128,
 	}},
 	{"passed.json", &TransferredSession{
 		Version: 1, ID: "session-1", Class: "feed", Tenant: "one", Key: 31, Group: 42, Backend: "b1",
-		Load: 40000.5, LoadMeasured: true, PartialLine: []byte("half a li"), AwaitsReply: true, LeavesInMillis: 250.5, Descriptors: 510, Sessions: 127,
+		Load: 40000.5, LoadMeasured: true, PartialLine: []byte("half a li"), AwaitsReply: true,
+		LeavesInMillis: 250.5, Descriptors: 510, Sessions: 127,
 		ConfirmsRelease: true,
 	}},
 	{"news.json", goldenEndpoints()},
-	{"toward.json", &[]ZoneWeight{{Zone: "hall", Share: 0.75, AcceptsOverflow: true}, {Zone: "yard", Share: 0.25, AcceptsOverflow: true}}},
+	{"toward.json", &[]ZoneWeight{
+		{Zone: "hall", Share: 0.75, AcceptsOverflow: true},
+		{Zone: "yard", Share: 0.25, AcceptsOverflow: true},
+	}},
 }
 
 // Every stored or sent form reads from its golden file as the values that were written, and is written as the same
--- a/internal/relay/handoff.go
+++ b/internal/relay/handoff.go
@@ -25,6 +25,15 @@
 	drained   map[string]bool // backends that the sibling was told are to get nothing new
 }
 
+// yield says whether the child takes all clients from now on.
+func (h *processHandoff) yield(on bool) { h.yielded = on }
+
+// forgetDrained says that discovery has told this process all there is: what the sibling was told counts no more.
+func (h *processHandoff) forgetDrained() { h.drained = nil }
+
+// hasSibling tells whether there is another process of this relay.
+func (h *processHandoff) hasSibling() bool { return h.hasParent || h.hasChild }
+
 // Handoff is what the parent process sends to the child. Unknown fields are ignored, so that the same version may gain
 // some; a change of their meaning is another version.
 type Handoff struct {
@@ -41,15 +50,15 @@
 func ParseHandoff(text []byte, now float64) (*Handoff, error) {
 	h := &Handoff{}
 	if err := json.Unmarshal(text, h); err != nil {
-		return nil, fmt.Errorf("handover: %w", err)
+		return nil, fmt.Errorf("parse handoff: %w", err)
 	}
 	switch {
 	case h.Version != handoffVersion:
-		return nil, fmt.Errorf("handover: version %d expected, got %d", handoffVersion, h.Version)
+		return nil, fmt.Errorf("parse handoff: version %d expected, got %d", handoffVersion, h.Version)
 	case !(h.CreatedAt <= now+maxHandoffAge && h.CreatedAt >= now-maxHandoffAge):
-		return nil, fmt.Errorf("handover: of %.0f ms ago, %v at the most", now-h.CreatedAt, maxHandoffAge)
+		return nil, fmt.Errorf("parse handoff: of %.0f ms ago, %v at the most", now-h.CreatedAt, maxHandoffAge)
 	case h.Endpoints == nil || len(h.BackendNames) != len(h.Balancer.Backends) || h.Descriptors < 0 || h.Sessions < 0:
-		return nil, errors.New("handover: a field is missing or wrong")
+		return nil, errors.New("parse handoff: a field is missing or wrong")
 	}
 	h.Endpoints.Complete = true
 	return h, nil
@@ -88,7 +97,7 @@
 		return
 	}
 	if err := m.applyHandoff(handoff); err != nil {
-		m.log("what the elder process left is passed over", "why", err.Error())
+		m.log("handoff of the parent process ignored", "why", err.Error())
 	}
 }
 
@@ -105,7 +114,7 @@
 	if err := m.balancer().Restore(m.now, &learned); err != nil {
 		return err
 	}
-	m.log("took over what the elder process knew", "age ms", math.Round(m.now-h.CreatedAt), "backends",
+	m.log("restored the handoff of the parent process", "age ms", math.Round(m.now-h.CreatedAt), "backends",
 		len(learned.Backends))
 	return nil
 }
@@ -113,7 +122,7 @@
 // updateSiblings handles which other processes of this relay are alive.
 func (m *StateMachine) updateSiblings(e SiblingProcessesChanged) {
 	if e.HasChild != m.siblings.hasChild {
-		m.log("younger process", "there", e.HasChild)
+		m.log("child process", "alive", e.HasChild)
 		m.siblings.hasChild = e.HasChild
 		m.balancer().SetDraining(e.HasChild) // the child has the budgets from here on
 		if e.HasChild {
@@ -121,7 +130,7 @@
 		}
 	}
 	if e.HasParent != m.siblings.hasParent {
-		m.log("elder process", "there", e.HasParent)
+		m.log("parent process", "alive", e.HasParent)
 		m.siblings.hasParent = e.HasParent
 	}
 	m.shareLimits()
@@ -137,7 +146,7 @@
 // that are to get nothing new, or have restarted. Discovery may tell one of the two later, and to who drains a backend
 // both are one relay.
 func (m *StateMachine) applySiblingEndpoints(update *EndpointUpdate) {
-	if !m.siblings.hasChild && !m.siblings.hasParent {
+	if !m.siblings.hasSibling() {
 		return
 	}
 	told := map[string]Endpoint{}
@@ -245,12 +254,12 @@
 // as it is to the parent is refused: SessionAccepted does not follow then.
 func (m *StateMachine) receiveSession(connID uint64, t *TransferredSession) {
 	if m.drain.stopping || !m.canReceive(t) {
-		m.log("refused a link of the elder process", "version", t.Version, "category", t.Class,
+		m.log("refused a session of the parent process", "version", t.Version, "class", t.Class,
 			"backend", t.Backend)
 		return
 	}
 	if !m.takeLimitsOver(t) {
-		m.log("no room for a link of the elder process", "links", m.queue.sessions)
+		m.log("no capacity for a session of the parent process", "sessions", m.queue.sessions)
 		return
 	}
 	backend := m.endpoints.byName[t.Backend]
--- a/internal/relay/handoff_test.go
+++ b/internal/relay/handoff_test.go
@@ -22,9 +22,14 @@
 		left, err = ParseHandoff(text, left.CreatedAt+50)
 		require.NoError(t, err)
 	}
-	return newHarnessWith(t, replacing(`"probes": false`, `"probes": true`), &Config{Seed: 6, MaxSockets: sockets,
-		HasParent: true, Handoff: left,
-		Discovery: "10.1.0.1:85", InitialEndpoints: &EndpointUpdate{Complete: true, Endpoints: parseEndpoints([]string{"b9=active"})}})
+	return newHarnessWith(t, replacing(`"probes": false`, `"probes": true`), &Config{
+		Seed:             6,
+		MaxSockets:       sockets,
+		HasParent:        true,
+		Handoff:          left,
+		Discovery:        "10.1.0.1:85",
+		InitialEndpoints: &EndpointUpdate{Complete: true, Endpoints: parseEndpoints([]string{"b9=active"})},
+	})
 }
 
 func TestChildProcess(t *testing.T) {
@@ -34,7 +39,7 @@
 		step{300, "up s1", "write s1 STATS|"}, step{301, "came s1 PONG x0=0.5|", ""},
 		step{400, "sibling child", "send-handoff"}, step{401, "sibling child", "send-handoff"})
 	s := newChildHarness(t, old.siblings.handoff, 0)
-	assert.Contains(t, strings.Join(s.logs, " "), "took over what the elder process knew")
+	assert.Contains(t, strings.Join(s.logs, " "), "restored the handoff of the parent process")
 	assert.Equal(t, balancer.Draining, s.endpoints.byName["b2"].condition, "a drain that the elder was told")
 	assert.Nil(t, s.endpoints.byName["b9"], "the elder's list is the newer")
 	s.play("fit with the parent's fields as soon as the list is heard", step{1, "tick", ""})
@@ -56,8 +61,13 @@
 	assert.True(t, s.serving())
 	bad := *old.siblings.handoff
 	bad.Balancer.ConcurrencyLimit = -1
-	s = newHarnessWith(t, nil, &Config{HasParent: true, Handoff: &bad, Discovery: "10.1.0.1:85", InitialEndpoints: &EndpointUpdate{}})
-	assert.Contains(t, strings.Join(s.logs, " "), "what the elder process left is passed over")
+	s = newHarnessWith(t, nil, &Config{
+		HasParent:        true,
+		Handoff:          &bad,
+		Discovery:        "10.1.0.1:85",
+		InitialEndpoints: &EndpointUpdate{},
+	})
+	assert.Contains(t, strings.Join(s.logs, " "), "handoff of the parent process ignored")
 }
 
 func TestParseHandoff(t *testing.T) {
@@ -68,7 +78,7 @@
 	for _, c := range []struct{ name, old, new, want string }{
 		{"good", "", "", ""},
 		{"a field more", `{"Version"`, `{"Later":1,"Version"`, ""},
-		{"cut short", `]}`, ``, "handover: "},
+		{"cut short", `]}`, ``, "parse handoff: "},
 		{"another version", `"Version":1`, `"Version":2`, "version 1 expected, got 2"},
 		{"too old", `"At":1000,`, `"At":-20000,`, "ms ago"},
 		{"not yet", `"At":1000,`, `"At":20000,`, "ms ago"},
@@ -152,8 +162,8 @@
 	s = newHarness(t, nil, 0, "b1=active")
 	s.establishSession()
 	s.play("what can't be passed is moved", step{200, "sibling child", "send-handoff"},
-		step{1000, "stop yield", "transfer 1; pause-accept"}, step{1001, "detach 1", "detached 1"}, step{1002, "transferred 1 not", ""},
-		step{1003, "came 1 x|", "write s1 x|"})
+		step{1000, "stop yield", "transfer 1; pause-accept"}, step{1001, "detach 1", "detached 1"},
+		step{1002, "transferred 1 not", ""}, step{1003, "came 1 x|", "write s1 x|"})
 	for now := 1010.0; now < 1000+s.maxDrainTime() && !s.drain.exiting; now += 10 {
 		s.handle(now, "tick")
 	}
@@ -190,12 +200,18 @@
 		}
 		whole, files := old.limits.ownDescriptors, len(old.conns.byID)
 		old.handle(3, "sibling child")
-		assert.LessOrEqual(t, files, old.limits.ownDescriptors, "replicated %d", held)
-		s := newHarnessWith(t, replacing(`"may-cancel": true`, `"may-cancel": true, "most-held": 60`), &Config{HasParent: true,
-			Handoff: old.siblings.handoff, MaxSockets: sockets, Discovery: "10.1.0.1:85", InitialEndpoints: &EndpointUpdate{}})
-		assert.LessOrEqual(t, old.limits.ownDescriptors+s.limits.ownDescriptors+s.limits.reserved+s.limits.siblingReserve(), sockets, "replicated %d", held)
-		assert.LessOrEqual(t, old.limits.ownSessions+s.limits.ownSessions, 60, "replicated %d", held)
-		assert.GreaterOrEqual(t, s.limits.sessionDescriptors, descriptorsPerSession, "replicated %d", held)
+		assert.LessOrEqual(t, files, old.limits.ownDescriptors, "with %d sessions", held)
+		s := newHarnessWith(t, replacing(`"may-cancel": true`, `"may-cancel": true, "most-held": 60`), &Config{
+			HasParent:        true,
+			Handoff:          old.siblings.handoff,
+			MaxSockets:       sockets,
+			Discovery:        "10.1.0.1:85",
+			InitialEndpoints: &EndpointUpdate{},
+		})
+		reserved := s.limits.reserved + s.limits.siblingReserve()
+		assert.LessOrEqual(t, old.limits.ownDescriptors+s.limits.ownDescriptors+reserved, sockets, "with %d sessions", held)
+		assert.LessOrEqual(t, old.limits.ownSessions+s.limits.ownSessions, 60, "with %d sessions", held)
+		assert.GreaterOrEqual(t, s.limits.sessionDescriptors, descriptorsPerSession, "with %d sessions", held)
 		s.handle(10, "sibling none")
 		assert.Equal(t, whole, s.limits.ownDescriptors, "the elder is gone")
 		old.handle(10, "sibling none")
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -150,7 +150,7 @@
 			said = append(said, words)
 		}
 	}
-	require.Zero(s.t, s.queue.illegalTransitions, "%v %s", now, event)
+	require.Zero(s.t, s.illegalTransitions, "%v %s", now, event)
 	return strings.Join(said, "; ")
 }
 
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -102,7 +102,7 @@
 // failImpatientClient ends a session whose client sent on without waiting for its answer.
 func (m *StateMachine) failImpatientClient(session *session) {
 	m.RequestErrors[UnexpectedData]++
-	m.queue.answers[session.Class].failed++
+	m.queue.countFailed(session.Class)
 	conn := session.clientConn
 	m.write(conn, []byte(errorAnswer))
 	m.clientClosed(session, ConnClosed{})
@@ -141,11 +141,11 @@
 		m.rejectClient(session, UnknownName, errorAnswer)
 		return
 	case len(request.StickyBackend) == 0 && request.Timeout > maxWaitFactor*m.rules.hardLimits[class]:
-		m.queue.answers[class].failed++
+		m.queue.countFailed(class)
 		m.rejectClient(session, MalformedRequest, errorAnswer)
 		return
 	case m.queue.byID[string(request.ID)] != nil:
-		m.queue.answers[class].failed++
+		m.queue.countFailed(class)
 		m.rejectClient(session, DuplicateID, errorAnswer)
 		return
 	}
@@ -188,7 +188,7 @@
 	m.RequestErrors[why]++
 	if m.now >= m.intake.nextErrorLogAt {
 		m.intake.nextErrorLogAt = m.now + errorLogInterval
-		m.log("client turned away", "why", why.String(), "so many", m.RequestErrors[why])
+		m.log("client rejected", "why", why.String(), "count", m.RequestErrors[why])
 	}
 	m.stopAwaiting(session, finished)
 	m.write(session.clientConn, []byte(answer))
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -79,7 +79,7 @@
 // and made all the same, as a relay that goes on serves its other sessions.
 func (m *StateMachine) enter(session *session, next sessionState) {
 	if !session.state.canBecome(next) {
-		m.queue.illegalTransitions++
+		m.illegalTransitions++
 		m.log("illegal transition of a session", "id", session.id,
 			"change", fmt.Sprintf("%s to %s", session.state, next))
 	}
--- a/internal/relay/session_test.go
+++ b/internal/relay/session_test.go
@@ -23,8 +23,8 @@
 	s.enter(broken, established)
 	s.Handle(1, TimerFired{})
 	assert.Equal(t, established, broken.state)
-	assert.Equal(t, 1, s.queue.illegalTransitions)
-	s.queue.illegalTransitions = 0
+	assert.Equal(t, 1, s.illegalTransitions)
+	s.illegalTransitions = 0
 	s.enter(broken, finished)
-	assert.Zero(t, s.queue.illegalTransitions)
+	assert.Zero(t, s.illegalTransitions)
 }
--- a/internal/relay/snapshot.go
+++ b/internal/relay/snapshot.go
@@ -48,23 +48,23 @@
 func ParseSnapshot(text []byte) (*Snapshot, error) {
 	s := &Snapshot{}
 	if err := json.Unmarshal(text, s); err != nil {
-		return nil, fmt.Errorf("kept: %w", err)
+		return nil, fmt.Errorf("parse snapshot: %w", err)
 	}
 	if s.Version != snapshotVersion {
-		return nil, fmt.Errorf("kept: version %d expected, got %d", snapshotVersion, s.Version)
+		return nil, fmt.Errorf("parse snapshot: version %d expected, got %d", snapshotVersion, s.Version)
 	}
 	if !isQuantity(s.Capacity) || !isQuantity(s.MeanLoad) || !isQuantity(s.ConfirmedAt) {
-		return nil, errors.New("kept: a figure is no number or negative")
+		return nil, errors.New("parse snapshot: a quantity is negative or no number")
 	}
 	for name, class := range s.Classes {
 		if !isQuantity(class.Load) || !isQuantity(class.Weight) {
-			return nil, fmt.Errorf("kept: category %q: a figure is no number or negative", name)
+			return nil, fmt.Errorf("parse snapshot: category %q: a quantity is negative or no number", name)
 		}
 	}
 	if s.Endpoints != nil {
 		for _, e := range s.Endpoints.Endpoints {
 			if e.Name == "" || e.Address == "" || !isQuantity(e.StartedAt) || !isQuantity(e.Weight) {
-				return nil, errors.New("kept: list: an entry without name, address or a figure that can be")
+				return nil, errors.New("parse snapshot: endpoints: an entry without name or address, or with a number that can't be")
 			}
 		}
 	}
@@ -106,7 +106,7 @@
 	if s.Endpoints != nil && !m.endpoints.confirmed && len(s.Endpoints.Endpoints) > 0 {
 		listed = m.restoreEndpoints(s)
 	}
-	m.log("recalled", "backends", listed, "learnt", learned, "capacity", math.Round(s.Capacity), "told to return",
+	m.log("restored state", "backends", listed, "estimates", learned, "capacity", math.Round(s.Capacity), "reservations",
 		len(s.RetryAt))
 }
 
@@ -133,9 +133,8 @@
 	listed := 0
 	if s.Endpoints.Index > m.endpoints.index {
 		listed = len(s.Endpoints.Endpoints)
-		index := m.endpoints.index
-		m.applyEndpoints(&EndpointUpdate{Complete: true, Endpoints: s.Endpoints.Endpoints})
-		m.endpoints.index = index // discovery is asked for all that it tells from there on
+		// The version stays, so that discovery is asked for all that it tells from there on.
+		m.applyEndpoints(&EndpointUpdate{Index: m.endpoints.index, Complete: true, Endpoints: s.Endpoints.Endpoints})
 	}
 	if s.EndpointsAssumed {
 		m.balancer().AssumeEndpoints(m.now)
--- a/internal/relay/statemachine.go
+++ b/internal/relay/statemachine.go
@@ -37,6 +37,8 @@
 	siblings    processHandoff // handoff.go
 	replication replicationState
 
+	illegalTransitions int // changes of a session's state that sessionTransitions doesn't list; session.go
+
 	effects  *effectBuffer // of the event that is being handled
 	returned *effectBuffer // as they were returned last
 }
@@ -132,7 +134,7 @@
 func (m *StateMachine) dispatch(event Event) {
 	switch e := event.(type) {
 	case TimerFired:
-		m.timers.setFor = math.Inf(1)
+		m.timers.woken()
 	case ConnAccepted:
 		m.acceptClient(e.Conn)
 	case ConnEstablished:
@@ -204,8 +206,7 @@
 
 // scheduleWake has TimerFired come at that time, unless it comes sooner anyway.
 func (m *StateMachine) scheduleWake(at float64) {
-	if at < m.timers.setFor {
-		m.timers.setFor = at
+	if m.timers.wakeAt(at) {
 		m.effects.setTimer(at)
 	}
 }
@@ -220,7 +221,7 @@
 // resumeAfterSuspend handles that this process was suspended and goes on now: what came meanwhile is read first, and the
 // watch gets the time to say what it has.
 func (m *StateMachine) resumeAfterSuspend(now float64) {
-	m.log("stopped for a while", "ms", math.Round(now-m.timers.next()))
+	m.log("process was suspended", "ms", math.Round(now-m.timers.next()))
 	m.balancer().Pause(now + resumeReadTime)
 	silence := &m.watch.silenceTimer
 	if silence.isSet() && silence.at < now+resumeReadTime {
--- a/internal/relay/timers.go
+++ b/internal/relay/timers.go
@@ -66,6 +66,18 @@
 	}
 }
 
+// wakeAt tells whether the process is to be asked to wake the state machine at that time: it does not do so sooner anyway.
+func (q *timerQueue) wakeAt(at float64) bool {
+	if at >= q.setFor {
+		return false
+	}
+	q.setFor = at
+	return true
+}
+
+// woken says that the time of the last SetTimer has come.
+func (q *timerQueue) woken() { q.setFor = math.Inf(1) }
+
 // next is when the first timer fires; +Inf: there is none.
 func (q *timerQueue) next() float64 {
 	if len(q.heap) == 0 {
--- a/internal/relay/transfer.go
+++ b/internal/relay/transfer.go
@@ -32,8 +32,8 @@
 // sessionSockets are the sockets of one session: the client's, then the backend's.
 type sessionSockets [hotrestart.FilesPerSession]*socket
 
-// sessionDescriptors are duplicates of their descriptors, to be sent; -1: none.
-type sessionDescriptors [hotrestart.FilesPerSession]int
+// transferDescriptors are duplicates of their descriptors, to be sent; -1: none.
+type transferDescriptors [hotrestart.FilesPerSession]int
 
 // transferSession sends one session to the child, and tells the state machine whether it is there. The reads of both
 // sockets are locked from before the state machine gives the session up until that is known, so that this process reads
@@ -71,7 +71,7 @@
 	if p.channel == nil && !p.closed {
 		var err error
 		if p.channel, err = s.slot.OpenChannel(child); err != nil {
-			s.log.Warn("no way to the younger process", "err", err)
+			s.log.Warn("can't open a channel to the child process", "err", err)
 			p.closed = true
 		}
 	}
@@ -81,19 +81,19 @@
 // detachSession has the state machine give the session up, and takes its sockets out of the poller, with descriptors of
 // their own to be sent; nil: the session stays. All is done under the relay's lock, so that no descriptor's number can
 // come to another connection meanwhile.
-func (s *driver) detachSession(clientConn uint64, both sessionSockets) (*TransferredSession, sessionDescriptors) {
+func (s *driver) detachSession(clientConn uint64, both sessionSockets) (*TransferredSession, transferDescriptors) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, c := range both {
 		if c.unsent.Load() > 0 || c.closing.Load() || isClosed(c.nbConn) {
-			return nil, sessionDescriptors{}
+			return nil, transferDescriptors{}
 		}
 	}
 	s.detached = nil
 	s.handleLocked(DetachRequested{Conn: clientConn})
 	session := s.detached
 	if session == nil {
-		return nil, sessionDescriptors{}
+		return nil, transferDescriptors{}
 	}
 	descriptors, err := s.duplicate(both)
 	if err == nil {
@@ -104,15 +104,15 @@
 		s.resumePolling(c)
 	}
 	s.handleLocked(SessionTransferred{Conn: clientConn})
-	return nil, sessionDescriptors{}
+	return nil, transferDescriptors{}
 }
 
 var errConnectionClosed = errors.New("connection is closed")
 
 // duplicate takes the sockets out of the poller and duplicates their descriptors. What it has duplicated before an error
 // is the caller's to close.
-func (s *driver) duplicate(both sessionSockets) (sessionDescriptors, error) {
-	descriptors := sessionDescriptors{-1, -1}
+func (s *driver) duplicate(both sessionSockets) (transferDescriptors, error) {
+	descriptors := transferDescriptors{-1, -1}
 	for i, c := range both {
 		if err := s.stopPolling(c.nbConn.Hash()); err != nil {
 			return descriptors, fmt.Errorf("stop polling: %w", err)
@@ -129,7 +129,7 @@
 	return descriptors, nil
 }
 
-func (d sessionDescriptors) close() {
+func (d transferDescriptors) close() {
 	for _, descriptor := range d {
 		if descriptor >= 0 {
 			syscall.Close(descriptor)
@@ -139,7 +139,7 @@
 
 // sendSession sends a detached session, closes the descriptors, and tells whether the child has accepted it. After an
 // error other than the child's refusal the channel is not used again.
-func (s *driver) sendSession(session *TransferredSession, descriptors sessionDescriptors) bool {
+func (s *driver) sendSession(session *TransferredSession, descriptors transferDescriptors) bool {
 	p := &s.transfers
 	text, err := json.Marshal(session)
 	accepted := false
@@ -148,7 +148,7 @@
 	}
 	descriptors.close()
 	if err != nil && !errors.Is(err, hotrestart.ErrRejected) {
-		s.log.Warn("can't pass a link", "err", err)
+		s.log.Warn("can't transfer a session", "err", err)
 		p.channel.Close()
 		p.closed = true
 	}
@@ -176,7 +176,7 @@
 		c.nbConn.Close()
 	}
 	if err := s.transfers.channel.ConfirmRelease(); err != nil && !s.transfers.closed {
-		s.log.Warn("can't say that a link was let go", "err", err)
+		s.log.Warn("can't confirm the release of a session", "err", err)
 	}
 }
 
--- a/internal/relay/watch.go
+++ b/internal/relay/watch.go
@@ -65,20 +65,19 @@
 	if e.Update.DiscoveryTime > 0 {
 		m.watch.clockOffset = e.Update.DiscoveryTime - m.now
 	}
-	m.endpoints.confirmed = true
+	m.endpoints.confirm()
 	if e.Update.Index < m.endpoints.index && (m.watch.after > 0 || !e.Update.Complete) {
 		m.restartFromOlderVersion(e.Update.Index)
 		return
 	}
 	m.watch.addressIsNew = false
 	m.timers.stop(&m.watch.renewTimer)
-	hasSibling := m.siblings.hasParent || m.siblings.hasChild
-	if e.Update.Complete && !hasSibling {
-		m.siblings.drained = nil
+	if e.Update.Complete && !m.siblings.hasSibling() {
+		m.siblings.forgetDrained()
 	}
 	m.applyEndpoints(e.Update)
-	m.endpoints.received = true
-	if hasSibling {
+	m.endpoints.markReceived()
+	if m.siblings.hasSibling() {
 		m.effects.add(&SendEndpoints{Update: m.endpoints.current()})
 	}
 }
@@ -87,7 +86,7 @@
 // It does so at once where this watch began at a later version: a discovery that counts anew may have drained a backend
 // just now.
 func (m *StateMachine) restartFromOlderVersion(index uint64) {
-	m.endpoints.index = 0
+	m.endpoints.forgetVersion()
 	if m.watch.after > 0 {
 		m.log("version went back", "to", index)
 		m.startWatch()
@@ -103,7 +102,9 @@
 		return
 	}
 	m.discoveryHeard()
-	m.endpoints.confirmed = m.endpoints.confirmed || m.watch.after > 0
+	if m.watch.after > 0 {
+		m.endpoints.confirm()
+	}
 }
 
 // watchEnded handles the end of the watch.
@@ -158,7 +159,7 @@
 	if changed {
 		m.watch.address = e.DiscoveryAddress
 		m.watch.addressIsNew = true
-		m.endpoints.index = 0
+		m.endpoints.forgetVersion()
 		m.startWatch()
 	}
 }
--- a/internal/relay/zones.go
+++ b/internal/relay/zones.go
@@ -20,7 +20,7 @@
 		})
 	}
 	m.balancer().SetZoneWeights(byNumber)
-	m.log("directed", "zones", len(weights))
+	m.log("zone weights changed", "zones", len(weights))
 }
 
 // ZoneObservations is what this relay has seen of each zone since its start, and what its sessions weigh. It is called
