--- a/internal/relay/random_test.go
+++ b/internal/relay/random_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"math/rand"
 	"slices"
 	"strings"
@@ -12,7 +13,7 @@
 	"valeshift/balancer"
 )
 
-// fixedTimers is how many timers may be armed without a connection: of the list, the start, the door and the stop.
+// fixedTimers is how many timers may be set without a connection: of the list, the start, the intake and the drain.
 const fixedTimers = 6
 
 // Whatever comes in whatever order, a client gets one final answer in time, has one attempt out at a time, is told
@@ -20,163 +21,261 @@
 // left, nor sent to a backend that was told to drain; after the exit is decided, none is begun at all.
 func TestAnyOrderOfEvents(t *testing.T) {
 	for seed := range int64(300) {
-		chance := rand.New(rand.NewSource(seed))
-		s := newHarness(t, func(text string) string {
-			text = strings.Replace(text, `"probes": false`, fmt.Sprintf(`"probes": %t`, seed%2 == 0), 1)
-			return strings.Replace(text, `"may-cancel": true`, fmt.Sprintf(`"may-cancel": %t`, seed%3 > 0), 1) + " "
-		}, 70, "b1=active", "b2=active", "b3=leaving")
-		open, up := map[string]bool{}, map[string]bool{} // connections, by their words
-		due, answered := map[string]float64{}, map[string]bool{}
-		now, next, watch, index := 0.0, 0, 1, 1
-		pick := func(of map[string]bool, ours bool) string {
-			var all []string
-			for c := range of {
-				if (c[0] == 's') == ours {
-					all = append(all, c)
-				}
-			}
-			if len(all) == 0 {
-				return ""
-			}
-			slices.Sort(all)
-			return all[chance.Intn(len(all))]
-		}
-		tell := func(event string) {
-			for _, said := range strings.Split(s.handle(now, event), "; ") {
-				f := strings.Fields(said)
-				if len(f) == 0 {
-					continue
-				}
-				switch f[0] {
-				case "dial":
-					open[f[1]] = true
-					c := s.conns.byID[s.conn(f[1])]
-					require.False(t, c.session != nil && c.session.clientConn == nil, "seed %d: %s for a client that left", seed, said)
-					require.False(t, c.session != nil && s.drain.exiting, "seed %d: %s after the exit was decided", seed, said)
-				case "watch":
-					fmt.Sscan(f[1], &watch)
-				case "end", "reset":
-					delete(open, f[1])
-					delete(up, f[1])
-				case "write":
-					require.True(t, open[f[1]], "seed %d: %s to one that is over", seed, said)
-					first := strings.SplitN(said, " ", 3)[2]
-					if c := s.conns.byID[s.conn(f[1])]; strings.HasPrefix(first, "OPEN") && c != nil {
-						require.NotNil(t, c.session.clientConn, "seed %d: %s for a client that left", seed, said)
-						require.Equal(t, balancer.Ready, c.backend.condition, "seed %d: %s to one that drains", seed, said)
-					}
-					if limit, link := due[f[1]]; link && !answered[f[1]] {
-						require.Regexp(t, `^(UP|BUSY|ERR)`, first, "seed %d", seed)
-						require.LessOrEqual(t, now, limit, "seed %d: late", seed)
-						answered[f[1]] = true
-					} else if link {
-						// The relay's own are told from a backend's lines by their form.
-						require.NotRegexp(t, `^(BUSY 900|ERR\|)`, first, "seed %d: a second answer", seed)
-					}
-				}
-			}
-			for _, b := range s.BackendStatuses(now) {
-				require.Equal(t, b.Established+b.Attempts, b.Reserved, "seed %d: links on %s", seed, b.Name)
-			}
-			tries := map[*session]int{}
-			for _, c := range s.conns.byID {
-				if c.backend != nil && c.session != nil {
-					tries[c.session]++
-					require.Equal(t, 1, tries[c.session], "seed %d: two out at once", seed)
-				}
-			}
-		}
+		r := newRandomRun(t, seed)
 		for range 400 {
-			// Timers are met one by one, as the clock would.
-			until := now + chance.ExpFloat64()*30
-			for s.timers.setFor < until {
-				now = max(now, s.timers.setFor)
-				tell("tick")
-			}
-			now = until
-			client, server := pick(open, false), pick(open, true)
-			switch k := chance.Intn(20); {
-			case k < 4:
-				next++
-				c := fmt.Sprint(next)
-				open[c] = true
-				tell("open " + c)
-				if !open[c] {
-					break
-				}
-				switch chance.Intn(8) {
-				case 0:
-					tell("came " + c + " PING|")
-				case 1:
-					tell("came " + c + " OPEN a")
-				case 2:
-					tell("came " + c + " nonsense|")
-				default:
-					category := []string{"feed", "order"}[chance.Intn(2)]
-					wait := 1 + chance.Intn(2000)
-					due[c] = now + float64(wait)
-					tell(fmt.Sprintf("came %s OPEN i%s %x c=%s,t=one,d=%d|", c, c, chance.Intn(9), category, wait))
-				}
-			case k < 9 && server != "" && !up[server]:
-				if up[server] = chance.Intn(6) > 0; up[server] {
-					tell("up " + server)
-				} else {
-					delete(open, server)
-					tell("reset " + server)
-				}
-			case k < 14 && server != "":
-				answers := []string{"UP r|", "UP r|LOAD 5|", "BUSY|UP x|", "ERR x0=1|", "BYE|", "MOVE|", "x",
-					"PONG x0=0.5|",
-					"line|", "UP r|", "UP r|"}
-				tell("came " + server + " " + answers[chance.Intn(len(answers))])
-			case k < 16 && client != "":
-				tell("came " + client + " line|")
-			case k == 16 && server != "":
-				delete(open, server)
-				tell([]string{"end ", "reset ", "cut "}[chance.Intn(3)] + server)
-			case k == 17 && client != "":
-				delete(open, client)
-				answered[client] = true
-				tell([]string{"end ", "reset "}[chance.Intn(2)] + client)
-			case k == 18:
-				index++
-				status := []string{"active", "active", "leaving", "left"}
-				tell(fmt.Sprintf("news %d %d %s b1=%s b2=%s@%d b%d=active", watch, index,
-					[]string{"whole", "delta"}[chance.Intn(2)], status[chance.Intn(4)], status[chance.Intn(4)],
-					chance.Intn(2)*int(now), 1+chance.Intn(5)))
-			case k == 19:
-				tell([]string{"heard ", "failed "}[chance.Intn(2)] + fmt.Sprint(watch))
-			}
-			switch chance.Intn(60) {
-			case 0:
-				tell(fmt.Sprintf("reload 10.1.0.%d:85", 1+chance.Intn(3)))
-			case 1:
-				tell("reload-error")
-			case 2:
-				tell([]string{"drain on", "drain off"}[chance.Intn(2)])
-			}
+			r.step()
 		}
-		tell("stop")
-		for now < 1e6 && !s.drain.exiting {
-			now = max(now, s.timers.setFor)
-			tell("tick")
+		r.shutDown()
+		r.requireNothingLeft()
+	}
+}
+
+// randomRun plays random events to a state machine, and checks what follows of each. Connections go by their words.
+type randomRun struct {
+	*harness
+	seed int64
+	rng  *rand.Rand
+	now  float64
+
+	clients  int // that came so far
+	watchID  int // number of the watch that is open
+	version  int // version of the list
+	open     map[string]bool
+	up       map[string]bool    // connections to backends
+	due      map[string]float64 // until when clients that sent a request are to be answered
+	answered map[string]bool
+}
+
+func newRandomRun(t *testing.T, seed int64) *randomRun {
+	t.Helper()
+	settings := func(text string) string {
+		text = strings.Replace(text, `"probes": false`, fmt.Sprintf(`"probes": %t`, seed%2 == 0), 1)
+		return strings.Replace(text, `"may-cancel": true`, fmt.Sprintf(`"may-cancel": %t`, seed%3 > 0), 1) + " "
+	}
+	return &randomRun{
+		harness:  newHarness(t, settings, 70, "b1=active", "b2=active", "b3=leaving"),
+		seed:     seed,
+		rng:      rand.New(rand.NewSource(seed)),
+		watchID:  1,
+		version:  1,
+		open:     map[string]bool{},
+		up:       map[string]bool{},
+		due:      map[string]float64{},
+		answered: map[string]bool{},
+	}
+}
+
+// step lets some time go by, and then has one or two things happen.
+func (r *randomRun) step() {
+	// Timers are met one by one, as the clock would.
+	until := r.now + r.rng.ExpFloat64()*30
+	for r.timers.setFor < until {
+		r.tick()
+	}
+	r.now = until
+	client := r.pick(false)
+	backend := r.pick(true)
+	switch kind := r.rng.Intn(20); {
+	case kind < 4:
+		r.newClient()
+	case kind < 9 && backend != "" && !r.up[backend]:
+		r.finishDial(backend)
+	case kind < 14 && backend != "":
+		r.send("came " + backend + " " + r.choose("UP r|", "UP r|LOAD 5|", "BUSY|UP x|", "ERR x0=1|", "BYE|", "MOVE|", "x",
+			"PONG x0=0.5|", "line|", "UP r|", "UP r|"))
+	case kind < 16 && client != "":
+		r.send("came " + client + " line|")
+	case kind == 16 && backend != "":
+		delete(r.open, backend)
+		r.send(r.choose("end ", "reset ", "cut ") + backend)
+	case kind == 17 && client != "":
+		delete(r.open, client)
+		r.answered[client] = true
+		r.send(r.choose("end ", "reset ") + client)
+	case kind == 18:
+		r.updateEndpoints()
+	case kind == 19:
+		r.send(r.choose("heard ", "failed ") + fmt.Sprint(r.watchID))
+	}
+	switch r.rng.Intn(60) {
+	case 0:
+		r.send(fmt.Sprintf("reload 10.1.0.%d:85", 1+r.rng.Intn(3)))
+	case 1:
+		r.send("reload-error")
+	case 2:
+		r.send(r.choose("drain on", "drain off"))
+	}
+}
+
+// tick fires the timer that is next.
+func (r *randomRun) tick() {
+	r.now = max(r.now, r.timers.setFor)
+	r.send("tick")
+}
+
+// choose draws one of the words.
+func (r *randomRun) choose(words ...string) string { return words[r.rng.Intn(len(words))] }
+
+// pick draws an open connection, to a backend or of a client; empty: there is none.
+func (r *randomRun) pick(toBackend bool) string {
+	var all []string
+	for conn := range r.open {
+		if (conn[0] == 's') == toBackend {
+			all = append(all, conn)
 		}
-		require.True(t, s.drain.exiting, "seed %d", seed)
-		for c := range open {
-			if _, asked := due[c]; c[0] != 's' && !asked && chance.Intn(2) == 0 {
-				due[c] = now + 1000
-				tell(fmt.Sprintf("came %s OPEN i%s 1 c=feed,t=one,d=1000|", c, c)) // taken in at the last moment
-			}
+	}
+	if len(all) == 0 {
+		return ""
+	}
+	slices.Sort(all)
+	return r.choose(all...)
+}
+
+// newClient has a client come, which sends a request, a part of one, or something else.
+func (r *randomRun) newClient() {
+	r.clients++
+	client := fmt.Sprint(r.clients)
+	r.open[client] = true
+	r.send("open " + client)
+	if !r.open[client] {
+		return
+	}
+	switch r.rng.Intn(8) {
+	case 0:
+		r.send("came " + client + " PING|")
+	case 1:
+		r.send("came " + client + " OPEN a")
+	case 2:
+		r.send("came " + client + " nonsense|")
+	default:
+		class := r.choose("feed", "order")
+		timeout := 1 + r.rng.Intn(2000)
+		r.due[client] = r.now + float64(timeout)
+		r.send(fmt.Sprintf("came %s OPEN i%s %x c=%s,t=one,d=%d|", client, client, r.rng.Intn(9), class, timeout))
+	}
+}
+
+// finishDial has a connection to a backend come up, or fail.
+func (r *randomRun) finishDial(conn string) {
+	r.up[conn] = r.rng.Intn(6) > 0
+	if r.up[conn] {
+		r.send("up " + conn)
+		return
+	}
+	delete(r.open, conn)
+	r.send("reset " + conn)
+}
+
+// updateEndpoints has discovery tell the list or a change of it.
+func (r *randomRun) updateEndpoints() {
+	r.version++
+	kind := r.choose("whole", "delta")
+	first := r.choose("active", "active", "leaving", "left")
+	second := r.choose("active", "active", "leaving", "left")
+	startedAt := r.rng.Intn(2) * int(r.now)
+	r.send(fmt.Sprintf("news %d %d %s b1=%s b2=%s@%d b%d=active", r.watchID, r.version, kind, first, second, startedAt,
+		1+r.rng.Intn(5)))
+}
+
+// send gives the state machine one event, and checks the effects and the state that follow.
+func (r *randomRun) send(event string) {
+	r.t.Helper()
+	for _, effect := range strings.Split(r.handle(r.now, event), "; ") {
+		if words := strings.Fields(effect); len(words) > 0 {
+			r.checkEffect(effect, words)
 		}
-		tell("ended")
-		for c := range due {
-			require.True(t, answered[c], "seed %d: %s has no answer", seed, c)
+	}
+	r.checkReservations()
+	r.checkAttempts()
+}
+
+func (r *randomRun) checkEffect(effect string, words []string) {
+	r.t.Helper()
+	switch words[0] {
+	case "dial":
+		r.open[words[1]] = true
+		session := r.conns.byID[r.conn(words[1])].session
+		require.False(r.t, session != nil && session.clientConn == nil, "seed %d: %s for a client that left", r.seed, effect)
+		require.False(r.t, session != nil && r.drain.exiting, "seed %d: %s after the exit was decided", r.seed, effect)
+	case "watch":
+		fmt.Sscan(words[1], &r.watchID)
+	case "end", "reset":
+		delete(r.open, words[1])
+		delete(r.up, words[1])
+	case "write":
+		r.checkWrite(words[1], effect)
+	}
+}
+
+// checkWrite checks what is written to a connection: a request, an answer, or a line.
+func (r *randomRun) checkWrite(conn, effect string) {
+	r.t.Helper()
+	require.True(r.t, r.open[conn], "seed %d: %s to one that is over", r.seed, effect)
+	text := strings.SplitN(effect, " ", 3)[2]
+	if c := r.conns.byID[r.conn(conn)]; strings.HasPrefix(text, "OPEN") && c != nil {
+		require.NotNil(r.t, c.session.clientConn, "seed %d: %s for a client that left", r.seed, effect)
+		require.Equal(r.t, balancer.Ready, c.backend.condition, "seed %d: %s to one that drains", r.seed, effect)
+	}
+	limit, sentRequest := r.due[conn]
+	switch {
+	case sentRequest && !r.answered[conn]:
+		require.Regexp(r.t, `^(UP|BUSY|ERR)`, text, "seed %d", r.seed)
+		require.LessOrEqual(r.t, r.now, limit, "seed %d: late", r.seed)
+		r.answered[conn] = true
+	case sentRequest:
+		// The relay's own are told from a backend's lines by their form.
+		require.NotRegexp(r.t, `^(BUSY 900|ERR\|)`, text, "seed %d: a second answer", r.seed)
+	}
+}
+
+// checkReservations checks that the balancer knows of all sessions on sockets, and of no other.
+func (r *randomRun) checkReservations() {
+	r.t.Helper()
+	for _, b := range r.BackendStatuses(r.now) {
+		require.Equal(r.t, b.Established+b.Attempts, b.Reserved, "seed %d: sessions on %s", r.seed, b.Name)
+	}
+}
+
+// checkAttempts checks that each session has one backend connection at the most.
+func (r *randomRun) checkAttempts() {
+	r.t.Helper()
+	attempts := map[*session]int{}
+	for _, c := range r.conns.byID {
+		if c.backend != nil && c.session != nil {
+			attempts[c.session]++
+			require.Equal(r.t, 1, attempts[c.session], "seed %d: two out at once", r.seed)
 		}
-		require.Zero(t, s.queue.sessions, "seed %d", seed)
-		require.Zero(t, s.Established, "seed %d", seed)
-		for _, c := range s.conns.byID {
-			require.Nil(t, c.session, "seed %d: left behind", seed)
+	}
+}
+
+// shutDown has the relay shut down; some clients send their requests at the last moment.
+func (r *randomRun) shutDown() {
+	r.t.Helper()
+	r.send("stop")
+	for r.now < 1e6 && !r.drain.exiting {
+		r.tick()
+	}
+	require.True(r.t, r.drain.exiting, "seed %d", r.seed)
+	for _, client := range slices.Sorted(maps.Keys(r.open)) {
+		if _, sentRequest := r.due[client]; client[0] != 's' && !sentRequest && r.rng.Intn(2) == 0 {
+			r.due[client] = r.now + 1000
+			r.send(fmt.Sprintf("came %s OPEN i%s 1 c=feed,t=one,d=1000|", client, client))
 		}
-		require.LessOrEqual(t, len(s.timers.heap), fixedTimers+len(s.conns.byID), "seed %d: a timer of one that is over", seed)
 	}
+	r.send("ended")
+}
+
+// requireNothingLeft wants every client answered, and no session, connection or timer left.
+func (r *randomRun) requireNothingLeft() {
+	r.t.Helper()
+	for client := range r.due {
+		require.True(r.t, r.answered[client], "seed %d: %s has no answer", r.seed, client)
+	}
+	require.Zero(r.t, r.queue.sessions, "seed %d", r.seed)
+	require.Zero(r.t, r.Established, "seed %d", r.seed)
+	for _, c := range r.conns.byID {
+		require.Nil(r.t, c.session, "seed %d: left behind", r.seed)
+	}
+	require.LessOrEqual(r.t, len(r.timers.heap), fixedTimers+len(r.conns.byID),
+		"seed %d: a timer of one that is over", r.seed)
 }
