--- a/internal/relay/metrics_test.go
+++ b/internal/relay/metrics_test.go
@@ -147,7 +147,7 @@
 
 // Handle is called under the lock of the sockets. The watch's failures are noted too, as discovery is not there.
 func (h *seenAtNote) Handle(_ context.Context, note slog.Record) error {
-	if note.Message == "lame duck" {
+	if note.Message == "draining" {
 		h.ready = append(h.ready, h.board().serving.Load())
 	}
 	return nil
@@ -155,8 +155,8 @@
 
 // Against a caller who has seen an effect, and is told figures from before it.
 func TestFiguresArePublishedBeforeEffects(t *testing.T) {
-	s, _ := narrow(t)
-	serving(t, s)
+	s, _ := newTestDriver(t)
+	startMachine(t, s)
 	seen := &seenAtNote{board: func() *metricsBoard { return s.metrics }}
 	s.mutex.Lock()
 	s.log, s.metrics = slog.New(seen), newMetricsBoard(s.machine)
