--- a/cmd/valeshift-testbed/sim.go
+++ b/cmd/valeshift-testbed/sim.go
@@ -63,12 +63,12 @@
 	run := r.AddRun(x, report.Outcome{
 		Variant:       variant,
 		Mode:          report.Simulated,
-		Metrics:       result.Tally,
-		FaultSpans:    result.Marks,
-		Audit:         result.Audit,
-		ColdOverloads: result.Fallen,
+		Metrics:       result.Metrics,
+		FaultSpans:    result.FaultSpans,
+		Audit:         result.Auditor,
+		ColdOverloads: result.ColdOverloads,
 	})
-	seconds := result.Took.Seconds()
+	seconds := result.RealTime.Seconds()
 	printRun(run, fmt.Sprintf("(%.1f simulated seconds a second, %.2f M events/s)",
 		float64(x.Length)/1000/seconds, float64(result.Events)/1e6/seconds))
 	return run, nil
--- a/internal/testbed/explore/explore.go
+++ b/internal/testbed/explore/explore.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		return &Finding{Experiment: x, Panic: err.Error()}
 	}
-	return NewFinding(x, result.Audit)
+	return NewFinding(x, result.Auditor)
 }
 
 // Exploration is a range of seeds whose experiments are drawn and played.
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -42,10 +42,10 @@
 		r.AddRun(x, Outcome{
 			Variant:       variant,
 			Mode:          Simulated,
-			Metrics:       result.Tally,
-			FaultSpans:    result.Marks,
-			Audit:         result.Audit,
-			ColdOverloads: result.Fallen,
+			Metrics:       result.Metrics,
+			FaultSpans:    result.FaultSpans,
+			Audit:         result.Auditor,
+			ColdOverloads: result.ColdOverloads,
 		})
 	}
 	return r
--- a/internal/testbed/sim/coordinator.go
+++ b/internal/testbed/sim/coordinator.go
@@ -23,7 +23,7 @@
 type coordinatorProcess struct {
 	sim      *Sim
 	machine  int
-	process  *process
+	process  *relayProcess
 	core     *coordinator.Core
 	disk     []byte // durable state
 	isSaving bool   // nothing more is sent until the state is durable
@@ -33,7 +33,7 @@
 
 // coordinatorMembers are the voters that the experiment asks for, one on each of the first machines.
 func (s *Sim) coordinatorMembers() (members []consensus.Member) {
-	for machine := range s.x.Relays.Coordinators {
+	for machine := range s.experiment.Relays.Coordinators {
 		members = append(members, consensus.Member{
 			Name:    fmt.Sprint("v", machine),
 			Address: coordinatorAddress(machine),
@@ -51,20 +51,20 @@
 
 // zonesToDecideOn are the zones as a coordinator's configuration names them.
 func (s *Sim) zonesToDecideOn() (zones []failover.Zone) {
-	for zone := range s.x.Fleet.Zones {
-		zones = append(zones, failover.Zone{Name: experiment.Zone(zone), Region: s.x.Region(zone)})
+	for zone := range s.experiment.Fleet.Zones {
+		zones = append(zones, failover.Zone{Name: experiment.Zone(zone), Region: s.experiment.Region(zone)})
 	}
 	return zones
 }
 
 // startCoordinator starts the coordinator of a machine with what its disk holds.
-func (s *Sim) startCoordinator(machine int, p *process) {
+func (s *Sim) startCoordinator(machine int, p *relayProcess) {
 	var disk []byte
 	if former := s.coordinatorProcesses[machine]; former != nil {
 		disk = former.disk
 	}
 	members := s.coordinatorMembers()
-	rng := s.x.Rand("voter", 1000*machine+s.lives[machine])
+	rng := s.experiment.Rand("voter", 1000*machine+s.machines[machine].starts)
 	core, err := coordinator.New(p.clock(), members[machine], members, s.zonesToDecideOn(), disk, rng)
 	if err != nil {
 		panic(fmt.Sprintf("start coordinator %d with the disk that it wrote: %v", machine, err))
@@ -76,16 +76,16 @@
 
 // tick has the coordinator go on with time, until its process ends.
 func (c *coordinatorProcess) tick() {
-	if c.process.over {
+	if c.process.isExited {
 		return
 	}
-	if !c.process.frozen {
+	if !c.process.isFrozen {
 		now := c.process.clock()
-		c.core.Tick(now, c.sim.wall(c.machine))
+		c.core.Tick(now, c.sim.wallClock(c.machine))
 		c.askLeader(now)
 		c.performEffects()
 	}
-	c.sim.net.after(coordinatorTick, c.tick)
+	c.sim.network.after(coordinatorTick, c.tick)
 }
 
 // askLeader asks the leader for its announcement, if another coordinator leads.
@@ -114,8 +114,8 @@
 // save makes the state durable after the time that a disk takes; a process that ends before loses it.
 func (c *coordinatorProcess) save(ready consensus.Ready) {
 	c.isSaving = true
-	c.sim.net.after(diskSyncTime, func() {
-		if c.process.over {
+	c.sim.network.after(diskSyncTime, func() {
+		if c.process.isExited {
 			return
 		}
 		c.disk = ready.DurableState
--- a/internal/testbed/sim/datagrams.go
+++ b/internal/testbed/sim/datagrams.go
@@ -22,13 +22,13 @@
 
 // reachableProcess returns the relay's process on the machine of that address, and the machine's number. The
 // process is nil where it can't be reached from that machine now.
-func (s *Sim) reachableProcess(from int, address string) (*process, int) {
+func (s *Sim) reachableProcess(from int, address string) (*relayProcess, int) {
 	to := machineNumber(address)
-	if to < 0 || to >= len(s.relays) {
+	if to < 0 || to >= len(s.machines) {
 		return nil, 0
 	}
-	p := s.relays[to]
-	if p.over || p.frozen || !s.net.passes(s.relays[from].node, p.node) {
+	p := s.machines[to].process
+	if p.isExited || p.isFrozen || !s.network.isPathOpen(s.machines[from].process.node, p.node) {
 		return nil, to
 	}
 	return p, to
@@ -45,7 +45,7 @@
 // sendDatagram carries a datagram from a machine to whatever is at its address when it arrives. Sender is the
 // address that it comes from.
 func (s *Sim) sendDatagram(from int, d membership.Datagram, sender string) {
-	impairment := s.ways[[2]int{from, machineNumber(d.To)}]
+	impairment := s.impairments[[2]int{from, machineNumber(d.To)}]
 	if impairment.Cut || s.draw() < impairment.Loss {
 		return
 	}
@@ -54,11 +54,11 @@
 		copies = 2
 	}
 	for range copies {
-		delay := s.net.way() + float64(impairment.Delay) + float64(impairment.Jitter)*s.draw()
+		delay := s.network.drawTravelTime() + float64(impairment.Delay) + float64(impairment.Jitter)*s.draw()
 		if s.draw() < impairment.Reorder {
 			delay += reorderDelay
 		}
-		s.net.after(delay, func() { s.deliverDatagram(from, d, sender) })
+		s.network.after(delay, func() { s.deliverDatagram(from, d, sender) })
 	}
 }
 
@@ -67,7 +67,7 @@
 	switch {
 	case p == nil:
 	case strings.HasPrefix(d.To, coordinatorAddressPrefix):
-		if c := s.coordinatorProcesses[to]; c != nil && !c.process.over {
+		if c := s.coordinatorProcesses[to]; c != nil && !c.process.isExited {
 			c.receive(sender, d.Data)
 		}
 	case p.fleetNode != nil:
@@ -76,4 +76,4 @@
 }
 
 // draw returns a random number from 0 to 1.
-func (s *Sim) draw() float64 { return s.net.chance.Float64() }
+func (s *Sim) draw() float64 { return s.network.rng.Float64() }
--- a/internal/testbed/sim/disks.go
+++ b/internal/testbed/sim/disks.go
@@ -33,14 +33,14 @@
 
 // losePower takes what was not synced from a relay's disk.
 func (s *Sim) losePower(relay int) {
-	s.disks[relay].memory.LosePower(func(unsynced int) int { return s.net.chance.Intn(unsynced + 1) })
+	s.machines[relay].disk.memory.LosePower(func(unsynced int) int { return s.network.rng.Intn(unsynced + 1) })
 }
 
 // DamageDisk does something to the disk of a relay that is down.
 func (s *Sim) DamageDisk(relay int, fault experiment.DiskFault) {
-	d := s.disks[relay]
+	d := s.machines[relay].disk
 	d.fault = fault
-	rng := rand.New(rand.NewSource(s.net.chance.Int63()))
+	rng := rand.New(rand.NewSource(s.network.rng.Int63()))
 	switch fault {
 	case experiment.DiskWiped:
 		d.memory = store.NewMemoryFS()
@@ -53,7 +53,8 @@
 			d.memory = d.older.Clone()
 		}
 	case experiment.DiskAnothers:
-		d.memory = s.disks[(relay+1)%len(s.disks)].memory.Clone()
+		another := s.machines[(relay+1)%len(s.machines)].disk
+		d.memory = another.memory.Clone()
 	case experiment.DiskFull, experiment.DiskReadOnly:
 		d.memory.InjectFault = failWrites
 	}
--- a/internal/testbed/sim/spoil_test.go
+++ b/internal/testbed/sim/faulty_test.go
@@ -13,18 +13,18 @@
 	"valeshift/internal/testbed/audit"
 )
 
-// spoiled puts something wrong between the network and a reducer.
-type spoiled struct {
-	Brain
+// faultyStateMachine puts something wrong between the network and a reducer.
+type faultyStateMachine struct {
+	StateMachine
 	before func(e relay.Event) relay.Event
 	after  func(all []relay.Effect) []relay.Effect
 }
 
-func (s *spoiled) Handle(now float64, e relay.Event) []relay.Effect {
+func (s *faultyStateMachine) Handle(now float64, e relay.Event) []relay.Effect {
 	if s.before != nil {
 		e = s.before(e)
 	}
-	all := s.Brain.Handle(now, e)
+	all := s.StateMachine.Handle(now, e)
 	if s.after != nil {
 		all = s.after(slices.Clone(all))
 	}
@@ -62,7 +62,7 @@
 	return nil
 }
 
-const twoFree = 1 << 62 // numbers that no reducer gives
+const twoFree = 1 << 62 // numbers that no state machine gives
 
 // Each relay here is broken on purpose, and the auditor must say in what way.
 func TestAuditorCatchesBrokenRelays(t *testing.T) {
@@ -87,22 +87,22 @@
 share = 1
 `
 	for _, c := range []struct {
-		name  string
-		rule  audit.Rule
-		says  string
-		spoil func() *spoiled
+		name string
+		rule audit.Rule
+		says string
+		wrap func() *faultyStateMachine
 	}{
-		{"answers twice", audit.FinalAnswer, "BUSY after UP", func() *spoiled {
-			return &spoiled{after: each(func(f relay.Effect) []relay.Effect {
+		{"answers twice", audit.FinalAnswer, "BUSY after UP", func() *faultyStateMachine {
+			return &faultyStateMachine{after: each(func(f relay.Effect) []relay.Effect {
 				if write := toClient(f); write != nil && strings.HasPrefix(text(f), "UP") {
 					return []relay.Effect{f, writeTo(write.Conn, "BUSY 5\r\n")}
 				}
 				return []relay.Effect{f}
 			})}
 		}},
-		{"says nothing", audit.FinalAnswer, "no answer", func() *spoiled {
+		{"says nothing", audit.FinalAnswer, "no answer", func() *faultyStateMachine {
 			n := 0
-			return &spoiled{after: each(func(f relay.Effect) []relay.Effect {
+			return &faultyStateMachine{after: each(func(f relay.Effect) []relay.Effect {
 				if toClient(f) != nil && strings.HasPrefix(text(f), "UP") {
 					if n++; n%20 == 0 {
 						return nil
@@ -111,9 +111,9 @@
 				return []relay.Effect{f}
 			})}
 		}},
-		{"ends without a word", audit.FinalAnswer, "ended without an answer", func() *spoiled {
+		{"closes without an answer", audit.FinalAnswer, "ended without an answer", func() *faultyStateMachine {
 			n := 0
-			return &spoiled{after: each(func(f relay.Effect) []relay.Effect {
+			return &faultyStateMachine{after: each(func(f relay.Effect) []relay.Effect {
 				if write := toClient(f); write != nil && strings.HasPrefix(text(f), "UP") {
 					if n++; n%20 == 0 {
 						return []relay.Effect{&relay.Close{Conn: write.Conn}}
@@ -122,14 +122,14 @@
 				return []relay.Effect{f}
 			})}
 		}},
-		{"makes answers up", audit.FinalAnswer, "UP that no server said", func() *spoiled {
-			return &spoiled{}
+		{"makes answers up", audit.FinalAnswer, "UP that no server said", func() *faultyStateMachine {
+			return &faultyStateMachine{}
 		}},
-		{"sends two tries", audit.AtMostOnce, "out at once", func() *spoiled {
+		{"sends two attempts", audit.AtMostOnce, "out at once", func() *faultyStateMachine {
 			var dialed []string
 			second := map[uint64]uint64{}
 			next := uint64(twoFree)
-			s := &spoiled{}
+			s := &faultyStateMachine{}
 			s.after = each(func(f relay.Effect) []relay.Effect {
 				switch f := f.(type) {
 				case *relay.Dial:
@@ -146,17 +146,17 @@
 			})
 			return s
 		}},
-		{"keeps its clients though it is to be empty", audit.LineDelivery, "still held", func() *spoiled {
-			return &spoiled{before: func(e relay.Event) relay.Event {
+		{"keeps its clients though it drains", audit.LineDelivery, "still held", func() *faultyStateMachine {
+			return &faultyStateMachine{before: func(e relay.Event) relay.Event {
 				if _, drain := e.(relay.DrainRequested); drain {
 					return relay.TimerFired{}
 				}
 				return e
 			}}
 		}},
-		{"turns clients away while it is replaced", audit.FinalAnswer, "did not let a client in", func() *spoiled {
+		{"rejects clients while it is replaced", audit.FinalAnswer, "did not let a client in", func() *faultyStateMachine {
 			replaced := false
-			return &spoiled{before: func(e relay.Event) relay.Event {
+			return &faultyStateMachine{before: func(e relay.Event) relay.Event {
 				if _, sibling := e.(relay.SiblingProcessesChanged); sibling {
 					replaced = true
 				}
@@ -168,8 +168,8 @@
 				return []relay.Effect{f}
 			})}
 		}},
-		{"ignores drains", audit.Drain, "leaving for", func() *spoiled {
-			return &spoiled{before: func(e relay.Event) relay.Event {
+		{"ignores drains", audit.Drain, "leaving for", func() *faultyStateMachine {
+			return &faultyStateMachine{before: func(e relay.Event) relay.Event {
 				if updated, ok := e.(relay.EndpointsUpdated); ok {
 					news := *updated.Update
 					news.Endpoints = slices.Clone(news.Endpoints)
@@ -182,9 +182,9 @@
 				return e
 			}}
 		}},
-		{"takes cold servers for warm", audit.SlowStart, "was sent", func() *spoiled {
+		{"ignores slow start", audit.SlowStart, "was sent", func() *faultyStateMachine {
 			only := ""
-			return &spoiled{before: func(e relay.Event) relay.Event {
+			return &faultyStateMachine{before: func(e relay.Event) relay.Event {
 				if updated, ok := e.(relay.EndpointsUpdated); ok {
 					news := *updated.Update
 					news.Endpoints = slices.Clone(news.Endpoints)
@@ -206,9 +206,9 @@
 				return []relay.Effect{f}
 			})}
 		}},
-		{"loses lines", audit.LineDelivery, "lost before", func() *spoiled {
+		{"loses lines", audit.LineDelivery, "lost before", func() *faultyStateMachine {
 			n := 0
-			return &spoiled{after: each(func(f relay.Effect) []relay.Effect {
+			return &faultyStateMachine{after: each(func(f relay.Effect) []relay.Effect {
 				if toClient(f) != nil && strings.HasPrefix(text(f), "R ") {
 					if n++; n%50 == 0 {
 						return nil
@@ -217,9 +217,9 @@
 				return []relay.Effect{f}
 			})}
 		}},
-		{"doubles lines", audit.LineDelivery, "came again", func() *spoiled {
+		{"duplicates lines", audit.LineDelivery, "came again", func() *faultyStateMachine {
 			n := 0
-			return &spoiled{after: each(func(f relay.Effect) []relay.Effect {
+			return &faultyStateMachine{after: each(func(f relay.Effect) []relay.Effect {
 				if strings.HasPrefix(text(f), "M ") {
 					if n++; n%50 == 0 {
 						return []relay.Effect{f, f}
@@ -228,9 +228,9 @@
 				return []relay.Effect{f}
 			})}
 		}},
-		{"cuts links off", audit.LineDelivery, "cut off without MOVE", func() *spoiled {
+		{"resets sessions", audit.LineDelivery, "cut off without MOVE", func() *faultyStateMachine {
 			n := 0
-			return &spoiled{after: each(func(f relay.Effect) []relay.Effect {
+			return &faultyStateMachine{after: each(func(f relay.Effect) []relay.Effect {
 				if write := toClient(f); write != nil && strings.HasPrefix(text(f), "R ") {
 					if n++; n%500 == 0 {
 						return []relay.Effect{f, &relay.Reset{Conn: write.Conn}}
@@ -243,9 +243,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			s := New(parse(t, trouble), "module", nil)
-			s.Spoil = func(_ int, brain Brain) Brain {
-				broken := c.spoil()
-				broken.Brain = brain
+			s.WrapStateMachine = func(_ int, stateMachine StateMachine) StateMachine {
+				broken := c.wrap()
+				broken.StateMachine = stateMachine
 				if c.name == "makes answers up" {
 					broken.before, broken.after = madeUp()
 				}
@@ -253,14 +253,14 @@
 			}
 			r, err := s.Run()
 			require.NoError(t, err)
-			require.NotZero(t, r.Audit.Counts[c.rule], "not caught: %v", r.Audit.Counts)
-			assert.True(t, slices.ContainsFunc(r.Audit.Violations, func(b audit.Violation) bool {
+			require.NotZero(t, r.Auditor.Counts[c.rule], "not caught: %v", r.Auditor.Counts)
+			assert.True(t, slices.ContainsFunc(r.Auditor.Violations, func(b audit.Violation) bool {
 				return b.Rule == c.rule && strings.Contains(b.Detail, c.says)
-			}), "%v", r.Audit.Violations[:min(len(r.Audit.Violations), 5)])
+			}), "%v", r.Auditor.Violations[:min(len(r.Auditor.Violations), 5)])
 		})
 	}
 	whole := play(t, trouble, "module")
-	assert.Zero(t, whole.Audit.ViolationCount(), "%v", whole.Audit.Violations)
+	assert.Zero(t, whole.Auditor.ViolationCount(), "%v", whole.Auditor.Violations)
 }
 
 // madeUp answers each head by itself as soon as it comes.
--- a/internal/testbed/sim/fleet.go
+++ b/internal/testbed/sim/fleet.go
@@ -27,12 +27,12 @@
 // errNoAnswer tells that a query was not answered in time.
 var errNoAnswer = errors.New("no answer in time")
 
-// fleetNode drives one life of a relay's part in the fleet under virtual time, as fleet.Node does with sockets and a
+// fleetNode drives one incarnation of a relay's part in the fleet under virtual time, as fleet.Node does with sockets and a
 // disk.
 type fleetNode struct {
 	sim              *Sim
 	number           int
-	process          *process
+	process          *relayProcess
 	core             *fleet.Core
 	store            *store.Store // nil: not read yet, or there is none
 	replicationDueAt float64      // 0: no timer is set
@@ -42,14 +42,14 @@
 
 // startFleetNode gives a process its part in the fleet, where the experiment has relays know of each other or have
 // disks.
-func (s *Sim) startFleetNode(number int, p *process) {
-	relays := s.x.Relays
+func (s *Sim) startFleetNode(number int, p *relayProcess) {
+	relays := s.experiment.Relays
 	if !relays.Membership && !relays.Disk {
 		return
 	}
-	rng := s.x.Rand("mates", number*1000+s.lives[number])
+	rng := s.experiment.Rand("mates", number*1000+s.machines[number].starts)
 	own := membership.MemberState{Name: fmt.Sprintf("relay-%d", number),
-		Zone: experiment.Zone(number % s.x.Fleet.Zones), Incarnation: rng.Uint64()}
+		Zone: experiment.Zone(number % s.experiment.Fleet.Zones), Incarnation: rng.Uint64()}
 	var seeds []string
 	if relays.Membership {
 		own.Address = peerAddress(number)
@@ -65,13 +65,13 @@
 		}
 	}
 	p.fleetNode = n
-	p.take(relay.IncarnationChanged{})
+	p.handle(relay.IncarnationChanged{})
 	if relays.Replicas > 0 {
 		n.execute(core.EnableReplication(own.Name, own.Incarnation, relays.Replicas,
 			float64(relays.MarkerRetention), relays.ReplicatesAffinity, fleetKey, rng))
 	}
 	if relays.Disk {
-		s.net.after(s.disks[number].readTime(), n.readDisk)
+		s.network.after(s.machines[number].disk.readTime(), n.readDisk)
 	}
 	n.tick()
 }
@@ -79,7 +79,7 @@
 // seedsOf returns the addresses of other relays that a relay knows from the start.
 func (s *Sim) seedsOf(number int) []string {
 	var seeds []string
-	for other := range s.x.Relays.Count {
+	for other := range s.experiment.Relays.Count {
 		if other != number && len(seeds) < maxSeeds {
 			seeds = append(seeds, peerAddress(other))
 		}
@@ -89,11 +89,11 @@
 
 // readDisk opens the store on the relay's disk.
 func (n *fleetNode) readDisk() {
-	if n.process.over {
+	if n.process.isExited {
 		return
 	}
 	owner := fmt.Sprintf("relay-%d", n.number)
-	opened, found, err := store.Open(n.sim.disks[n.number].memory, owner, diskMaxBytes)
+	opened, found, err := store.Open(n.sim.machines[n.number].disk.memory, owner, diskMaxBytes)
 	if err == nil {
 		n.store = opened
 	}
@@ -102,18 +102,18 @@
 
 // tick advances the core, until its process ends. A process that is stopped skips its ticks.
 func (n *fleetNode) tick() {
-	if n.process.over {
+	if n.process.isExited {
 		return
 	}
-	if !n.process.frozen {
+	if !n.process.isFrozen {
 		n.advance(n.process.clock())
 	}
-	n.sim.net.after(fleetTick, n.tick)
+	n.sim.network.after(fleetTick, n.tick)
 }
 
 func (n *fleetNode) advance(now float64) {
-	stateMachine := n.sim.reducer[n.number]
-	n.execute(n.core.Tick(now, n.sim.wall(n.number), stateMachine.Status(now)))
+	stateMachine := n.sim.machines[n.number].stateMachine
+	n.execute(n.core.Tick(now, n.sim.wallClock(n.number), stateMachine.Status(now)))
 	if n.core.IsObservationDue(now) {
 		zones, demand := stateMachine.ZoneObservations(now)
 		n.execute(n.core.SendObservations(now, zones, demand))
@@ -132,8 +132,8 @@
 
 // replicate handles a request of the relay, though not within the event that makes it.
 func (n *fleetNode) replicate(r relay.ReplicationRequest) {
-	n.sim.net.after(0, func() {
-		if !n.process.over {
+	n.sim.network.after(0, func() {
+		if !n.process.isExited {
 			n.execute(n.core.HandleReplicationRequest(n.process.clock(), r))
 		}
 	})
@@ -150,9 +150,9 @@
 		case a.Persist != nil:
 			n.persist(a)
 		case a.Event != nil:
-			n.process.take(a.Event)
+			n.process.handle(a.Event)
 		case a.Log != "":
-			n.sim.net.tell("relay %d fleet: %s", n.number, a.Log)
+			n.sim.network.logf("relay %d fleet: %s", n.number, a.Log)
 		}
 	}
 	n.setReplicationTimer()
@@ -165,7 +165,7 @@
 		return
 	}
 	n.put(*a.Persist, func(err error) {
-		if !n.process.over {
+		if !n.process.isExited {
 			n.execute(n.core.FinishPersist(n.process.clock(), a, err))
 		}
 	})
@@ -177,8 +177,8 @@
 		return
 	}
 	n.store.Put(record, finish)
-	n.sim.net.after(diskSyncTime, func() {
-		if !n.process.over {
+	n.sim.network.after(diskSyncTime, func() {
+		if !n.process.isExited {
 			n.store.Flush() // finish takes the error
 		}
 	})
@@ -194,12 +194,12 @@
 	}
 	dueAt := now + max(wait, minTimer)
 	n.replicationDueAt = dueAt
-	n.sim.net.after(dueAt-now, func() {
-		if n.process.over || n.replicationDueAt != dueAt {
+	n.sim.network.after(dueAt-now, func() {
+		if n.process.isExited || n.replicationDueAt != dueAt {
 			return
 		}
 		n.replicationDueAt = 0
-		if !n.process.frozen {
+		if !n.process.isFrozen {
 			n.execute(n.core.TickReplication(n.process.clock()))
 		}
 	})
@@ -209,33 +209,34 @@
 func (n *fleetNode) query(q fleet.Query) {
 	isFinished := false
 	finish := func(text []byte, err error) {
-		if !isFinished && !n.process.over {
+		if !isFinished && !n.process.isExited {
 			isFinished = true
 			n.core.ReceiveAnswer(q.Name, text, err)
 		}
 	}
-	net := n.sim.net
+	net := n.sim.network
 	net.after(queryTimeout, func() { finish(nil, errNoAnswer) })
 	to := machineNumber(q.Address)
-	there, back := n.sim.ways[[2]int{n.number, to}], n.sim.ways[[2]int{to, n.number}]
+	there, back := n.sim.impairments[[2]int{n.number, to}], n.sim.impairments[[2]int{to, n.number}]
 	if there.Cut || back.Cut || there.Reset || back.Reset {
 		return
 	}
-	net.after(net.way()+float64(there.Delay), func() {
+	net.after(net.drawTravelTime()+float64(there.Delay), func() {
 		other := n.sim.reachableNode(n.number, q.Address)
 		if other == nil {
 			return
 		}
-		text := other.core.AnswerQuery(other.process.clock(), n.sim.reducer[to].Snapshot())
-		net.after(net.way()+float64(back.Delay), func() { finish(text, nil) })
+		text := other.core.AnswerQuery(other.process.clock(), n.sim.machines[to].stateMachine.Snapshot())
+		net.after(net.drawTravelTime()+float64(back.Delay), func() { finish(text, nil) })
 	})
 }
 
 // Phases returns how many of the relays that are alive are in each phase of their recovery.
 func (s *Sim) Phases() [recovery.Normal + 1]int {
 	var count [recovery.Normal + 1]int
-	for _, p := range s.relays {
-		if p.fleetNode == nil || p.over {
+	for _, m := range s.machines {
+		p := m.process
+		if p.fleetNode == nil || p.isExited {
 			continue
 		}
 		name := p.fleetNode.core.Status(p.clock()).Recovery.Phase
--- a/internal/testbed/sim/network.go
+++ b/internal/testbed/sim/network.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	start       = 1e9     // the time at the beginning of a run, in milliseconds: late enough that 0 is long ago
+	startMillis = 1e9     // the time at the beginning of a run, in milliseconds: late enough that 0 is long ago
 	dialTimeout = 10000.0 // milliseconds after which the kernel would give up a dial
 )
 
@@ -44,60 +44,60 @@
 
 // network is the virtual time, all hosts and their connections.
 type network struct {
-	now           float64
-	seq           uint64
-	queue         queue
-	chance        *rand.Rand
-	delay, jitter float64
-	split         float64
-	nodes         map[string]*node
-	order         []*node
-	cut           map[int]bool // zones
-	held          []held       // what waits for its path to be open again
-	trace         io.Writer
-	bytes         int
-	events        int
+	now              float64
+	seq              uint64
+	queue            queue
+	rng              *rand.Rand
+	delay, jitter    float64
+	splitProbability float64
+	nodes            map[string]*node
+	nodeList         []*node
+	isolatedZones    map[int]bool      // zones
+	delayed          []delayedDelivery // what waits for its path to be open again
+	trace            io.Writer
+	bytes            int
+	events           int
 }
 
 // node is a host on the network. Its actor is called for its connections.
 type node struct {
-	net     *network
-	address string
-	zone    int
-	actor   model.Actor
-	ends    map[uint64]*side
-	last    uint64 // connection
-	dark    bool
-	refuse  bool
-	closed  bool // accepts nobody for now; who connects waits
+	network        *network
+	address        string
+	zone           int
+	actor          model.Actor
+	sides          map[uint64]*side
+	lastNumber     uint64 // connection
+	isUnreachable  bool
+	isRefusing     bool
+	isAcceptPaused bool // accepts nobody for now; who connects waits
 }
 
 // side is one side of a connection, as its node sees it.
 type side struct {
-	node   *node
-	conn   uint64
-	other  *side
-	open   bool
-	taken  bool     // by an actor that accepted it, or whose dial is up
-	arrive float64  // when the latest that was sent to it arrives
-	wait   []func() // what has arrived before it was taken
+	node        *node
+	number      uint64
+	peer        *side
+	isOpen      bool
+	isAccepted  bool     // by an actor that accepted it, or whose dial is up
+	lastArrival float64  // when the latest that was sent to it arrives
+	waiting     []func() // what has arrived before it was taken
 }
 
-// held is a delivery that waits for its path.
-type held struct {
+// delayedDelivery is a delivery that waits for its path.
+type delayedDelivery struct {
 	from, to *node
 	do       func()
 }
 
 func newNetwork(chance *rand.Rand, delay, jitter, split float64) *network {
 	return &network{
-		now:    start,
-		chance: chance,
-		delay:  delay,
-		jitter: jitter,
-		split:  split,
-		nodes:  map[string]*node{},
-		cut:    map[int]bool{},
+		now:              startMillis,
+		rng:              chance,
+		delay:            delay,
+		jitter:           jitter,
+		splitProbability: split,
+		nodes:            map[string]*node{},
+		isolatedZones:    map[int]bool{},
 	}
 }
 
@@ -118,66 +118,66 @@
 	n.now = until
 }
 
-// tell writes a line of the trace.
-func (n *network) tell(format string, args ...any) {
+// logf writes a line of the trace.
+func (n *network) logf(format string, args ...any) {
 	if n.trace != nil {
-		fmt.Fprintf(n.trace, "%.4f ", n.now-start)
+		fmt.Fprintf(n.trace, "%.4f ", n.now-startMillis)
 		fmt.Fprintf(n.trace, format+"\n", args...)
 	}
 }
 
-// node adds a node.
-func (n *network) node(address string, zone int) *node {
-	d := &node{net: n, address: address, zone: zone, ends: map[uint64]*side{}}
+// addNode adds a node.
+func (n *network) addNode(address string, zone int) *node {
+	d := &node{network: n, address: address, zone: zone, sides: map[uint64]*side{}}
 	n.nodes[address] = d
-	n.order = append(n.order, d)
+	n.nodeList = append(n.nodeList, d)
 	return d
 }
 
-// way draws how many milliseconds a piece of data travels.
-func (n *network) way() float64 { return n.delay + 2*n.jitter*n.chance.Float64() }
+// drawTravelTime draws how many milliseconds a piece of data travels.
+func (n *network) drawTravelTime() float64 { return n.delay + 2*n.jitter*n.rng.Float64() }
 
-// passes reports whether the path between two nodes is open. Zones below 0 are never cut off.
-func (n *network) passes(a, b *node) bool {
-	if a.dark || b.dark {
+// isPathOpen reports whether the path between two nodes is open. Zones below 0 are never cut off.
+func (n *network) isPathOpen(a, b *node) bool {
+	if a.isUnreachable || b.isUnreachable {
 		return false
 	}
 	isWithinZone := a.zone == b.zone || a.zone < 0 || b.zone < 0
-	return isWithinZone || !(n.cut[a.zone] || n.cut[b.zone])
+	return isWithinZone || !(n.isolatedZones[a.zone] || n.isolatedZones[b.zone])
 }
 
-// carry calls do once the path from one node to another is open.
-func (n *network) carry(from, to *node, do func()) {
-	if !n.passes(from, to) {
-		n.held = append(n.held, held{from, to, do})
+// whenPathOpen calls do once the path from one node to another is open.
+func (n *network) whenPathOpen(from, to *node, do func()) {
+	if !n.isPathOpen(from, to) {
+		n.delayed = append(n.delayed, delayedDelivery{from, to, do})
 		return
 	}
 	do()
 }
 
-// reopened delivers what was held where the path is open now.
-func (n *network) reopened() {
-	waiting := n.held
-	n.held = nil
+// deliverDelayed delivers what was held where the path is open now.
+func (n *network) deliverDelayed() {
+	waiting := n.delayed
+	n.delayed = nil
 	for _, h := range waiting {
-		if n.passes(h.from, h.to) {
+		if n.isPathOpen(h.from, h.to) {
 			n.after(0, h.do)
 		} else {
-			n.held = append(n.held, h)
+			n.delayed = append(n.delayed, h)
 		}
 	}
 }
 
 // deliver has do called at a side, behind all that was sent there before.
 func (n *network) deliver(to *side, do func()) {
-	to.arrive = max(n.now+n.way(), to.arrive)
-	from := to.other.node
-	n.after(to.arrive-n.now, func() {
-		n.carry(from, to.node, func() {
+	to.lastArrival = max(n.now+n.drawTravelTime(), to.lastArrival)
+	from := to.peer.node
+	n.after(to.lastArrival-n.now, func() {
+		n.whenPathOpen(from, to.node, func() {
 			switch {
-			case !to.open:
-			case !to.taken:
-				to.wait = append(to.wait, do)
+			case !to.isOpen:
+			case !to.isAccepted:
+				to.waiting = append(to.waiting, do)
 			default:
 				do()
 			}
@@ -187,158 +187,158 @@
 
 // dial connects to an address; the actor learns of the outcome by OnConnect or OnClose.
 func (d *node) dial(conn uint64, address string) {
-	n := d.net
-	own := &side{node: d, conn: conn, open: true}
-	d.ends[conn] = own
+	n := d.network
+	own := &side{node: d, number: conn, isOpen: true}
+	d.sides[conn] = own
 	n.after(dialTimeout, func() {
-		if !own.taken {
+		if !own.isAccepted {
 			own.dialFailed()
 		}
 	})
-	n.after(n.way(), func() {
+	n.after(n.drawTravelTime(), func() {
 		to := n.nodes[address]
 		if to == nil {
-			n.after(n.way(), own.dialFailed)
+			n.after(n.drawTravelTime(), own.dialFailed)
 			return
 		}
-		n.carry(d, to, func() { own.reach(to) })
+		n.whenPathOpen(d, to, func() { own.reach(to) })
 	})
 }
 
 // dialFailed tells the actor that its dial has failed, unless it was given up or is up.
 func (s *side) dialFailed() {
-	if !s.open {
+	if !s.isOpen {
 		return
 	}
-	s.open = false
-	delete(s.node.ends, s.conn)
-	s.node.net.tell("%s %d never up", s.node.address, s.conn)
-	s.node.actor.OnClose(s.conn, true)
+	s.isOpen = false
+	delete(s.node.sides, s.number)
+	s.node.network.logf("%s %d never up", s.node.address, s.number)
+	s.node.actor.OnClose(s.number, true)
 }
 
 // reach has a dial arrive at the node that it goes to.
 func (s *side) reach(to *node) {
-	n := s.node.net
-	if to.refuse {
-		n.after(n.way(), func() { n.carry(to, s.node, s.dialFailed) })
+	n := s.node.network
+	if to.isRefusing {
+		n.after(n.drawTravelTime(), func() { n.whenPathOpen(to, s.node, s.dialFailed) })
 		return
 	}
-	to.last++
-	peer := &side{node: to, conn: to.last, other: s, open: true}
-	s.other = peer
-	to.ends[peer.conn] = peer
-	if !to.closed {
+	to.lastNumber++
+	peer := &side{node: to, number: to.lastNumber, peer: s, isOpen: true}
+	s.peer = peer
+	to.sides[peer.number] = peer
+	if !to.isAcceptPaused {
 		peer.accept()
 	}
-	s.arrive = n.now + n.way()
-	n.after(s.arrive-n.now, func() { n.carry(to, s.node, s.established) })
+	s.lastArrival = n.now + n.drawTravelTime()
+	n.after(s.lastArrival-n.now, func() { n.whenPathOpen(to, s.node, s.established) })
 }
 
 // established tells the actor that its dial is up, or the other side that it was given up meanwhile.
 func (s *side) established() {
-	n := s.node.net
+	n := s.node.network
 	switch {
-	case !s.open:
-		n.sever(s.other, false)
-	case !s.taken:
-		s.taken = true
-		n.tell("%s %d up", s.node.address, s.conn)
-		s.node.actor.OnConnect(s.conn)
+	case !s.isOpen:
+		n.deliverClose(s.peer, false)
+	case !s.isAccepted:
+		s.isAccepted = true
+		n.logf("%s %d up", s.node.address, s.number)
+		s.node.actor.OnConnect(s.number)
 		s.flush()
 	}
 }
 
 // accept hands a connection to the actor that it was dialed to.
 func (s *side) accept() {
-	s.taken = true
-	s.node.net.tell("%s %d opened", s.node.address, s.conn)
-	s.node.actor.OnAccept(s.conn)
+	s.isAccepted = true
+	s.node.network.logf("%s %d opened", s.node.address, s.number)
+	s.node.actor.OnAccept(s.number)
 	s.flush()
 }
 
 // flush delivers what has arrived before the side was taken.
 func (s *side) flush() {
-	for len(s.wait) > 0 && s.open {
-		do := s.wait[0]
-		s.wait = s.wait[1:]
+	for len(s.waiting) > 0 && s.isOpen {
+		do := s.waiting[0]
+		s.waiting = s.waiting[1:]
 		do()
 	}
-	s.wait = nil
+	s.waiting = nil
 }
 
-// sever has the close of a connection arrive at a side.
-func (n *network) sever(s *side, broken bool) {
+// deliverClose has the close of a connection arrive at a side.
+func (n *network) deliverClose(s *side, broken bool) {
 	n.deliver(s, func() {
-		s.open = false
-		delete(s.node.ends, s.conn)
-		n.tell("%s %d over %t", s.node.address, s.conn, broken)
-		s.node.actor.OnClose(s.conn, broken)
+		s.isOpen = false
+		delete(s.node.sides, s.number)
+		n.logf("%s %d over %t", s.node.address, s.number, broken)
+		s.node.actor.OnClose(s.number, broken)
 	})
 }
 
 // write sends data, now and then in two pieces.
 func (d *node) write(conn uint64, data []byte) {
-	s := d.ends[conn]
-	if s == nil || !s.open || s.other == nil || len(data) == 0 {
+	s := d.sides[conn]
+	if s == nil || !s.isOpen || s.peer == nil || len(data) == 0 {
 		return
 	}
-	n := d.net
+	n := d.network
 	n.bytes += len(data)
-	if len(data) > 1 && n.split > 0 && n.chance.Float64() < n.split {
-		at := 1 + n.chance.Intn(len(data)-1)
-		d.piece(s, data[:at])
+	if len(data) > 1 && n.splitProbability > 0 && n.rng.Float64() < n.splitProbability {
+		at := 1 + n.rng.Intn(len(data)-1)
+		d.sendPiece(s, data[:at])
 		data = data[at:]
 	}
-	d.piece(s, data)
+	d.sendPiece(s, data)
 }
 
-// piece sends one piece of data.
-func (d *node) piece(s *side, data []byte) {
-	n := d.net
-	to := s.other
+// sendPiece sends one piece of data.
+func (d *node) sendPiece(s *side, data []byte) {
+	n := d.network
+	to := s.peer
 	copied := bytes.Clone(data)
 	n.deliver(to, func() {
 		if n.trace != nil {
-			n.tell("%s %d came %q", to.node.address, to.conn, copied)
+			n.logf("%s %d came %q", to.node.address, to.number, copied)
 		}
-		to.node.actor.OnData(to.conn, copied)
+		to.node.actor.OnData(to.number, copied)
 	})
 }
 
-// end closes or resets a connection from this side, at once.
-func (d *node) end(conn uint64, broken bool) {
-	s := d.ends[conn]
-	if s == nil || !s.open {
+// closeSide closes or resets a connection from this side, at once.
+func (d *node) closeSide(conn uint64, broken bool) {
+	s := d.sides[conn]
+	if s == nil || !s.isOpen {
 		return
 	}
-	s.open = false
-	delete(d.ends, conn)
-	if s.other != nil {
-		d.net.sever(s.other, broken)
+	s.isOpen = false
+	delete(d.sides, conn)
+	if s.peer != nil {
+		d.network.deliverClose(s.peer, broken)
 	}
 }
 
-// host is a node as the model's actors see it; it implements model.Host.
-type host struct{ *node }
+// nodeHost is a node as the model's actors see it; it implements model.Host.
+type nodeHost struct{ *node }
 
 // Now returns the time in milliseconds.
-func (h host) Now() float64 { return h.net.now }
+func (h nodeHost) Now() float64 { return h.network.now }
 
 // After has do called once wait milliseconds have passed.
-func (h host) After(wait float64, do func()) { h.net.after(wait, do) }
+func (h nodeHost) After(wait float64, do func()) { h.network.after(wait, do) }
 
 // Dial opens a connection and returns its number.
-func (h host) Dial(address string) uint64 {
-	h.last++
-	h.dial(h.last, address)
-	return h.last
+func (h nodeHost) Dial(address string) uint64 {
+	h.lastNumber++
+	h.dial(h.lastNumber, address)
+	return h.lastNumber
 }
 
 // Write sends data on a connection.
-func (h host) Write(conn uint64, data []byte) { h.write(conn, data) }
+func (h nodeHost) Write(conn uint64, data []byte) { h.write(conn, data) }
 
 // Close closes a connection.
-func (h host) Close(conn uint64) { h.end(conn, false) }
+func (h nodeHost) Close(conn uint64) { h.closeSide(conn, false) }
 
 // Reset resets a connection.
-func (h host) Reset(conn uint64) { h.end(conn, true) }
+func (h nodeHost) Reset(conn uint64) { h.closeSide(conn, true) }
--- a/internal/testbed/sim/recovery_test.go
+++ b/internal/testbed/sim/recovery_test.go
@@ -105,16 +105,17 @@
 			s := New(parse(t, text), "module", nil)
 			r, err := s.Run()
 			require.NoError(t, err)
-			assert.Zero(t, r.Audit.ViolationCount(), "%v", r.Audit.Violations)
-			assert.Zero(t, r.Fallen, "servers pushed over")
+			assert.Zero(t, r.Auditor.ViolationCount(), "%v", r.Auditor.Violations)
+			assert.Zero(t, r.ColdOverloads, "servers pushed over")
 			least := 0.9
 			if strings.Contains(c.faults, "wiped") || strings.Contains(c.faults, "another's") {
 				least = 0.85 // nothing is known of what servers bear: 0.86 to 1 over six seeds
 			}
-			assert.Greater(t, r.Tally.ServedShare(30000, 33000), least)
+			assert.Greater(t, r.Metrics.ServedShare(30000, 33000), least)
 			phases, live := s.Phases(), 0
-			for _, p := range s.relays {
-				if !p.over {
+			for _, m := range s.machines {
+				p := m.process
+				if !p.isExited {
 					live++
 				}
 			}
@@ -131,7 +132,7 @@
 		x.Relays.Membership, x.Relays.Disk = knowing, knowing
 		r, err := Run(x, "module", nil)
 		require.NoError(t, err)
-		service[knowing] = r.Tally.ServedShare(13000, 20000)
+		service[knowing] = r.Metrics.ServedShare(13000, 20000)
 	}
 	assert.Greater(t, service[true], 2*service[false])
 }
@@ -172,11 +173,13 @@
 				t.Parallel()
 				s := New(parse(t, text), "module", nil)
 				if planted {
-					s.Spoil = func(_ int, brain Brain) Brain { return &spoiled{Brain: brain, before: c.before} }
+					s.WrapStateMachine = func(_ int, stateMachine StateMachine) StateMachine {
+						return &faultyStateMachine{StateMachine: stateMachine, before: c.before}
+					}
 				}
 				r, err := s.Run()
 				require.NoError(t, err)
-				assert.Equal(t, planted, r.Audit.ViolationCount()+r.Fallen > 0, "%v", r.Audit.Violations)
+				assert.Equal(t, planted, r.Auditor.ViolationCount()+r.ColdOverloads > 0, "%v", r.Auditor.Violations)
 			})
 		}
 	}
--- a/internal/testbed/sim/relayprocess.go
+++ b/internal/testbed/sim/relayprocess.go
@@ -20,80 +20,94 @@
 
 func sorted[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// Brain is what a relay runs on: its state machine, or one with a fault, for tests of the auditor.
-type Brain interface {
+// StateMachine is what a relay runs on: its state machine, or one with a fault, for tests of the auditor.
+type StateMachine interface {
 	Handle(now float64, e relay.Event) []relay.Effect
 }
 
-// process is one process of a relay: it carries out the state machine's effects on the simulated network, as
-// relay.Sockets does on real connections.
-type process struct {
+// relayProcess is one process of a relay: it carries out the state machine's effects on the simulated network, as
+// the relay's socket driver does on real connections.
+type relayProcess struct {
 	*node
-	number int
-	brain  Brain
-	list   *model.Discovery
-	ways   map[[2]int]experiment.Impairment
-	watch  model.Observer
-	exit   func()
-	conns  map[uint64]uint64 // the node's own numbers by the reducer's, and back
-	back   map[uint64]uint64
-	count  uint64 // of clients taken in
-	alarm  uint64
-	follow *follower
-	told   map[string]bool
-	over   bool
-	frozen bool
-	ahead  float64 // of the true time, by its machine's clock at its start
-	taking bool
-	due    []relay.Event
-
-	fleetNode *fleetNode // nil: it keeps nothing and knows no other
-	beside    *process   // another process on the same socket
-	holds     bool
-	left      *relay.Handoff
-	given     uint64 // the backend's connection of what is being passed
-	passed    *relay.TransferredSession
-	ready     func()
+	number       int
+	stateMachine StateMachine
+	discovery    *model.Discovery
+	impairments  map[[2]int]experiment.Impairment // of the paths between machines, shared by the run
+	observer     model.Observer
+	onExit       func()
+	clockOffset  float64 // of the machine's clock at the start, ahead of the true time
+
+	isExited      bool
+	isFrozen      bool
+	isHandling    bool          // an event; those raised meanwhile are queued
+	pendingEvents []relay.Event // queued
+	timerID       uint64        // of the timer that is set; earlier ones do nothing
+
+	nodeConns   map[uint64]uint64 // the node's numbers of connections by the state machine's
+	relayConns  map[uint64]uint64 // and back
+	clientCount uint64            // of clients accepted
+
+	openWatch *watch          // nil: none
+	notified  map[string]bool // the backends that the relay was notified of
+
+	fleetNode *fleetNode // nil: the relay has no disk and knows no other
+
+	sibling             *relayProcess // another process on the same socket
+	acceptPaused        bool
+	handoff             *relay.Handoff            // for the new process
+	detachedSession     *relay.TransferredSession // that is being transferred
+	acceptedBackendConn uint64                    // of a session that was received; 0: it was rejected
+	onReady             func()
 }
 
-func newProcess(d *node, number int, brain Brain, list *model.Discovery,
-	ways map[[2]int]experiment.Impairment, watch model.Observer, exit func()) *process {
-	return &process{node: d, number: number, brain: brain, list: list, ways: ways, watch: watch, exit: exit,
-		conns: map[uint64]uint64{}, back: map[uint64]uint64{}, told: map[string]bool{}}
+func newRelayProcess(n *node, number int, stateMachine StateMachine, discovery *model.Discovery,
+	impairments map[[2]int]experiment.Impairment, observer model.Observer, onExit func()) *relayProcess {
+	return &relayProcess{
+		node:         n,
+		number:       number,
+		stateMachine: stateMachine,
+		discovery:    discovery,
+		impairments:  impairments,
+		observer:     observer,
+		onExit:       onExit,
+		nodeConns:    map[uint64]uint64{},
+		relayConns:   map[uint64]uint64{},
+		notified:     map[string]bool{},
+	}
 }
 
-// take gives the reducer one event and carries out what follows; what comes of that waits its turn.
-func (p *process) take(e relay.Event) {
-	p.due = append(p.due, e)
-	p.work()
+// handle gives the state machine one event and carries out its effects; events raised meanwhile are queued.
+func (p *relayProcess) handle(e relay.Event) {
+	p.pendingEvents = append(p.pendingEvents, e)
+	p.handlePending()
 }
 
-// freeze has the process do nothing for now; the kernel goes on taking in for it.
-func (p *process) freeze(on bool) {
-	p.frozen = on
-	p.work()
+// freeze suspends the process, or has it go on; the kernel goes on accepting and receiving for it.
+func (p *relayProcess) freeze(on bool) {
+	p.isFrozen = on
+	p.handlePending()
 }
 
-func (p *process) clock() float64 { return p.net.now + p.ahead }
+func (p *relayProcess) clock() float64 { return p.network.now + p.clockOffset }
 
-func (p *process) work() {
-	if p.taking || p.frozen {
+func (p *relayProcess) handlePending() {
+	if p.isHandling || p.isFrozen {
 		return
 	}
-	p.taking = true
-	for len(p.due) > 0 && !p.over {
-		e := p.due[0]
-		p.due = p.due[1:]
-		for _, f := range p.brain.Handle(p.clock(), e) {
+	p.isHandling = true
+	for len(p.pendingEvents) > 0 && !p.isExited {
+		e := p.pendingEvents[0]
+		p.pendingEvents = p.pendingEvents[1:]
+		for _, f := range p.stateMachine.Handle(p.clock(), e) {
 			p.execute(f)
 		}
 	}
-	p.taking = false
+	p.isHandling = false
 }
 
 // execute carries out one effect of the state machine.
-func (p *process) execute(effect relay.Effect) {
-	if p.over {
+func (p *relayProcess) execute(effect relay.Effect) {
+	if p.isExited {
 		return
 	}
 	switch f := effect.(type) {
@@ -102,37 +116,37 @@
 	case *relay.Write:
 		p.writeChunks(f.Conn, f.Chunks)
 	case *relay.Close:
-		p.endOwn(f.Conn, false)
+		p.closeConn(f.Conn, false)
 	case *relay.Reset:
-		p.endOwn(f.Conn, true)
+		p.closeConn(f.Conn, true)
 	case *relay.SetTimer:
 		p.setTimer(f.At)
 	case *relay.StartWatch:
 		p.startWatch(f.Watch, f.After)
 	case *relay.StopWatch:
-		p.unwatch()
+		p.closeWatch()
 	case *relay.PauseAccept:
 		p.setAcceptPaused(true)
 	case *relay.ResumeAccept:
 		p.setAcceptPaused(false)
 	case *relay.AnnounceReady:
-		if p.ready != nil {
-			p.ready()
+		if p.onReady != nil {
+			p.onReady()
 		}
 	case *relay.SendHandoff:
-		p.left = f.Handoff
+		p.handoff = f.Handoff
 	case *relay.SendEndpoints:
 		p.sendEndpoints(f.Update)
 	case *relay.TransferSession:
 		client, server := f.ClientConn, f.BackendConn
-		p.net.after(transferTime, func() { p.transfer(client, server) })
+		p.network.after(transferTime, func() { p.transfer(client, server) })
 	case *relay.SessionDetached:
-		p.passed = f.Session
+		p.detachedSession = f.Session
 	case *relay.SessionAccepted:
-		p.given = f.BackendConn
+		p.acceptedBackendConn = f.BackendConn
 	case *relay.Log:
-		if p.net.trace != nil {
-			p.net.tell("%s note %s %v", p.address, f.Message, f.Args)
+		if p.network.trace != nil {
+			p.network.logf("%s note %s %v", p.address, f.Message, f.Args)
 		}
 	case *relay.ReplicationRequest:
 		p.fleetNode.replicate(*f)
@@ -142,123 +156,123 @@
 }
 
 // dialFor dials for a connection that the state machine numbered.
-func (p *process) dialFor(own uint64, address string) {
-	p.last++
-	p.conns[own] = p.last
-	p.back[p.last] = own
-	p.dial(p.last, address)
+func (p *relayProcess) dialFor(own uint64, address string) {
+	p.lastNumber++
+	p.nodeConns[own] = p.lastNumber
+	p.relayConns[p.lastNumber] = own
+	p.dial(p.lastNumber, address)
 }
 
-func (p *process) writeChunks(own uint64, chunks [][]byte) {
-	conn, isOpen := p.conns[own]
+func (p *relayProcess) writeChunks(own uint64, chunks [][]byte) {
+	conn, isOpen := p.nodeConns[own]
 	if isOpen {
 		p.write(conn, bytes.Join(chunks, nil))
 	}
 }
 
-func (p *process) setTimer(at float64) {
-	p.alarm++
-	alarm := p.alarm
-	p.net.after(at-p.clock(), func() {
-		if p.alarm == alarm && !p.over {
-			p.take(relay.TimerFired{})
+func (p *relayProcess) setTimer(at float64) {
+	p.timerID++
+	alarm := p.timerID
+	p.network.after(at-p.clock(), func() {
+		if p.timerID == alarm && !p.isExited {
+			p.handle(relay.TimerFired{})
 		}
 	})
 }
 
 // startWatch opens a watch of the endpoint list in place of any other.
-func (p *process) startWatch(number, after uint64) {
-	p.unwatch()
-	w := &follower{p: p, number: number}
-	p.follow = w
-	p.pass(p.number, experiment.Discovery, func() {
-		if p.follow == w {
-			w.id = p.list.Watch(after, w)
+func (p *relayProcess) startWatch(number, after uint64) {
+	p.closeWatch()
+	w := &watch{process: p, relayNumber: number}
+	p.openWatch = w
+	p.sendOverPath(p.number, experiment.Discovery, func() {
+		if p.openWatch == w {
+			w.discoveryID = p.discovery.Watch(after, w)
 		}
 	})
 }
 
-func (p *process) setAcceptPaused(paused bool) {
-	p.holds = paused
+func (p *relayProcess) setAcceptPaused(paused bool) {
+	p.acceptPaused = paused
 	p.updateAccept()
 }
 
 // sendEndpoints sends the endpoint list to the sibling process.
-func (p *process) sendEndpoints(update *relay.EndpointUpdate) {
-	p.net.after(siblingDelay, func() {
-		if p.beside != nil && !p.beside.over {
-			p.beside.take(relay.SiblingEndpointsUpdated{Update: update})
+func (p *relayProcess) sendEndpoints(update *relay.EndpointUpdate) {
+	p.network.after(siblingDelay, func() {
+		if p.sibling != nil && !p.sibling.isExited {
+			p.sibling.handle(relay.SiblingEndpointsUpdated{Update: update})
 		}
 	})
 }
 
-func (p *process) scheduleExit() {
-	p.net.after(exitTime, func() {
-		if !p.over {
-			p.stop(false)
-			p.exit()
+func (p *relayProcess) scheduleExit() {
+	p.network.after(exitTime, func() {
+		if !p.isExited {
+			p.exitNow(false)
+			p.onExit()
 		}
 	})
 }
 
-// endOwn ends a connection of the relay's, by the relay's own number.
-func (p *process) endOwn(own uint64, broken bool) {
-	if conn, open := p.conns[own]; open {
-		p.end(conn, broken)
-		delete(p.conns, own)
-		delete(p.back, conn)
+// closeConn closes or resets a connection, by the state machine's number.
+func (p *relayProcess) closeConn(own uint64, broken bool) {
+	if conn, open := p.nodeConns[own]; open {
+		p.closeSide(conn, broken)
+		delete(p.nodeConns, own)
+		delete(p.relayConns, conn)
 	}
 }
 
 // listen has this process accept at the node's socket.
-func (p *process) listen() {
+func (p *relayProcess) listen() {
 	p.node.actor = p
-	p.node.refuse = false
+	p.node.isRefusing = false
 	p.updateAccept()
 }
 
 // updateAccept accepts waiting clients, or pauses, if this is the process that accepts.
-func (p *process) updateAccept() {
+func (p *relayProcess) updateAccept() {
 	if p.node.actor == p {
-		p.node.closed = p.holds
-		p.net.after(0, p.acceptWaiting)
+		p.node.isAcceptPaused = p.acceptPaused
+		p.network.after(0, p.acceptWaiting)
 	}
 }
 
 // transfer hands an established session to the sibling process, in the form that it has between two real ones.
-func (p *process) transfer(client, server uint64) {
-	if p.over || p.beside == nil {
+func (p *relayProcess) transfer(client, server uint64) {
+	if p.isExited || p.sibling == nil {
 		return
 	}
-	p.passed = nil
-	p.take(relay.DetachRequested{Conn: client})
-	if p.passed == nil {
+	p.detachedSession = nil
+	p.handle(relay.DetachRequested{Conn: client})
+	if p.detachedSession == nil {
 		return
 	}
-	next := p.beside
-	accepted := !next.over && next.receive(decodeSession(encodeSession(p.passed)))
+	next := p.sibling
+	accepted := !next.isExited && next.receive(decodeSession(encodeSession(p.detachedSession)))
 	if accepted {
-		p.moveConnection(next, client, next.count)
-		p.moveConnection(next, server, next.given)
+		p.moveConnection(next, client, next.clientCount)
+		p.moveConnection(next, server, next.acceptedBackendConn)
 	}
-	p.take(relay.SessionTransferred{Conn: client, Accepted: accepted})
+	p.handle(relay.SessionTransferred{Conn: client, Accepted: accepted})
 }
 
 // receive takes in a session of the sibling process; false: it was not accepted.
-func (p *process) receive(session *relay.TransferredSession) bool {
-	p.count++
-	p.given = 0
-	p.take(relay.SessionReceived{Conn: p.count, Session: session})
-	return p.given != 0
+func (p *relayProcess) receive(session *relay.TransferredSession) bool {
+	p.clientCount++
+	p.acceptedBackendConn = 0
+	p.handle(relay.SessionReceived{Conn: p.clientCount, Session: session})
+	return p.acceptedBackendConn != 0
 }
 
 // moveConnection makes the connection that is own here the other process's, under that process's number.
-func (p *process) moveConnection(to *process, own, number uint64) {
-	conn := p.conns[own]
-	delete(p.conns, own)
-	delete(p.back, conn)
-	to.conns[number] = conn
-	to.back[conn] = number
+func (p *relayProcess) moveConnection(to *relayProcess, own, number uint64) {
+	conn := p.nodeConns[own]
+	delete(p.nodeConns, own)
+	delete(p.relayConns, conn)
+	to.nodeConns[number] = conn
+	to.relayConns[conn] = number
 }
 
 func encodeSession(session *relay.TransferredSession) []byte {
@@ -277,68 +291,69 @@
 	return session
 }
 
-func (p *process) unwatch() {
-	if p.follow != nil {
-		p.list.Unwatch(p.follow.id)
-		p.follow = nil
+func (p *relayProcess) closeWatch() {
+	if p.openWatch != nil {
+		p.discovery.Unwatch(p.openWatch.discoveryID)
+		p.openWatch = nil
 	}
 }
 
-// stop ends the process: what it had is closed by the kernel.
-func (p *process) stop(killed bool) {
-	p.over = true
-	p.unwatch()
+// exitNow ends the process: the kernel closes its connections.
+func (p *relayProcess) exitNow(killed bool) {
+	p.isExited = true
+	p.closeWatch()
 	if p.node.actor == p {
-		p.refuse = true
+		p.isRefusing = true
 	}
-	for _, conn := range sorted(p.ends) {
-		if p.back[conn] != 0 || p.node.actor == p && (p.beside == nil || p.beside.back[conn] == 0) {
-			p.end(conn, killed)
+	for _, conn := range sorted(p.sides) {
+		if p.relayConns[conn] != 0 || p.node.actor == p && (p.sibling == nil || p.sibling.relayConns[conn] == 0) {
+			p.closeSide(conn, killed)
 		}
 	}
 }
 
-func (p *process) acceptWaiting() {
-	for _, conn := range sorted(p.ends) {
-		if s := p.ends[conn]; s != nil && !s.taken && s.other != nil && p.of(conn).back[conn] == 0 &&
-			!p.closed && !p.over {
+func (p *relayProcess) acceptWaiting() {
+	for _, conn := range sorted(p.sides) {
+		if s := p.sides[conn]; s != nil && !s.isAccepted && s.peer != nil && p.ownerOf(conn).relayConns[conn] == 0 &&
+			!p.isAcceptPaused && !p.isExited {
 			s.accept()
 		}
 	}
 }
 
-// OnAccept, Up, Came and Over are what the network tells.
-func (p *process) OnAccept(conn uint64) {
-	p.count++
-	p.conns[p.count], p.back[conn] = conn, p.count
-	p.take(relay.ConnAccepted{Conn: p.count})
+// OnAccept is called for a client that connects.
+func (p *relayProcess) OnAccept(conn uint64) {
+	p.clientCount++
+	p.nodeConns[p.clientCount] = conn
+	p.relayConns[conn] = p.clientCount
+	p.handle(relay.ConnAccepted{Conn: p.clientCount})
 }
 
-// of is the process that has the connection.
-func (p *process) of(conn uint64) *process {
-	if p.back[conn] == 0 && p.beside != nil && p.beside.back[conn] != 0 {
-		return p.beside
+// ownerOf returns the process that has the connection: this one or its sibling.
+func (p *relayProcess) ownerOf(conn uint64) *relayProcess {
+	if p.relayConns[conn] == 0 && p.sibling != nil && p.sibling.relayConns[conn] != 0 {
+		return p.sibling
 	}
 	return p
 }
 
-// OnConnect tells that a dial is up.
-func (p *process) OnConnect(conn uint64) {
-	p = p.of(conn)
-	p.take(relay.ConnEstablished{Conn: p.back[conn]})
+// OnConnect is called when a dial is up.
+func (p *relayProcess) OnConnect(conn uint64) {
+	p = p.ownerOf(conn)
+	p.handle(relay.ConnEstablished{Conn: p.relayConns[conn]})
 }
 
-// OnData tells bytes.
-func (p *process) OnData(conn uint64, data []byte) {
-	p = p.of(conn)
-	p.take(relay.DataReceived{Conn: p.back[conn], Data: data})
+// OnData is called for data that has arrived.
+func (p *relayProcess) OnData(conn uint64, data []byte) {
+	p = p.ownerOf(conn)
+	p.handle(relay.DataReceived{Conn: p.relayConns[conn], Data: data})
 }
 
-// OnClose tells an end from the other side.
-func (p *process) OnClose(conn uint64, broken bool) {
-	p = p.of(conn)
-	of := p.back[conn]
-	delete(p.back, conn)
-	delete(p.conns, of)
-	p.take(relay.ConnClosed{Conn: of, Reset: broken})
+// OnClose is called when the other side has closed or reset a connection.
+func (p *relayProcess) OnClose(conn uint64, broken bool) {
+	p = p.ownerOf(conn)
+	of := p.relayConns[conn]
+	delete(p.relayConns, conn)
+	delete(p.nodeConns, of)
+	p.handle(relay.ConnClosed{Conn: of, Reset: broken})
 }
--- a/internal/testbed/sim/replication_test.go
+++ b/internal/testbed/sim/replication_test.go
@@ -26,15 +26,16 @@
 	s := New(parse(t, text), "module", nil)
 	r, err := s.Run()
 	require.NoError(t, err)
-	assert.Zero(t, r.Audit.ViolationCount(), "%v", r.Audit.Violations)
+	assert.Zero(t, r.Auditor.ViolationCount(), "%v", r.Auditor.Violations)
 	return s, r
 }
 
 // replicationStatuses returns the status of each relay that is up at the end and replicates.
 func (s *Sim) replicationStatuses() []*fleet.ReplicationStatus {
 	var statuses []*fleet.ReplicationStatus
-	for _, p := range s.relays {
-		if p.over {
+	for _, m := range s.machines {
+		p := m.process
+		if p.isExited {
 			continue
 		}
 		if status := p.fleetNode.core.Status(p.clock()).Replication; status != nil {
@@ -88,10 +89,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			s, r := runReplicated(t, text+c.faults)
-			assert.Zero(t, r.Fallen, "backends overloaded until they failed")
+			assert.Zero(t, r.ColdOverloads, "backends overloaded until they failed")
 			counts := s.replicationCounts(reservations)
 			stored := s.storedRecords()
-			t.Logf("%+v, stored at the end %v, service %.4f", counts, stored, r.Tally.ServedShare(12000, 24000))
+			t.Logf("%+v, stored at the end %v, service %.4f", counts, stored, r.Metrics.ServedShare(12000, 24000))
 			assert.Greater(t, counts.Replicated, uint64(30))
 			assert.Greater(t, counts.Found, uint64(10))
 			assert.LessOrEqual(t, float64(counts.Missed), c.maxMissedShare*float64(counts.Found+counts.Missed))
@@ -126,10 +127,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			s, r := runReplicated(t, c.text)
-			assert.LessOrEqual(t, r.Audit.RepeatedEffects, c.maxRepeated)
-			assert.GreaterOrEqual(t, r.Audit.RepeatedEffects, c.minRepeated)
+			assert.LessOrEqual(t, r.Auditor.RepeatedEffects, c.maxRepeated)
+			assert.GreaterOrEqual(t, r.Auditor.RepeatedEffects, c.minRepeated)
 			counts := s.replicationCounts(markers)
-			t.Logf("repeated %d, %+v, service %.4f", r.Audit.RepeatedEffects, counts, r.Tally.ServedShare(6000, 20000))
+			t.Logf("repeated %d, %+v, service %.4f", r.Auditor.RepeatedEffects, counts, r.Metrics.ServedShare(6000, 20000))
 			if c.minRepeated == 0 {
 				assert.Greater(t, counts.Found, uint64(20), "retries that met a marker")
 			}
@@ -159,10 +160,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			_, r := runReplicated(t, c.text)
-			assert.Zero(t, r.Fallen, "backends overloaded until they failed")
-			share := float64(r.Audit.AffineReconnects) / float64(r.Audit.Reconnects)
-			t.Logf("%d of %d, service %.4f", r.Audit.AffineReconnects, r.Audit.Reconnects, r.Tally.ServedShare(12000, 20000))
-			assert.Greater(t, r.Audit.Reconnects, 60)
+			assert.Zero(t, r.ColdOverloads, "backends overloaded until they failed")
+			share := float64(r.Auditor.AffineReconnects) / float64(r.Auditor.Reconnects)
+			t.Logf("%d of %d, service %.4f", r.Auditor.AffineReconnects, r.Auditor.Reconnects, r.Metrics.ServedShare(12000, 20000))
+			assert.Greater(t, r.Auditor.Reconnects, 60)
 			assert.GreaterOrEqual(t, share, c.minShare)
 			assert.LessOrEqual(t, share, c.maxShare)
 		})
@@ -182,12 +183,12 @@
 		fault("relay-kill", "4500ms", "share = 0.03\ndisk = \"wiped\"") +
 		fault("answers-lost", "3s", "for = \"4s\"\nshare = 1.0\nfactor = 0.4")
 	s, r := runReplicated(t, text)
-	assert.Zero(t, r.Fallen, "backends overloaded until they failed")
+	assert.Zero(t, r.ColdOverloads, "backends overloaded until they failed")
 	counts := s.replicationCounts(markers)
-	t.Logf("markers %+v; begun again %d; %d of %d back at their backends; service %.4f", counts, r.Audit.RepeatedEffects,
-		r.Audit.AffineReconnects, r.Audit.Reconnects, r.Tally.ServedShare(4500, 8000))
+	t.Logf("markers %+v; begun again %d; %d of %d back at their backends; service %.4f", counts, r.Auditor.RepeatedEffects,
+		r.Auditor.AffineReconnects, r.Auditor.Reconnects, r.Metrics.ServedShare(4500, 8000))
 	assert.Greater(t, counts.Found, uint64(20))
-	assert.LessOrEqual(t, float64(r.Audit.RepeatedEffects), 2+0.1*float64(counts.Found))
-	assert.Greater(t, r.Audit.Reconnects, 40)
-	assert.GreaterOrEqual(t, float64(r.Audit.AffineReconnects), 0.8*float64(r.Audit.Reconnects))
+	assert.LessOrEqual(t, float64(r.Auditor.RepeatedEffects), 2+0.1*float64(counts.Found))
+	assert.Greater(t, r.Auditor.Reconnects, 40)
+	assert.GreaterOrEqual(t, float64(r.Auditor.AffineReconnects), 0.8*float64(r.Auditor.Reconnects))
 }
--- a/internal/testbed/sim/sim_test.go
+++ b/internal/testbed/sim/sim_test.go
@@ -57,11 +57,11 @@
 	spread := map[string]float64{}
 	for _, variant := range experiment.Policies {
 		r := play(t, calm, variant)
-		assert.Zero(t, r.Audit.ViolationCount(), "%s: %v", variant, r.Audit.Violations)
-		assert.Greater(t, r.Tally.ServedShare(3000, 20000), 0.98, variant)
-		assert.Greater(t, r.Tally.Answers["UP"], 800, variant)
-		assert.Equal(t, r.Tally.Answers["UP"], r.Tally.Requests, variant)
-		for _, s := range r.Tally.Seconds[5:20] {
+		assert.Zero(t, r.Auditor.ViolationCount(), "%s: %v", variant, r.Auditor.Violations)
+		assert.Greater(t, r.Metrics.ServedShare(3000, 20000), 0.98, variant)
+		assert.Greater(t, r.Metrics.Answers["UP"], 800, variant)
+		assert.Equal(t, r.Metrics.Answers["UP"], r.Metrics.Requests, variant)
+		for _, s := range r.Metrics.Seconds[5:20] {
 			spread[variant] += s.UtilizationStdDev / 15
 		}
 	}
@@ -75,9 +75,9 @@
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
 			r := play(t, calm+"[[fault]]\nkind = \""+string(kind)+"\"\nat = \"6s\"\nfor = \"4s\"\nshare = 0.3\n", "module")
-			assert.Zero(t, r.Audit.ViolationCount(), "%v", r.Audit.Violations)
-			require.Len(t, r.Marks, 1)
-			assert.Greater(t, r.Tally.ServedShare(14000, 20000), 0.7)
+			assert.Zero(t, r.Auditor.ViolationCount(), "%v", r.Auditor.Violations)
+			require.Len(t, r.FaultSpans, 1)
+			assert.Greater(t, r.Metrics.ServedShare(14000, 20000), 0.7)
 		})
 	}
 }
@@ -92,8 +92,8 @@
 		x.Relays.KnowsEndpoints = known
 		r, err := Run(x, "module", nil)
 		require.NoError(t, err)
-		assert.Zero(t, r.Audit.ViolationCount())
-		for _, s := range r.Tally.Seconds[8:11] {
+		assert.Zero(t, r.Auditor.ViolationCount())
+		for _, s := range r.Metrics.Seconds[8:11] {
 			setups[known] += s.Established
 		}
 	}
--- a/internal/testbed/sim/simulation.go
+++ b/internal/testbed/sim/simulation.go
@@ -14,86 +14,96 @@
 
 // Result is the outcome of one run.
 type Result struct {
-	Variant string
-	Tally   *model.Metrics
-	Marks   []model.FaultSpan
-	Audit   *audit.Auditor
-	Fallen  int
-	Events  int
-	Bytes   int
-	Took    time.Duration // of real time; the only figure that differs from run to run
-	Relays  []relay.Counters
+	Variant       string
+	Metrics       *model.Metrics
+	FaultSpans    []model.FaultSpan
+	Auditor       *audit.Auditor
+	ColdOverloads int
+	Events        int
+	Bytes         int
+	RealTime      time.Duration // that the run took; the only figure that differs from run to run
+	Relays        []relay.Counters
 }
 
 // Sim is one run of one variant. It implements model.Infrastructure.
 type Sim struct {
-	x                    *experiment.Experiment
+	experiment           *experiment.Experiment
 	variant              string
-	net                  *network
-	world                *model.Environment
-	audit                *audit.Auditor
-	relays               []*process
-	reducer              []*relay.StateMachine
-	lives                []int
-	known                []*relay.EndpointUpdate
-	past                 []relay.Counters // of lives that are over
-	ways                 map[[2]int]experiment.Impairment
-	disks                []*simulatedDisk
-	coordinatorProcesses map[int]*coordinatorProcess // voters, by their machines
-	clocks               []float64                   // of relays' machines, ahead of the true time
-	// Spoil, where set, wraps each relay's state machine, for tests of the auditor.
-	Spoil func(relay int, brain Brain) Brain
+	network              *network
+	environment          *model.Environment
+	auditor              *audit.Auditor
+	machines             []*machine // one for each relay
+	impairments          map[[2]int]experiment.Impairment
+	coordinatorProcesses map[int]*coordinatorProcess // by their machines
+	// WrapStateMachine, where set, wraps each relay's state machine, for tests of the auditor.
+	WrapStateMachine func(relay int, stateMachine StateMachine) StateMachine
+}
+
+// machine is a relay's machine, with what outlives a process of the relay.
+type machine struct {
+	process        *relayProcess       // the relay's present one, or its last
+	stateMachine   *relay.StateMachine // of that process
+	starts         int                 // processes started so far
+	knownEndpoints *relay.EndpointUpdate
+	formerCounters relay.Counters // of the process that exited last
+	disk           *simulatedDisk
+	clockOffset    float64 // milliseconds ahead of the true time
 }
 
 const settleTime = 4000.0 // milliseconds after the last arrival, for what is still under way
 
 // New makes a run of one variant.
 func New(x *experiment.Experiment, variant string, trace io.Writer) *Sim {
-	n := newNetwork(x.Rand("network", 0), float64(x.Network.Delay), float64(x.Network.Jitter), x.Network.SplitProbability)
-	n.trace = trace
+	network := newNetwork(x.Rand("network", 0), float64(x.Network.Delay), float64(x.Network.Jitter),
+		x.Network.SplitProbability)
+	network.trace = trace
 	slack := 4*float64(x.Network.Delay+4*x.Network.Jitter) + 1
-	return &Sim{x: x, variant: variant, net: n, ways: map[[2]int]experiment.Impairment{},
-		coordinatorProcesses: map[int]*coordinatorProcess{}, audit: audit.New(slack, x.Fleet.OverloadMultiple, float64(x.Fleet.OverloadWindow))}
+	return &Sim{
+		experiment:           x,
+		variant:              variant,
+		network:              network,
+		auditor:              audit.New(slack, x.Fleet.OverloadMultiple, float64(x.Fleet.OverloadWindow)),
+		impairments:          map[[2]int]experiment.Impairment{},
+		coordinatorProcesses: map[int]*coordinatorProcess{},
+	}
 }
 
-// Run plays an experiment under one variant.
+// Run runs an experiment under one variant.
 func Run(x *experiment.Experiment, variant string, trace io.Writer) (*Result, error) {
 	return New(x, variant, trace).Run()
 }
 
-// Run plays it.
+// Run runs it.
 func (s *Sim) Run() (*Result, error) {
 	startedAt := time.Now()
 	addresses, err := s.setUp()
 	if err != nil {
 		return nil, err
 	}
-	s.world.Start(addresses)
-	s.net.after(float64(s.x.Warmup)/2, s.copyDisks)
-	s.net.run(start + float64(s.x.Length))
-	s.world.Workload.Close()
-	s.net.run(start + float64(s.x.Length) + settleTime)
-	s.audit.Finish(s.net.now)
+	s.environment.Start(addresses)
+	s.network.after(float64(s.experiment.Warmup)/2, s.copyDisks)
+	s.network.run(startMillis + float64(s.experiment.Length))
+	s.environment.Workload.Close()
+	s.network.run(startMillis + float64(s.experiment.Length) + settleTime)
+	s.auditor.Finish(s.network.now)
 	return s.result(time.Since(startedAt)), nil
 }
 
 // setUp makes the environment and starts the relays; it returns their addresses.
 func (s *Sim) setUp() (addresses []string, err error) {
-	s.world = model.NewEnvironment(s.x, s, host{s.net.node("world", -1)}, s.audit)
-	s.audit.IsSameZone = s.world.IsSameZone
-	s.audit.LocalityFrom = start + float64(s.x.Warmup)
-	for i := range s.x.Relays.Count {
-		n := s.net.node(fmt.Sprintf("relay-%d:1", i), i%s.x.Fleet.Zones)
-		n.refuse = true
+	s.environment = model.NewEnvironment(s.experiment, s, nodeHost{s.network.addNode("world", -1)}, s.auditor)
+	s.auditor.IsSameZone = s.environment.IsSameZone
+	s.auditor.LocalityFrom = startMillis + float64(s.experiment.Warmup)
+	for i := range s.experiment.Relays.Count {
+		n := s.network.addNode(fmt.Sprintf("relay-%d:1", i), i%s.experiment.Fleet.Zones)
+		n.isRefusing = true
 		addresses = append(addresses, n.address)
-		s.relays = append(s.relays, &process{node: n, over: true})
-		s.reducer = append(s.reducer, nil)
-		s.lives = append(s.lives, 0)
-		s.disks = append(s.disks, &simulatedDisk{memory: store.NewMemoryFS()})
-		s.clocks = append(s.clocks, 0)
-		s.known = append(s.known, s.keeps())
-		s.past = append(s.past, relay.Counters{})
-		if err := s.start(i); err != nil {
+		s.machines = append(s.machines, &machine{
+			process:        &relayProcess{node: n, isExited: true},
+			knownEndpoints: s.endpointsToKeep(),
+			disk:           &simulatedDisk{memory: store.NewMemoryFS()},
+		})
+		if err := s.startProcess(i); err != nil {
 			return nil, err
 		}
 	}
@@ -102,56 +112,57 @@
 
 // copyDisks keeps each disk as it is now, for faults that bring an older one back.
 func (s *Sim) copyDisks() {
-	for _, d := range s.disks {
-		d.older = d.memory.Clone()
+	for _, m := range s.machines {
+		m.disk.older = m.disk.memory.Clone()
 	}
 }
 
 func (s *Sim) result(realTime time.Duration) *Result {
 	r := &Result{
-		Variant: s.variant,
-		Tally:   s.world.Metrics,
-		Marks:   s.world.FaultSpans,
-		Audit:   s.audit,
-		Fallen:  s.world.ColdOverloads(),
-		Events:  s.net.events,
-		Bytes:   s.net.bytes,
-		Took:    realTime,
+		Variant:       s.variant,
+		Metrics:       s.environment.Metrics,
+		FaultSpans:    s.environment.FaultSpans,
+		Auditor:       s.auditor,
+		ColdOverloads: s.environment.ColdOverloads(),
+		Events:        s.network.events,
+		Bytes:         s.network.bytes,
+		RealTime:      realTime,
 	}
-	for i, stateMachine := range s.reducer {
-		counters := stateMachine.Counters
+	for _, m := range s.machines {
+		counters := m.stateMachine.Counters
 		if counters.Succeeded == 0 {
-			counters = s.past[i]
+			counters = m.formerCounters
 		}
 		r.Relays = append(r.Relays, counters)
 	}
 	return r
 }
 
-// start starts a relay.
-func (s *Sim) start(i int) error {
-	p, err := s.process(i, nil, nil)
+// startProcess starts a relay.
+func (s *Sim) startProcess(i int) error {
+	p, err := s.newProcess(i, nil, nil)
 	if err != nil {
 		return err
 	}
-	s.relays[i] = p
+	s.machines[i].process = p
 	p.listen()
-	p.take(relay.TimerFired{})
+	p.handle(relay.TimerFired{})
 	s.startFleetNode(i, p)
 	return nil
 }
 
-// process makes a process of a relay; beside an old one (parent, else nil), with its handoff.
-func (s *Sim) process(i int, parent *process, handoff *relay.Handoff) (*process, error) {
-	x := s.x
-	s.lives[i]++
+// newProcess makes a process of a relay; beside an old one (parent, else nil), with its handoff.
+func (s *Sim) newProcess(i int, parent *relayProcess, handoff *relay.Handoff) (*relayProcess, error) {
+	x := s.experiment
+	machine := s.machines[i]
+	machine.starts++
 	zone := i % x.Fleet.Zones
 	config := &relay.Config{
 		Name:               fmt.Sprintf("relay-%d", i),
 		Discovery:          "10.0.0.1:1",
 		MaxSockets:         x.Relays.MaxDescriptors,
-		Seed:               x.Rand("relay", i*1000+s.lives[i]).Uint64(),
-		InitialEndpoints:   s.known[i],
+		Seed:               x.Rand("relay", i*1000+machine.starts).Uint64(),
+		InitialEndpoints:   machine.knownEndpoints,
 		Settings:           x.RelaySettings(zone),
 		MaxReportAgeMillis: x.MaxReportAge(),
 		HasParent:          parent != nil,
@@ -161,31 +172,32 @@
 	if err != nil {
 		return nil, err
 	}
-	stateMachine, err := relay.NewWithBalancer(s.wall(i), config, policy)
+	stateMachine, err := relay.NewWithBalancer(s.wallClock(i), config, policy)
 	if err != nil {
 		return nil, err
 	}
-	s.reducer[i] = stateMachine
-	var brain Brain = stateMachine
-	if s.Spoil != nil {
-		brain = s.Spoil(i, brain)
+	machine.stateMachine = stateMachine
+	var wrapped StateMachine = stateMachine
+	if s.WrapStateMachine != nil {
+		wrapped = s.WrapStateMachine(i, wrapped)
 	}
-	p := newProcess(s.relays[i].node, i, brain, s.world.Discovery, s.ways, s.audit, func() { s.ended(i) })
-	p.beside = parent
-	p.ahead = s.clocks[i]
+	onExit := func() { s.relayExited(i) }
+	p := newRelayProcess(machine.process.node, i, wrapped, s.environment.Discovery, s.impairments, s.auditor, onExit)
+	p.sibling = parent
+	p.clockOffset = machine.clockOffset
 	return p, nil
 }
 
-func (s *Sim) ended(i int) {
-	s.past[i] = s.reducer[i].Counters
-	s.known[i] = s.keeps()
-	s.world.RelayExited(i)
+func (s *Sim) relayExited(i int) {
+	s.machines[i].formerCounters = s.machines[i].stateMachine.Counters
+	s.machines[i].knownEndpoints = s.endpointsToKeep()
+	s.environment.RelayExited(i)
 }
 
-// keeps returns the endpoint list that the platform keeps for a relay that ends now.
-func (s *Sim) keeps() *relay.EndpointUpdate {
-	if !s.x.Relays.KnowsEndpoints {
+// endpointsToKeep returns the endpoint list that the platform keeps for a relay that ends now.
+func (s *Sim) endpointsToKeep() *relay.EndpointUpdate {
+	if !s.experiment.Relays.KnowsEndpoints {
 		return &relay.EndpointUpdate{Complete: true}
 	}
-	return s.world.Discovery.FullUpdate()
+	return s.environment.Discovery.FullUpdate()
 }
--- a/internal/testbed/sim/variant.go
+++ b/internal/testbed/sim/variant.go
@@ -49,9 +49,9 @@
 
 // loadOf returns a backend's true load; one that is dead counts as full.
 func (s *Sim) loadOf(id uint32) float64 {
-	for _, b := range s.world.Backends {
+	for _, b := range s.environment.Backends {
 		if relay.BackendID(b.Name) == id && !b.Dead {
-			return b.Demand / max(b.Capacity(s.net.now), 1e-6)
+			return b.Demand / max(b.Capacity(s.network.now), 1e-6)
 		}
 	}
 	return loadOfUnreachable
@@ -59,9 +59,9 @@
 
 // hasCapacity reports whether a backend has capacity for one more session.
 func (s *Sim) hasCapacity(id uint32) bool {
-	for _, b := range s.world.Backends {
+	for _, b := range s.environment.Backends {
 		if relay.BackendID(b.Name) == id {
-			return s.world.HasCapacity(b)
+			return s.environment.HasCapacity(b)
 		}
 	}
 	return false
--- a/internal/testbed/sim/watch.go
+++ b/internal/testbed/sim/watch.go
@@ -14,89 +14,89 @@
 	endpointListBytes = 4096 // of a list, on a path of limited bandwidth
 )
 
-// follower is one open watch of the endpoint list: what discovery sends arrives in order.
-type follower struct {
-	p      *process
-	number uint64
-	id     uint64
-	arrive float64
+// watch is one open watch of the endpoint list: what discovery sends arrives in order.
+type watch struct {
+	process     *relayProcess
+	relayNumber uint64
+	discoveryID uint64
+	lastArrival float64
 }
 
-func (w *follower) tell(do func()) {
-	w.arrive = max(w.arrive, w.p.net.now+w.p.net.way())
-	w.p.net.after(w.arrive-w.p.net.now, func() {
-		w.p.pass(experiment.Discovery, w.p.number, func() {
-			if w.p.follow == w && !w.p.over {
+func (w *watch) deliver(do func()) {
+	w.lastArrival = max(w.lastArrival, w.process.network.now+w.process.network.drawTravelTime())
+	w.process.network.after(w.lastArrival-w.process.network.now, func() {
+		w.process.sendOverPath(experiment.Discovery, w.process.number, func() {
+			if w.process.openWatch == w && !w.process.isExited {
 				do()
 			}
 		})
 	})
 }
 
-// pass carries bytes from one machine to another, as the path between them allows: held while it is cut.
-func (p *process) pass(from, to int, do func()) {
-	way := p.ways[[2]int{from, to}]
+// sendOverPath carries bytes from one machine to another, as the path between them allows: held while it is cut.
+func (p *relayProcess) sendOverPath(from, to int, do func()) {
+	way := p.impairments[[2]int{from, to}]
 	switch {
-	case way.Cut || p.ways[[2]int{to, from}].Cut: // no answer comes either, so nothing more is sent
-		p.net.after(pathCheckInterval, func() { p.pass(from, to, do) })
+	case way.Cut || p.impairments[[2]int{to, from}].Cut: // no answer comes either, so nothing more is sent
+		p.network.after(pathCheckInterval, func() { p.sendOverPath(from, to, do) })
 	case way.Reset:
-		p.reset()
+		p.resetWatch()
 	case way.Delay > 0 || way.Jitter > 0:
-		p.net.after(float64(way.Delay)+float64(way.Jitter)*p.net.chance.Float64(), do)
+		p.network.after(float64(way.Delay)+float64(way.Jitter)*p.network.rng.Float64(), do)
 	case way.BytesPerSecond > 0:
-		p.net.after(endpointListBytes*1000/float64(way.BytesPerSecond), do)
+		p.network.after(endpointListBytes*1000/float64(way.BytesPerSecond), do)
 	default:
-		p.net.after(p.net.way(), do)
+		p.network.after(p.network.drawTravelTime(), do)
 	}
 }
 
-// reset ends the watch, as its connection was reset.
-func (p *process) reset() {
-	if w := p.follow; w != nil {
-		p.unwatch()
-		p.take(relay.WatchFailed{Watch: w.number, Err: errReset})
+// resetWatch ends the watch, as its connection was reset.
+func (p *relayProcess) resetWatch() {
+	if w := p.openWatch; w != nil {
+		p.closeWatch()
+		p.handle(relay.WatchFailed{Watch: w.relayNumber, Err: errReset})
 	}
 }
 
 // OnUpdate delivers the endpoint list or its changes.
-func (w *follower) OnUpdate(update *relay.EndpointUpdate) {
-	w.tell(func() {
-		p := w.p
+func (w *watch) OnUpdate(update *relay.EndpointUpdate) {
+	w.deliver(func() {
+		p := w.process
 		p.notifyObserver(update)
-		p.net.tell("%s news %d of %d", p.address, len(update.Endpoints), update.Index)
+		p.network.logf("%s news %d of %d", p.address, len(update.Endpoints), update.Index)
 		dated := *update
-		dated.DiscoveryTime = p.net.now
-		p.take(relay.EndpointsUpdated{Watch: w.number, Update: &dated})
+		dated.DiscoveryTime = p.network.now
+		p.handle(relay.EndpointsUpdated{Watch: w.relayNumber, Update: &dated})
 	})
 }
 
 // notifyObserver tells the observer what the relay is notified of by an update.
-func (p *process) notifyObserver(update *relay.EndpointUpdate) {
+func (p *relayProcess) notifyObserver(update *relay.EndpointUpdate) {
 	listed := map[string]bool{}
 	for _, e := range update.Endpoints {
-		p.told[e.Name] = true
+		p.notified[e.Name] = true
 		listed[e.Name] = true
-		p.watch.EndpointUpdated(p.net.now, p.number, e.Name, e.Status, e.StartedAt)
+		p.observer.EndpointUpdated(p.network.now, p.number, e.Name, e.Status, e.StartedAt)
 	}
 	if !update.Complete {
 		return
 	}
-	for _, name := range sorted(p.told) {
+	for _, name := range sorted(p.notified) {
 		if !listed[name] {
-			p.watch.EndpointUpdated(p.net.now, p.number, name, "left", 0)
+			p.observer.EndpointUpdated(p.network.now, p.number, name, "left", 0)
 		}
 	}
 }
 
 // OnHeartbeat delivers an empty line.
-func (w *follower) OnHeartbeat() {
-	w.tell(func() { w.p.take(relay.WatchHeartbeat{Watch: w.number}) })
+func (w *watch) OnHeartbeat() {
+	w.deliver(func() { w.process.handle(relay.WatchHeartbeat{Watch: w.relayNumber}) })
 }
 
 // OnFailure delivers the end of the watch.
-func (w *follower) OnFailure(err error) {
-	w.tell(func() {
-		w.p.follow = nil
-		w.p.take(relay.WatchFailed{Watch: w.number, Err: err})
+func (w *watch) OnFailure(err error) {
+	w.deliver(func() {
+		w.process.openWatch = nil
+		w.process.handle(relay.WatchFailed{Watch: w.relayNumber, Err: err})
 	})
 }
--- a/internal/testbed/sim/zones_test.go
+++ b/internal/testbed/sim/zones_test.go
@@ -110,8 +110,8 @@
 	d := &decisions{pictures: map[uint64]string{}, last: map[string]uint64{}, first: map[string]float64{}}
 	r, err := Run(x, x.Variants[0], d)
 	require.NoError(t, err)
-	assert.Zero(t, r.Audit.ViolationCount(), "%v", r.Audit.Violations)
-	assert.Zero(t, r.Fallen, "servers pushed over")
+	assert.Zero(t, r.Auditor.ViolationCount(), "%v", r.Auditor.Violations)
+	assert.Zero(t, r.ColdOverloads, "servers pushed over")
 	assert.Empty(t, d.wrong)
 	return r, d
 }
@@ -143,8 +143,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r, d := decided(t, regions+c.faults)
-			assert.GreaterOrEqual(t, float64(r.Audit.LocalAttempts)/float64(r.Audit.LocatedAttempts), c.near)
-			assert.Greater(t, r.Tally.ServedShare(10000, 30000), c.service)
+			assert.GreaterOrEqual(t, float64(r.Auditor.LocalAttempts)/float64(r.Auditor.LocatedAttempts), c.near)
+			assert.Greater(t, r.Metrics.ServedShare(10000, 30000), c.service)
 			if c.emptied == 0 {
 				assert.Empty(t, d.first)
 				return
