--- a/cmd/valeshift/zone.go
+++ b/cmd/valeshift/zone.go
@@ -25,7 +25,7 @@
 // zoneCommand passes its words on to zoneArguments, whose fields are read only then: each start of the relay
 // would pay for them by a twentieth of its CPU.
 type zoneCommand struct {
-	Words []string `arg:"" name:"words" optional:"" help:"What to do, and flags: docs/council.md tells."`
+	Words []string `arg:"" name:"words" optional:"" help:"What to do, and flags: docs/coordinator.md tells."`
 }
 
 // Run parses the words and does what they say.
