--- a/cmd/valeshift-testbed/check.go
+++ b/cmd/valeshift-testbed/check.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("ok: %s, %d relays, %d servers, %d kinds of traffic, %d faults\n", x.Name, x.Relays.Count,
+	fmt.Printf("ok: %s, %d relays, %d backends, %d kinds of traffic, %d faults\n", x.Name, x.Relays.Count,
 		x.Fleet.Backends, len(x.Traffic), len(x.Faults))
 	return nil
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -21,7 +21,7 @@
 
 // The kinds. Their numbers are on disks: none is ever given another meaning.
 const (
-	KindHeader        Kind = iota // the head of a file
+	KindHeader        Kind = iota // the first record of a file
 	KindBoot                      // the number of the last start
 	KindOrder                     // an operators' order
 	KindSnapshot                  // endpoint list, load estimates, clients with a Retry-After
--- a/internal/testbed/audit/attempts.go
+++ b/internal/testbed/audit/attempts.go
@@ -22,7 +22,7 @@
 	a.Attempts++
 	s := a.sessions[id]
 	if s == nil {
-		a.report(AtMostOnce, now, id, "a try on %s of a link that nobody asked for", backend)
+		a.report(AtMostOnce, now, id, "an attempt on %s of a session that nobody asked for", backend)
 		return
 	}
 	a.countLocality(now, s.relay, backend)
@@ -111,7 +111,7 @@
 			end = min(end, other.finishedAt)
 		}
 		if overlap := end - max(t.startedAt, other.startedAt); overlap > a.slack {
-			a.report(AtMostOnce, t.finishedAt, id, "tries on %s and %s out at once for %.1f ms", t.backend,
+			a.report(AtMostOnce, t.finishedAt, id, "attempts on %s and %s out at once for %.1f ms", t.backend,
 				other.backend, overlap)
 		}
 	}
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -45,7 +45,7 @@
 
 // String returns the violation as reports have it.
 func (v Violation) String() string {
-	return fmt.Sprintf("%.1f %s: %s (link %s)", v.At, v.Rule, v.Detail, v.SessionID)
+	return fmt.Sprintf("%.1f %s: %s (session %s)", v.At, v.Rule, v.Detail, v.SessionID)
 }
 
 const (
--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -143,7 +143,7 @@
 	}
 }
 
-// Reports name the rules and print their violations as they always did.
+// The rules' names are keys of reports and must stay.
 func TestTextOfRulesAndViolations(t *testing.T) {
 	for rule, want := range map[Rule]string{
 		FinalAnswer:  "final answer",
@@ -154,6 +154,6 @@
 	} {
 		assert.Equal(t, want, rule.String())
 		v := Violation{Rule: rule, At: 12.5, SessionID: "7f", Detail: "what was seen"}
-		assert.Equal(t, "12.5 "+want+": what was seen (link 7f)", v.String())
+		assert.Equal(t, "12.5 "+want+": what was seen (session 7f)", v.String())
 	}
 }
--- a/internal/testbed/audit/fleet.go
+++ b/internal/testbed/audit/fleet.go
@@ -98,7 +98,7 @@
 		s := a.sessions[id]
 		isHeld := s.answer == answerUp && !s.isOver && !s.isMoved && !s.isClosed
 		if s.relay == relay && s.incarnation == incarnation && isHeld {
-			a.report(LineDelivery, now, id, "still held by a relay that was to empty itself")
+			a.report(LineDelivery, now, id, "still held by a relay that was to drain")
 		}
 	}
 }
--- a/internal/testbed/audit/lines.go
+++ b/internal/testbed/audit/lines.go
@@ -20,11 +20,11 @@
 	expected := *last + 1
 	switch {
 	case number > expected:
-		a.report(LineDelivery, now, id, "%d lines lost before number %d (down %t)", number-expected, number, toClient)
+		a.report(LineDelivery, now, id, "%d lines lost before number %d (to client %t)", number-expected, number, toClient)
 	case number < expected:
-		a.report(LineDelivery, now, id, "line %d came again (down %t)", number, toClient)
+		a.report(LineDelivery, now, id, "line %d came again (to client %t)", number, toClient)
 	case now > sentAt+maxHold+grace+a.slack && !s.wasDark && !s.wasFrozen:
-		a.report(LineDelivery, now, id, "line %d held for %.0f ms (down %t)", number, now-sentAt, toClient)
+		a.report(LineDelivery, now, id, "line %d held for %.0f ms (to client %t)", number, now-sentAt, toClient)
 	}
 	*last = max(*last, number)
 }
--- a/internal/testbed/audit/requests.go
+++ b/internal/testbed/audit/requests.go
@@ -107,9 +107,9 @@
 	case now > s.dueAt+grace+a.slack && !s.wasFrozen:
 		a.report(FinalAnswer, now, id, "%s came %.0f ms after the hard limit", verb, now-s.dueAt)
 	case verb == answerUp && s.effects == 0:
-		a.report(FinalAnswer, now, id, "UP that no server said")
+		a.report(FinalAnswer, now, id, "UP that no backend said")
 	case verb == answerBusy && s.effect == experiment.EffectSingleUse && s.effects > 0:
-		a.report(AtMostOnce, now, id, "told that trying again is harmless, and it was done already")
+		a.report(AtMostOnce, now, id, "told that a retry is harmless, though the effect was applied")
 	}
 }
 
@@ -139,7 +139,7 @@
 	case s.answer == "":
 		a.report(FinalAnswer, now, id, "ended without an answer")
 	case s.answer == answerUp && !s.isMoved && !s.isClosed && !s.wasDark:
-		a.report(LineDelivery, now, id, "cut off without MOVE while its server serves (broken %t)", reset)
+		a.report(LineDelivery, now, id, "cut off without MOVE while its backend serves (reset %t)", reset)
 	}
 }
 
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -76,11 +76,11 @@
 // What one part draws changes no other part's draws, and is the same every time.
 func TestRandIsPerUse(t *testing.T) {
 	x, y := Default(), Default()
-	x.Rand("crowd", 0).Float64()
-	assert.Equal(t, x.Rand("world", 1).Float64(), y.Rand("world", 1).Float64())
-	assert.NotEqual(t, x.Rand("world", 1).Float64(), x.Rand("world", 2).Float64())
+	x.Rand("one use", 0).Float64()
+	assert.Equal(t, x.Rand("another use", 1).Float64(), y.Rand("another use", 1).Float64())
+	assert.NotEqual(t, x.Rand("another use", 1).Float64(), x.Rand("another use", 2).Float64())
 	y.Seed++
-	assert.NotEqual(t, x.Rand("world", 1).Float64(), y.Rand("world", 1).Float64())
+	assert.NotEqual(t, x.Rand("another use", 1).Float64(), y.Rand("another use", 1).Float64())
 }
 
 // Whatever is read can be used: a relay's settings come of it.
--- a/internal/testbed/model/environment.go
+++ b/internal/testbed/model/environment.go
@@ -15,6 +15,13 @@
 	noZone         = -1     // the zone of hosts that are never isolated
 )
 
+// The uses of random sources. They are part of the seeds: another name draws other numbers.
+const (
+	randEnvironment = "world"
+	randWorkload    = "crowd"
+	randBackend     = "server"
+)
+
 // The states of an endpoint on the list.
 const (
 	statusActive  = "active"
@@ -68,7 +75,7 @@
 		infrastructure: infrastructure,
 		host:           host,
 		observer:       observer,
-		rng:            x.Rand("world", 0),
+		rng:            x.Rand(randEnvironment, 0),
 		sessionStore:   NewSessionStore(x.Fleet.StoreRate),
 		zones:          map[string]string{},
 		impairing:      map[*experiment.Fault]bool{},
@@ -110,7 +117,7 @@
 
 // newBackend has a backend answer at its address. It is not listed yet.
 func (e *Environment) newBackend(spec BackendSpec, host Host) *Backend {
-	b := NewBackend(spec, host, e.observer, e.sessionStore, e.experiment.Rand("server", len(e.Backends)))
+	b := NewBackend(spec, host, e.observer, e.sessionStore, e.experiment.Rand(randBackend, len(e.Backends)))
 	b.OnChange = func() { e.backendChanged(b) }
 	e.infrastructure.Bind(spec.Address, b)
 	e.Backends = append(e.Backends, b)
--- a/internal/testbed/model/workload.go
+++ b/internal/testbed/model/workload.go
@@ -46,7 +46,7 @@
 		host:       host,
 		observer:   observer,
 		experiment: x,
-		rng:        x.Rand("crowd", 0),
+		rng:        x.Rand(randWorkload, 0),
 		balancer:   newLoadBalancer(host, addresses, zones),
 		endsAt:     host.Now() + float64(x.Length),
 		rateFactor: 1,
--- a/internal/testbed/sim/spoil_test.go
+++ b/internal/testbed/sim/spoil_test.go
@@ -122,7 +122,7 @@
 				return []relay.Effect{f}
 			})}
 		}},
-		{"makes answers up", audit.FinalAnswer, "UP that no server said", func() *spoiled {
+		{"makes answers up", audit.FinalAnswer, "UP that no backend said", func() *spoiled {
 			return &spoiled{}
 		}},
 		{"sends two tries", audit.AtMostOnce, "out at once", func() *spoiled {
