--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -31,6 +31,7 @@
 	Gone
 )
 
+// String returns the level in lower case.
 func (l Liveness) String() string {
 	switch l {
 	case Alive:
--- a/internal/store/memoryfs.go
+++ b/internal/store/memoryfs.go
@@ -181,6 +181,7 @@
 	file *memoryFile
 }
 
+// Write appends data, or half of it where a fault is injected.
 func (h *memoryHandle) Write(data []byte) (int, error) {
 	h.disk.mutex.Lock()
 	defer h.disk.mutex.Unlock()
@@ -193,6 +194,7 @@
 	return n, err
 }
 
+// Sync makes what was written durable.
 func (h *memoryHandle) Sync() error {
 	h.disk.mutex.Lock()
 	defer h.disk.mutex.Unlock()
@@ -205,4 +207,5 @@
 	return nil
 }
 
+// Close does nothing.
 func (h *memoryHandle) Close() error { return nil }
--- a/internal/testbed/faultdisk/faultdisk.go
+++ b/internal/testbed/faultdisk/faultdisk.go
@@ -65,6 +65,7 @@
 	return names, err
 }
 
+// OpenAppend opens a file that loses what is not synced.
 func (f folder) OpenAppend(name string) (store.File, error) {
 	if err := f.writeError(); err != nil {
 		return nil, err
@@ -76,6 +77,7 @@
 	return &file{File: opened, folder: f}, nil
 }
 
+// Rename gives a file another name.
 func (f folder) Rename(from, to string) error {
 	if err := f.writeError(); err != nil {
 		return err
@@ -90,6 +92,7 @@
 	unsynced []byte
 }
 
+// Write holds the data back until the next Sync.
 func (f *file) Write(data []byte) (int, error) {
 	if err := f.folder.writeError(); err != nil {
 		return 0, err
@@ -98,6 +101,7 @@
 	return len(data), nil
 }
 
+// Sync writes what was held back, and makes it durable.
 func (f *file) Sync() error {
 	if err := f.folder.writeError(); err != nil {
 		return err
--- a/internal/testbed/model/cpu.go
+++ b/internal/testbed/model/cpu.go
@@ -41,8 +41,10 @@
 // jobHeap has the job that ends next at its top.
 type jobHeap []job
 
+// Len is for package heap, as all methods of the type are.
 func (h jobHeap) Len() int { return len(h) }
 
+// Less tells whether job i ends before job j.
 func (h jobHeap) Less(i, j int) bool {
 	if h[i].endsAt != h[j].endsAt {
 		return h[i].endsAt < h[j].endsAt
@@ -50,12 +52,13 @@
 	return h[i].seq < h[j].seq
 }
 
+// Swap swaps two jobs.
 func (h jobHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push appends a job; it is for package heap.
+// Push appends a job.
 func (h *jobHeap) Push(x any) { *h = append(*h, x.(job)) }
 
-// Pop removes the last job; it is for package heap.
+// Pop removes the last job.
 func (h *jobHeap) Pop() any {
 	last := len(*h) - 1
 	popped := (*h)[last]
