--- /dev/null
+++ b/cmd/valeshift-testbed/main_test.go
@@ -0,0 +1,58 @@
+package main
+
+import (
+	"context"
+	"testing"
+
+	"github.com/alecthomas/kong"
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// Scripts use the names of subcommands, arguments and flags, so they stay whatever the fields are called.
+func TestCommandLineKeepsItsNames(t *testing.T) {
+	var commands commandLine
+	parser, err := kong.New(&commands, kong.BindTo(context.Background(), (*context.Context)(nil)))
+	require.NoError(t, err)
+	got := map[string][]string{}
+	for _, command := range parser.Model.Children {
+		names := []string{}
+		for _, argument := range command.Positional {
+			names = append(names, "<"+argument.Name+">")
+		}
+		for _, flag := range command.Flags {
+			names = append(names, "--"+flag.Name)
+		}
+		got[command.Name] = names
+	}
+	assert.Equal(t, map[string][]string{
+		"fleet":   {"<file>", "--report", "--relay", "--logs"},
+		"sim":     {"<file>", "--report", "--seed", "--trace"},
+		"load":    {"<file>", "--report", "--relay", "--logs"},
+		"hunt":    {"--from", "--count", "--shrink", "--out", "--most", "--processes", "--side", "--relay"},
+		"check":   {"<file>"},
+		"cost":    {"--servers", "--clients", "--lasts", "--standing", "--every", "--idle", "--rounds", "--relay", "--json"},
+		"forward": {"<address>"},
+		"demo":    {"--relay", "--out"},
+	}, got)
+}
+
+func TestRelayPath(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		path  func(named string) (string, error)
+		named string
+		want  string // the end of the path
+	}{
+		{"named", relayPath, "/opt/relay", "/opt/relay"},
+		{"beside this program", relayPath, "", "/valeshift"},
+		{"named, with a disk that fails", faultDiskRelayPath, "/opt/relay", "/opt/relay"},
+		{"beside this program, with a disk that fails", faultDiskRelayPath, "", "/valeshift-faultdisk"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			path, err := c.path(c.named)
+			require.NoError(t, err)
+			assert.Regexp(t, c.want+"$", path)
+		})
+	}
+}
