--- a/internal/testbed/sim/faulty_test.go
+++ b/internal/testbed/sim/faulty_test.go
@@ -122,7 +122,7 @@
 				return []relay.Effect{f}
 			})}
 		}},
-		{"makes answers up", audit.FinalAnswer, "UP that no server said", func() *faultyStateMachine {
+		{"makes answers up", audit.FinalAnswer, "UP that no backend said", func() *faultyStateMachine {
 			return &faultyStateMachine{}
 		}},
 		{"sends two attempts", audit.AtMostOnce, "out at once", func() *faultyStateMachine {
