--- a/internal/relay/transfer.go
+++ b/internal/relay/transfer.go
@@ -32,8 +32,8 @@
 // sessionSockets are the sockets of one session: the client's, then the backend's.
 type sessionSockets [hotrestart.FilesPerSession]*socket
 
-// sessionDescriptors are duplicates of their descriptors, to be sent; -1: none.
-type sessionDescriptors [hotrestart.FilesPerSession]int
+// transferDescriptors are duplicates of their descriptors, to be sent; -1: none.
+type transferDescriptors [hotrestart.FilesPerSession]int
 
 // transferSession sends one session to the child, and tells the state machine whether it is there. The reads of both
 // sockets are locked from before the state machine gives the session up until that is known, so that this process reads
@@ -71,7 +71,7 @@
 	if p.channel == nil && !p.closed {
 		var err error
 		if p.channel, err = d.slot.OpenChannel(child); err != nil {
-			d.log.Warn("no channel to the child process", "err", err)
+			d.log.Warn("can't open a channel to the child process", "err", err)
 			p.closed = true
 		}
 	}
@@ -81,19 +81,19 @@
 // detachSession has the state machine give the session up, and takes its sockets out of the poller, with descriptors of
 // their own to be sent; nil: the session stays. All is done under the relay's lock, so that no descriptor's number can
 // come to another connection meanwhile.
-func (d *driver) detachSession(clientConn uint64, both sessionSockets) (*TransferredSession, sessionDescriptors) {
+func (d *driver) detachSession(clientConn uint64, both sessionSockets) (*TransferredSession, transferDescriptors) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, c := range both {
 		if c.unsent.Load() > 0 || c.closing.Load() || isClosed(c.nbConn) {
-			return nil, sessionDescriptors{}
+			return nil, transferDescriptors{}
 		}
 	}
 	d.detached = nil
 	d.handleLocked(DetachRequested{Conn: clientConn})
 	session := d.detached
 	if session == nil {
-		return nil, sessionDescriptors{}
+		return nil, transferDescriptors{}
 	}
 	descriptors, err := d.duplicate(both)
 	if err == nil {
@@ -104,15 +104,15 @@
 		d.resumePolling(c)
 	}
 	d.handleLocked(SessionTransferred{Conn: clientConn})
-	return nil, sessionDescriptors{}
+	return nil, transferDescriptors{}
 }
 
 var errConnectionClosed = errors.New("connection is closed")
 
 // duplicate takes the sockets out of the poller and duplicates their descriptors. What it has duplicated before an error
 // is the caller's to close.
-func (d *driver) duplicate(both sessionSockets) (sessionDescriptors, error) {
-	descriptors := sessionDescriptors{-1, -1}
+func (d *driver) duplicate(both sessionSockets) (transferDescriptors, error) {
+	descriptors := transferDescriptors{-1, -1}
 	for i, c := range both {
 		if err := d.stopPolling(c.nbConn.Hash()); err != nil {
 			return descriptors, fmt.Errorf("stop polling: %w", err)
@@ -129,7 +129,7 @@
 	return descriptors, nil
 }
 
-func (d sessionDescriptors) close() {
+func (d transferDescriptors) close() {
 	for _, descriptor := range d {
 		if descriptor >= 0 {
 			syscall.Close(descriptor)
@@ -139,7 +139,7 @@
 
 // sendSession sends a detached session, closes the descriptors, and tells whether the child has accepted it. After an
 // error other than the child's refusal the channel is not used again.
-func (d *driver) sendSession(session *TransferredSession, descriptors sessionDescriptors) bool {
+func (d *driver) sendSession(session *TransferredSession, descriptors transferDescriptors) bool {
 	p := &d.transfers
 	text, err := json.Marshal(session)
 	accepted := false
@@ -148,7 +148,7 @@
 	}
 	descriptors.close()
 	if err != nil && !errors.Is(err, hotrestart.ErrRejected) {
-		d.log.Warn("can't send a session", "err", err)
+		d.log.Warn("can't transfer a session", "err", err)
 		p.channel.Close()
 		p.closed = true
 	}
