--- a/cmd/valeshift/command_test.go
+++ b/cmd/valeshift/command_test.go
@@ -13,8 +13,8 @@
 
 // Check names the field that is wrong in either file, and starts nothing.
 func TestCheck(t *testing.T) {
-	l := newList(t)
-	good := l.config(0)
+	l := newDiscoveryStub(t)
+	good := l.relayConfig(0)
 	for _, c := range []struct {
 		name, config, operator, want string
 		code                         int
@@ -26,7 +26,7 @@
 			"check: ops: address:port or", 1},
 		{"setting", strings.Replace(good, `"most-setup-tries":3`, `"most-setup-tries":-3`, 1), "",
 			"check: settings: limits.most-setup-tries: a number expected", 1},
-		{"too few sockets", l.config(12), "", "check: limits.sockets: 38 or more expected", 1},
+		{"too few sockets", l.relayConfig(12), "", "check: limits.sockets: 38 or more expected", 1},
 		{"operator field", good, "[log]\nlevel = \"all\"\n", "2:9: log.level:", 1},
 		{"operator unknown", good, "[logs]\n", "1:2: logs: no such field", 1},
 	} {
@@ -47,26 +47,26 @@
 // nothing does, the other half included.
 func TestReloadTakesBothFilesOrNeither(t *testing.T) {
 	b := newBackend(t, "b1")
-	l := newList(t, b)
+	l := newDiscoveryStub(t, b)
 	file := filepath.Join(t.TempDir(), "operator.toml")
 	write := func(text string) { require.NoError(t, os.WriteFile(file, []byte(text), 0o600)) }
 	write("")
 	t.Setenv("VALESHIFT_OPERATOR", file)
-	r := run(t, l.config(0))
-	r.address = r.wait(`msg=serving .*listen=(\S+)`)[1]
-	client, server := r.stands(b)
+	r := startProcess(t, l.relayConfig(0))
+	r.address = r.awaitLog(`msg=serving .*listen=(\S+)`)[1]
+	client, server := r.establish(b)
 
-	other := newList(t, b)
+	other := newDiscoveryStub(t, b)
 	write("[log]\nformat = \"jsn\"\n")
-	r.reload(other.config(0))
-	r.wait(`msg="reload refused, all stays as it was" why=.*operator.toml:2:10: log.format: text or json`)
+	r.reload(other.relayConfig(0))
+	r.awaitLog(`msg="reload refused, all stays as it was" why=.*operator.toml:2:10: log.format: text or json`)
 	write("[log]\nformat = \"json\"\n")
-	r.reload(strings.Replace(other.config(0), `"zone":0`, `"zone":"x"`, 1))
-	r.wait(`msg="reload refused, all stays as it was" why="settings: zone`)
-	assert.Zero(t, other.calls)
-	r.reload(other.config(0))
-	r.wait(`"msg":"reloaded","discovery":"` + other.address + `","changed":true`)
-	other.watched(t)
-	client.say("still here")
-	assert.Equal(t, "still here", server.hear())
+	r.reload(strings.Replace(other.relayConfig(0), `"zone":0`, `"zone":"x"`, 1))
+	r.awaitLog(`msg="reload refused, all stays as it was" why="settings: zone`)
+	assert.Zero(t, other.watches)
+	r.reload(other.relayConfig(0))
+	r.awaitLog(`"msg":"reloaded","discovery":"` + other.address + `","changed":true`)
+	other.awaitWatch(t)
+	client.send("still here")
+	assert.Equal(t, "still here", server.receive())
 }
--- a/cmd/valeshift/crossings_test.go
+++ b/cmd/valeshift/crossings_test.go
@@ -14,30 +14,30 @@
 
 // These tests force two things to happen at once, in a known order: docs/design/crossings.md lists them.
 
-// counted waits until the relay's counters say so.
-func (r *process) counted(pattern string) {
+// awaitCounters waits until the relay's counters say so.
+func (r *process) awaitCounters(pattern string) {
 	r.t.Helper()
-	want := compiled(`why=asked .*` + pattern)
-	for until := time.Now().Add(soon); time.Now().Before(until); {
-		before := r.text()
+	want := compile(`why=asked .*` + pattern)
+	for until := time.Now().Add(longWait); time.Now().Before(until); {
+		before := r.log()
 		r.signal(syscall.SIGUSR1)
 		said := ""
 		for said == "" && time.Now().Before(until) {
-			said = compiled(`why=asked .*\n`).FindString(r.text()[len(before):])
+			said = compile(`why=asked .*\n`).FindString(r.log()[len(before):])
 			time.Sleep(time.Millisecond)
 		}
 		if want.MatchString(said) {
 			return
 		}
 	}
-	require.Fail(r.t, "counters without "+pattern, r.text())
+	require.Fail(r.t, "counters without "+pattern, r.log())
 }
 
-// asks sends the first line of a request with that id.
-func (r *process) asks(id string, deadline int) *peer {
+// sendRequest sends the first line of a request with that id.
+func (r *process) sendRequest(id string, deadline int) *peer {
 	r.t.Helper()
 	client := r.dial()
-	client.say(fmt.Sprintf("OPEN %s 7f3a c=feed,t=one,d=%d", id, deadline))
+	client.send(fmt.Sprintf("OPEN %s 7f3a c=feed,t=one,d=%d", id, deadline))
 	return client
 }
 
@@ -52,17 +52,17 @@
 		{"end of sending", func(p *peer) { p.CloseWrite() }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := start(t, 0)
-			client := r.asks("9a", 2000)
-			r.counted(`in.heads=1`)
+			r := startRelay(t, 0)
+			client := r.sendRequest("9a", 2000)
+			r.awaitCounters(`in.heads=1`)
 			c.leave(client)
-			r.counted(`answered.unwanted=1`)
+			r.awaitCounters(`answered.unwanted=1`)
 			b := newBackend(t, "b1")
-			r.list.set(r.list.entry("b1", b.address, "active"))
-			r.asks("9b", 2000)
-			_, head := b.link()
+			r.discovery.setEndpoints(r.discovery.endpoint("b1", b.address, "active"))
+			r.sendRequest("9b", 2000)
+			_, head := b.awaitSession()
 			assert.Contains(t, head, "OPEN 9b ", "the first that comes")
-			assert.Empty(t, b.heads)
+			assert.Empty(t, b.requests)
 		})
 	}
 }
@@ -73,23 +73,23 @@
 		name string
 		fail func(*peer)
 	}{
-		{"turned away", func(p *peer) { p.say("BUSY") }},
-		{"error", func(p *peer) { p.say("ERR") }},
+		{"turned away", func(p *peer) { p.send("BUSY") }},
+		{"error", func(p *peer) { p.send("ERR") }},
 		{"end", func(p *peer) { p.Close() }},
 		{"reset", func(p *peer) { p.reset() }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBackend(t, "b1")
-			r := start(t, 0, b)
-			client := r.asks("9a", 2000)
-			server, _ := b.link()
+			r := startRelay(t, 0, b)
+			client := r.sendRequest("9a", 2000)
+			server, _ := b.awaitSession()
 			client.Close()
-			r.counted(`answered.unwanted=1`)
+			r.awaitCounters(`answered.unwanted=1`)
 			c.fail(server)
-			r.asks("9b", 2000)
-			_, head := b.link()
+			r.sendRequest("9b", 2000)
+			_, head := b.awaitSession()
 			assert.Contains(t, head, "OPEN 9b ", "no further attempt before it")
-			r.counted(`sent.tries=2`)
+			r.awaitCounters(`sent.tries=2`)
 		})
 	}
 }
@@ -97,13 +97,13 @@
 // A request whose time is over is answered, and no attempt follows when its backend speaks at last.
 func TestDeadlineBeforeTheBackendsAnswer(t *testing.T) {
 	b := newBackend(t, "b1")
-	r := start(t, 0, b)
-	client := r.asks("9a", 300)
-	server, _ := b.link()
-	assert.Equal(t, []string{"BUSY 900", "end"}, []string{client.hear(), client.hear()})
-	server.say("UP late")
-	r.asks("9b", 2000)
-	_, head := b.link()
+	r := startRelay(t, 0, b)
+	client := r.sendRequest("9a", 300)
+	server, _ := b.awaitSession()
+	assert.Equal(t, []string{"BUSY 900", "end"}, []string{client.receive(), client.receive()})
+	server.send("UP late")
+	r.sendRequest("9b", 2000)
+	_, head := b.awaitSession()
 	assert.Contains(t, head, "OPEN 9b ")
 }
 
@@ -111,51 +111,51 @@
 // it sent goes nowhere.
 func TestRequestOnAConnectionThatIsClosed(t *testing.T) {
 	b := newBackend(t, "b1")
-	r := start(t, 0, b)
+	r := startRelay(t, 0, b)
 	resting := r.dial()
-	require.Equal(t, "ERR", resting.hear(), "it has rested for too long")
-	resting.say("OPEN 9a 7f3a c=feed,t=one,d=2000")
-	assert.Equal(t, "end", resting.hear(), "no reset")
-	resting.say("OPEN 9b 7f3a c=feed,t=one,d=2000")
-	assert.Equal(t, "end", resting.hear())
-	r.asks("9c", 2000)
-	_, head := b.link()
+	require.Equal(t, "ERR", resting.receive(), "it has rested for too long")
+	resting.send("OPEN 9a 7f3a c=feed,t=one,d=2000")
+	assert.Equal(t, "end", resting.receive(), "no reset")
+	resting.send("OPEN 9b 7f3a c=feed,t=one,d=2000")
+	assert.Equal(t, "end", resting.receive())
+	r.sendRequest("9c", 2000)
+	_, head := b.awaitSession()
 	assert.Contains(t, head, "OPEN 9c ", "nothing else was sent on")
 }
 
 // SIGTERM finds requests in every state; each is answered before the process ends, and the process ends.
 func TestStopFindsRequestsInEveryState(t *testing.T) {
 	b := newBackend(t, "b1")
-	r := start(t, 0, b)
-	client, server := r.stands(b)
-	begun := r.asks("9a", 2000)
-	tried, _ := b.link()
+	r := startRelay(t, 0, b)
+	client, server := r.establish(b)
+	begun := r.sendRequest("9a", 2000)
+	tried, _ := b.awaitSession()
 	half := r.dial()
 	half.Write([]byte("OPEN 9b 7f3a c=fe"))
-	r.counted(`in.heads=2`)
+	r.awaitCounters(`in.heads=2`)
 	r.signal(syscall.SIGTERM)
-	r.wait("msg=stopping")
-	tried.say("UP late")
-	assert.Equal(t, "UP late", begun.hear())
-	r.list.set(r.list.entry("b1", b.address, "leaving")) // and a drain at the same time
-	assert.Equal(t, []string{"MOVE", "end"}, []string{client.hear(), client.hear()})
-	assert.Equal(t, "end", server.hear())
-	half.say("ed,t=one,d=1000")
-	assert.Regexp(t, `^BUSY`, half.hear(), "taken in during the stop, with no backend left")
-	assert.Equal(t, []string{"MOVE", "end"}, []string{begun.hear(), begun.hear()})
-	assert.Zero(t, r.exit(), r.text())
+	r.awaitLog("msg=stopping")
+	tried.send("UP late")
+	assert.Equal(t, "UP late", begun.receive())
+	r.discovery.setEndpoints(r.discovery.endpoint("b1", b.address, "leaving")) // and a drain at the same time
+	assert.Equal(t, []string{"MOVE", "end"}, []string{client.receive(), client.receive()})
+	assert.Equal(t, "end", server.receive())
+	half.send("ed,t=one,d=1000")
+	assert.Regexp(t, `^BUSY`, half.receive(), "taken in during the stop, with no backend left")
+	assert.Equal(t, []string{"MOVE", "end"}, []string{begun.receive(), begun.receive()})
+	assert.Zero(t, r.awaitExit(), r.log())
 }
 
 // A backend that never answers does not hold a stop up, nor leave its client without an answer.
 func TestStopWithAnAttemptThatHangs(t *testing.T) {
 	b := newBackend(t, "b1")
-	r := start(t, 0, b)
-	client := r.asks("9a", 2000)
-	b.link()
+	r := startRelay(t, 0, b)
+	client := r.sendRequest("9a", 2000)
+	b.awaitSession()
 	from := time.Now()
 	r.signal(syscall.SIGTERM)
-	assert.Equal(t, []string{"BUSY 900", "end"}, []string{client.hear(), client.hear()})
-	assert.Zero(t, r.exit(), r.text())
+	assert.Equal(t, []string{"BUSY 900", "end"}, []string{client.receive(), client.receive()})
+	assert.Zero(t, r.awaitExit(), r.log())
 	assert.Less(t, time.Since(from), 3500*time.Millisecond, "the race detector's second at the exit included")
 }
 
@@ -163,64 +163,64 @@
 // heard though its first call is refused.
 func TestReloadUnderRequests(t *testing.T) {
 	b1, b2 := newBackend(t, "b1"), newBackend(t, "b2")
-	r := start(t, 0, b1)
-	client, server := r.stands(b1)
-	begun := r.asks("9a", 2000)
-	tried, _ := b1.link()
-	next := newList(t, b1, b2)
-	next.answer(503)
+	r := startRelay(t, 0, b1)
+	client, server := r.establish(b1)
+	begun := r.sendRequest("9a", 2000)
+	tried, _ := b1.awaitSession()
+	next := newDiscoveryStub(t, b1, b2)
+	next.setStatus(503)
 	from := time.Now()
-	r.reload(next.config(0))
-	next.watched(t)
-	client.say("still here")
-	assert.Equal(t, "still here", server.hear())
-	tried.say("UP begun")
-	assert.Equal(t, "UP begun", begun.hear(), "an attempt that is out goes on")
-	next.answer(0)
-	next.set(next.entry("b1", b1.address, "leaving"), next.entry("b2", b2.address, "active"))
-	assert.Equal(t, []string{"MOVE", "MOVE"}, []string{client.hear(), begun.hear()}, "as their backend drains")
-	r.stands(b2)
+	r.reload(next.relayConfig(0))
+	next.awaitWatch(t)
+	client.send("still here")
+	assert.Equal(t, "still here", server.receive())
+	tried.send("UP begun")
+	assert.Equal(t, "UP begun", begun.receive(), "an attempt that is out goes on")
+	next.setStatus(0)
+	next.setEndpoints(next.endpoint("b1", b1.address, "leaving"), next.endpoint("b2", b2.address, "active"))
+	assert.Equal(t, []string{"MOVE", "MOVE"}, []string{client.receive(), begun.receive()}, "as their backend drains")
+	r.establish(b2)
 	assert.Less(t, time.Since(from), 4*time.Second)
 }
 
 // A watch that falls silent is noticed and opened anew, so that a drain is known within 6 s.
 func TestSilentWatchIsOpenedAnew(t *testing.T) {
 	b1, b2 := newBackend(t, "b1"), newBackend(t, "b2")
-	r := start(t, 0, b1)
-	r.stands(b1)
-	r.list.mute(t)
+	r := startRelay(t, 0, b1)
+	r.establish(b1)
+	r.discovery.muteWatches(t)
 	from := time.Now()
-	r.list.set(r.list.entry("b1", b1.address, "leaving"), r.list.entry("b2", b2.address, "active"))
-	r.wait(`msg="watch fell silent"`)
-	for range b2.probed { // it has the list
+	r.discovery.setEndpoints(r.discovery.endpoint("b1", b1.address, "leaving"), r.discovery.endpoint("b2", b2.address, "active"))
+	r.awaitLog(`msg="watch fell silent"`)
+	for range b2.polls { // it has the list
 		break
 	}
 	assert.Less(t, time.Since(from), 6*time.Second)
-	r.stands(b2)
-	assert.Empty(t, b1.heads, "nothing to one that drains")
+	r.establish(b2)
+	assert.Empty(t, b1.requests, "nothing to one that drains")
 }
 
 // A list may come in any layout.
 func TestIndentedList(t *testing.T) {
 	b1, b2 := newBackend(t, "b1"), newBackend(t, "b2")
-	r := start(t, 0, b1)
-	r.stands(b1)
-	r.list.indent()
-	r.list.set(r.list.entry("b1", b1.address, "leaving"), r.list.entry("b2", b2.address, "active"))
-	<-b2.probed
-	r.stands(b2)
-	assert.NotContains(t, r.text(), "watch failed")
+	r := startRelay(t, 0, b1)
+	r.establish(b1)
+	r.discovery.indent()
+	r.discovery.setEndpoints(r.discovery.endpoint("b1", b1.address, "leaving"), r.discovery.endpoint("b2", b2.address, "active"))
+	<-b2.polls
+	r.establish(b2)
+	assert.NotContains(t, r.log(), "watch failed")
 }
 
 // Idle clients take all descriptors that they can get while discovery is down; when it is back the list is heard
 // and requests are served, without anybody's help.
 func TestCrowdOfIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	b1, b2 := newBackend(t, "b1"), newBackend(t, "b2")
-	r := start(t, 80, b1)
-	r.stands(b1)
-	r.list.answer(503)
-	r.list.set("{")
-	r.wait(`msg="watch failed" why="watch: status 503"`)
+	r := startRelay(t, 80, b1)
+	r.establish(b1)
+	r.discovery.setStatus(503)
+	r.discovery.setEndpoints("{")
+	r.awaitLog(`msg="watch failed" why="watch: status 503"`)
 	stop := make(chan struct{})
 	gone := make(chan struct{})
 	go func() { // always as many as are let in
@@ -241,7 +241,7 @@
 				return
 			default:
 			}
-			c, err := net.DialTimeout("tcp", r.address, little)
+			c, err := net.DialTimeout("tcp", r.address, shortWait)
 			if err == nil {
 				idle = append(idle, idleClient{c, time.Now()})
 			}
@@ -258,24 +258,24 @@
 		close(stop)
 		<-gone
 	}()
-	r.wait(`msg="client rejected" why="pushed out"`)
-	r.list.answer(0)
+	r.awaitLog(`msg="client rejected" why="pushed out"`)
+	r.discovery.setStatus(0)
 	from := time.Now()
-	r.list.set(r.list.entry("b2", b2.address, "active"))
-	<-b2.probed
+	r.discovery.setEndpoints(r.discovery.endpoint("b2", b2.address, "active"))
+	<-b2.polls
 	assert.Less(t, time.Since(from), 6*time.Second)
 	require.Eventually(t, func() bool {
-		client := r.asks("9a", 2000)
+		client := r.sendRequest("9a", 2000)
 		defer client.Close()
 		select {
-		case <-b2.heads:
-			server := <-b2.links
-			server.say("UP served")
-			return client.hear() == "UP served"
-		case <-time.After(little):
+		case <-b2.requests:
+			server := <-b2.sessions
+			server.send("UP served")
+			return client.receive() == "UP served"
+		case <-time.After(shortWait):
 			return false
 		}
-	}, soon, time.Millisecond)
+	}, longWait, time.Millisecond)
 	limit, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", r.cmd.Process.Pid))
 	require.NoError(t, err)
 	assert.LessOrEqual(t, len(limit), 80, "descriptors")
--- a/cmd/valeshift/golden_test.go
+++ b/cmd/valeshift/golden_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// stub answers each path with a golden file, and keeps what was sent to it.
-func stub(t *testing.T, answers map[string]string) (address string, bodies *[]string) {
+// serveAnswers answers each path with a golden file, and keeps what was sent to it.
+func serveAnswers(t *testing.T, answers map[string]string) (address string, bodies *[]string) {
 	t.Helper()
 	bodies = &[]string{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -85,7 +85,7 @@
 	return strings.TrimPrefix(server.URL, "http://"), bodies
 }
 
-func output(t *testing.T, arguments ...string) string {
+func runProgram(t *testing.T, arguments ...string) string {
 	t.Helper()
 	cmd := exec.Command(program, arguments...)
 	cmd.Env = append(os.Environ(), "USER=ops")
@@ -96,31 +96,31 @@
 
 // Records of relays are printed with the fields that they were sent with, and their holder's.
 func TestGoldenHoldingsExport(t *testing.T) {
-	address, _ := stub(t, map[string]string{"/_holdings?part=0": golden(t, "page.json"), "/_holdings": "{}"})
-	assert.Equal(t, golden(t, "export.jsonl"), output(t, "holdings", "export", address))
+	address, _ := serveAnswers(t, map[string]string{"/_holdings?part=0": golden(t, "page.json"), "/_holdings": "{}"})
+	assert.Equal(t, golden(t, "export.jsonl"), runProgram(t, "holdings", "export", address))
 }
 
 // What a relay says is printed as it says it.
 func TestGoldenFleetJSON(t *testing.T) {
 	text := `{"Name":"relay-1","Boot":3,"Other":[1,2]}`
-	address, _ := stub(t, map[string]string{"/_fleet": text})
-	assert.Equal(t, text+"\n", output(t, "fleet", "show", "--json", address))
+	address, _ := serveAnswers(t, map[string]string{"/_fleet": text})
+	assert.Equal(t, text+"\n", runProgram(t, "fleet", "show", "--json", address))
 }
 
 // A voter's answers are read, and an order is sent under the names that voters know.
 func TestGoldenZoneAnswersAndOrder(t *testing.T) {
-	address, bodies := stub(t, map[string]string{"/status": golden(t, "status.json"),
+	address, bodies := serveAnswers(t, map[string]string{"/status": golden(t, "status.json"),
 		"/history": golden(t, "history.json"), "/order": strings.Trim(golden(t, "history.json"), "[]\n")})
-	said := output(t, "zone", "status", "--council", address)
+	said := runProgram(t, "zone", "status", "--council", address)
 	for _, want := range []string{"voter-1", "leader", "leads true", "decision 17", "set aside", "west", "north", "0.25",
 		"east 0.75", "o-1", "by ops", "upkeep"} {
 		assert.Contains(t, said, want)
 	}
-	said = output(t, "zone", "history", "--council", address)
+	said = runProgram(t, "zone", "history", "--council", address)
 	for _, want := range []string{"17", "1970-01-01T00:00:05Z", "ordered", "not now"} {
 		assert.Contains(t, said, want)
 	}
-	said = output(t, "zone", "empty", "west", "--council", address, "--reason", "upkeep", "--force", "--id", "o-1",
+	said = runProgram(t, "zone", "empty", "west", "--council", address, "--reason", "upkeep", "--force", "--id", "o-1",
 		"--for", "1h")
 	assert.Contains(t, said, "decision 17, order o-1\n")
 	require.Len(t, *bodies, 1)
--- a/cmd/valeshift/helpers_test.go
+++ b/cmd/valeshift/helpers_test.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	soon   = 10 * time.Second // for what has to come
-	little = 300 * time.Millisecond
+	longWait  = 10 * time.Second // for what has to come
+	shortWait = 300 * time.Millisecond
 )
 
 var program string
@@ -50,26 +50,26 @@
 // peer is one end of a connection, read line by line.
 type peer struct {
 	*net.TCPConn
-	t  *testing.T
-	in *bufio.Reader
+	t      *testing.T
+	reader *bufio.Reader
 }
 
 func newPeer(t *testing.T, c net.Conn) *peer {
 	t.Cleanup(func() { c.Close() })
-	return &peer{TCPConn: c.(*net.TCPConn), t: t, in: bufio.NewReader(c)}
+	return &peer{TCPConn: c.(*net.TCPConn), t: t, reader: bufio.NewReader(c)}
 }
 
-func (p *peer) say(lines ...string) {
+func (p *peer) send(lines ...string) {
 	p.t.Helper()
 	_, err := p.Write([]byte(strings.Join(lines, "\r\n") + "\r\n"))
 	require.NoError(p.t, err)
 }
 
-// hear gives the next line, or "end" or "reset".
-func (p *peer) hear() string {
+// receive gives the next line, or "end" or "reset".
+func (p *peer) receive() string {
 	p.t.Helper()
-	p.SetReadDeadline(time.Now().Add(soon))
-	line, err := p.in.ReadString('\n')
+	p.SetReadDeadline(time.Now().Add(longWait))
+	line, err := p.reader.ReadString('\n')
 	switch {
 	case err == nil:
 		return strings.TrimSuffix(line, "\r\n")
@@ -88,19 +88,19 @@
 
 // backend is a stand-in that answers probes by itself and hands the test every link that comes.
 type backend struct {
-	t       *testing.T
-	name    string
-	address string
-	links   chan *peer
-	heads   chan string
-	probed  chan struct{}
+	t        *testing.T
+	name     string
+	address  string
+	sessions chan *peer
+	requests chan string
+	polls    chan struct{}
 }
 
 func newBackend(t *testing.T, name string) *backend {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	b := &backend{t: t, name: name, address: l.Addr().String(), links: make(chan *peer, 1000),
-		heads: make(chan string, 1000), probed: make(chan struct{}, 1000)}
+	b := &backend{t: t, name: name, address: l.Addr().String(), sessions: make(chan *peer, 1000),
+		requests: make(chan string, 1000), polls: make(chan struct{}, 1000)}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -116,90 +116,90 @@
 
 func (b *backend) serve(p *peer) {
 	for {
-		line, err := p.in.ReadString('\n')
+		line, err := p.reader.ReadString('\n')
 		if err != nil {
 			return
 		}
 		if line == "STATS\r\n" {
-			b.probed <- struct{}{}
+			b.polls <- struct{}{}
 			p.Write([]byte("PONG util=0.1,qps=1,x0=0.1\r\n"))
 			continue
 		}
-		b.heads <- strings.TrimSuffix(line, "\r\n")
-		b.links <- p
+		b.requests <- strings.TrimSuffix(line, "\r\n")
+		b.sessions <- p
 		return
 	}
 }
 
-// link waits for the next link to come, and gives its head.
-func (b *backend) link() (*peer, string) {
+// awaitSession waits for the next link to come, and gives its head.
+func (b *backend) awaitSession() (*peer, string) {
 	b.t.Helper()
 	select {
-	case head := <-b.heads:
-		return <-b.links, head
-	case <-time.After(soon):
+	case head := <-b.requests:
+		return <-b.sessions, head
+	case <-time.After(longWait):
 		require.Fail(b.t, "no link came to "+b.name)
 		return nil, ""
 	}
 }
 
-// list is a stand-in for discovery.
-type list struct {
-	address string
-	mutex   sync.Mutex
-	index   int
-	entries []string
-	status  int // of the next calls, where not 0
-	calls   int
-	changed chan struct{}
-	muted   chan struct{} // closed: watches that are open say nothing any more
-	layout  string        // between the entries and around them
-	ops     string        // where operators call, in configurations
-	listen  string        // and clients
+// discoveryStub is a stand-in for discovery.
+type discoveryStub struct {
+	address       string
+	mutex         sync.Mutex
+	index         int
+	endpoints     []string
+	status        int // of the next calls, where not 0
+	watches       int
+	changed       chan struct{}
+	muted         chan struct{} // closed: watches that are open say nothing any more
+	layout        string        // between the entries and around them
+	adminAddress  string        // where operators call, in configurations
+	listenAddress string        // and clients
 }
 
-func (l *list) entry(name, address, status string) string {
+func (l *discoveryStub) endpoint(name, address, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"hall","group":0,"status":%q,"weight":1}`,
 		name, address, status)
 }
 
-// set changes the list and has all watches told.
-func (l *list) set(entries ...string) {
+// setEndpoints changes the list and has all watches told.
+func (l *discoveryStub) setEndpoints(entries ...string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.index++
-	l.entries = entries
+	l.endpoints = entries
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// answer has the next calls answered by that status, or by the list again (0).
-func (l *list) answer(status int) {
+// setStatus has the next calls answered by that status, or by the list again (0).
+func (l *discoveryStub) setStatus(status int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.status = status
 }
 
-// watched waits for the first watch.
-func (l *list) watched(t *testing.T) {
+// awaitWatch waits for the first watch.
+func (l *discoveryStub) awaitWatch(t *testing.T) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		l.mutex.Lock()
 		defer l.mutex.Unlock()
-		return l.calls > 0
-	}, soon, time.Millisecond)
+		return l.watches > 0
+	}, longWait, time.Millisecond)
 }
 
-func (l *list) text() (string, <-chan struct{}) {
+func (l *discoveryStub) encode() (string, <-chan struct{}) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return fmt.Sprintf(`{"index":%d,"snapshot":true,"endpoints":[%s]}`, l.index,
-		l.layout+strings.Join(l.entries, ","+l.layout)+l.layout), l.changed
+		l.layout+strings.Join(l.endpoints, ","+l.layout)+l.layout), l.changed
 }
 
-// mute has all watches that are open fall silent: nothing comes of them, and they stay open.
-func (l *list) mute(t *testing.T) {
-	l.watched(t)
+// muteWatches has all watches that are open fall silent: nothing comes of them, and they stay open.
+func (l *discoveryStub) muteWatches(t *testing.T) {
+	l.awaitWatch(t)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	close(l.muted)
@@ -207,15 +207,15 @@
 }
 
 // indent has the list come over several lines from now on.
-func (l *list) indent() {
+func (l *discoveryStub) indent() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.layout = "\n    "
 }
 
-func (l *list) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (l *discoveryStub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	l.mutex.Lock()
-	l.calls++
+	l.watches++
 	status, muted := l.status, l.muted
 	l.mutex.Unlock()
 	if status != 0 {
@@ -223,7 +223,7 @@
 		return
 	}
 	for {
-		text, changed := l.text()
+		text, changed := l.encode()
 		fmt.Fprintf(w, "%s\n", text)
 		w.(http.Flusher).Flush()
 		for quiet := true; quiet; {
@@ -245,18 +245,18 @@
 
 // process is the program, started.
 type process struct {
-	t       *testing.T
-	cmd     *exec.Cmd
-	config  string // its path
-	address string
-	mutex   sync.Mutex
-	said    bytes.Buffer
-	done    chan struct{}
-	list    *list
-	ids     int // of links that stood
-}
-
-const told = `{"replicas-of-me":1,"zone":0,"localities":["hall"],"discovery":"subscribe",
+	t          *testing.T
+	cmd        *exec.Cmd
+	configPath string // its path
+	address    string
+	mutex      sync.Mutex
+	output     bytes.Buffer
+	done       chan struct{}
+	discovery  *discoveryStub
+	sessions   int // of links that stood
+}
+
+const settingsJSON = `{"replicas-of-me":1,"zone":0,"localities":["hall"],"discovery":"subscribe",
 	"categories":[{"name":"feed","promised-time-ms":300,"hard-limit-ms":2000,"gain":1,"effect":"idempotent"}],
 	"parties":[{"name":"one"}],"family-info":{"tenant-quota-connections":[100]},
 	"stats":{"how":"probe","fields":["cpu","rps","x0"]},
@@ -265,10 +265,10 @@
 		"connect-timeout-ms":250,
 		"may-cancel":true}}`
 
-func newList(t *testing.T, backends ...*backend) *list {
-	l := &list{index: 1, changed: make(chan struct{}), muted: make(chan struct{}), listen: "127.0.0.1:0"}
+func newDiscoveryStub(t *testing.T, backends ...*backend) *discoveryStub {
+	l := &discoveryStub{index: 1, changed: make(chan struct{}), muted: make(chan struct{}), listenAddress: "127.0.0.1:0"}
 	for _, b := range backends {
-		l.entries = append(l.entries, l.entry(b.name, b.address, "active"))
+		l.endpoints = append(l.endpoints, l.endpoint(b.name, b.address, "active"))
 	}
 	server := httptest.NewServer(l)
 	t.Cleanup(func() {
@@ -279,35 +279,35 @@
 	return l
 }
 
-// config is a configuration that names this discovery.
-func (l *list) config(sockets int) string {
-	known, _ := l.text()
-	text, _ := json.Marshal(map[string]any{"name": "n0", "listen": l.listen, "ops": l.ops,
+// relayConfig is a configuration that names this discovery.
+func (l *discoveryStub) relayConfig(sockets int) string {
+	known, _ := l.encode()
+	text, _ := json.Marshal(map[string]any{"name": "n0", "listen": l.listenAddress, "ops": l.adminAddress,
 		"discovery": l.address, "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": sockets},
-		"known":  json.RawMessage(known), "settings": json.RawMessage(told)})
+		"known":  json.RawMessage(known), "settings": json.RawMessage(settingsJSON)})
 	return string(text)
 }
 
-// start starts a relay whose list has the backends given; sockets is its limit on descriptors.
-func start(t *testing.T, sockets int, backends ...*backend) *process {
+// startRelay starts a relay whose list has the backends given; sockets is its limit on descriptors.
+func startRelay(t *testing.T, sockets int, backends ...*backend) *process {
 	t.Helper()
-	l := newList(t, backends...)
-	r := run(t, l.config(sockets))
-	r.list = l
-	found := r.wait(`msg=serving .*listen=(\S+)`)
-	require.NotNil(t, found, "not serving: %s", r.text())
+	l := newDiscoveryStub(t, backends...)
+	r := startProcess(t, l.relayConfig(sockets))
+	r.discovery = l
+	found := r.awaitLog(`msg=serving .*listen=(\S+)`)
+	require.NotNil(t, found, "not serving: %s", r.log())
 	r.address = found[1]
 	return r
 }
 
-// run starts the program on a configuration; with a file that it inherits as descriptor 3, and more of the
+// startProcess starts the program on a configuration; with a file that it inherits as descriptor 3, and more of the
 // environment.
-func run(t *testing.T, config string, more ...any) *process {
+func startProcess(t *testing.T, config string, more ...any) *process {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(path, []byte(config), 0o600))
-	r := &process{t: t, cmd: exec.Command(program), config: path, done: make(chan struct{})}
+	r := &process{t: t, cmd: exec.Command(program), configPath: path, done: make(chan struct{})}
 	var file struct{ Discovery string }
 	json.Unmarshal([]byte(config), &file) // the environment has it too, as in service
 	r.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+path, "RELAY_NAME=", "RELAY_LISTEN=", "RELAY_OPS=",
@@ -328,8 +328,8 @@
 	t.Cleanup(func() {
 		r.cmd.Process.Kill()
 		<-r.done
-		require.NotContains(t, r.text(), "DATA RACE")
-		require.NotContains(t, r.text(), "panic:")
+		require.NotContains(t, r.log(), "DATA RACE")
+		require.NotContains(t, r.log(), "panic:")
 	})
 	return r
 }
@@ -337,18 +337,18 @@
 func (r *process) Write(p []byte) (int, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.said.Write(p)
+	return r.output.Write(p)
 }
 
-func (r *process) text() string {
+func (r *process) log() string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.said.String()
+	return r.output.String()
 }
 
 var patterns sync.Map // compiled, by their text
 
-func compiled(pattern string) *regexp.Regexp {
+func compile(pattern string) *regexp.Regexp {
 	if found, known := patterns.Load(pattern); known {
 		return found.(*regexp.Regexp)
 	}
@@ -357,16 +357,16 @@
 	return want
 }
 
-// wait waits for the log to say something.
-func (r *process) wait(pattern string) []string {
+// awaitLog waits for the log to say something.
+func (r *process) awaitLog(pattern string) []string {
 	r.t.Helper()
-	want := compiled(pattern)
-	for until := time.Now().Add(soon); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
-		if found := want.FindStringSubmatch(r.text()); found != nil {
+	want := compile(pattern)
+	for until := time.Now().Add(longWait); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
+		if found := want.FindStringSubmatch(r.log()); found != nil {
 			return found
 		}
 	}
-	require.Fail(r.t, "log without "+pattern, r.text())
+	require.Fail(r.t, "log without "+pattern, r.log())
 	return nil
 }
 
@@ -377,25 +377,25 @@
 	return newPeer(r.t, c)
 }
 
-// stands brings one link to stand, and gives both its sides.
-func (r *process) stands(b *backend) (client, server *peer) {
+// establish brings one link to stand, and gives both its sides.
+func (r *process) establish(b *backend) (client, server *peer) {
 	r.t.Helper()
 	client = r.dial()
-	r.ids++
-	client.say(fmt.Sprintf("OPEN 9b1f%04x 7f3a c=feed,t=one,d=2000", r.ids))
-	server, _ = b.link()
-	server.say("UP receipt")
-	require.Equal(r.t, "UP receipt", client.hear())
+	r.sessions++
+	client.send(fmt.Sprintf("OPEN 9b1f%04x 7f3a c=feed,t=one,d=2000", r.sessions))
+	server, _ = b.awaitSession()
+	server.send("UP receipt")
+	require.Equal(r.t, "UP receipt", client.receive())
 	return client, server
 }
 
-// exit waits for the program's end.
-func (r *process) exit() int {
+// awaitExit waits for the program's end.
+func (r *process) awaitExit() int {
 	r.t.Helper()
 	select {
 	case <-r.done:
-	case <-time.After(soon):
-		require.Fail(r.t, "still running", r.text())
+	case <-time.After(longWait):
+		require.Fail(r.t, "still running", r.log())
 	}
 	return r.cmd.ProcessState.ExitCode()
 }
@@ -403,7 +403,7 @@
 // reload replaces the configuration and has the program read it.
 func (r *process) reload(config string) {
 	r.t.Helper()
-	require.NoError(r.t, os.WriteFile(r.config, []byte(config), 0o600))
+	require.NoError(r.t, os.WriteFile(r.configPath, []byte(config), 0o600))
 	r.signal(syscall.SIGHUP)
 }
 
--- a/cmd/valeshift/upgrade_test.go
+++ b/cmd/valeshift/upgrade_test.go
@@ -16,15 +16,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// ground is a socket that the platform holds, and the folder that a relay's processes share.
-type ground struct {
-	t      *testing.T
-	socket *os.File
-	dir    string
-	list   *list
+// sharedSocket is a socket that the platform holds, and the folder that a relay's processes share.
+type sharedSocket struct {
+	t         *testing.T
+	file      *os.File
+	dir       string
+	discovery *discoveryStub
 }
 
-func newGround(t *testing.T, backends ...*backend) *ground {
+func newSharedSocket(t *testing.T, backends ...*backend) *sharedSocket {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	f, err := l.(*net.TCPListener).File()
@@ -33,22 +33,22 @@
 		l.Close()
 		f.Close()
 	})
-	g := &ground{t: t, socket: f, dir: t.TempDir(), list: newList(t, backends...)}
-	g.list.ops = "127.0.0.1:0"
-	g.list.listen = l.Addr().String()
+	g := &sharedSocket{t: t, file: f, dir: t.TempDir(), discovery: newDiscoveryStub(t, backends...)}
+	g.discovery.adminAddress = "127.0.0.1:0"
+	g.discovery.listenAddress = l.Addr().String()
 	return g
 }
 
-// starts starts one more process, and gives it with where operators call it.
-func (g *ground) starts() (*process, string) {
+// startRelay starts one more process, and gives it with where operators call it.
+func (g *sharedSocket) startRelay() (*process, string) {
 	g.t.Helper()
-	r := run(g.t, g.list.config(300), g.socket, "RELAY_SOCKET_FD=3", "TMPDIR="+g.dir)
-	r.address, r.list = g.list.listen, g.list
-	return r, r.wait(`msg="admin API listening" listen=(\S+)`)[1]
+	r := startProcess(g.t, g.discovery.relayConfig(300), g.file, "RELAY_SOCKET_FD=3", "TMPDIR="+g.dir)
+	r.address, r.discovery = g.discovery.listenAddress, g.discovery
+	return r, r.awaitLog(`msg="admin API listening" listen=(\S+)`)[1]
 }
 
-// yes waits until the process says that it is ready.
-func yes(t *testing.T, address string) {
+// awaitReady waits until the process says that it is ready.
+func awaitReady(t *testing.T, address string) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		c, err := net.DialTimeout("tcp", address, time.Second)
@@ -61,20 +61,20 @@
 		var answer [12]byte
 		n, _ := c.Read(answer[:])
 		return string(answer[:n]) == "HTTP/1.1 200"
-	}, soon, 10*time.Millisecond)
+	}, longWait, 10*time.Millisecond)
 }
 
 // One process after the other takes a steady stream of clients over: none of them is refused, left unread or
 // cut off without a word, and no link has two tries out.
 func TestProcessReplaced(t *testing.T) {
 	b1, b2 := newBackend(t, "b1"), newBackend(t, "b2")
-	g := newGround(t, b1, b2)
+	g := newSharedSocket(t, b1, b2)
 	var mutex sync.Mutex
 	tries, twice := map[string]int{}, atomic.Int64{}
 	for _, b := range []*backend{b1, b2} {
 		go func() {
-			for head := range b.heads {
-				p, id := <-b.links, strings.Fields(head)[1]
+			for head := range b.requests {
+				p, id := <-b.sessions, strings.Fields(head)[1]
 				mutex.Lock()
 				if tries[id]++; tries[id] > 1 {
 					twice.Add(1)
@@ -82,7 +82,7 @@
 				mutex.Unlock()
 				go func() { // echoes until its client is gone
 					p.Write([]byte("UP r\r\n"))
-					for line, err := p.in.ReadString('\n'); err == nil; line, err = p.in.ReadString('\n') {
+					for line, err := p.reader.ReadString('\n'); err == nil; line, err = p.reader.ReadString('\n') {
 						p.Write([]byte(line))
 					}
 					p.Close()
@@ -90,8 +90,8 @@
 			}
 		}()
 	}
-	r, address := g.starts()
-	yes(t, address)
+	r, address := g.startRelay()
+	awaitReady(t, address)
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
 	var served, moved atomic.Int64
@@ -104,7 +104,7 @@
 					return
 				case <-time.After(time.Duration(5*k) * time.Millisecond):
 				}
-				what := client(g.list.listen, fmt.Sprintf("%d.%d", k, n), stop, k%3 == 0)
+				what := runClient(g.discovery.listenAddress, fmt.Sprintf("%d.%d", k, n), stop, k%3 == 0)
 				switch {
 				case strings.HasSuffix(what, "UP MOVE"):
 					moved.Add(1)
@@ -116,17 +116,17 @@
 		})
 	}
 	for range 3 {
-		time.Sleep(little)
-		next, at := g.starts()
-		yes(t, at)
+		time.Sleep(shortWait)
+		next, at := g.startRelay()
+		awaitReady(t, at)
 		r.signal(syscall.SIGTERM)
-		assert.Zero(t, r.exit(), r.text())
-		r.wait(`msg=stopping "for a child process"=true`)
-		next.wait(`msg="restored the handoff of the parent process"`)
-		next.wait(`msg="parent process" alive=false`)
+		assert.Zero(t, r.awaitExit(), r.log())
+		r.awaitLog(`msg=stopping "for a child process"=true`)
+		next.awaitLog(`msg="restored the handoff of the parent process"`)
+		next.awaitLog(`msg="parent process" alive=false`)
 		r = next
 	}
-	time.Sleep(little)
+	time.Sleep(shortWait)
 	close(stop)
 	clients.Wait()
 	close(wrong)
@@ -138,9 +138,9 @@
 	t.Logf("%d clients served, %d of them moved", served.Load(), moved.Load())
 }
 
-// client opens a link, says some lines and leaves; those that stay do until they are moved or it is over. It
+// runClient opens a link, says some lines and leaves; those that stay do until they are moved or it is over. It
 // tells what it saw.
-func client(address, id string, stop <-chan struct{}, stays bool) string {
+func runClient(address, id string, stop <-chan struct{}, stays bool) string {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return "dial " + err.Error()
@@ -197,66 +197,66 @@
 
 // What can't be used is named, and nothing starts; what the elder left and can't be read is passed over.
 func TestSocketThatIsNone(t *testing.T) {
-	l := newList(t)
+	l := newDiscoveryStub(t)
 	for value, want := range map[string]string{"x": "RELAY_SOCKET_FD: a descriptor from 3 on",
 		"1":  "RELAY_SOCKET_FD: a d",
 		"77": "RELAY_SOCKET_FD: a listening socket", "3": "RELAY_SOCKET_FD: a listening socket"} {
 		f, err := os.Open(os.DevNull)
 		require.NoError(t, err)
-		r := run(t, l.config(300), f, "RELAY_SOCKET_FD="+value, "TMPDIR="+t.TempDir())
-		assert.Equal(t, 1, r.exit(), value)
-		assert.Contains(t, r.text(), want)
+		r := startProcess(t, l.relayConfig(300), f, "RELAY_SOCKET_FD="+value, "TMPDIR="+t.TempDir())
+		assert.Equal(t, 1, r.awaitExit(), value)
+		assert.Contains(t, r.log(), want)
 		f.Close()
 	}
 	b := newBackend(t, "b1")
-	g := newGround(t, b)
-	first, at := g.starts()
-	yes(t, at)
+	g := newSharedSocket(t, b)
+	first, at := g.startRelay()
+	awaitReady(t, at)
 	bad, _ := json.Marshal(map[string]any{"Version": 99})
 	require.NoError(t, os.WriteFile(g.dir+"/valeshift.2.left", bad, 0o600))
-	next, at := g.starts()
-	next.wait(`level=WARN msg="starting without the parent's state" err="parse handoff: version 1 expected, got 99"`)
-	yes(t, at)
+	next, at := g.startRelay()
+	next.awaitLog(`level=WARN msg="starting without the parent's state" err="parse handoff: version 1 expected, got 99"`)
+	awaitReady(t, at)
 	next.signal(syscall.SIGKILL) // the younger dies: the elder goes on, and its stop is a plain one
-	next.exit()
-	first.wait(`msg="child process" alive=false`)
-	first.stands(b)
+	next.awaitExit()
+	first.awaitLog(`msg="child process" alive=false`)
+	first.establish(b)
 	first.signal(syscall.SIGTERM)
-	first.wait(`msg=stopping "for a child process"=false`)
-	assert.Zero(t, first.exit())
+	first.awaitLog(`msg=stopping "for a child process"=false`)
+	assert.Zero(t, first.awaitExit())
 }
 
 // A standing link goes on at the younger process, half a line and all, and the elder's end is nothing to it;
 // where the younger can't be reached, it is moved.
 func TestStandingLinkHandedOver(t *testing.T) {
 	b := newBackend(t, "b1")
-	g := newGround(t, b)
-	r, at := g.starts()
-	yes(t, at)
-	client, server := r.stands(b)
-	quiet, _ := r.stands(b)
+	g := newSharedSocket(t, b)
+	r, at := g.startRelay()
+	awaitReady(t, at)
+	client, server := r.establish(b)
+	quiet, _ := r.establish(b)
 	for n := range 2 {
 		server.Write([]byte("half "))
-		client.say("ask")
-		assert.Equal(t, "ask", server.hear())
+		client.send("ask")
+		assert.Equal(t, "ask", server.receive())
 		time.Sleep(20 * time.Millisecond) // for the half line to be there
-		next, at := g.starts()
-		yes(t, at)
+		next, at := g.startRelay()
+		awaitReady(t, at)
 		r.signal(syscall.SIGTERM)
-		assert.Zero(t, r.exit(), r.text())
-		r.wait(`"endings.handed over"=2`)
-		server.say("a line")
-		assert.Equal(t, "half a line", client.hear(), "%d", n)
-		client.say("more")
-		assert.Equal(t, "more", server.hear())
+		assert.Zero(t, r.awaitExit(), r.log())
+		r.awaitLog(`"endings.handed over"=2`)
+		server.send("a line")
+		assert.Equal(t, "half a line", client.receive(), "%d", n)
+		client.send("more")
+		assert.Equal(t, "more", server.receive())
 		r = next
 	}
-	next, at := g.starts()
-	yes(t, at)
+	next, at := g.startRelay()
+	awaitReady(t, at)
 	require.NoError(t, os.Remove(g.dir+"/valeshift.4.way"))
 	r.signal(syscall.SIGTERM)
-	assert.Equal(t, []string{"MOVE", "end"}, []string{client.hear(), client.hear()})
-	assert.Equal(t, []string{"MOVE", "end"}, []string{quiet.hear(), quiet.hear()})
-	assert.Zero(t, r.exit(), r.text())
-	next.stands(b)
+	assert.Equal(t, []string{"MOVE", "end"}, []string{client.receive(), client.receive()})
+	assert.Equal(t, []string{"MOVE", "end"}, []string{quiet.receive(), quiet.receive()})
+	assert.Zero(t, r.awaitExit(), r.log())
+	next.establish(b)
 }
