--- a/cmd/valeshift/command_test.go
+++ b/cmd/valeshift/command_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// A reload takes both files whole or neither: the log's form changes with a good pair, and with a bad half
-// nothing does, the other half included.
+// A reload takes both files or neither: the log's format changes with a valid pair, and nothing does where one of them is
+// invalid.
 func TestReloadTakesBothFilesOrNeither(t *testing.T) {
 	b := newBackend(t, "b1")
 	l := newDiscoveryStub(t, b)
--- a/cmd/valeshift/helpers_test.go
+++ b/cmd/valeshift/helpers_test.go
@@ -26,18 +26,11 @@
 	shortWait = 300 * time.Millisecond
 )
 
-var program string
+var program string // its path
 
-// The program is built once, with the race detector, which makes it exit with 66 after a race.
+// TestMain builds the program once, with the race detector, which makes it exit with 66 after a race.
 func TestMain(m *testing.M) {
-	dir, err := os.MkdirTemp("", "valeshift")
-	if err == nil {
-		program = filepath.Join(dir, "valeshift")
-		var said []byte
-		if said, err = exec.Command("go", "build", "-race", "-o", program, ".").CombinedOutput(); err != nil {
-			err = fmt.Errorf("%w: %s", err, said)
-		}
-	}
+	dir, err := buildProgram()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "build:", err)
 		os.Exit(1)
@@ -47,6 +40,20 @@
 	os.Exit(code)
 }
 
+// buildProgram returns the folder that has the program.
+func buildProgram() (dir string, err error) {
+	dir, err = os.MkdirTemp("", "valeshift")
+	if err != nil {
+		return "", err
+	}
+	program = filepath.Join(dir, "valeshift")
+	output, err := exec.Command("go", "build", "-race", "-o", program, ".").CombinedOutput()
+	if err != nil {
+		return "", fmt.Errorf("%w: %s", err, output)
+	}
+	return dir, nil
+}
+
 // peer is one end of a connection, read line by line.
 type peer struct {
 	*net.TCPConn
@@ -55,6 +62,7 @@
 }
 
 func newPeer(t *testing.T, c net.Conn) *peer {
+	t.Helper()
 	t.Cleanup(func() { c.Close() })
 	return &peer{TCPConn: c.(*net.TCPConn), t: t, reader: bufio.NewReader(c)}
 }
@@ -65,7 +73,7 @@
 	require.NoError(p.t, err)
 }
 
-// receive gives the next line, or "end" or "reset".
+// receive returns the next line, or what ended the connection: "end" or "reset".
 func (p *peer) receive() string {
 	p.t.Helper()
 	p.SetReadDeadline(time.Now().Add(longWait))
@@ -86,7 +94,7 @@
 	p.Close()
 }
 
-// backend is a stand-in that answers probes by itself and hands the test every link that comes.
+// backend is a stand-in that answers load polls by itself, and gives the test every session that comes.
 type backend struct {
 	t        *testing.T
 	name     string
@@ -97,6 +105,7 @@
 }
 
 func newBackend(t *testing.T, name string) *backend {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	b := &backend{t: t, name: name, address: l.Addr().String(), sessions: make(chan *peer, 1000),
@@ -131,31 +140,31 @@
 	}
 }
 
-// awaitSession waits for the next link to come, and gives its head.
+// awaitSession waits for the next session to come, and returns it with its request.
 func (b *backend) awaitSession() (*peer, string) {
 	b.t.Helper()
 	select {
 	case head := <-b.requests:
 		return <-b.sessions, head
 	case <-time.After(longWait):
-		require.Fail(b.t, "no link came to "+b.name)
+		require.Fail(b.t, "no session came to "+b.name)
 		return nil, ""
 	}
 }
 
-// discoveryStub is a stand-in for discovery.
+// discoveryStub stands in for discovery.
 type discoveryStub struct {
 	address       string
 	mutex         sync.Mutex
 	index         int
 	endpoints     []string
-	status        int // of the next calls, where not 0
+	status        int // of the next watches, where not 0
 	watches       int
 	changed       chan struct{}
-	muted         chan struct{} // closed: watches that are open say nothing any more
+	muted         chan struct{} // closed: open watches bring nothing more
 	layout        string        // between the entries and around them
-	adminAddress  string        // where operators call, in configurations
-	listenAddress string        // and clients
+	adminAddress  string        // of the admin API, in configurations
+	listenAddress string        // for clients, in configurations
 }
 
 func (l *discoveryStub) endpoint(name, address, status string) string {
@@ -163,7 +172,7 @@
 		name, address, status)
 }
 
-// setEndpoints changes the list and has all watches told.
+// setEndpoints changes the list and notifies all watches.
 func (l *discoveryStub) setEndpoints(entries ...string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -173,7 +182,7 @@
 	l.changed = make(chan struct{})
 }
 
-// setStatus has the next calls answered by that status, or by the list again (0).
+// setStatus has the next watches answered by that status, or by the list again (0).
 func (l *discoveryStub) setStatus(status int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -197,8 +206,9 @@
 		l.layout+strings.Join(l.endpoints, ","+l.layout)+l.layout), l.changed
 }
 
-// muteWatches has all watches that are open fall silent: nothing comes of them, and they stay open.
+// muteWatches has all open watches fall silent: they bring nothing more, and stay open.
 func (l *discoveryStub) muteWatches(t *testing.T) {
+	t.Helper()
 	l.awaitWatch(t)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -206,7 +216,7 @@
 	l.muted = make(chan struct{})
 }
 
-// indent has the list come over several lines from now on.
+// indent has the list sent over several lines from now on.
 func (l *discoveryStub) indent() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -253,7 +263,7 @@
 	output     bytes.Buffer
 	done       chan struct{}
 	discovery  *discoveryStub
-	sessions   int // of links that stood
+	sessions   int // that were established
 }
 
 const settingsJSON = `{"replicas-of-me":1,"zone":0,"localities":["hall"],"discovery":"subscribe",
@@ -266,6 +276,7 @@
 		"may-cancel":true}}`
 
 func newDiscoveryStub(t *testing.T, backends ...*backend) *discoveryStub {
+	t.Helper()
 	l := &discoveryStub{index: 1, changed: make(chan struct{}), muted: make(chan struct{}), listenAddress: "127.0.0.1:0"}
 	for _, b := range backends {
 		l.endpoints = append(l.endpoints, l.endpoint(b.name, b.address, "active"))
@@ -279,7 +290,7 @@
 	return l
 }
 
-// relayConfig is a configuration that names this discovery.
+// relayConfig returns a configuration that names this discovery.
 func (l *discoveryStub) relayConfig(sockets int) string {
 	known, _ := l.encode()
 	text, _ := json.Marshal(map[string]any{"name": "n0", "listen": l.listenAddress, "ops": l.adminAddress,
@@ -289,7 +300,7 @@
 	return string(text)
 }
 
-// startRelay starts a relay whose list has the backends given; sockets is its limit on descriptors.
+// startRelay starts a relay whose list has the backends; sockets is its limit on descriptors.
 func startRelay(t *testing.T, sockets int, backends ...*backend) *process {
 	t.Helper()
 	l := newDiscoveryStub(t, backends...)
@@ -301,8 +312,8 @@
 	return r
 }
 
-// startProcess starts the program on a configuration; with a file that it inherits as descriptor 3, and more of the
-// environment.
+// startProcess starts the program with a configuration. More is a file that it inherits as descriptor 3, or variables of
+// its environment.
 func startProcess(t *testing.T, config string, more ...any) *process {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -357,7 +368,7 @@
 	return want
 }
 
-// awaitLog waits for the log to say something.
+// awaitLog waits until the log matches, and returns the submatches.
 func (r *process) awaitLog(pattern string) []string {
 	r.t.Helper()
 	want := compile(pattern)
@@ -377,7 +388,7 @@
 	return newPeer(r.t, c)
 }
 
-// establish brings one link to stand, and gives both its sides.
+// establish establishes a session, and returns both its ends.
 func (r *process) establish(b *backend) (client, server *peer) {
 	r.t.Helper()
 	client = r.dial()
@@ -389,7 +400,7 @@
 	return client, server
 }
 
-// awaitExit waits for the program's end.
+// awaitExit waits for the program's end, and returns its exit code.
 func (r *process) awaitExit() int {
 	r.t.Helper()
 	select {
--- a/cmd/valeshift/main_test.go
+++ b/cmd/valeshift/main_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestOneLink(t *testing.T) {
+func TestOneSession(t *testing.T) {
 	b := newBackend(t, "b1")
 	r := startRelay(t, 0, b)
 	front := r.dial()
@@ -46,7 +46,7 @@
 	r.awaitLog(`msg=counters why=exit .*`)
 }
 
-func TestEndsGoOnInKind(t *testing.T) {
+func TestEndsAndResetsAreForwarded(t *testing.T) {
 	b := newBackend(t, "b1")
 	r := startRelay(t, 0, b)
 	for _, c := range []struct {
@@ -55,11 +55,11 @@
 		want string
 	}{
 		{"client ends", func(client, server *peer) string { client.Close(); return server.receive() }, "end"},
-		{"client breaks", func(client, server *peer) string { client.reset(); return server.receive() }, "reset"},
+		{"client resets", func(client, server *peer) string { client.reset(); return server.receive() }, "reset"},
 		{"backend ends", func(client, server *peer) string { server.Close(); return client.receive() }, "end"},
-		{"backend breaks", func(client, server *peer) string { server.reset(); return client.receive() }, "reset"},
-		// Against an end told for a reset that stands right behind a line.
-		{"backend breaks behind a line", func(client, server *peer) string {
+		{"backend resets", func(client, server *peer) string { server.reset(); return client.receive() }, "reset"},
+		// A reset right behind a line was once reported as an end.
+		{"backend resets behind a line", func(client, server *peer) string {
 			server.send("last")
 			server.reset()
 			first := client.receive()
@@ -76,12 +76,12 @@
 	}
 }
 
-func TestTriesOneAfterTheOther(t *testing.T) {
+func TestAttemptsOneAfterTheOther(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		act  func(*peer)
 	}{
-		{"turned down", func(p *peer) { p.send("BUSY") }},
+		{"rejected", func(p *peer) { p.send("BUSY") }},
 		{"error", func(p *peer) { p.send("ERR") }},
 		{"nonsense", func(p *peer) { p.send("WHAT") }},
 		{"over-long", func(p *peer) { p.send(strings.Repeat("x", 5000)) }},
@@ -101,7 +101,7 @@
 			case <-b2.requests:
 				p, next = <-b2.sessions, b1
 			case <-time.After(longWait):
-				require.Fail(t, "no try")
+				require.Fail(t, "no attempt")
 			}
 			c.act(p)
 			server, _ := next.awaitSession()
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestBadClients(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	b := newBackend(t, "b1")
 	r := startRelay(t, 0, b)
 	for _, line := range []string{"GET / HTTP/1.1", "OPEN 1 2 c=nothing,d=2000", "OPEN 1 2 c=feed,d=2000,d=3",
@@ -146,16 +146,16 @@
 	from = time.Now()
 	twin := r.dial()
 	twin.send("OPEN 1 2 c=feed,t=one,d=600")
-	assert.Equal(t, "ERR", twin.receive(), "the id of an open link")
+	assert.Equal(t, "ERR", twin.receive(), "the id of an open session")
 	assert.Regexp(t, `^BUSY`, client.receive(), "a backend that says nothing")
 	assert.Less(t, time.Since(from), 650*time.Millisecond)
 	assert.Equal(t, "end", server.receive())
-	assert.Empty(t, b.requests, "nothing else was sent on")
+	assert.Empty(t, b.requests, "nothing else was forwarded")
 	r.signal(syscall.SIGUSR1)
 	r.awaitLog(`"bad clients.no head"=2 "bad clients.half a head"=1 .*"bad clients.id in use"=1`)
 }
 
-// Against hundreds that connect and say nothing keeping the usual ones out.
+// Hundreds that connect and say nothing don't keep others out.
 func TestSilentClientsGiveWay(t *testing.T) {
 	b := newBackend(t, "b1")
 	r := startRelay(t, 80, b)
@@ -175,7 +175,7 @@
 	assert.Less(t, time.Since(from), 5*time.Second)
 }
 
-func TestPlannedStop(t *testing.T) {
+func TestGracefulShutdown(t *testing.T) {
 	b := newBackend(t, "b1")
 	r := startRelay(t, 0, b)
 	client, server := r.establish(b)
@@ -196,7 +196,7 @@
 	r.awaitLog(`answered.moved=2`)
 }
 
-func TestKilledAndStartedAgain(t *testing.T) {
+func TestRestartAfterAKill(t *testing.T) {
 	b := newBackend(t, "b1")
 	r := startRelay(t, 0, b)
 	client, server := r.establish(b)
@@ -213,7 +213,7 @@
 	again.establish(b)
 }
 
-func TestBackendLeaves(t *testing.T) {
+func TestDrainingBackendIsLeft(t *testing.T) {
 	b1, b2 := newBackend(t, "b1"), newBackend(t, "b2")
 	r := startRelay(t, 0, b1)
 	client, server := r.establish(b1)
@@ -262,8 +262,8 @@
 	r.awaitLog(`in.holds=[1-9]`)
 }
 
-// Against a reader that takes nothing in filling the relay's memory.
-func TestSlowReader(t *testing.T) {
+// A reader that takes nothing in doesn't fill the relay's memory.
+func TestSlowReaderIsCutOff(t *testing.T) {
 	b := newBackend(t, "b1")
 	r := startRelay(t, 0, b)
 	_, server := r.establish(b)
@@ -278,7 +278,7 @@
 	r.awaitLog(`"endings.slow reader"=1`)
 }
 
-// Against SIGHUP ending the program, a bad file taking anything away, and the former discovery being kept.
+// SIGHUP doesn't end the program, an invalid file takes nothing away, and the former discovery is not watched any more.
 func TestReload(t *testing.T) {
 	b1, b2 := newBackend(t, "b1"), newBackend(t, "b2")
 	r := startRelay(t, 0, b1)
@@ -315,7 +315,7 @@
 	b := newBackend(t, "b1")
 	r := startRelay(t, 0, b)
 	r.establish(b)
-	r.discovery.awaitWatch(t) // against a relay that finds it down from the start, and no watch to break
+	r.discovery.awaitWatch(t) // a relay that finds it down from the start has no watch that could break
 	r.discovery.setStatus(503)
 	r.discovery.setEndpoints("{") // ends the watch with broken JSON
 	r.awaitLog(`msg="watch failed" why="list: `)
@@ -340,7 +340,7 @@
 	}
 }
 
-func TestBadConfiguration(t *testing.T) {
+func TestInvalidConfiguration(t *testing.T) {
 	for text, field := range map[string]string{`{`: "config.json", `{"name":"n"}`: "listen",
 		`{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{}}`: "settings: "} {
 		r := startProcess(t, text)
@@ -349,9 +349,9 @@
 	}
 }
 
-// Operators are answered within their second while clients flood the relay and callers stall, the figures are
-// what the peers saw, and a drained relay empties itself and comes back.
-func TestOperatorsCalls(t *testing.T) {
+// The admin API answers within a second while clients flood the relay and callers stall, the metrics are what the peers
+// saw, and a relay drains and comes back into service.
+func TestAdminAPI(t *testing.T) {
 	b := newBackend(t, "b1")
 	l := newDiscoveryStub(t, b)
 	l.adminAddress = "127.0.0.1:0"
--- a/cmd/valeshift/upgrade_test.go
+++ b/cmd/valeshift/upgrade_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"bufio"
 	"encoding/json"
 	"fmt"
 	"net"
@@ -25,6 +26,7 @@
 }
 
 func newSharedSocket(t *testing.T, backends ...*backend) *sharedSocket {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	f, err := l.(*net.TCPListener).File()
@@ -39,7 +41,7 @@
 	return g
 }
 
-// startRelay starts one more process, and gives it with where operators call it.
+// startRelay starts one more process, and returns it with the address of its admin API.
 func (g *sharedSocket) startRelay() (*process, string) {
 	g.t.Helper()
 	r := startProcess(g.t, g.discovery.relayConfig(300), g.file, "RELAY_SOCKET_FD=3", "TMPDIR="+g.dir)
@@ -64,139 +66,174 @@
 	}, longWait, 10*time.Millisecond)
 }
 
-// One process after the other takes a steady stream of clients over: none of them is refused, left unread or
-// cut off without a word, and no link has two tries out.
-func TestProcessReplaced(t *testing.T) {
-	b1, b2 := newBackend(t, "b1"), newBackend(t, "b2")
-	g := newSharedSocket(t, b1, b2)
-	var mutex sync.Mutex
-	tries, twice := map[string]int{}, atomic.Int64{}
-	for _, b := range []*backend{b1, b2} {
+// attemptCounter counts the attempts that backends see of each session.
+type attemptCounter struct {
+	mutex    sync.Mutex
+	byID     map[string]int
+	repeated int // attempts beyond a session's first
+}
+
+func (a *attemptCounter) count(id string) {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	a.byID[id]++
+	if a.byID[id] > 1 {
+		a.repeated++
+	}
+}
+
+// echo establishes each session that comes, and echoes its lines until the client has left.
+func (b *backend) echo(attempts *attemptCounter) {
+	for request := range b.requests {
+		p := <-b.sessions
+		attempts.count(strings.Fields(request)[1])
 		go func() {
-			for head := range b.requests {
-				p, id := <-b.sessions, strings.Fields(head)[1]
-				mutex.Lock()
-				if tries[id]++; tries[id] > 1 {
-					twice.Add(1)
+			defer p.Close()
+			p.Write([]byte("UP r\r\n"))
+			for {
+				line, err := p.reader.ReadString('\n')
+				if err != nil {
+					return
 				}
-				mutex.Unlock()
-				go func() { // echoes until its client is gone
-					p.Write([]byte("UP r\r\n"))
-					for line, err := p.reader.ReadString('\n'); err == nil; line, err = p.reader.ReadString('\n') {
-						p.Write([]byte(line))
-					}
-					p.Close()
-				}()
+				p.Write([]byte(line))
 			}
 		}()
 	}
-	r, address := g.startRelay()
-	awaitReady(t, address)
-	stop := make(chan struct{})
-	var clients sync.WaitGroup
-	var served, moved atomic.Int64
-	wrong := make(chan string, 10000)
-	for k := range 12 {
-		clients.Go(func() {
-			for n := 0; ; n++ {
-				select {
-				case <-stop:
-					return
-				case <-time.After(time.Duration(5*k) * time.Millisecond):
-				}
-				what := runClient(g.discovery.listenAddress, fmt.Sprintf("%d.%d", k, n), stop, k%3 == 0)
-				switch {
-				case strings.HasSuffix(what, "UP MOVE"):
-					moved.Add(1)
-				case what != "UP":
-					wrong <- what
-				}
-				served.Add(1)
-			}
-		})
+}
+
+// steadyClients are clients that come and go until they are stopped.
+type steadyClients struct {
+	address    string
+	stop       chan struct{}
+	goroutines sync.WaitGroup
+	served     atomic.Int64
+	moved      atomic.Int64 // among those served
+	failures   chan string
+}
+
+func startSteadyClients(address string) *steadyClients {
+	const lanes = 12
+	c := &steadyClients{address: address, stop: make(chan struct{}), failures: make(chan string, 10000)}
+	for lane := range lanes {
+		c.goroutines.Go(func() { c.run(lane) })
+	}
+	return c
+}
+
+// run runs one client after the other, with a pause before each. Every third lane's clients stay.
+func (c *steadyClients) run(lane int) {
+	for n := 0; ; n++ {
+		select {
+		case <-c.stop:
+			return
+		case <-time.After(time.Duration(5*lane) * time.Millisecond):
+		}
+		seen := runClient(c.address, fmt.Sprintf("%d.%d", lane, n), c.stop, lane%3 == 0)
+		switch {
+		case strings.HasSuffix(seen, "UP MOVE"):
+			c.moved.Add(1)
+		case seen != "UP":
+			c.failures <- seen
+		}
+		c.served.Add(1)
 	}
+}
+
+// end stops the clients, and returns what failed.
+func (c *steadyClients) end() []string {
+	close(c.stop)
+	c.goroutines.Wait()
+	close(c.failures)
+	var failures []string
+	for failure := range c.failures {
+		failures = append(failures, failure)
+	}
+	return failures
+}
+
+// One process after the other takes a steady stream of clients over: none of them is rejected, left unread or cut off
+// without notice, and no session has two attempts.
+func TestProcessReplaced(t *testing.T) {
+	b1, b2 := newBackend(t, "b1"), newBackend(t, "b2")
+	g := newSharedSocket(t, b1, b2)
+	attempts := &attemptCounter{byID: map[string]int{}}
+	go b1.echo(attempts)
+	go b2.echo(attempts)
+	parent, address := g.startRelay()
+	awaitReady(t, address)
+	clients := startSteadyClients(g.discovery.listenAddress)
 	for range 3 {
 		time.Sleep(shortWait)
-		next, at := g.startRelay()
-		awaitReady(t, at)
-		r.signal(syscall.SIGTERM)
-		assert.Zero(t, r.awaitExit(), r.log())
-		r.awaitLog(`msg=stopping "for a child process"=true`)
-		next.awaitLog(`msg="restored the handoff of the parent process"`)
-		next.awaitLog(`msg="parent process" alive=false`)
-		r = next
+		child, address := g.startRelay()
+		awaitReady(t, address)
+		parent.signal(syscall.SIGTERM)
+		assert.Zero(t, parent.awaitExit(), parent.log())
+		parent.awaitLog(`msg=stopping "for a child process"=true`)
+		child.awaitLog(`msg="restored the handoff of the parent process"`)
+		child.awaitLog(`msg="parent process" alive=false`)
+		parent = child
 	}
 	time.Sleep(shortWait)
-	close(stop)
-	clients.Wait()
-	close(wrong)
-	for what := range wrong {
-		assert.Fail(t, what)
+	for _, failure := range clients.end() {
+		assert.Fail(t, failure)
 	}
-	assert.Zero(t, twice.Load(), "ids seen twice")
-	assert.Greater(t, served.Load(), int64(100))
-	t.Logf("%d clients served, %d of them moved", served.Load(), moved.Load())
+	attempts.mutex.Lock()
+	defer attempts.mutex.Unlock()
+	assert.Zero(t, attempts.repeated, "ids seen twice")
+	assert.Greater(t, clients.served.Load(), int64(100))
+	t.Logf("%d clients served, %d of them moved", clients.served.Load(), clients.moved.Load())
 }
 
-// runClient opens a link, says some lines and leaves; those that stay do until they are moved or it is over. It
-// tells what it saw.
+// runClient opens a session, sends some lines and leaves; one that stays does so until it is moved or stopped. It returns
+// what it saw.
 func runClient(address, id string, stop <-chan struct{}, stays bool) string {
-	c, err := net.Dial("tcp", address)
+	const lines = 4
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return "dial " + err.Error()
 	}
-	defer c.Close()
-	p := &peer{TCPConn: c.(*net.TCPConn)}
-	c.SetDeadline(time.Now().Add(5 * time.Second))
-	fmt.Fprintf(c, "OPEN x%s 7f3a c=feed,t=one,d=2000\r\n", id)
-	said := ""
-	buffer := make([]byte, 0, 100)
-	next := func() string {
-		for {
-			if line, rest, found := strings.Cut(string(buffer), "\r\n"); found {
-				buffer = []byte(rest)
-				return line
-			}
-			piece := make([]byte, 100)
-			n, err := p.Read(piece)
-			if err != nil {
-				return err.Error()
-			}
-			buffer = append(buffer, piece[:n]...)
+	defer conn.Close()
+	reader := bufio.NewReader(conn)
+	receive := func() string {
+		line, err := reader.ReadString('\n')
+		if err != nil {
+			return err.Error()
 		}
+		return strings.TrimSuffix(line, "\r\n")
 	}
-	if line := next(); line != "UP r" {
+	conn.SetDeadline(time.Now().Add(5 * time.Second))
+	fmt.Fprintf(conn, "OPEN x%s 7f3a c=feed,t=one,d=2000\r\n", id)
+	if line := receive(); line != "UP r" {
 		return "first: " + line
 	}
-	said = "UP"
-	for n := 0; stays || n < 4; n++ {
+	for n := 0; stays || n < lines; n++ {
 		select {
 		case <-stop:
-			return said
+			return "UP"
 		default:
 		}
-		c.SetDeadline(time.Now().Add(5 * time.Second))
+		conn.SetDeadline(time.Now().Add(5 * time.Second))
 		want := fmt.Sprint("line ", n)
-		if _, err := fmt.Fprintf(c, "%s\r\n", want); err != nil {
-			if line := next(); line == "MOVE" {
-				return said + " MOVE"
+		if _, err := fmt.Fprintf(conn, "%s\r\n", want); err != nil {
+			if line := receive(); line == "MOVE" {
+				return "UP MOVE"
 			}
-			return said + " " + err.Error()
+			return "UP " + err.Error()
 		}
-		switch line := next(); line {
+		switch line := receive(); line {
 		case want:
 		case "MOVE":
-			return said + " MOVE"
+			return "UP MOVE"
 		default:
-			return said + " then " + line
+			return "UP then " + line
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return said
+	return "UP"
 }
 
-// What can't be used is named, and nothing starts; what the elder left and can't be read is passed over.
-func TestSocketThatIsNone(t *testing.T) {
+// A socket that can't be used is named, and nothing starts; a handoff of the parent that can't be read is ignored.
+func TestInvalidSocketOrHandoff(t *testing.T) {
 	l := newDiscoveryStub(t)
 	for value, want := range map[string]string{"x": "RELAY_SOCKET_FD: a descriptor from 3 on",
 		"1":  "RELAY_SOCKET_FD: a d",
@@ -217,7 +254,7 @@
 	next, at := g.startRelay()
 	next.awaitLog(`level=WARN msg="starting without the parent's state" err="parse handoff: version 1 expected, got 99"`)
 	awaitReady(t, at)
-	next.signal(syscall.SIGKILL) // the younger dies: the elder goes on, and its stop is a plain one
+	next.signal(syscall.SIGKILL) // the child dies: the parent goes on, and its shutdown is a plain one
 	next.awaitExit()
 	first.awaitLog(`msg="child process" alive=false`)
 	first.establish(b)
@@ -226,9 +263,9 @@
 	assert.Zero(t, first.awaitExit())
 }
 
-// A standing link goes on at the younger process, half a line and all, and the elder's end is nothing to it;
-// where the younger can't be reached, it is moved.
-func TestStandingLinkHandedOver(t *testing.T) {
+// An established session goes on at the child process, half a line and all, and the parent's end is nothing to it; where
+// the child can't be reached, it is moved.
+func TestEstablishedSessionIsTransferred(t *testing.T) {
 	b := newBackend(t, "b1")
 	g := newSharedSocket(t, b)
 	r, at := g.startRelay()
