--- a/internal/relay/transfer.go
+++ b/internal/relay/transfer.go
@@ -38,40 +38,40 @@
 // transferSession sends one session to the child, and tells the state machine whether it is there. The reads of both
 // sockets are locked from before the state machine gives the session up until that is known, so that this process reads
 // no bytes that belong to the other.
-func (s *driver) transferSession(clientConn, backendConn uint64) {
-	p := &s.transfers
+func (d *driver) transferSession(clientConn, backendConn uint64) {
+	p := &d.transfers
 	defer p.pending.Done()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	s.mutex.Lock()
-	both, child := sessionSockets{s.sockets[clientConn], s.sockets[backendConn]}, s.handoffChild
-	s.mutex.Unlock()
-	if both[0] == nil || both[1] == nil || !s.openTransferChannel(child) {
+	d.mutex.Lock()
+	both, child := sessionSockets{d.sockets[clientConn], d.sockets[backendConn]}, d.handoffChild
+	d.mutex.Unlock()
+	if both[0] == nil || both[1] == nil || !d.openTransferChannel(child) {
 		return
 	}
 	for _, c := range both {
 		c.readMutex.Lock()
 		defer c.readMutex.Unlock()
 	}
-	session, descriptors := s.detachSession(clientConn, both)
+	session, descriptors := d.detachSession(clientConn, both)
 	if session == nil {
 		return
 	}
-	accepted := s.sendSession(session, descriptors)
-	s.settleTransfer(both, accepted)
-	s.handle(SessionTransferred{Conn: clientConn, Accepted: accepted})
+	accepted := d.sendSession(session, descriptors)
+	d.settleTransfer(both, accepted)
+	d.handle(SessionTransferred{Conn: clientConn, Accepted: accepted})
 	if accepted {
-		s.releaseTransferred(both)
+		d.releaseTransferred(both)
 	}
 }
 
 // openTransferChannel opens the channel to the child where there is none, and tells whether it is open.
-func (s *driver) openTransferChannel(child int) bool {
-	p := &s.transfers
+func (d *driver) openTransferChannel(child int) bool {
+	p := &d.transfers
 	if p.channel == nil && !p.closed {
 		var err error
-		if p.channel, err = s.slot.OpenChannel(child); err != nil {
-			s.log.Warn("can't open a channel to the child process", "err", err)
+		if p.channel, err = d.slot.OpenChannel(child); err != nil {
+			d.log.Warn("no channel to the child process", "err", err)
 			p.closed = true
 		}
 	}
@@ -81,29 +81,29 @@
 // detachSession has the state machine give the session up, and takes its sockets out of the poller, with descriptors of
 // their own to be sent; nil: the session stays. All is done under the relay's lock, so that no descriptor's number can
 // come to another connection meanwhile.
-func (s *driver) detachSession(clientConn uint64, both sessionSockets) (*TransferredSession, transferDescriptors) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+func (d *driver) detachSession(clientConn uint64, both sessionSockets) (*TransferredSession, transferDescriptors) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	for _, c := range both {
 		if c.unsent.Load() > 0 || c.closing.Load() || isClosed(c.nbConn) {
 			return nil, transferDescriptors{}
 		}
 	}
-	s.detached = nil
-	s.handleLocked(DetachRequested{Conn: clientConn})
-	session := s.detached
+	d.detached = nil
+	d.handleLocked(DetachRequested{Conn: clientConn})
+	session := d.detached
 	if session == nil {
 		return nil, transferDescriptors{}
 	}
-	descriptors, err := s.duplicate(both)
+	descriptors, err := d.duplicate(both)
 	if err == nil {
 		return session, descriptors
 	}
 	descriptors.close()
 	for _, c := range both {
-		s.resumePolling(c)
+		d.resumePolling(c)
 	}
-	s.handleLocked(SessionTransferred{Conn: clientConn})
+	d.handleLocked(SessionTransferred{Conn: clientConn})
 	return nil, transferDescriptors{}
 }
 
@@ -111,10 +111,10 @@
 
 // duplicate takes the sockets out of the poller and duplicates their descriptors. What it has duplicated before an error
 // is the caller's to close.
-func (s *driver) duplicate(both sessionSockets) (transferDescriptors, error) {
+func (d *driver) duplicate(both sessionSockets) (transferDescriptors, error) {
 	descriptors := transferDescriptors{-1, -1}
 	for i, c := range both {
-		if err := s.stopPolling(c.nbConn.Hash()); err != nil {
+		if err := d.stopPolling(c.nbConn.Hash()); err != nil {
 			return descriptors, fmt.Errorf("stop polling: %w", err)
 		}
 		duplicate, err := syscall.Dup(c.nbConn.Hash())
@@ -139,8 +139,8 @@
 
 // sendSession sends a detached session, closes the descriptors, and tells whether the child has accepted it. After an
 // error other than the child's refusal the channel is not used again.
-func (s *driver) sendSession(session *TransferredSession, descriptors transferDescriptors) bool {
-	p := &s.transfers
+func (d *driver) sendSession(session *TransferredSession, descriptors transferDescriptors) bool {
+	p := &d.transfers
 	text, err := json.Marshal(session)
 	accepted := false
 	if err == nil {
@@ -148,7 +148,7 @@
 	}
 	descriptors.close()
 	if err != nil && !errors.Is(err, hotrestart.ErrRejected) {
-		s.log.Warn("can't transfer a session", "err", err)
+		d.log.Warn("can't send a session", "err", err)
 		p.channel.Close()
 		p.closed = true
 	}
@@ -156,27 +156,27 @@
 }
 
 // settleTransfer forgets the sockets of a session that the child has, or goes on with those of one that stays.
-func (s *driver) settleTransfer(both sessionSockets, accepted bool) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+func (d *driver) settleTransfer(both sessionSockets, accepted bool) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	for _, c := range both {
 		if accepted {
 			c.transferred = true
-			delete(s.sockets, c.conn)
+			delete(d.sockets, c.conn)
 		} else {
-			s.resumePolling(c)
+			d.resumePolling(c)
 		}
 	}
 }
 
 // releaseTransferred closes this process's descriptors of a session that the child has, and tells the child so. The
 // child's own descriptors keep the connections up.
-func (s *driver) releaseTransferred(both sessionSockets) {
+func (d *driver) releaseTransferred(both sessionSockets) {
 	for _, c := range both {
 		c.nbConn.Close()
 	}
-	if err := s.transfers.channel.ConfirmRelease(); err != nil && !s.transfers.closed {
-		s.log.Warn("can't confirm the release of a session", "err", err)
+	if err := d.transfers.channel.ConfirmRelease(); err != nil && !d.transfers.closed {
+		d.log.Warn("can't confirm the release of a session", "err", err)
 	}
 }
 
@@ -188,16 +188,16 @@
 }
 
 // resumePolling has the poller read the connection as before.
-func (s *driver) resumePolling(c *socket) {
+func (d *driver) resumePolling(c *socket) {
 	if !isClosed(c.nbConn) {
-		s.engine.AddConn(c.nbConn)
+		d.engine.AddConn(c.nbConn)
 	}
 }
 
 // stopPolling takes a descriptor out of the poller's epoll set. nbio 1.6.8 leaves that to the kernel, which does so only
 // once no process holds the connection; and it tells nobody its set, which is found as the one that has the descriptor.
-func (s *driver) stopPolling(descriptor int) error {
-	p := &s.transfers
+func (d *driver) stopPolling(descriptor int) error {
+	p := &d.transfers
 	if p.epoll > 0 {
 		return syscall.EpollCtl(p.epoll, syscall.EPOLL_CTL_DEL, descriptor, nil)
 	}
@@ -212,7 +212,7 @@
 
 // receiveSession takes over a session that the parent sends, and tells whether it did. Where the parent confirms that it
 // has let go of its descriptors, nothing is read or written before the returned function is called.
-func (s *driver) receiveSession(text []byte, files [hotrestart.FilesPerSession]*os.File) (accepted bool, released func()) {
+func (d *driver) receiveSession(text []byte, files [hotrestart.FilesPerSession]*os.File) (accepted bool, released func()) {
 	session := &TransferredSession{}
 	if json.Unmarshal(text, session) != nil {
 		return false, nil
@@ -221,32 +221,32 @@
 	if err != nil {
 		return false, nil
 	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.lastClientConn++
-	clientConn := s.lastClientConn
-	s.acceptedBackendConn = 0
-	s.handleLocked(SessionReceived{Conn: clientConn, Session: session})
-	if s.acceptedBackendConn == 0 {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.lastClientConn++
+	clientConn := d.lastClientConn
+	d.acceptedBackendConn = 0
+	d.handleLocked(SessionReceived{Conn: clientConn, Session: session})
+	if d.acceptedBackendConn == 0 {
 		for _, nbConn := range nbConns {
 			nbConn.Close()
 		}
 		return false, nil
 	}
 	var both sessionSockets
-	for i, conn := range [...]uint64{clientConn, s.acceptedBackendConn} {
+	for i, conn := range [...]uint64{clientConn, d.acceptedBackendConn} {
 		both[i] = &socket{conn: conn, nbConn: nbConns[i], awaitsRelease: true}
 		nbConns[i].SetSession(both[i])
-		s.sockets[conn] = both[i]
+		d.sockets[conn] = both[i]
 	}
 	if !session.ConfirmsRelease {
-		s.startPolling(both)
+		d.startPolling(both)
 		return true, nil
 	}
 	return true, func() {
-		s.mutex.Lock()
-		defer s.mutex.Unlock()
-		s.startPolling(both)
+		d.mutex.Lock()
+		defer d.mutex.Unlock()
+		d.startPolling(both)
 	}
 }
 
@@ -269,14 +269,14 @@
 
 // startPolling begins to read the sockets of a received session, and writes what is to be written by now. The lock is
 // held.
-func (s *driver) startPolling(both sessionSockets) {
+func (d *driver) startPolling(both sessionSockets) {
 	for _, c := range both {
 		c.awaitsRelease = false
-		if s.sockets[c.conn] != c {
+		if d.sockets[c.conn] != c {
 			continue
 		}
-		if _, err := s.engine.AddConn(c.nbConn); err != nil {
-			s.workers.run(func() { s.handle(ConnClosed{Conn: c.conn, Reset: true}) })
+		if _, err := d.engine.AddConn(c.nbConn); err != nil {
+			d.workers.run(func() { d.handle(ConnClosed{Conn: c.conn, Reset: true}) })
 			continue
 		}
 		c.polled = true
--- /dev/null
+++ b/internal/testbed/live/fleet.go
@@ -0,0 +1,118 @@
+package live
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+
+	"valeshift/internal/testbed/experiment"
+	"valeshift/internal/testbed/netem"
+)
+
+// fleetKey is the key that all relays of a run share.
+const fleetKey = "the key of the lab's fleet"
+
+// configureFleet writes each relay's operators' file, where the experiment has relays know of each other, have
+// disks or be told the age of load reports. A folder is a relay's disk; a proxy stands between each two relays.
+func (r *Run) configureFleet() error {
+	relays := r.experiment.Relays
+	if !relays.Membership && !relays.Disk && !relays.AnnouncesReportAge {
+		return nil
+	}
+	keyFile := filepath.Join(r.dir, "key")
+	if err := os.WriteFile(keyFile, []byte(fleetKey), 0o600); err != nil {
+		return err
+	}
+	addresses := make([]string, len(r.relays))
+	for i := range r.relays {
+		address, err := r.freeAddress(i)
+		if err != nil {
+			return err
+		}
+		addresses[i] = address
+	}
+	voters, err := r.configureCoordinators()
+	if err != nil {
+		return err
+	}
+	for i := range r.relays {
+		if err := r.configureRelay(i, keyFile, addresses, voters); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// configureRelay writes one relay's operators' file. Addresses are where the relays listen for each other, by
+// number; voters, where each reaches the coordinators.
+func (r *Run) configureRelay(i int, keyFile string, addresses []string, voters [][]string) error {
+	relays := r.experiment.Relays
+	text := fmt.Sprintf("[log]\nlevel = \"info\"\n[servers]\nreport-age = \"%.0fms\"\n", r.experiment.MaxReportAge())
+	if relays.Membership {
+		seeds, err := r.proxiesToOthers(i, addresses)
+		if err != nil {
+			return err
+		}
+		zone := experiment.Zone(i % r.experiment.Fleet.Zones)
+		text += fmt.Sprintf("[peers]\nlisten = %q\nkey-file = %q\nzone = %q\nseeds = [%s]\nseeds-only = true\n",
+			addresses[i], keyFile, zone, strings.Join(seeds, ", "))
+	}
+	if relays.Coordinators > 0 {
+		text += fmt.Sprintf("[council]\nvoters = [%s]\n", strings.Join(voters[i], ", "))
+	}
+	if relays.Replicas > 0 {
+		text += fmt.Sprintf("[holdings]\ncopies = %d\nremember = \"%.0fms\"\nstood = %t\n", relays.Replicas,
+			float64(relays.MarkerRetention), relays.ReplicatesAffinity)
+	}
+	p := r.relays[i]
+	if relays.Disk {
+		p.diskFolder = filepath.Join(r.dir, fmt.Sprintf("disk-%d", i))
+		if err := os.MkdirAll(p.diskFolder, 0o700); err != nil {
+			return err
+		}
+		text += fmt.Sprintf("[disk]\nfolder = %q\n", p.diskFolder)
+	}
+	p.operatorFile = filepath.Join(r.dir, fmt.Sprintf("operator-%d.toml", i))
+	return os.WriteFile(p.operatorFile, []byte(text), 0o600)
+}
+
+// proxiesToOthers starts a proxy from a relay to each other one, and returns their quoted addresses.
+func (r *Run) proxiesToOthers(from int, addresses []string) ([]string, error) {
+	var seeds []string
+	for to, address := range addresses {
+		if to == from {
+			continue
+		}
+		rng := r.experiment.Rand("way", 1000*(from+1)+to)
+		proxy, err := netem.New(r.proxyHostAddress(from), address, rng)
+		if err != nil {
+			return nil, err
+		}
+		context.AfterFunc(r.ctx, proxy.Close)
+		pair := [2]int{from, to}
+		r.proxies[pair] = append(r.proxies[pair], proxy)
+		seeds = append(seeds, fmt.Sprintf("%q", proxy.Address))
+	}
+	return seeds, nil
+}
+
+// fleetStatuses returns what each relay that is alive answers to GET /_fleet, by its number.
+func (r *Run) fleetStatuses() map[int][]byte {
+	statuses := map[int][]byte{}
+	for _, p := range r.relays {
+		if !p.alive || p.operatorFile == "" {
+			continue
+		}
+		answer, err := http.Get("http://" + p.adminAddress + "/_fleet")
+		if err != nil {
+			continue
+		}
+		statuses[p.number], _ = io.ReadAll(answer.Body) // a status cut short is reported as it is
+		answer.Body.Close()
+	}
+	return statuses
+}
