--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -75,7 +75,6 @@
 			AgeMillis:          m.AgeMillis,
 			Phase:              recovery.Phase(m.Phase),
 			RejectedLastSecond: m.WaitingClients,
-			Sessions:           m.Sessions,
 			Unreachable:        c.membership.Address(m) == "",
 		})
 	}
--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -61,7 +61,6 @@
 	AgeMillis          float64 // since its start
 	Phase              Phase
 	RejectedLastSecond uint32
-	Sessions           uint32
 	Unreachable        bool // it is known of, and can't be queried yet
 }
 
--- a/internal/testbed/sim/fleet.go
+++ b/internal/testbed/sim/fleet.go
@@ -47,7 +47,7 @@
 	if !relays.Membership && !relays.Disk {
 		return
 	}
-	rng := s.x.Rand("mates", number*1000+s.lives[number])
+	rng := s.x.Rand("mates", number*1000+s.lives[number]) // the label is part of the seed: runs repeat by it
 	own := membership.MemberState{Name: fmt.Sprintf("relay-%d", number),
 		Zone: experiment.Zone(number % s.x.Fleet.Zones), Incarnation: rng.Uint64()}
 	var seeds []string
