--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -70,7 +70,7 @@
 		}, func(t *testing.T, text []byte) {
 			var o storedOrder
 			require.NoError(t, json.Unmarshal(text, &o))
-			assert.Equal(t, storedOrder{Number: 7, Lame: true}, o)
+			assert.Equal(t, storedOrder{Number: 7, Draining: true}, o)
 		}},
 		{"knowledge.json", func(t *testing.T) []byte {
 			record := newLoneCore().RecordSnapshot(now, fullSnapshot())
--- a/internal/fleet/orders.go
+++ b/internal/fleet/orders.go
@@ -16,8 +16,8 @@
 
 // storedOrder is an order as it is stored on the disk and replicated at other relays.
 type storedOrder struct {
-	Number uint64 `json:"Number"`
-	Lame   bool   `json:"Lame"`
+	Number   uint64 `json:"Number"`
+	Draining bool   `json:"Lame"`
 }
 
 // SetDraining takes an operator's order, which is in effect at once, and returns its record: the order may be
@@ -71,11 +71,11 @@
 	if err := json.Unmarshal(record.Body, &order); err != nil || order.Number < c.orderNumber {
 		return nil
 	}
-	return c.applyOrder(order.Number, order.Lame)
+	return c.applyOrder(order.Number, order.Draining)
 }
 
 // orderRecord is the record of the order in effect.
 func (c *Core) orderRecord(now float64) store.Record {
-	body, _ := json.Marshal(storedOrder{Number: c.orderNumber, Lame: c.draining}) // plain values: no error
+	body, _ := json.Marshal(storedOrder{Number: c.orderNumber, Draining: c.draining}) // plain values: no error
 	return store.Record{Kind: store.KindOrder, Boot: c.boot, UnixMillis: now, Body: body}
 }
--- a/internal/fleet/replicated_order.go
+++ b/internal/fleet/replicated_order.go
@@ -119,7 +119,7 @@
 	}
 	var order storedOrder
 	if json.Unmarshal(outcome.Record.Body, &order) == nil { // later than this relay's, where its disk has lost one
-		actions = append(actions, c.adoptOrder(now, order.Number, order.Lame)...)
+		actions = append(actions, c.adoptOrder(now, order.Number, order.Draining)...)
 	}
 	if outcome.Record.Owner == c.membership.LocalState().Name && outcome.Record.Version == c.orderNumber {
 		c.replication.order.setReplicated(outcome.Record)
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -54,20 +54,20 @@
 	s.Capacity = c.estimateCapacity(now, s)
 }
 
-// neverConfirmed is a queryAnswer's ToldAgo where discovery hasn't confirmed the endpoints in this life.
+// neverConfirmed is a queryAnswer's ConfirmedAgoMillis where discovery hasn't confirmed the endpoints in this life.
 const neverConfirmed = -1.0
 
 // queryAnswer is what a relay answers another that queries it.
 type queryAnswer struct {
-	Kept    *relay.Snapshot `json:"Kept"`
-	ToldAgo float64         `json:"ToldAgo"` // ms since discovery confirmed the endpoints
+	Snapshot           *relay.Snapshot `json:"Kept"`
+	ConfirmedAgoMillis float64         `json:"ToldAgo"` // since discovery confirmed the endpoints
 }
 
 // AnswerQuery returns the answer to another relay's query, from the relay's snapshot as of now.
 func (c *Core) AnswerQuery(now float64, s *relay.Snapshot) []byte {
-	answer := queryAnswer{Kept: s, ToldAgo: neverConfirmed}
+	answer := queryAnswer{Snapshot: s, ConfirmedAgoMillis: neverConfirmed}
 	if s.Endpoints != nil {
-		answer.ToldAgo = max(now-s.ConfirmedAt, 0)
+		answer.ConfirmedAgoMillis = max(now-s.ConfirmedAt, 0)
 	} else {
 		s.Endpoints = c.snapshots.last.Endpoints
 	}
@@ -94,17 +94,17 @@
 func parseAnswer(name string, text []byte) (recovery.Source, error) {
 	source := recovery.Source{Name: name}
 	var answer struct {
-		Kept    json.RawMessage `json:"Kept"`
-		ToldAgo float64         `json:"ToldAgo"`
+		Snapshot           json.RawMessage `json:"Kept"`
+		ConfirmedAgoMillis float64         `json:"ToldAgo"`
 	}
 	if err := json.Unmarshal(text, &answer); err != nil {
 		return source, err
 	}
-	snapshot, err := relay.ParseSnapshot(answer.Kept)
+	snapshot, err := relay.ParseSnapshot(answer.Snapshot)
 	if err != nil {
 		return source, err
 	}
 	source.Snapshot = snapshot
-	source.ConfirmedAgoMillis = answer.ToldAgo
+	source.ConfirmedAgoMillis = answer.ConfirmedAgoMillis
 	return source, nil
 }
