--- a/internal/testbed/sim/fleet.go
+++ b/internal/testbed/sim/fleet.go
@@ -47,6 +47,7 @@
 	if !relays.Membership && !relays.Disk {
 		return
 	}
+	// The label is part of the seed: runs repeat by it.
 	rng := s.experiment.Rand("mates", number*1000+s.machines[number].starts)
 	own := membership.MemberState{Name: fmt.Sprintf("relay-%d", number),
 		Zone: experiment.Zone(number % s.experiment.Fleet.Zones), Incarnation: rng.Uint64()}
