--- a/internal/relay/attempts.go
+++ b/internal/relay/attempts.go
@@ -143,18 +143,18 @@
 // handleAnswer handles one line of a backend's answer.
 func (m *StateMachine) handleAnswer(session *session, line []byte) {
 	verb, report := protocol.CutVerb(line)
-	if m.rules.reportsInAnswers && (string(verb) == "ERR" || string(verb) == "BUSY") {
+	if m.rules.reportsInAnswers && (string(verb) == verbErr || string(verb) == verbBusy) {
 		m.recordReport(session.backendConn.backend, report)
 	}
 	switch string(verb) {
-	case "UP":
+	case verbUp:
 		m.establish(session, line)
-	case "LOAD":
-	case "BUSY":
+	case verbLoad:
+	case verbBusy:
 		m.finishAttempt(session, BackendBusy)
-	case "ERR":
+	case verbErr:
 		m.finishAttempt(session, BackendError)
-	case "MOVE":
+	case verbMove:
 		m.finishAttempt(session, BackendMovedClient)
 	default:
 		m.finishAttempt(session, MalformedAnswer)
--- a/internal/relay/established.go
+++ b/internal/relay/established.go
@@ -127,16 +127,16 @@
 func (m *StateMachine) inspectLine(session *session, line []byte) {
 	verb, rest := protocol.CutVerb(line)
 	switch string(verb) {
-	case "LOAD":
+	case verbLoad:
 		if load, ok := protocol.ParseLoad(rest); ok {
 			m.balancer().LoadMeasured(&session.Entry.Session, load)
 		}
-	case "BYE":
+	case verbBye:
 		if m.rules.reportsInAnswers {
 			m.recordReport(session.backendConn.backend, rest)
 		}
 		m.announceEnd(session, BackendFinished)
-	case "MOVE":
+	case verbMove:
 		m.announceEnd(session, BackendMovedClient)
 	}
 }
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -13,6 +13,7 @@
 	"valeshift/internal/settings"
 )
 
+// baseSettings are the settings that tests start from.
 const baseSettings = `{"replicas-of-me": 1, "zone": 0, "localities": ["hall"], "discovery": "automatic",
 	"never-heard-of": {"x": [1]},
 	"categories": [
@@ -24,24 +25,27 @@
 	"limits": {"probes": false, "retry-after": true, "max-retry-after-ms": 900, "most-setup-tries": 3,
 		"connect-timeout-ms": 250, "may-cancel": true}}`
 
-// harness is a state machine that is told of events, and tells of effects, in words. Connections of clients are 1, 2
-// ..., those of the relay s1, s2 ...; | stands for CRLF.
+// harness is a state machine whose events and effects are written in words. Clients' connections are 1, 2 ..., those of
+// the relay s1, s2 ...; | stands for CRLF.
 type harness struct {
 	*StateMachine
 	t    *testing.T
 	logs []string
 
-	detached      *TransferredSession // that was told last
-	sentEndpoints *EndpointUpdate     // to the other process, last
+	detached      *TransferredSession // of the last SessionDetached
+	sentEndpoints *EndpointUpdate     // of the last SendEndpoints
 }
 
+// newHarness is a relay with these backends, see parseEndpoints, on the settings as change makes them. sockets limits its
+// descriptors; 0: not.
 func newHarness(t *testing.T, change func(text string) string, sockets int, backends ...string) *harness {
 	t.Helper()
 	return newHarnessWith(t, change, &Config{Seed: 5, MaxSockets: sockets, Discovery: "10.1.0.1:85",
 		InitialEndpoints: &EndpointUpdate{Complete: true, Endpoints: parseEndpoints(backends)}})
 }
 
-func newHarnessWith(t *testing.T, change func(text string) string, what *Config) *harness {
+// newHarnessWith is a relay with this configuration, on the settings as change makes them.
+func newHarnessWith(t *testing.T, change func(text string) string, config *Config) *harness {
 	t.Helper()
 	text := baseSettings
 	if change != nil {
@@ -50,10 +54,10 @@
 	}
 	values, err := settings.Flatten([]byte(text))
 	require.NoError(t, err)
-	what.Settings = values
-	r, err := New(0, what)
+	config.Settings = values
+	machine, err := New(0, config)
 	require.NoError(t, err)
-	s := &harness{StateMachine: r, t: t}
+	s := &harness{StateMachine: machine, t: t}
 	s.handle(0, "tick")
 	return s
 }
@@ -76,7 +80,9 @@
 	return list
 }
 
+// conn is the number of a connection.
 func (s *harness) conn(word string) uint64 {
+	s.t.Helper()
 	n, err := strconv.ParseUint(strings.TrimPrefix(word, "s"), 10, 64)
 	require.NoError(s.t, err, word)
 	if word[0] == 's' {
@@ -85,73 +91,98 @@
 	return n
 }
 
-// handle gives the state machine one event and returns what it asks for, less timers.
+// handle gives the state machine one event, in words, and returns the effects, less timers and log lines.
 func (s *harness) handle(now float64, event string) string {
-	word := strings.SplitN(event, " ", 3)
-	var e Event
-	switch word[0] {
-	case "open":
-		e = ConnAccepted{Conn: s.conn(word[1])}
-	case "up":
-		e = ConnEstablished{Conn: s.conn(word[1])}
-	case "came":
-		e = DataReceived{Conn: s.conn(word[1]), Data: []byte(strings.ReplaceAll(word[2], "|", "\r\n"))}
-	case "end", "reset", "cut":
-		e = ConnClosed{Conn: s.conn(word[1]), Reset: word[0] != "end", Unsent: word[0] == "cut"}
-	case "news":
-		f := strings.Fields(word[2])
-		index, _ := strconv.ParseUint(f[0], 10, 64)
-		e = EndpointsUpdated{Watch: s.conn(word[1]), Update: &EndpointUpdate{Index: index, Complete: f[1] == "whole",
-			Endpoints: parseEndpoints(f[2:])}}
-	case "heard":
-		e = WatchHeartbeat{Watch: s.conn(word[1])}
-	case "failed":
-		e = WatchFailed{Watch: s.conn(word[1]), Err: errors.New("told so")}
-	case "reload":
-		e = ConfigReloaded{DiscoveryAddress: word[1]}
-	case "reload-error":
-		e = ConfigReloaded{Err: errors.New("told so")}
-	case "drain":
-		e = DrainRequested{On: !(word[1] == "off")}
-	case "detach":
-		e = DetachRequested{Conn: s.conn(word[1])}
-	case "transferred":
-		e = SessionTransferred{Conn: s.conn(word[1]), Accepted: !(len(word) > 2)}
-	case "receive":
-		e = SessionReceived{Conn: s.conn(word[1]), Session: s.detached}
-	case "sibling":
-		e = SiblingProcessesChanged{HasParent: word[1] == "parent", HasChild: word[1] == "child", WantsHandoff: word[1] == "child"}
-	case "sibling-endpoints":
-		e = SiblingEndpointsUpdated{Update: &EndpointUpdate{Complete: true, Endpoints: parseEndpoints(strings.Fields(event)[1:])}}
-	case "replication":
-		e = ReplicationEnabled{MarkerRetentionMillis: 10000, Affinity: len(word) > 1}
-	case "replicated", "unreplicated":
-		e = RecordReplicated{Conn: s.conn(word[1]), Replicated: !(word[0] == "unreplicated")}
-	case "found-attempt":
-		e = RecordFound{Record: AttemptRecord, Conn: s.conn(word[1]), Backend: word[2], At: now - 500, Found: true}
-	case "no-attempt":
-		e = RecordFound{Record: AttemptRecord, Conn: s.conn(word[1])}
-	case "found-affinity":
-		e = RecordFound{Record: AffinityRecord, Conn: s.conn(word[1]), Backend: word[2], Found: true}
-	case "no-affinity":
-		e = RecordFound{Record: AffinityRecord, Conn: s.conn(word[1])}
-	case "recovers":
-		e = RecoveryChanged{CapacityShare: 0.5, Recovering: true}
-	case "ended":
-		e = ProcessExiting{}
-	case "stop":
-		e = ShutdownRequested{YieldToChild: len(word) > 1}
-	default:
-		e = TimerFired{}
-	}
-	var said []string
-	for _, effect := range s.Handle(now, e) {
-		if words := s.describe(effect); words != "" {
-			said = append(said, words)
+	s.t.Helper()
+	words := strings.SplitN(event, " ", 3)
+	parse := eventParsers[words[0]]
+	require.NotNil(s.t, parse, "no such event: %s", event)
+	var effects []string
+	for _, effect := range s.Handle(now, parse(s, now, words)) {
+		if described := s.describe(effect); described != "" {
+			effects = append(effects, described)
 		}
 	}
 	require.Zero(s.t, s.illegalTransitions, "%v %s", now, event)
-	return strings.Join(said, "; ")
+	return strings.Join(effects, "; ")
+}
+
+// eventParsers make events of their words: the first, a second, and what is left.
+var eventParsers = map[string]func(s *harness, now float64, words []string) Event{
+	"open": func(s *harness, _ float64, words []string) Event { return ConnAccepted{Conn: s.conn(words[1])} },
+	"up":   func(s *harness, _ float64, words []string) Event { return ConnEstablished{Conn: s.conn(words[1])} },
+	"came": func(s *harness, _ float64, words []string) Event {
+		return DataReceived{Conn: s.conn(words[1]), Data: []byte(strings.ReplaceAll(words[2], "|", "\r\n"))}
+	},
+	"end": func(s *harness, _ float64, words []string) Event { return ConnClosed{Conn: s.conn(words[1])} },
+	"reset": func(s *harness, _ float64, words []string) Event {
+		return ConnClosed{Conn: s.conn(words[1]), Reset: true}
+	},
+	"cut": func(s *harness, _ float64, words []string) Event {
+		return ConnClosed{Conn: s.conn(words[1]), Reset: true, Unsent: true}
+	},
+	"tick":  func(*harness, float64, []string) Event { return TimerFired{} },
+	"ended": func(*harness, float64, []string) Event { return ProcessExiting{} },
+
+	"news": func(s *harness, _ float64, words []string) Event {
+		return EndpointsUpdated{Watch: s.conn(words[1]), Update: s.parseUpdate(words[2])}
+	},
+	"heard": func(s *harness, _ float64, words []string) Event { return WatchHeartbeat{Watch: s.conn(words[1])} },
+	"failed": func(s *harness, _ float64, words []string) Event {
+		return WatchFailed{Watch: s.conn(words[1]), Err: errors.New("told so")}
+	},
+	"reload":       func(_ *harness, _ float64, words []string) Event { return ConfigReloaded{DiscoveryAddress: words[1]} },
+	"reload-error": func(*harness, float64, []string) Event { return ConfigReloaded{Err: errors.New("told so")} },
+	"drain":        func(_ *harness, _ float64, words []string) Event { return DrainRequested{On: words[1] == "on"} },
+	"stop": func(_ *harness, _ float64, words []string) Event {
+		return ShutdownRequested{YieldToChild: len(words) > 1}
+	},
+
+	"detach": func(s *harness, _ float64, words []string) Event { return DetachRequested{Conn: s.conn(words[1])} },
+	"transferred": func(s *harness, _ float64, words []string) Event {
+		return SessionTransferred{Conn: s.conn(words[1]), Accepted: len(words) == 2}
+	},
+	"receive": func(s *harness, _ float64, words []string) Event {
+		return SessionReceived{Conn: s.conn(words[1]), Session: s.detached}
+	},
+	"sibling": func(_ *harness, _ float64, words []string) Event {
+		isChild := words[1] == "child"
+		return SiblingProcessesChanged{HasParent: words[1] == "parent", HasChild: isChild, WantsHandoff: isChild}
+	},
+	"sibling-endpoints": func(_ *harness, _ float64, words []string) Event {
+		list := parseEndpoints(strings.Fields(strings.Join(words[1:], " ")))
+		return SiblingEndpointsUpdated{Update: &EndpointUpdate{Complete: true, Endpoints: list}}
+	},
+
+	"recovers": func(*harness, float64, []string) Event { return RecoveryChanged{CapacityShare: 0.5, Recovering: true} },
+	"replication": func(_ *harness, _ float64, words []string) Event {
+		return ReplicationEnabled{MarkerRetentionMillis: 10000, Affinity: len(words) > 1}
+	},
+	"replicated": func(s *harness, _ float64, words []string) Event {
+		return RecordReplicated{Conn: s.conn(words[1]), Replicated: true}
+	},
+	"unreplicated": func(s *harness, _ float64, words []string) Event { return RecordReplicated{Conn: s.conn(words[1])} },
+	"found-attempt": func(s *harness, now float64, words []string) Event {
+		return RecordFound{Record: AttemptRecord, Conn: s.conn(words[1]), Backend: words[2], At: now - 500, Found: true}
+	},
+	"no-attempt": func(s *harness, _ float64, words []string) Event {
+		return RecordFound{Record: AttemptRecord, Conn: s.conn(words[1])}
+	},
+	"found-affinity": func(s *harness, _ float64, words []string) Event {
+		return RecordFound{Record: AffinityRecord, Conn: s.conn(words[1]), Backend: words[2], Found: true}
+	},
+	"no-affinity": func(s *harness, _ float64, words []string) Event {
+		return RecordFound{Record: AffinityRecord, Conn: s.conn(words[1])}
+	},
+}
+
+// parseUpdate reads VERSION, whole or delta, and endpoints.
+func (s *harness) parseUpdate(text string) *EndpointUpdate {
+	s.t.Helper()
+	words := strings.Fields(text)
+	index, err := strconv.ParseUint(words[0], 10, 64)
+	require.NoError(s.t, err, text)
+	return &EndpointUpdate{Index: index, Complete: words[1] == "whole", Endpoints: parseEndpoints(words[2:])}
 }
 
 // name is the word for a connection: of a client's its number, of the relay's own s and a number.
@@ -162,7 +193,7 @@
 	return fmt.Sprint(conn)
 }
 
-// describe gives an effect in words, and keeps what others ask the scene for; timers and log lines have none.
+// describe gives an effect in words, and keeps what tests look at; timers and log lines have none.
 func (s *harness) describe(effect Effect) string {
 	switch f := effect.(type) {
 	case *Dial:
@@ -213,11 +244,14 @@
 	return "release " + conn
 }
 
+// step is one event and the effects that are to follow.
 type step struct {
-	at          float64
-	event, want string
+	at    float64
+	event string
+	want  string
 }
 
+// play gives the events one by one, and wants their effects.
 func (s *harness) play(name string, steps ...step) {
 	s.t.Helper()
 	for _, p := range steps {
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -82,7 +82,7 @@
 		}
 		data = rest
 		switch {
-		case string(protocol.TrimLineEnd(line)) == "PING":
+		case string(protocol.TrimLineEnd(line)) == verbPing:
 			m.answerPing(session)
 		case len(data) > 0: // a client waits after its request: this is none, and no backend is to see any of it
 			m.rejectClient(session, UnexpectedData, errorAnswer)
--- a/internal/relay/polling.go
+++ b/internal/relay/polling.go
@@ -5,6 +5,12 @@
 // pollTimeoutFactor is how many times the timeout for a connect a poll may take.
 const pollTimeoutFactor = 2
 
+// What polls send: for a load report, and only for a sign of life.
+const (
+	reportPoll = "STATS\r\n"
+	plainPoll  = "PING\r\n"
+)
+
 // Poll asks the backend for its load; the dispatcher calls it. Polls of one backend go over one connection that stays
 // open, as each new one is work for the backend.
 func (m *StateMachine) Poll(id uint32) {
@@ -33,9 +39,9 @@
 // sendPoll sends a poll: for a load report, where backends give any.
 func (m *StateMachine) sendPoll(backend *backend) {
 	if len(m.rules.reportFields) > 0 {
-		m.write(backend.pollConn, []byte("STATS\r\n"))
+		m.write(backend.pollConn, []byte(reportPoll))
 	} else {
-		m.write(backend.pollConn, []byte("PING\r\n"))
+		m.write(backend.pollConn, []byte(plainPoll))
 	}
 }
 
@@ -61,7 +67,7 @@
 		}
 		data = rest
 		verb, report := protocol.CutVerb(line)
-		m.finishPoll(backend, string(verb) == "PONG", protocol.ParseReport(report, m.rules.reportFields))
+		m.finishPoll(backend, string(verb) == verbPong, protocol.ParseReport(report, m.rules.reportFields))
 	}
 }
 
