--- a/internal/relay/transfer.go
+++ b/internal/relay/transfer.go
@@ -71,7 +71,7 @@
 	if p.channel == nil && !p.closed {
 		var err error
 		if p.channel, err = d.slot.OpenChannel(child); err != nil {
-			d.log.Warn("no channel to the child process", "err", err)
+			d.log.Warn("can't open a channel to the child process", "err", err)
 			p.closed = true
 		}
 	}
@@ -148,7 +148,7 @@
 	}
 	descriptors.close()
 	if err != nil && !errors.Is(err, hotrestart.ErrRejected) {
-		d.log.Warn("can't send a session", "err", err)
+		d.log.Warn("can't transfer a session", "err", err)
 		p.channel.Close()
 		p.closed = true
 	}
