--- a/internal/relay/attempts_test.go
+++ b/internal/relay/attempts_test.go
@@ -30,23 +30,25 @@
 		{"sent away", "came s1 MOVE|", true, BackendMovedClient, false},
 		{"an answer with another behind it", "came s1 BUSY|UP r|", true, BackendBusy, true},
 	} {
-		for _, category := range []string{"feed", "order"} {
-			s := newHarness(t, nil, 0, "b1=active")
-			s.play(c.name, step{100, "open 1", ""},
-				step{100, "came 1 OPEN a 1f c=" + category + ",t=one,d=2000|", "dial s1 10.0.0.1:9000"})
-			if c.up {
-				s.handle(101, "up s1")
+		t.Run(c.name, func(t *testing.T) {
+			for _, category := range []string{"feed", "order"} {
+				s := newHarness(t, nil, 0, "b1=active")
+				s.play(c.name, step{100, "open 1", ""},
+					step{100, "came 1 OPEN a 1f c=" + category + ",t=one,d=2000|", "dial s1 10.0.0.1:9000"})
+				if c.up {
+					s.handle(101, "up s1")
+				}
+				got := s.handle(351, c.event)
+				assert.Equal(t, uint64(1), s.EndReasons[c.how], c.name)
+				if category == "feed" || c.again {
+					assert.Contains(t, got, "dial s2", "%s, %s", c.name, category)
+					assert.NotContains(t, got, "write 1", c.name)
+					assert.Equal(t, "", s.handle(352, "came s1 UP late|"), "%s: an earlier try says nothing now", c.name)
+				} else {
+					assert.Contains(t, got, "write 1 ERR|; end 1", "%s, %s", c.name, category)
+				}
 			}
-			got := s.handle(351, c.event)
-			assert.Equal(t, uint64(1), s.EndReasons[c.how], c.name)
-			if category == "feed" || c.again {
-				assert.Contains(t, got, "dial s2", "%s, %s", c.name, category)
-				assert.NotContains(t, got, "write 1", c.name)
-				assert.Equal(t, "", s.handle(352, "came s1 UP late|"), "%s: an earlier try says nothing now", c.name)
-			} else {
-				assert.Contains(t, got, "write 1 ERR|; end 1", "%s, %s", c.name, category)
-			}
-		}
+		})
 	}
 }
 
@@ -79,14 +81,16 @@
 		{"where an attempt may not be called off", "up s1", replacing(`"may-cancel": true`, `"may-cancel": false`),
 			"end 1"},
 	} {
-		s := newHarness(t, c.change, 0, "b1=active")
-		s.play(c.name, step{100, "open 1", ""}, step{100, "came 1 OPEN a 1f c=feed,d=2000|",
-			"dial s1 10.0.0.1:9000"})
-		s.handle(101, c.first)
-		s.play(c.name, step{102, "end 1", c.want})
-		s.handle(103, "came s1 UP r|")
-		assert.Zero(t, s.queue.sessions, c.name)
-		assert.Empty(t, s.conns.byID, c.name)
+		t.Run(c.name, func(t *testing.T) {
+			s := newHarness(t, c.change, 0, "b1=active")
+			s.play(c.name, step{100, "open 1", ""}, step{100, "came 1 OPEN a 1f c=feed,d=2000|",
+				"dial s1 10.0.0.1:9000"})
+			s.handle(101, c.first)
+			s.play(c.name, step{102, "end 1", c.want})
+			s.handle(103, "came s1 UP r|")
+			assert.Zero(t, s.queue.sessions, c.name)
+			assert.Empty(t, s.conns.byID, c.name)
+		})
 	}
 }
 
--- a/internal/relay/established_test.go
+++ b/internal/relay/established_test.go
@@ -40,13 +40,15 @@
 		{"a whole list without the backend", []step{
 			{200, "news 1 2 whole b2=active", "write 1 MOVE|; end 1; end s1"}}, RelayMovedClient},
 	} {
-		s := newHarness(t, nil, 0, "b1=active")
-		s.establishSession()
-		s.play(c.name, c.steps...)
-		assert.Equal(t, uint64(1), s.EndReasons[c.how], c.name)
-		assert.Zero(t, s.queue.sessions, c.name)
-		assert.Empty(t, s.conns.byID, c.name)
-		assert.Empty(t, s.endpoints.findOrAdd("b1").sessions, c.name)
+		t.Run(c.name, func(t *testing.T) {
+			s := newHarness(t, nil, 0, "b1=active")
+			s.establishSession()
+			s.play(c.name, c.steps...)
+			assert.Equal(t, uint64(1), s.EndReasons[c.how], c.name)
+			assert.Zero(t, s.queue.sessions, c.name)
+			assert.Empty(t, s.conns.byID, c.name)
+			assert.Empty(t, s.endpoints.findOrAdd("b1").sessions, c.name)
+		})
 	}
 }
 
--- a/internal/relay/handoff_test.go
+++ b/internal/relay/handoff_test.go
@@ -86,14 +86,16 @@
 		{"names without backends", `"Names":["b1"]`, `"Names":[]`, "missing or wrong"},
 		{"fewer than none", `"Links":`, `"Links":-`, "missing or wrong"},
 	} {
-		text := strings.Replace(string(good), c.old, c.new, 1)
-		require.Equal(t, c.old == "", text == string(good), c.name)
-		_, err := ParseHandoff([]byte(text), 1050)
-		if c.want == "" {
-			assert.NoError(t, err, c.name)
-		} else {
-			assert.ErrorContains(t, err, c.want, c.name)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			text := strings.Replace(string(good), c.old, c.new, 1)
+			require.Equal(t, c.old == "", text == string(good), c.name)
+			_, err := ParseHandoff([]byte(text), 1050)
+			if c.want == "" {
+				assert.NoError(t, err, c.name)
+			} else {
+				assert.ErrorContains(t, err, c.want, c.name)
+			}
+		})
 	}
 }
 
@@ -239,17 +241,19 @@
 		{"its backend goes", []step{{200, "news 1 2 delta b1=leaving", "write 7 MOVE|; end 7; end s1"}}},
 		{"so does the process", []step{{200, "stop", ""}, {2600, "tick", "write 7 MOVE|; end 7; end s1; exit"}}},
 	} {
-		s := newHarness(t, nil, 0, "b1=active")
-		s.detached = old.detached
-		s.play(c.name, step{1, "heard 1", ""}, step{105, "receive 7", "accepted 7 s1"})
-		links := s.queue.dispatcher.Balancer.BackendStatus(s.endpoints.byName["b1"].id).Sessions
-		assert.Equal(t, []int{1, 1, 1}, []int{links, s.Established, s.queue.sessions}, c.name)
-		assert.Equal(t, "in_flight 1, backends_known 1", s.told(), "served by the other process")
-		s.handle(3000, "heard 1")
-		s.now = 105
-		s.play(c.name, c.steps...)
-		assert.Zero(t, s.queue.sessions, c.name)
-		assert.Empty(t, s.queue.byID, c.name)
+		t.Run(c.name, func(t *testing.T) {
+			s := newHarness(t, nil, 0, "b1=active")
+			s.detached = old.detached
+			s.play(c.name, step{1, "heard 1", ""}, step{105, "receive 7", "accepted 7 s1"})
+			links := s.queue.dispatcher.Balancer.BackendStatus(s.endpoints.byName["b1"].id).Sessions
+			assert.Equal(t, []int{1, 1, 1}, []int{links, s.Established, s.queue.sessions}, c.name)
+			assert.Equal(t, "in_flight 1, backends_known 1", s.told(), "served by the other process")
+			s.handle(3000, "heard 1")
+			s.now = 105
+			s.play(c.name, c.steps...)
+			assert.Zero(t, s.queue.sessions, c.name)
+			assert.Empty(t, s.queue.byID, c.name)
+		})
 	}
 	for name, spoil := range map[string]func(*TransferredSession){
 		"version": func(p *TransferredSession) { p.Version = 9 }, "category": func(p *TransferredSession) { p.Class = "x" },
--- a/internal/relay/intake_test.go
+++ b/internal/relay/intake_test.go
@@ -28,8 +28,10 @@
 		{"pings without end", strings.Repeat("PING|", maxPings+1), "write 1 ERR|; end 1"},
 		{"further fields", "OPEN a 1f c=feed,zz=1,h=2,r=1,d=2000|", "dial s1 10.0.0.1:9000"},
 	} {
-		s := newHarness(t, nil, 0, "b1=active")
-		s.play(c.name, step{100, "open 1", ""}, step{101, "came 1 " + c.line, c.want})
+		t.Run(c.name, func(t *testing.T) {
+			s := newHarness(t, nil, 0, "b1=active")
+			s.play(c.name, step{100, "open 1", ""}, step{101, "came 1 " + c.line, c.want})
+		})
 	}
 	s := newHarness(t, nil, 0, "b1=active")
 	s.play("slow, in pieces", step{100, "open 1", ""}, step{1000, "came 1 OPEN a 1f c=fe", ""},
--- a/internal/relay/replication_test.go
+++ b/internal/relay/replication_test.go
@@ -37,9 +37,11 @@
 		{"its client leaves while it waits", append(begins[:2:2], step{1003, "up s1", ""},
 			step{1004, "end 1", "end 1; reset s1; release s1"}, step{1009, "replicated s1", ""})},
 	} {
-		s := newHarness(t, nil, 0, "b1=active", "b2=active")
-		s.handle(10, "replication")
-		s.play(c.name, c.steps...)
+		t.Run(c.name, func(t *testing.T) {
+			s := newHarness(t, nil, 0, "b1=active", "b2=active")
+			s.handle(10, "replication")
+			s.play(c.name, c.steps...)
+		})
 	}
 }
 
@@ -66,9 +68,11 @@
 		{"the relay ends meanwhile", append(asks[:2:2], step{1002, "stop", ""}, step{1051, "tick", goes})},
 		{"a first attempt", []step{{1000, "open 1", ""}, {1001, strings.Replace(again, ",r=1", "", 1), goes}}},
 	} {
-		s := newHarness(t, nil, 0, "b1=active")
-		s.handle(10, "replication")
-		s.play(c.name, c.steps...)
+		t.Run(c.name, func(t *testing.T) {
+			s := newHarness(t, nil, 0, "b1=active")
+			s.handle(10, "replication")
+			s.play(c.name, c.steps...)
+		})
 	}
 }
 
@@ -87,20 +91,22 @@
 			""}}},
 		{"nobody holds anything", false, []step{{1051, "tick", "BUSY"}}},
 	} {
-		s := newHarness(t, nil, 0, "b1=leaving")
-		if c.holds {
-			s.handle(10, "replication")
-		}
-		s.handle(11, "recovers")
-		s.handle(1000, "open 1")
-		assert.Equal(t, c.holds, s.handle(1001, "came 1 OPEN a 1f c=feed,d=200|") == "lookup 0", c.name)
-		for _, p := range c.steps {
-			if said := s.handle(p.at, p.event); p.want == "BUSY" {
-				assert.Regexp(t, `^write 1 BUSY \d+\|; end 1$`, said, c.name)
-			} else {
-				assert.Equal(t, p.want, said, c.name)
+		t.Run(c.name, func(t *testing.T) {
+			s := newHarness(t, nil, 0, "b1=leaving")
+			if c.holds {
+				s.handle(10, "replication")
+			}
+			s.handle(11, "recovers")
+			s.handle(1000, "open 1")
+			assert.Equal(t, c.holds, s.handle(1001, "came 1 OPEN a 1f c=feed,d=200|") == "lookup 0", c.name)
+			for _, p := range c.steps {
+				if said := s.handle(p.at, p.event); p.want == "BUSY" {
+					assert.Regexp(t, `^write 1 BUSY \d+\|; end 1$`, said, c.name)
+				} else {
+					assert.Equal(t, p.want, said, c.name)
+				}
 			}
-		}
+		})
 	}
 }
 
@@ -134,8 +140,10 @@
 			{1001, "came 1 OPEN a 1f c=order,d=2000,again=1|", "lookup 1; lookup 1"}, {1002, "found-attempt 1 b1", ""},
 			{1051, "tick", "write 1 ERR|; end 1"}}},
 	} {
-		s := newHarness(t, nil, 0, "b1=active", "b2=active")
-		s.handle(10, "replication affinity")
-		s.play(c.name, c.steps...)
+		t.Run(c.name, func(t *testing.T) {
+			s := newHarness(t, nil, 0, "b1=active", "b2=active")
+			s.handle(10, "replication affinity")
+			s.play(c.name, c.steps...)
+		})
 	}
 }
--- a/internal/relay/statemachine_test.go
+++ b/internal/relay/statemachine_test.go
@@ -22,9 +22,11 @@
 			{7150, "tick", "stop-watch; dial s1 10.0.0.1:9000"}}},
 		{"no time", []step{{7000, "came 2 OPEN b 1f c=feed,d=200|", "dial s1 10.0.0.1:9000"}}},
 	} {
-		s := newHarness(t, nil, 0, "b1=active")
-		s.play(c.name, step{100, "tick", ""}, step{1000, "open 2", ""})
-		s.play(c.name, c.steps...)
+		t.Run(c.name, func(t *testing.T) {
+			s := newHarness(t, nil, 0, "b1=active")
+			s.play(c.name, step{100, "tick", ""}, step{1000, "open 2", ""})
+			s.play(c.name, c.steps...)
+		})
 	}
 }
 
