--- a/internal/relay/attempts_test.go
+++ b/internal/relay/attempts_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Every way in which an attempt can end, with what its client is told: again where nothing may have run
-// twice.
+// TestEndReasonsOfAttempts ends an attempt in every way. It is retried where that can't run the request twice; else the
+// client is told that it failed.
 func TestEndReasonsOfAttempts(t *testing.T) {
 	for _, c := range []struct {
 		name, event string
@@ -43,7 +43,7 @@
 				if category == "feed" || c.again {
 					assert.Contains(t, got, "dial s2", "%s, %s", c.name, category)
 					assert.NotContains(t, got, "write 1", c.name)
-					assert.Equal(t, "", s.handle(352, "came s1 UP late|"), "%s: an earlier try says nothing now", c.name)
+					assert.Equal(t, "", s.handle(352, "came s1 UP late|"), "%s: an earlier attempt says nothing now", c.name)
 				} else {
 					assert.Contains(t, got, "write 1 ERR|; end 1", "%s, %s", c.name, category)
 				}
@@ -107,8 +107,8 @@
 		step{102, "up s1", "end s1; dial s2 10.0.0.2:9000"})
 }
 
-// Short of descriptors, sessions that wait for a backend count with the connection that they will have, so that
-// whoever comes is taken in and answered at once; and polls give theirs back.
+// TestQueuedSessionsCountWithTheirBackendConnections: when descriptors are short, queued sessions count with the backend
+// connections that they will have, so that further clients are accepted and rejected at once. Polls close theirs.
 func TestQueuedSessionsCountWithTheirBackendConnections(t *testing.T) {
 	s := newHarness(t, nil, 46) // 14 to use, 10 of them for sessions
 	for i := 1; i <= 9; i++ {
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -10,7 +10,7 @@
 	"valeshift/internal/settings"
 )
 
-// newBenchmarkRelay is a relay with so many backends that have been polled, and one session that is established.
+// newBenchmarkRelay is a relay with so many backends that have been polled, and one established session.
 func newBenchmarkRelay(t testing.TB, backends int) (r *StateMachine, now float64, client, server uint64) {
 	values, err := settings.Flatten([]byte(baseSettings))
 	require.NoError(t, err)
@@ -59,7 +59,7 @@
 	return answers
 }
 
-// A line each way through a relay, by the size of the fleet.
+// BenchmarkLine forwards a line each way, by the size of the fleet.
 func BenchmarkLine(b *testing.B) {
 	for _, n := range []int{20, 200, 1000, 5000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
@@ -75,7 +75,7 @@
 	}
 }
 
-// A passed line allocates nothing, whatever the size of the fleet.
+// TestForwardedLineAllocatesNothing: a forwarded line allocates nothing.
 func TestForwardedLineAllocatesNothing(t *testing.T) {
 	r, now, client, server := newBenchmarkRelay(t, 200)
 	up, down := []byte("a line of a client\r\n"), []byte("a line of a server\r\n")
@@ -114,7 +114,7 @@
 	r.Handle(now, ConnClosed{Conn: client})
 }
 
-// A session from its client's coming to its end.
+// BenchmarkSession plays a session from its client's connection to its end.
 func BenchmarkSession(b *testing.B) {
 	r, now, client, _ := newBenchmarkRelay(b, 20)
 	request, answer := []byte("OPEN other 1 c=feed,t=one,d=1000\r\n"), []byte("UP receipt\r\n")
--- a/internal/relay/drain_test.go
+++ b/internal/relay/drain_test.go
@@ -10,7 +10,7 @@
 func TestGracefulShutdown(t *testing.T) {
 	s := newHarness(t, nil, 0, "b1=active")
 	s.establishSession()
-	// Against sessions that are established nowhere from then until the only relay is back.
+	// Sessions moved earlier would have nowhere to go until the only relay is back.
 	s.play("the only relay serves to the end of its stop", step{1000, "stop", ""}, step{1100, "open 2", ""},
 		step{1100, "came 2 OPEN b 1f c=feed,d=2000|", "dial s2 10.0.0.1:9000"},
 		step{1101, "up s2", "write s2 OPEN b 1f c=feed,d=1989|"}, step{1102, "came s2 UP r|", "write 2 UP r|"},
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// A backend that comes at another's address ends that one, also where the list has not said so: its sessions go
-// elsewhere, and nothing new comes to the address under the old name.
+// TestSupersededBackend: a backend that appears at another's address supersedes it, also where the list has not said that
+// the other is gone. Its sessions are migrated, and no new ones go to the address under the old name.
 func TestSupersededBackend(t *testing.T) {
 	s := newHarness(t, nil, 0, "b1=active")
 	s.establishSession()
--- a/internal/relay/established_test.go
+++ b/internal/relay/established_test.go
@@ -52,25 +52,27 @@
 	}
 }
 
-// Against sessions that stay seconds long at a backend whose machine has vanished; but one that only tires of
-// polls keeps its sessions.
+// TestSilentBackend: a backend whose machine has vanished loses its sessions within seconds; one that only stops answering
+// polls keeps them.
 func TestSilentBackend(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
 		want         bool
 	}{{"says nothing at all", "tick", true}, {"still answers lines", "came s1 b|", false}} {
-		s := newHarness(t, replacing(`"probes": false`, `"probes": true`), 0, "b1=active")
-		s.establishSession()
-		for _, event := range []string{"up s2", "came s2 PONG x0=0.1|"} {
-			s.handle(400, event)
-		}
-		s.handle(900, "came 1 a|")
-		s.handle(950, c.answer)
-		for now := 1000.0; now < 3000; now += 50 {
-			s.handle(now, "tick")
-		}
-		assert.Equal(t, c.want, s.EndReasons[BackendSilent] == 1, c.name)
-		assert.Equal(t, !c.want, s.Established == 1, c.name)
+		t.Run(c.name, func(t *testing.T) {
+			s := newHarness(t, replacing(`"probes": false`, `"probes": true`), 0, "b1=active")
+			s.establishSession()
+			for _, event := range []string{"up s2", "came s2 PONG x0=0.1|"} {
+				s.handle(400, event)
+			}
+			s.handle(900, "came 1 a|")
+			s.handle(950, c.answer)
+			for now := 1000.0; now < 3000; now += 50 {
+				s.handle(now, "tick")
+			}
+			assert.Equal(t, c.want, s.EndReasons[BackendSilent] == 1)
+			assert.Equal(t, !c.want, s.Established == 1)
+		})
 	}
 }
 
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -65,7 +65,7 @@
 	}},
 }
 
-// Every stored or sent form reads from its golden file as the values that were written, and is written as the same
+// TestStoredFormsKeepTheirBytes: every stored or sent form reads from its golden file as the values that were written, and is written as the same
 // bytes. So a field that is renamed in the code keeps its name on disk and between processes.
 func TestStoredFormsKeepTheirBytes(t *testing.T) {
 	for _, form := range goldenForms {
@@ -84,7 +84,7 @@
 	}
 }
 
-// The golden values leave no stored field at its zero value, so that none can be renamed or left out unseen.
+// TestGoldenValuesAreFull: the golden values leave no stored field at its zero value, so that none can be renamed or left out unseen.
 func TestGoldenValuesAreFull(t *testing.T) {
 	for _, form := range goldenForms {
 		requireFull(t, form.file, reflect.ValueOf(form.value))
@@ -114,20 +114,20 @@
 	}
 }
 
-// A golden snapshot and a golden hand-over also pass the checks that the program makes of what it reads.
+// TestGoldenFilesAreRead: a golden snapshot and a golden handoff also pass the checks that the program makes of what it reads.
 func TestGoldenFilesAreRead(t *testing.T) {
 	text, err := os.ReadFile("testdata/golden/kept.json")
 	require.NoError(t, err)
-	kept, err := ParseSnapshot(text)
+	snapshot, err := ParseSnapshot(text)
 	require.NoError(t, err)
-	written, err := kept.Encode()
+	written, err := snapshot.Encode()
 	require.NoError(t, err)
 	assert.Equal(t, string(text), string(written))
 
 	text, err = os.ReadFile("testdata/golden/handover.json")
 	require.NoError(t, err)
-	handover, err := ParseHandoff(text, 1700000005000)
+	handoff, err := ParseHandoff(text, 1700000005000)
 	require.NoError(t, err)
-	assert.Equal(t, 128, handover.Sessions)
-	assert.Equal(t, uint32(77), handover.Balancer.Backends[0].ID)
+	assert.Equal(t, 128, handoff.Sessions)
+	assert.Equal(t, uint32(77), handoff.Balancer.Backends[0].ID)
 }
--- a/internal/relay/handoff_test.go
+++ b/internal/relay/handoff_test.go
@@ -14,7 +14,7 @@
 	"valeshift/balancer"
 )
 
-// newChildHarness is the child of two processes, which has been left what the parent knows, by the form of the file.
+// newChildHarness is a child process; its handoff passes through its stored form.
 func newChildHarness(t *testing.T, left *Handoff, sockets int) *harness {
 	if left != nil {
 		text, err := json.Marshal(left)
@@ -99,8 +99,8 @@
 	}
 }
 
-// A parent process without a watch asks for the list as the child comes, and soon again where that fails:
-// the child is told by its own watch, and this is one relay to who drains a backend.
+// TestParentAsksForTheWholeList: a parent without a watch asks for the list when the child appears, and soon again where
+// that fails. The child is told by its own watch, and to who drains a backend both are one relay.
 func TestParentAsksForTheWholeList(t *testing.T) {
 	s := newHarness(t, nil, 0, "b1=active")
 	s.play("fails", step{1, "failed 1", ""}, step{10, "sibling child", "watch 2 after 0; send-handoff"},
@@ -108,8 +108,8 @@
 		step{262, "sibling child", "send-handoff"})
 }
 
-// What one of two processes was told counts at the other where that is stricter, until discovery tells it
-// all to the one that is left.
+// TestSiblingEndpoints: what one of two processes was told counts at the other where it is stricter, until discovery has
+// told all of it to the process that remains.
 func TestSiblingEndpoints(t *testing.T) {
 	for _, other := range []string{"child", "parent"} {
 		s := newHarness(t, nil, 0, "b1=active", "b2=active", "b3=active", "b4=active")
@@ -143,8 +143,8 @@
 	}
 }
 
-// To a child process that is ready all clients are left at once; those taken before are served to their
-// end.
+// TestParentProcess: a parent yields all new clients to a child that is ready, and serves those that it has accepted to
+// their ends.
 func TestParentProcess(t *testing.T) {
 	s := newHarness(t, nil, 0, "b1=active")
 	s.establishSession()
@@ -157,7 +157,7 @@
 		step{1005, "came s2 UP r|", "write 2 UP r|; transfer 2"}, step{1005, "detach 2", "detached 2"},
 		step{1600, "tick", ""}, // not to be moved while it may be the other's
 		step{1601, "transferred 1", "end 1; end s1"}, step{1602, "transferred 1", ""},
-		// And it does not wait for who asks only whether it is there.
+		// It does not wait for clients that have only sent pings.
 		step{1610, "transferred 2", "end 2; end s2; exit"})
 	assert.Equal(t, []uint64{2, 0}, []uint64{s.EndReasons[TransferredToChild], s.Migrated})
 
@@ -189,7 +189,7 @@
 			"dial s2 10.0.0.1:9000"})
 }
 
-// Both processes keep to the limits of one relay.
+// TestLimitsOfTwoProcesses: both processes together keep to the limits of one relay.
 func TestLimitsOfTwoProcesses(t *testing.T) {
 	const sockets = 200
 	for _, held := range []int{0, 10, 30, 50} {
@@ -224,8 +224,8 @@
 	assert.Equal(t, math.MaxInt, old.limits.ownDescriptors, "no limit stays none")
 }
 
-// A session goes on at the child process as it was established: bytes between two lines, silence, its backend's end,
-// weight.
+// TestSessionTransfer: a session goes on at the child as it was at the parent: the part of a line that has come, the reply
+// that is awaited, its backend's drain, its load.
 func TestSessionTransfer(t *testing.T) {
 	old := newHarness(t, nil, 0, "b1=active")
 	old.establishSession()
@@ -279,8 +279,8 @@
 		step{1801, "tick", "write 7 MOVE|; end 7; end s1"})
 }
 
-// Against a child process that has so few descriptors left that polls, or sessions handed over, take what
-// clients come in by: they waited at the door until the parent was gone (two of 2,000 drawn experiments).
+// TestChildKeepsAccepting: a child with few descriptors leaves some for clients. Polls or received sessions once took them
+// all, and clients waited to be accepted until the parent was gone (two of 2,000 random experiments).
 func TestChildKeepsAccepting(t *testing.T) {
 	for sockets, most := range map[int]int{110: 0, 130: 1, 160: 30} {
 		requireChildAccepts(t, sockets, most)
--- a/internal/relay/intake_test.go
+++ b/internal/relay/intake_test.go
@@ -82,7 +82,8 @@
 		"write 1 PONG|"})
 }
 
-// In a crowd that connects and idles, or stops half way, one that writes its request slowly is let go last.
+// TestSlowRequestsAreNotEvictedByACrowd: among clients that idle, or stop half way through their requests, one that
+// writes its request slowly is evicted last.
 func TestSlowRequestsAreNotEvictedByACrowd(t *testing.T) {
 	s := newHarness(t, nil, spareDescriptors+40, "b1=active") // five for those without a request
 	s.handle(100, "open 1")
--- a/internal/relay/polling_test.go
+++ b/internal/relay/polling_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Backends that join beside sessions that are established are not polled by the descriptors that clients come in by.
+// TestPollsLeaveDescriptorsForClients: where established sessions hold most descriptors, new backends are not polled with
+// the descriptors that further clients need.
 func TestPollsLeaveDescriptorsForClients(t *testing.T) {
 	s := newHarness(t, replacing(`"probes": false`, `"probes": true`), spareDescriptors+12, "b1=active")
 	for i, c := range []string{"1", "2", "3"} {
--- a/internal/relay/random_test.go
+++ b/internal/relay/random_test.go
@@ -16,9 +16,9 @@
 // fixedTimers is how many timers may be set without a connection: of the list, the start, the intake and the drain.
 const fixedTimers = 6
 
-// Whatever comes in whatever order, a client gets one final answer in time, has one attempt out at a time, is told
-// nothing more once its connection is over, and nothing is left behind. No attempt is begun for a client that has
-// left, nor sent to a backend that was told to drain; after the exit is decided, none is begun at all.
+// TestAnyOrderOfEvents: whatever comes in whatever order, a client gets one final answer in time, has one attempt out at a
+// time, is told nothing more once its connection is over, and nothing is left behind. No attempt is begun for a client that
+// has left, nor sent to a backend that was told to drain; after the exit is decided, none is begun at all.
 func TestAnyOrderOfEvents(t *testing.T) {
 	for seed := range int64(300) {
 		r := newRandomRun(t, seed)
--- a/internal/relay/replication_test.go
+++ b/internal/relay/replication_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// An attempt that may not simply be done again goes out once others hold that it may run, or a little later; the
-// mark is taken back where nothing ran, or the client has its answer, and stays where it may have run.
+// TestAttemptMarkers: the request of an attempt that is not idempotent goes out once others hold its marker, or a little
+// later. The marker is released where nothing ran or the client has its answer, and stays where the attempt may have run.
 func TestAttemptMarkers(t *testing.T) {
 	const order, feed = "came 1 OPEN a 1f c=order,d=2000|", "came 1 OPEN a 1f c=feed,d=2000|"
 	const sent = "write s1 OPEN a 1f c=order,d=1982|"
@@ -45,8 +45,8 @@
 	}
 }
 
-// A client's retry waits for word of an earlier attempt, for a bounded time; one that may have run is not run
-// again, and its client not told that trying again is harmless.
+// TestRetriesLookUpEarlierAttempts: a retry waits a bounded time to hear of an earlier attempt. Where that may have run, the
+// request is not sent again, and its client is not told that a further retry is harmless.
 func TestRetriesLookUpEarlierAttempts(t *testing.T) {
 	const again = "came 1 OPEN a 1f c=order,d=2000,r=1|"
 	asks := []step{{1000, "open 1", ""}, {1001, again, "lookup 1"}}
@@ -76,8 +76,8 @@
 	}
 }
 
-// A client that is told to come again while the fleet recovers gets its answer once others hold it, or 8 ms
-// later; nothing of all this is done where nobody holds anything.
+// TestRejectionsAreReplicated: while the fleet recovers, a client gets its rejection once others hold its reservation, or
+// 8 ms later; at once without replication.
 func TestRejectionsAreReplicated(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -110,8 +110,8 @@
 	}
 }
 
-// Where a client is established is told to others, and taken back as it ends; one that returns goes there, if others
-// say so within 8 ms.
+// TestAffinityRecords: others hold where a client is established until its session ends. A client that returns goes there,
+// if that is found within 8 ms.
 func TestAffinityRecords(t *testing.T) {
 	const back = "came 1 OPEN a 1f c=feed,d=2000,again=1|"
 	asks := []step{{1000, "open 1", ""}, {1001, back, "lookup 1"}}
--- a/internal/relay/session_test.go
+++ b/internal/relay/session_test.go
@@ -16,7 +16,7 @@
 	assert.Len(t, sessionStateNames, int(finished)+1)
 }
 
-// A change that the table doesn't list is counted and logged, and the session goes on in its new state.
+// TestIllegalTransitionIsCounted: a change that the table doesn't list is counted, and made all the same.
 func TestIllegalTransitionIsCounted(t *testing.T) {
 	s := newHarness(t, nil, 0, "b1=active")
 	broken := &session{state: finished, id: "a"}
--- a/internal/relay/statemachine_test.go
+++ b/internal/relay/statemachine_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A process that was stopped goes on: a session waits for the news that came meanwhile, not for ever, and one
-// that has not the time doesn't.
+// TestResumeAfterSuspend: after the process was suspended, sessions wait a bounded time for the endpoint updates that came
+// meanwhile; those whose deadline is too near don't.
 func TestResumeAfterSuspend(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/internal/relay/watch_test.go
+++ b/internal/relay/watch_test.go
@@ -28,7 +28,7 @@
 	assert.Equal(t, balancer.Gone, s.endpoints.findOrAdd("b2").condition)
 }
 
-// Against a reload that loses what is known, waits too long for a new discovery, or refuses its fresh count.
+// TestReload: a reload loses nothing that is known, asks a new discovery again soon, and accepts its lower versions.
 func TestReload(t *testing.T) {
 	s := newHarness(t, nil, 0, "b1=active")
 	s.establishSession()
