--- a/internal/relay/replication_test.go
+++ b/internal/relay/replication_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// An attempt that may not simply be done again goes out once others hold that it may run, or a little later; the
-// mark is taken back where nothing ran, or the client has its answer, and stays where it may have run.
+// TestAttemptMarkers: the request of an attempt that is not idempotent goes out once others hold its marker, or a little
+// later. The marker is released where nothing ran or the client has its answer, and stays where the attempt may have run.
 func TestAttemptMarkers(t *testing.T) {
 	const order, feed = "came 1 OPEN a 1f c=order,d=2000|", "came 1 OPEN a 1f c=feed,d=2000|"
 	const sent = "write s1 OPEN a 1f c=order,d=1982|"
@@ -37,14 +37,16 @@
 		{"its client leaves while it waits", append(begins[:2:2], step{1003, "up s1", ""},
 			step{1004, "end 1", "end 1; reset s1; release s1"}, step{1009, "replicated s1", ""})},
 	} {
-		s := newHarness(t, nil, 0, "b1=active", "b2=active")
-		s.handle(10, "replication")
-		s.play(c.name, c.steps...)
+		t.Run(c.name, func(t *testing.T) {
+			s := newHarness(t, nil, 0, "b1=active", "b2=active")
+			s.handle(10, "replication")
+			s.play(c.name, c.steps...)
+		})
 	}
 }
 
-// A client's retry waits for word of an earlier attempt, for a bounded time; one that may have run is not run
-// again, and its client not told that trying again is harmless.
+// TestRetriesLookUpEarlierAttempts: a retry waits a bounded time to hear of an earlier attempt. Where that may have run, the
+// request is not sent again, and its client is not told that a further retry is harmless.
 func TestRetriesLookUpEarlierAttempts(t *testing.T) {
 	const again = "came 1 OPEN a 1f c=order,d=2000,r=1|"
 	asks := []step{{1000, "open 1", ""}, {1001, again, "lookup 1"}}
@@ -66,14 +68,16 @@
 		{"the relay ends meanwhile", append(asks[:2:2], step{1002, "stop", ""}, step{1051, "tick", goes})},
 		{"a first attempt", []step{{1000, "open 1", ""}, {1001, strings.Replace(again, ",r=1", "", 1), goes}}},
 	} {
-		s := newHarness(t, nil, 0, "b1=active")
-		s.handle(10, "replication")
-		s.play(c.name, c.steps...)
+		t.Run(c.name, func(t *testing.T) {
+			s := newHarness(t, nil, 0, "b1=active")
+			s.handle(10, "replication")
+			s.play(c.name, c.steps...)
+		})
 	}
 }
 
-// A client that is told to come again while the fleet recovers gets its answer once others hold it, or 8 ms
-// later; nothing of all this is done where nobody holds anything.
+// TestRejectionsAreReplicated: while the fleet recovers, a client gets its rejection once others hold its reservation, or
+// 8 ms later; at once without replication.
 func TestRejectionsAreReplicated(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -87,25 +91,27 @@
 			""}}},
 		{"nobody holds anything", false, []step{{1051, "tick", "BUSY"}}},
 	} {
-		s := newHarness(t, nil, 0, "b1=leaving")
-		if c.holds {
-			s.handle(10, "replication")
-		}
-		s.handle(11, "recovers")
-		s.handle(1000, "open 1")
-		assert.Equal(t, c.holds, s.handle(1001, "came 1 OPEN a 1f c=feed,d=200|") == "lookup 0", c.name)
-		for _, p := range c.steps {
-			if said := s.handle(p.at, p.event); p.want == "BUSY" {
-				assert.Regexp(t, `^write 1 BUSY \d+\|; end 1$`, said, c.name)
-			} else {
-				assert.Equal(t, p.want, said, c.name)
+		t.Run(c.name, func(t *testing.T) {
+			s := newHarness(t, nil, 0, "b1=leaving")
+			if c.holds {
+				s.handle(10, "replication")
+			}
+			s.handle(11, "recovers")
+			s.handle(1000, "open 1")
+			assert.Equal(t, c.holds, s.handle(1001, "came 1 OPEN a 1f c=feed,d=200|") == "lookup 0", c.name)
+			for _, p := range c.steps {
+				if said := s.handle(p.at, p.event); p.want == "BUSY" {
+					assert.Regexp(t, `^write 1 BUSY \d+\|; end 1$`, said, c.name)
+				} else {
+					assert.Equal(t, p.want, said, c.name)
+				}
 			}
-		}
+		})
 	}
 }
 
-// Where a client is established is told to others, and taken back as it ends; one that returns goes there, if others
-// say so within 8 ms.
+// TestAffinityRecords: others hold where a client is established until its session ends. A client that returns goes there,
+// if that is found within 8 ms.
 func TestAffinityRecords(t *testing.T) {
 	const back = "came 1 OPEN a 1f c=feed,d=2000,again=1|"
 	asks := []step{{1000, "open 1", ""}, {1001, back, "lookup 1"}}
@@ -134,8 +140,10 @@
 			{1001, "came 1 OPEN a 1f c=order,d=2000,again=1|", "lookup 1; lookup 1"}, {1002, "found-attempt 1 b1", ""},
 			{1051, "tick", "write 1 ERR|; end 1"}}},
 	} {
-		s := newHarness(t, nil, 0, "b1=active", "b2=active")
-		s.handle(10, "replication affinity")
-		s.play(c.name, c.steps...)
+		t.Run(c.name, func(t *testing.T) {
+			s := newHarness(t, nil, 0, "b1=active", "b2=active")
+			s.handle(10, "replication affinity")
+			s.play(c.name, c.steps...)
+		})
 	}
 }
--- a/internal/relay/statemachine_test.go
+++ b/internal/relay/statemachine_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A process that was stopped goes on: a session waits for the news that came meanwhile, not for ever, and one
-// that has not the time doesn't.
+// TestResumeAfterSuspend: after the process was suspended, sessions wait a bounded time for the endpoint updates that came
+// meanwhile; those whose deadline is too near don't.
 func TestResumeAfterSuspend(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -22,9 +22,11 @@
 			{7150, "tick", "stop-watch; dial s1 10.0.0.1:9000"}}},
 		{"no time", []step{{7000, "came 2 OPEN b 1f c=feed,d=200|", "dial s1 10.0.0.1:9000"}}},
 	} {
-		s := newHarness(t, nil, 0, "b1=active")
-		s.play(c.name, step{100, "tick", ""}, step{1000, "open 2", ""})
-		s.play(c.name, c.steps...)
+		t.Run(c.name, func(t *testing.T) {
+			s := newHarness(t, nil, 0, "b1=active")
+			s.play(c.name, step{100, "tick", ""}, step{1000, "open 2", ""})
+			s.play(c.name, c.steps...)
+		})
 	}
 }
 
