--- a/balancer/assignment.go
+++ b/balancer/assignment.go
@@ -67,8 +67,8 @@
 	session.hash = b.rng.Uint64()
 	b.attempts.budget.recordSession(now)
 	b.estimateSessionLoad(session)
-	b.activeShare, _ = b.pollingPlan()
-	if b.activeShare < 1 && b.capacity == 0 {
+	b.poller.activeShare, _ = b.pollingPlan()
+	if b.poller.activeShare < 1 && b.fleet.capacity == 0 {
 		// Otherwise a relay's first session, often its only one, finds no budget for slow starts.
 		b.refreshWeights(now)
 	}
@@ -115,19 +115,19 @@
 		now:          now,
 		avoided:      session.backend,
 		targetZone:   b.targetZone(session),
-		firstZone:    b.localZone,
-		firstLimit:   localZoneLoad + localZoneLoadPerFee*b.crossZoneFee,
-		calmLimit:    max(calmLoadLimit, b.meanLoad),
-		sessionShare: session.load / cmp.Or(b.capacity, math.Inf(1)),
+		firstZone:    b.settings.localZone,
+		firstLimit:   localZoneLoad + localZoneLoadPerFee*b.settings.crossZoneFee,
+		calmLimit:    max(calmLoadLimit, b.fleet.meanLoad),
+		sessionShare: session.load / cmp.Or(b.fleet.capacity, math.Inf(1)),
 	}
 	priority := min(max(math.Log2(b.quotas.relativePriority(session)), -maxPriorityLog), maxPriorityLog)
-	s.limit = loadLimit - blindLoadMargin*(1-b.activeShare) + priorityLoadRange*priority
+	s.limit = loadLimit - blindLoadMargin*(1-b.poller.activeShare) + priorityLoadRange*priority
 	if s.targetZone >= 0 { // how full a zone gets is decided for all relays
 		s.firstZone = s.targetZone
 		s.firstLimit = s.limit
 	}
-	if !b.poller.hasAbsoluteLoad {
-		s.limit = crowdedFactor * max(b.meanLoad, negligibleLoad)
+	if !b.poller.reports.hasAbsoluteLoad {
+		s.limit = crowdedFactor * max(b.fleet.meanLoad, negligibleLoad)
 		s.firstLimit = s.limit
 		s.calmLimit = s.limit
 	}
@@ -176,7 +176,7 @@
 	if backend = b.chooseByTurn(&s); backend >= 0 {
 		return backend, false
 	}
-	full = b.allZonesClosed() || b.roundRobin.pick(s.isOpen) >= 0
+	full = b.zoneRouting.allClosed() || b.roundRobin.pick(s.isOpen) >= 0
 	if session.onlyIfFull {
 		session.onlyIfFull = false
 		if s.hasRoomAt(session.warmingBackend) {
@@ -189,7 +189,7 @@
 // chooseByTurn walks the table of buckets up to four times, accepting more backends each time.
 func (b *Balancer) chooseByTurn(s *selection) int {
 	// Where nothing is paid for crossing zones and none is decided on, the local zone does not come first.
-	if b.crossZoneFee > 0 || s.targetZone >= 0 {
+	if b.settings.crossZoneFee > 0 || s.targetZone >= 0 {
 		inFirstZone := func(backend int) bool {
 			return b.zones[backend] == s.firstZone && s.fits(backend, s.firstLimit)
 		}
@@ -213,7 +213,7 @@
 // with the same chances from the hash instead: all relays draw alike, so the work that a group shares is done
 // once, and a session that moves to another relay finds its backend.
 func (b *Balancer) pickBackend(session *Session, accepts func(backend int) bool) int {
-	if !b.usesAffinityGroups && !b.sessionsOutliveRelay {
+	if !b.settings.usesAffinityGroups && !b.settings.sessionsOutliveRelay {
 		return b.roundRobin.pick(accepts)
 	}
 	picked, least := noBackend, math.Inf(1)
@@ -233,10 +233,10 @@
 // affinityHash returns what the session's draws depend on: its group or key where that decides, else its own
 // hash.
 func (b *Balancer) affinityHash(session *Session) uint64 {
-	if b.usesAffinityGroups && session.AffinityGroup != 0 {
+	if b.settings.usesAffinityGroups && session.AffinityGroup != 0 {
 		return session.AffinityGroup
 	}
-	if b.sessionsOutliveRelay && !b.usesAffinityGroups && session.Key != 0 {
+	if b.settings.sessionsOutliveRelay && !b.settings.usesAffinityGroups && session.Key != 0 {
 		return session.Key
 	}
 	return session.hash
--- a/balancer/attempt_outcome.go
+++ b/balancer/attempt_outcome.go
@@ -43,7 +43,7 @@
 		b.recordEstablished(now, session)
 	case outcome == OutcomeTimedOut:
 		// A slow shared store times out everywhere: only the backend's own poll tells, so it is due at once.
-		b.poller.polledAt[backend] = math.Inf(-1)
+		b.poller.polls.latestAt[backend] = math.Inf(-1)
 		b.updateTracking(backend)
 	}
 }
--- a/balancer/attempt_outcome_test.go
+++ b/balancer/attempt_outcome_test.go
@@ -23,8 +23,8 @@
 		assert.Equal(t, NoDecision, b.AttemptFinished(start+60, session, OutcomeConnectionLost, false).Kind, c.name)
 		b.SessionEstablished(start+70, session)
 		assert.Zero(t, b.attempts.inFlight, c.name)
-		assert.Zero(t, b.sessionCounts[0]+b.sessionCounts[1], c.name)
-		assert.Zero(t, b.poller.unreportedLoads[0]+b.poller.unreportedLoads[1], "a session that is over weighs on nothing")
+		assert.Zero(t, b.usage.counts[0]+b.usage.counts[1], c.name)
+		assert.Zero(t, b.poller.unreported.byBackend[0]+b.poller.unreported.byBackend[1], "a session that is over weighs on nothing")
 	}
 }
 
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -29,37 +29,28 @@
 // Balancer decides for one relay. It is not safe for concurrent use.
 type Balancer struct {
 	*EndpointSet
-	roundRobin *RoundRobin
-	outliers   OutlierDetector
-	slowStart  *SlowStart
-	poller     *LoadPoller
-	attempts   *AttemptPolicy
-	quotas     *Quotas
-	admission  *admission.Controller // nil until something is known from before the start, or the fleet recovers
-	tracker    backendTracker
-	rng        *rand.Rand // shared with roundRobin: the order of draws is part of the behaviour
+	roundRobin  *RoundRobin
+	outliers    OutlierDetector
+	slowStart   *SlowStart
+	poller      *LoadPoller
+	attempts    *AttemptPolicy
+	quotas      *Quotas
+	admission   *admission.Controller // nil until something is known from before the start, or the fleet recovers
+	tracker     backendTracker
+	usage       backendUsage
+	fleet       fleetEstimate
+	zoneRouting zoneRouting
+	settings    placementSettings
+	rng         *rand.Rand // shared with roundRobin: the order of draws is part of the behaviour
+	pausedUntil float64
+}
 
+// placementSettings is what the settings say of where sessions may go.
+type placementSettings struct {
 	localZone            int
 	crossZoneFee         float64
 	usesAffinityGroups   bool
 	sessionsOutliveRelay bool
-
-	sessionLoads  []float64 // load of this relay's sessions, by backend
-	sessionCounts []int     // number of this relay's sessions, by backend
-	weights       []float64 // relative capacity in the endpoint list, by backend
-
-	meanLoad          float64   // of the healthy backends, at the last refresh
-	estimatedCapacity float64   // capacity of a backend, by this relay's own sessions alone
-	capacity          float64   // of a warm backend, in session load; 0: unknown
-	initialBackends   float64   // ready backends in the first endpoint list
-	activeShare       float64   // of the fleet, polled regularly; if below 1, sessions have candidates polled
-	candidateDraws    []float64 // scratch space of drawCandidates
-	pausedUntil       float64
-
-	assumedStarts map[int]bool // backends from a cached list whose start time is not confirmed
-
-	zoneWeights      []ZoneWeight      // empty while no decision on zones is in force
-	zoneObservations []ZoneObservation // by number of the zone
 }
 
 // Config joins the parts of a Balancer.
@@ -80,17 +71,19 @@
 // New returns a Balancer without endpoints.
 func New(config Config) *Balancer {
 	return &Balancer{
-		EndpointSet:          config.Endpoints,
-		roundRobin:           config.RoundRobin,
-		slowStart:            config.SlowStart,
-		poller:               config.Poller,
-		attempts:             config.Attempts,
-		quotas:               config.Quotas,
-		rng:                  config.RoundRobin.rng,
-		localZone:            config.LocalZone,
-		crossZoneFee:         config.CrossZoneFee,
-		usesAffinityGroups:   config.UsesAffinityGroups,
-		sessionsOutliveRelay: config.SessionsOutliveRelay,
+		EndpointSet: config.Endpoints,
+		roundRobin:  config.RoundRobin,
+		slowStart:   config.SlowStart,
+		poller:      config.Poller,
+		attempts:    config.Attempts,
+		quotas:      config.Quotas,
+		rng:         config.RoundRobin.rng,
+		settings: placementSettings{
+			localZone:            config.LocalZone,
+			crossZoneFee:         config.CrossZoneFee,
+			usesAffinityGroups:   config.UsesAffinityGroups,
+			sessionsOutliveRelay: config.SessionsOutliveRelay,
+		},
 	}
 }
 
--- a/balancer/endpoint_set.go
+++ b/balancer/endpoint_set.go
@@ -32,21 +32,26 @@
 // EndpointSet is what the endpoint list has said. Each backend has a small dense index, under which this and
 // the other parts of the Balancer keep their state.
 type EndpointSet struct {
-	mustWatch    bool    // changes come only while the list is watched
-	watchTimeout float64 // silence after which a watch counts as dead; +Inf: never
-
-	indexByID map[uint32]int
-	ids       []uint32
-	states    []EndpointState
-	zones     []int
-	cells     []int
-	startedAt []float64 // 0: before anybody watched
-
-	inUpdate      []bool  // mentioned since BeginEndpointUpdate, by backend
-	fullUpdate    bool    // backends that are not mentioned are gone
-	listReceived  bool    // an update has ended
-	watchAt       float64 // when to watch the list anew
-	watchFailures int     // in a row
+	watch  endpointWatch
+	update endpointUpdate
+
+	indexByID     map[uint32]int
+	ids           []uint32
+	states        []EndpointState
+	zones         []int
+	cells         []int
+	weights       []float64    // relative capacity
+	startedAt     []float64    // 0: before anybody watched
+	assumedStarts map[int]bool // backends from a cached list whose start time is not confirmed
+
+	listReceived    bool    // an update has ended
+	initialBackends float64 // ready backends in the first list
+}
+
+// endpointUpdate is the state of the update of the list that is being applied.
+type endpointUpdate struct {
+	mentioned []bool // since BeginEndpointUpdate, by backend
+	isFull    bool   // backends that are not mentioned are gone
 }
 
 // NewEndpointSet returns an empty set. Where the list must be watched, a watch that is silent for
@@ -56,10 +61,12 @@
 		watchTimeout = math.Inf(1)
 	}
 	return &EndpointSet{
-		mustWatch:    mustWatch,
-		watchTimeout: watchTimeout,
-		watchAt:      math.Inf(1),
-		indexByID:    map[uint32]int{},
+		watch: endpointWatch{
+			isRequired: mustWatch,
+			timeout:    watchTimeout,
+			nextAt:     math.Inf(1),
+		},
+		indexByID: map[uint32]int{},
 	}
 }
 
@@ -69,14 +76,15 @@
 	e.states = append(e.states, Gone)
 	e.zones = append(e.zones, 0)
 	e.cells = append(e.cells, 0)
+	e.weights = append(e.weights, 1)
 	e.startedAt = append(e.startedAt, 0)
-	e.inUpdate = append(e.inUpdate, false)
+	e.update.mentioned = append(e.update.mentioned, false)
 }
 
 // BeginEndpointUpdate begins an update of the list. A full update mentions every backend there is.
 func (b *Balancer) BeginEndpointUpdate(full bool) {
-	b.fullUpdate = full
-	clear(b.inUpdate)
+	b.update.isFull = full
+	clear(b.update.mentioned)
 }
 
 // UpdateEndpoint applies one entry of the update.
@@ -96,13 +104,13 @@
 	b.zones[backend] = endpoint.Zone
 	b.cells[backend] = endpoint.Cell
 	b.weights[backend] = endpoint.Weight
-	b.inUpdate[backend] = true
+	b.update.mentioned[backend] = true
 	b.updateTracking(backend)
 }
 
 // EndEndpointUpdate ends the update. After a full one, backends that it did not mention are gone.
 func (b *Balancer) EndEndpointUpdate(now float64) {
-	if b.fullUpdate {
+	if b.update.isFull {
 		b.removeUnmentioned()
 	}
 	if !b.listReceived {
@@ -116,7 +124,7 @@
 
 // removeUnmentioned marks backends that the update did not mention as gone.
 func (b *Balancer) removeUnmentioned() {
-	for backend, mentioned := range b.inUpdate {
+	for backend, mentioned := range b.update.mentioned {
 		if !mentioned {
 			b.states[backend] = Gone
 			b.updateTracking(backend)
@@ -147,9 +155,9 @@
 	b.startedAt[backend] = 0
 	b.outliers.reset(backend)
 	b.slowStart.startedAt[backend] = math.Inf(-1)
-	b.poller.pollSentAt[backend] = math.NaN()
-	b.poller.polledAt[backend] = math.Inf(-1)
-	b.poller.selectionDraws[backend] = b.rng.Float64()
+	b.poller.polls.sentAt[backend] = math.NaN()
+	b.poller.polls.latestAt[backend] = math.Inf(-1)
+	b.poller.polls.selectionDraws[backend] = b.rng.Float64()
 	b.forgetLoad(backend)
 	b.updateTracking(backend)
 	return backend
@@ -158,7 +166,7 @@
 // findFreeIndex returns the index of a backend that is gone and has no session left, or noBackend.
 func (b *Balancer) findFreeIndex() int {
 	for backend, state := range b.states {
-		if state == Gone && b.sessionCounts[backend] == 0 {
+		if state == Gone && b.usage.counts[backend] == 0 {
 			return backend
 		}
 	}
@@ -171,9 +179,7 @@
 	b.outliers.grow()
 	b.slowStart.grow()
 	b.poller.grow()
-	b.sessionLoads = append(b.sessionLoads, 0)
-	b.sessionCounts = append(b.sessionCounts, 0)
-	b.weights = append(b.weights, 1)
+	b.usage.grow()
 	b.roundRobin.bucketCounts = append(b.roundRobin.bucketCounts, 0)
 	b.tracker.grow(len(b.ids))
 }
@@ -192,8 +198,8 @@
 		return BackendStatus{ReportedAt: math.Inf(-1), IsAvoided: true}
 	}
 	return BackendStatus{
-		Sessions:   b.sessionCounts[backend],
-		ReportedAt: b.poller.reportedAt[backend],
+		Sessions:   b.usage.counts[backend],
+		ReportedAt: b.poller.reports.receivedAt[backend],
 		IsAvoided:  b.states[backend] != Ready || !b.outliers.isHealthy(backend),
 	}
 }
--- a/balancer/endpoint_set_test.go
+++ b/balancer/endpoint_set_test.go
@@ -47,6 +47,6 @@
 	b.BeginEndpointUpdate(false)
 	b.UpdateEndpoint(Endpoint{ID: 1, State: Ready, StartedAt: start + 5, Weight: 1})
 	b.EndEndpointUpdate(start + 10)
-	assert.True(t, math.IsNaN(b.poller.loads[0]))
+	assert.True(t, math.IsNaN(b.poller.reports.loads[0]))
 	assert.Less(t, b.slowStart.capacityShare(0, start+10), 0.21)
 }
--- a/balancer/endpoint_watch.go
+++ b/balancer/endpoint_watch.go
@@ -11,27 +11,35 @@
 	relaysPerWatchBackoff = 32     // so many relays double it too
 )
 
+// endpointWatch is when and how the endpoint list is watched.
+type endpointWatch struct {
+	isRequired bool    // changes come only while the list is watched
+	timeout    float64 // silence after which a watch counts as dead; +Inf: never
+	nextAt     float64 // when to watch the list anew
+	failures   int     // in a row
+}
+
 // scheduleWatch sets when the list is watched anew, after an update.
 func (b *Balancer) scheduleWatch(now float64) {
-	b.watchFailures = 0
-	b.watchAt = now + b.watchSilence()
-	if !b.listReceived && b.mustWatch { // the cached list at the start is no answer
-		b.watchAt = now + b.rng.Float64()*min(firstWatchSpread*(b.quotas.relays-1), b.watchTimeout/2)
+	b.watch.failures = 0
+	b.watch.nextAt = now + b.watchSilence()
+	if !b.listReceived && b.watch.isRequired { // the cached list at the start is no answer
+		b.watch.nextAt = now + b.rng.Float64()*min(firstWatchSpread*(b.quotas.relays-1), b.watch.timeout/2)
 	}
 }
 
 // WatchFailed schedules a retry after a failed call or a broken watch: exponential backoff with jitter. It is
 // bounded, as a relay counts as notified of a change a fixed time after discovery can be reached again.
 func (b *Balancer) WatchFailed(now float64) {
-	b.watchFailures = min(b.watchFailures+1, maxWatchFailures)
-	doubled := float64(int(firstWatchBackoff) << (b.watchFailures - 1))
+	b.watch.failures = min(b.watch.failures+1, maxWatchFailures)
+	doubled := float64(int(firstWatchBackoff) << (b.watch.failures - 1))
 	backoff := doubled * (1 + b.quotas.relays/relaysPerWatchBackoff)
-	mean := min(backoff, maxWatchBackoff, maxBackoffPerTimeout*b.watchTimeout)
-	b.watchAt = now + mean*(0.5+b.rng.Float64())
+	mean := min(backoff, maxWatchBackoff, maxBackoffPerTimeout*b.watch.timeout)
+	b.watch.nextAt = now + mean*(0.5+b.rng.Float64())
 }
 
 // watchSilence returns after how many silent milliseconds the list is watched anew. It grows with the number
 // of relays, as hundreds of them would overload discovery, which then notifies nobody of a drain.
 func (b *Balancer) watchSilence() float64 {
-	return max(b.watchTimeout*watchSilenceShare, b.quotas.relays*watchIntervalPerRelay)
+	return max(b.watch.timeout*watchSilenceShare, b.quotas.relays*watchIntervalPerRelay)
 }
--- a/balancer/endpoint_watch_test.go
+++ b/balancer/endpoint_watch_test.go
@@ -32,7 +32,7 @@
 		}
 		for range 9 {
 			b.WatchFailed(start + 6000)
-			assert.Less(t, b.watchAt-start-6000, 4*10000.0, "from then on it counts as told")
+			assert.Less(t, b.watch.nextAt-start-6000, 4*10000.0, "from then on it counts as told")
 		}
 		b.BeginEndpointUpdate(false)
 		b.EndEndpointUpdate(start + 6000)
@@ -52,9 +52,9 @@
 			now := start + 1000
 			for failure := range 12 {
 				b.WatchFailed(now)
-				assert.LessOrEqual(t, b.watchAt-now, 2000.0, "%d relays, failure %d", relays, failure)
-				assert.Greater(t, b.watchAt-now, 50.0, "%d relays, failure %d", relays, failure)
-				now = b.watchAt
+				assert.LessOrEqual(t, b.watch.nextAt-now, 2000.0, "%d relays, failure %d", relays, failure)
+				assert.Greater(t, b.watch.nextAt-now, 50.0, "%d relays, failure %d", relays, failure)
+				now = b.watch.nextAt
 				assert.Equal(t, ActionSubscribe, b.NextAction(now).Kind)
 			}
 		}
--- a/balancer/estimates.go
+++ b/balancer/estimates.go
@@ -32,9 +32,9 @@
 	}
 	for backend, state := range b.states {
 		isWarm := b.slowStart.startedAt[backend]+b.slowStart.Duration <= b.roundRobin.builtAt
-		load := b.poller.loads[backend]
+		load := b.poller.reports.loads[backend]
 		if state == Ready && isWarm && b.outliers.isHealthy(backend) && !math.IsNaN(load) {
-			estimates.OwnLoad += max(b.sessionLoads[backend]-b.poller.unreportedLoads[backend], 0)
+			estimates.OwnLoad += max(b.usage.loads[backend]-b.poller.unreported.byBackend[backend], 0)
 			estimates.ReportedLoad += load
 		}
 	}
@@ -51,9 +51,9 @@
 	case told > 0 && (samples < 2*confidentSessions || b.admission.ShouldRedraw()):
 		return told
 	case told > 0:
-		return min(b.capacity, maxEstimateGrowth*told)
+		return min(b.fleet.capacity, maxEstimateGrowth*told)
 	default:
-		return b.capacity
+		return b.fleet.capacity
 	}
 }
 
--- a/balancer/estimates_test.go
+++ b/balancer/estimates_test.go
@@ -44,12 +44,12 @@
 		require.True(t, b.RestoreEstimates(estimates))
 		b.SetRecovering(true, 0)
 		assignSessions(b, 1100, 60, 10)
-		b.capacity = 10 * estimates.Capacity // as reports that hold nothing yet have it
+		b.fleet.capacity = 10 * estimates.Capacity // as reports that hold nothing yet have it
 		estimates = b.Estimates()
 	}
 	assert.Equal(t, 4e6, estimates.Capacity)
 	b := newRecoveringRelay(2, 4, 1000, 1)
 	require.True(t, b.RestoreEstimates(estimates))
-	b.quotas.loadSamples, b.capacity = 2*confidentSessions, 10*estimates.Capacity
+	b.quotas.loadSamples, b.fleet.capacity = 2*confidentSessions, 10*estimates.Capacity
 	assert.Equal(t, maxEstimateGrowth*4e6, b.Estimates().Capacity)
 }
--- a/balancer/load_accounting.go
+++ b/balancer/load_accounting.go
@@ -8,10 +8,22 @@
 	load float64
 }
 
+// backendUsage is what this relay's sessions put on each backend.
+type backendUsage struct {
+	loads  []float64 // sum of their loads, by backend
+	counts []int     // number of sessions, by backend
+}
+
+// grow adds a backend.
+func (u *backendUsage) grow() {
+	u.loads = append(u.loads, 0)
+	u.counts = append(u.counts, 0)
+}
+
 // reserve counts the session on its backend and for its tenant.
 func (b *Balancer) reserve(session *Session) {
-	b.sessionCounts[session.backend]++
-	b.sessionLoads[session.backend] += session.load
+	b.usage.counts[session.backend]++
+	b.usage.loads[session.backend] += session.load
 	if session.Tenant < len(b.quotas.openSessions) {
 		b.quotas.openSessions[session.Tenant]++
 	}
@@ -19,9 +31,9 @@
 
 // release undoes reserve. The backend's next report does not include the session any more, either.
 func (b *Balancer) release(session *Session) {
-	b.poller.removeAssignment(session.backend, session.attemptedAt)
-	b.sessionCounts[session.backend]--
-	b.sessionLoads[session.backend] -= session.load
+	b.poller.unreported.remove(session.backend, session.attemptedAt)
+	b.usage.counts[session.backend]--
+	b.usage.loads[session.backend] -= session.load
 	if session.Tenant < len(b.quotas.openSessions) {
 		b.quotas.openSessions[session.Tenant]--
 	}
@@ -29,45 +41,69 @@
 
 // changeLoad replaces the session's load on its backend.
 func (b *Balancer) changeLoad(session *Session, load float64) {
-	b.sessionLoads[session.backend] += load - session.load
+	b.usage.loads[session.backend] += load - session.load
 	session.load = load
 }
 
 // UnreportedLoad returns the session load that this relay has assigned and that backends' reports may not
 // include yet.
-func (b *Balancer) UnreportedLoad() float64 { return b.poller.unreportedTotal }
+func (b *Balancer) UnreportedLoad() float64 { return b.poller.unreported.total }
 
 // SetRemoteLoad sets the unreported load of all other relays together, as they announce it; below 0: unknown.
-func (b *Balancer) SetRemoteLoad(load float64) { b.poller.remoteUnreported = load }
+func (b *Balancer) SetRemoteLoad(load float64) { b.poller.unreported.remote = load }
+
+// unknownRemoteLoad stands for the unreported load of other relays that have not announced it.
+const unknownRemoteLoad = -1
+
+// unreportedLoads are the loads of sessions assigned by relays that backends' reports may not include yet.
+type unreportedLoads struct {
+	assignments [][]assignment // of this relay, by backend
+	byBackend   []float64      // sum of their loads
+	total       float64        // sum over all backends
+	remote      float64        // of all other relays together; below 0: unknown
+}
+
+// grow adds a backend.
+func (u *unreportedLoads) grow() {
+	u.assignments = append(u.assignments, nil)
+	u.byBackend = append(u.byBackend, 0)
+}
+
+// clear forgets all assignments to the backend.
+func (u *unreportedLoads) clear(backend int) {
+	u.total -= u.byBackend[backend]
+	u.byBackend[backend] = 0
+	u.assignments[backend] = u.assignments[backend][:0]
+}
 
-// addAssignment adds load that the backend's report does not include yet.
-func (p *LoadPoller) addAssignment(backend int, added assignment) {
-	p.recentAssignments[backend] = append(p.recentAssignments[backend], added)
-	p.unreportedLoads[backend] += added.load
-	p.unreportedTotal += added.load
+// add adds load that the backend's report does not include yet.
+func (u *unreportedLoads) add(backend int, added assignment) {
+	u.assignments[backend] = append(u.assignments[backend], added)
+	u.byBackend[backend] += added.load
+	u.total += added.load
 }
 
-// removeAssignment removes the assignment made at that time, if a report does not include it yet.
-func (p *LoadPoller) removeAssignment(backend int, at float64) {
-	i := slices.IndexFunc(p.recentAssignments[backend], func(a assignment) bool { return a.at == at })
+// remove removes the assignment made at that time, if a report does not include it yet.
+func (u *unreportedLoads) remove(backend int, at float64) {
+	i := slices.IndexFunc(u.assignments[backend], func(a assignment) bool { return a.at == at })
 	if i < 0 {
 		return
 	}
-	load := p.recentAssignments[backend][i].load
-	p.unreportedLoads[backend] -= load
-	p.unreportedTotal -= load
-	p.recentAssignments[backend] = slices.Delete(p.recentAssignments[backend], i, i+1)
+	load := u.assignments[backend][i].load
+	u.byBackend[backend] -= load
+	u.total -= load
+	u.assignments[backend] = slices.Delete(u.assignments[backend], i, i+1)
 }
 
 // dropReported removes the assignments made before that time, which the latest report includes.
-func (p *LoadPoller) dropReported(backend int, before float64) {
-	p.unreportedTotal -= p.unreportedLoads[backend]
-	p.unreportedLoads[backend] = 0
-	p.recentAssignments[backend] = slices.DeleteFunc(p.recentAssignments[backend], func(a assignment) bool {
+func (u *unreportedLoads) dropReported(backend int, before float64) {
+	u.total -= u.byBackend[backend]
+	u.byBackend[backend] = 0
+	u.assignments[backend] = slices.DeleteFunc(u.assignments[backend], func(a assignment) bool {
 		return a.at < before
 	})
-	for _, a := range p.recentAssignments[backend] {
-		p.unreportedLoads[backend] += a.load
+	for _, a := range u.assignments[backend] {
+		u.byBackend[backend] += a.load
 	}
-	p.unreportedTotal += p.unreportedLoads[backend]
+	u.total += u.byBackend[backend]
 }
--- a/balancer/load_accounting_test.go
+++ b/balancer/load_accounting_test.go
@@ -26,7 +26,7 @@
 	} {
 		b := newRecoveringRelay(4, 4, 0, 1)
 		b.UpdateEndpoint(Endpoint{ID: 1, State: Ready, StartedAt: c.startedAt, Weight: 1})
-		b.capacity = 4e6
+		b.fleet.capacity = 4e6
 		b.SetRemoteLoad(c.remoteLoad)
 		if c.maxReportAge > 0 {
 			b.SetMaxReportAge(c.maxReportAge)
@@ -38,7 +38,7 @@
 		b.LoadReported(now+300, 1, []float64{0.2})
 		assert.InDelta(t, c.want, b.loadEstimate(0, now), 1e-6, c.name)
 		unreported := 0.0
-		for _, load := range b.poller.unreportedLoads {
+		for _, load := range b.poller.unreported.byBackend {
 			unreported += load
 		}
 		assert.InDelta(t, unreported, b.UnreportedLoad(), 1e-6, c.name)
--- a/balancer/load_polling.go
+++ b/balancer/load_polling.go
@@ -30,8 +30,8 @@
 // the whole fleet regularly would cost more than a session may. If all candidates are full no others are
 // polled: the sessions of a full fleet would fill its last gaps, and all loads were too high.
 func (b *Balancer) awaitPolls(now float64, session *Session) bool {
-	b.activeShare, _ = b.pollingPlan()
-	if !b.poller.enabled || b.activeShare >= 1 {
+	b.poller.activeShare, _ = b.pollingPlan()
+	if !b.poller.enabled || b.poller.activeShare >= 1 {
 		return true
 	}
 	if session.pollsUntil == 0 {
@@ -59,23 +59,23 @@
 	zone := b.targetZone(session)
 	count := int(max(min(candidatesPerSession, pollCostShare/max(b.poller.cost, 1e-9)), 1))
 	session.candidates = session.candidates[:0]
-	b.candidateDraws = b.candidateDraws[:0]
+	b.poller.candidateDraws = b.poller.candidateDraws[:0]
 	for backend, id := range b.ids {
 		if !b.isCandidate(backend, now, session, zone) {
 			continue
 		}
 		draw := exponentialDraw(hash, id)
-		if b.zones[backend] != b.localZone {
-			draw *= 1 + remoteZonePenaltyPerFee*b.crossZoneFee
+		if b.zones[backend] != b.settings.localZone {
+			draw *= 1 + remoteZonePenaltyPerFee*b.settings.crossZoneFee
 		}
-		at, _ := slices.BinarySearch(b.candidateDraws, draw)
+		at, _ := slices.BinarySearch(b.poller.candidateDraws, draw)
 		if at >= count {
 			continue
 		}
 		session.candidates = slices.Insert(session.candidates, at, backend)
-		b.candidateDraws = slices.Insert(b.candidateDraws, at, draw)
+		b.poller.candidateDraws = slices.Insert(b.poller.candidateDraws, at, draw)
 		session.candidates = session.candidates[:min(len(session.candidates), count)]
-		b.candidateDraws = b.candidateDraws[:min(len(b.candidateDraws), count)]
+		b.poller.candidateDraws = b.poller.candidateDraws[:min(len(b.poller.candidateDraws), count)]
 	}
 }
 
@@ -88,18 +88,18 @@
 	if !b.isInDeduplicationScope(session, backend) || !b.zoneAllows(backend, zone) {
 		return false
 	}
-	return b.outliers.consecutiveFailures[backend] == 0 || now >= b.poller.polledAt[backend]+maxPollInterval
+	return b.outliers.consecutiveFailures[backend] == 0 || now >= b.poller.polls.latestAt[backend]+maxPollInterval
 }
 
 // NextAction returns the poll or watch that is due, or how long to wait; ask again until it is ActionWait.
 func (b *Balancer) NextAction(now float64) Action {
-	untilWatch := b.watchAt - now
+	untilWatch := b.watch.nextAt - now
 	if untilWatch <= 0 {
 		// A watch may have died without notice, so a silent one is renewed.
-		b.watchAt = now + b.watchSilence()
+		b.watch.nextAt = now + b.watchSilence()
 		return Action{Kind: ActionSubscribe}
 	}
-	if backend := b.poller.nextRequested(); backend >= 0 {
+	if backend := b.poller.requests.next(); backend >= 0 {
 		return b.startPoll(now, backend)
 	}
 	share, interval := b.pollingPlan()
@@ -121,11 +121,11 @@
 func (b *Balancer) scheduleFirstPolls(now, share, interval float64) {
 	for i := 0; i < len(b.tracker.neverPolled); {
 		backend := b.tracker.neverPolled[i]
-		if b.poller.selectionDraws[backend] >= share {
+		if b.poller.polls.selectionDraws[backend] >= share {
 			i++
 			continue
 		}
-		b.poller.polledAt[backend] = now + b.rng.Float64()*failedPollInterval - interval
+		b.poller.polls.latestAt[backend] = now + b.rng.Float64()*failedPollInterval - interval
 		b.updateTracking(backend) // takes it out of neverPolled
 	}
 }
@@ -133,15 +133,16 @@
 // nextPollAt is when a backend that was polled is polled again.
 func (b *Balancer) nextPollAt(backend int, interval float64) float64 {
 	if b.outliers.consecutiveFailures[backend] > 0 {
-		return b.poller.polledAt[backend] + failedPollInterval
+		return b.poller.polls.latestAt[backend] + failedPollInterval
 	}
-	return b.poller.polledAt[backend] + interval*(1-pollSpread/2+pollSpread*b.poller.selectionDraws[backend])
+	polls := &b.poller.polls
+	return polls.latestAt[backend] + interval*(1-pollSpread/2+pollSpread*polls.selectionDraws[backend])
 }
 
 // startPoll records that the backend is polled now and returns the action.
 func (b *Balancer) startPoll(now float64, backend int) Action {
-	b.poller.polledAt[backend] = now
-	b.poller.pollSentAt[backend] = now
+	b.poller.polls.latestAt[backend] = now
+	b.poller.polls.sentAt[backend] = now
 	b.updateTracking(backend)
 	return Action{Kind: ActionPoll, Backend: b.ids[backend]}
 }
@@ -159,7 +160,7 @@
 			continue
 		}
 		healthy++
-		if now < b.poller.reportedAt[backend]+maxPollInterval {
+		if now < b.poller.reports.receivedAt[backend]+maxPollInterval {
 			reported++
 		}
 	}
--- a/balancer/load_reports.go
+++ b/balancer/load_reports.go
@@ -14,16 +14,39 @@
 
 const absoluteFields = 2
 
-// selectField chooses the report field that loads are read from.
-func (p *LoadPoller) selectField(fields []string) {
-	p.reportField = math.MaxInt // no report has it
+// defaultMaxReportAge is the age of a report, in milliseconds, that is assumed where none was set.
+const defaultMaxReportAge = 1500.0
+
+// loadReports is what backends have reported of their load.
+type loadReports struct {
+	field           int  // index of the report's field that the load is read from
+	hasAbsoluteLoad bool // loads are shares of a capacity, so that fixed limits apply to them
+	maxAge          float64
+
+	loads      []float64 // by backend; NaN: unknown
+	receivedAt []float64 // by backend; -Inf: never
+}
+
+// newLoadReports returns loadReports without backends, and chooses the field that loads are read from.
+func newLoadReports(fields []string) loadReports {
 	for rank, name := range loadFields {
 		if i := slices.Index(fields, name); i >= 0 {
-			p.reportField = i
-			p.hasAbsoluteLoad = rank < absoluteFields
-			return
+			return loadReports{field: i, hasAbsoluteLoad: rank < absoluteFields, maxAge: defaultMaxReportAge}
 		}
 	}
+	return loadReports{field: math.MaxInt, maxAge: defaultMaxReportAge} // no report has that field
+}
+
+// grow adds a backend.
+func (r *loadReports) grow() {
+	r.loads = append(r.loads, math.NaN())
+	r.receivedAt = append(r.receivedAt, math.Inf(-1))
+}
+
+// clear forgets the backend's reports.
+func (r *loadReports) clear(backend int) {
+	r.loads[backend] = math.NaN()
+	r.receivedAt[backend] = math.Inf(-1)
 }
 
 // LoadReported records a load report, however late it is.
@@ -32,26 +55,26 @@
 	if !known {
 		return
 	}
-	load := b.poller.loadFromReport(report, b.weights[backend])
+	load := b.poller.reports.read(report, b.weights[backend])
 	if !math.IsNaN(load) {
 		b.judgeReport(backend, now, load)
-		b.poller.setLoad(backend, now, load)
+		b.poller.reports.setLoad(backend, now, load)
 	}
-	b.poller.dropReported(backend, now-b.poller.maxReportAge)
+	b.poller.unreported.dropReported(backend, now-b.poller.reports.maxAge)
 	b.roundRobin.stale = true
 }
 
-// loadFromReport reads a report's load: x0, or a stand-in, divided by the backend's weight if that is no
+// read returns a report's load: x0, or a stand-in, divided by the backend's weight if that is no
 // absolute figure. A load that is negative or no number is NaN.
-func (p *LoadPoller) loadFromReport(report []float64, weight float64) float64 {
-	if p.reportField >= len(report) {
+func (r *loadReports) read(report []float64, weight float64) float64 {
+	if r.field >= len(report) {
 		return math.NaN()
 	}
-	load := report[p.reportField]
+	load := report[r.field]
 	if !(load >= 0) || math.IsInf(load, 1) {
 		return math.NaN()
 	}
-	if p.hasAbsoluteLoad || weight <= 0 {
+	if r.hasAbsoluteLoad || weight <= 0 {
 		return load
 	}
 	return load / weight
@@ -59,11 +82,11 @@
 
 // setLoad sets a reported load, smoothed when it falls: a session stays for life, so the peaks of a varying
 // load count.
-func (p *LoadPoller) setLoad(backend int, now, load float64) {
-	if load < p.loads[backend] {
-		reports := (now - p.reportedAt[backend]) / pollInterval
-		load += (p.loads[backend] - load) * math.Pow(1-loadDecay, reports)
+func (r *loadReports) setLoad(backend int, now, load float64) {
+	if load < r.loads[backend] {
+		reports := (now - r.receivedAt[backend]) / pollInterval
+		load += (r.loads[backend] - load) * math.Pow(1-loadDecay, reports)
 	}
-	p.loads[backend] = load
-	p.reportedAt[backend] = now
+	r.loads[backend] = load
+	r.receivedAt[backend] = now
 }
--- a/balancer/load_reports_test.go
+++ b/balancer/load_reports_test.go
@@ -23,10 +23,10 @@
 		b.LoadReported(start+10, 1, c.report)
 		b.LoadReported(start+10, 77, c.report)
 		if c.name == "good" || c.report == nil {
-			assert.Equal(t, c.want, b.poller.loads[0], c.name)
+			assert.Equal(t, c.want, b.poller.reports.loads[0], c.name)
 		} else {
-			assert.False(t, math.IsNaN(b.poller.loads[0]) || math.IsInf(b.poller.loads[0], 0) ||
-				b.poller.loads[0] < 0, c.name)
+			assert.False(t, math.IsNaN(b.poller.reports.loads[0]) || math.IsInf(b.poller.reports.loads[0], 0) ||
+				b.poller.reports.loads[0] < 0, c.name)
 		}
 	}
 }
@@ -43,7 +43,7 @@
 		{[]string{"rps", "active"}, []float64{9, 4}, 2, 2},
 		{[]string{"unheard_of"}, []float64{9}, 2, math.NaN()},
 	} {
-		got := NewLoadPoller(true, 0, c.fields).loadFromReport(c.report, c.weight)
+		got := NewLoadPoller(true, 0, c.fields).reports.read(c.report, c.weight)
 		assert.Equal(t, math.IsNaN(c.want), math.IsNaN(got), c.fields)
 		if !math.IsNaN(c.want) {
 			assert.Equal(t, c.want, got, c.fields)
--- a/balancer/outliers.go
+++ b/balancer/outliers.go
@@ -106,7 +106,7 @@
 		return
 	}
 	b.outliers.awaitsReport[backend] = false
-	if b.poller.hasAbsoluteLoad && load < loadLimit {
+	if b.poller.reports.hasAbsoluteLoad && load < loadLimit {
 		b.outliers.addEvidence(backend, now, outlierPenalty)
 	}
 }
--- a/balancer/poll_queue.go
+++ b/balancer/poll_queue.go
@@ -98,7 +98,7 @@
 	if queue.dueAt[backend]+extra-pollRounding > search.now+max(search.wait, 0) {
 		return
 	}
-	if b.poller.selectionDraws[backend] < search.share {
+	if b.poller.polls.selectionDraws[backend] < search.share {
 		wait := b.nextPollAt(backend, search.interval) - search.now
 		search.wait = min(search.wait, wait)
 		if wait <= 0 && (search.backend < 0 || backend < search.backend) {
--- a/balancer/session_events.go
+++ b/balancer/session_events.go
@@ -11,7 +11,7 @@
 	session.attemptedAt = now
 	session.reserved = true
 	b.reserve(session)
-	b.poller.addAssignment(backend, assignment{at: now, load: session.load})
+	b.poller.unreported.add(backend, assignment{at: now, load: session.load})
 	return Decision{
 		Kind:    Assign,
 		Backend: b.ids[backend],
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -103,7 +103,7 @@
 		}
 		share := b.slowStart.capacityShare(backend, now)
 		if b.isLoadObserved(backend, now) {
-			share *= 1 + (observedPaceFactor-1)*(1-b.activeShare)
+			share *= 1 + (observedPaceFactor-1)*(1-b.poller.activeShare)
 		}
 		drawn.count++
 		drawn.capacityShare += share
@@ -119,7 +119,7 @@
 // one backend, while that many backends warm up.
 func (b *Balancer) slowStartPace(warming float64) float64 {
 	s := b.slowStart
-	sessions := max(b.capacity/b.quotas.meanSessionLoad, 1)
+	sessions := max(b.fleet.capacity/b.quotas.meanSessionLoad, 1)
 	usual := s.OverloadMultiple / 2 * sessions / s.Duration / s.relays
 	return b.admission.SlowStartBudget(sessions, s.OverloadMultiple, s.InitialCapacity, s.OverloadSpan, usual,
 		warming, float64(b.tracker.usable))
@@ -129,5 +129,5 @@
 // is new as candidates are polled for each session.
 func (b *Balancer) isLoadObserved(backend int, now float64) bool {
 	s := b.slowStart
-	return b.activeShare < 1 && now >= s.startedAt[backend]+s.OverloadSpan+b.poller.maxReportAge
+	return b.poller.activeShare < 1 && now >= s.startedAt[backend]+s.OverloadSpan+b.poller.reports.maxAge
 }
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -65,7 +65,7 @@
 			b := testFleet{Loads: []float64{c.warm, c.warm, c.warm, c.warming}, LastStartedAt: start, Relays: c.relays,
 				Seed: seed}.build(t)
 			now := start + c.age
-			b.poller.recentAssignments[3] = []assignment{{now - 100, c.placed / 20}}
+			b.poller.unreported.assignments[3] = []assignment{{now - 100, c.placed / 20}}
 			if assignWithPolls(b, now, newSession(now), []float64{c.warm, c.warm, c.warm, c.warming}).Backend == 4 {
 				sent++
 			}
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -75,7 +75,7 @@
 		ClassSamples:         append([]float64{}, b.quotas.classSamples...),
 		MeanSessionLoad:      b.quotas.meanSessionLoad,
 		LoadSamples:          b.quotas.loadSamples,
-		EstimatedCapacity:    b.estimatedCapacity,
+		EstimatedCapacity:    b.fleet.capacityBySessions,
 		ListedBackends:       b.initialBackends,
 		EstablishedSessions:  b.attempts.established,
 		EstablishedSpan:      b.attempts.establishedSpan,
@@ -102,15 +102,15 @@
 	snapshot := BackendSnapshot{
 		ID:                  b.ids[backend],
 		StartedAt:           b.startedAt[backend],
-		Load:                encodeMissing(b.poller.loads[backend]),
-		ReportedAt:          encodeMissing(b.poller.reportedAt[backend]),
-		PolledAt:            encodeMissing(b.poller.polledAt[backend]),
+		Load:                encodeMissing(b.poller.reports.loads[backend]),
+		ReportedAt:          encodeMissing(b.poller.reports.receivedAt[backend]),
+		PolledAt:            encodeMissing(b.poller.polls.latestAt[backend]),
 		SlowStartAt:         encodeMissing(b.slowStart.startedAt[backend]),
 		ConsecutiveFailures: b.outliers.consecutiveFailures[backend],
 		SessionsLost:        b.outliers.sessionsLost[backend],
 		OutlierEvidence:     b.outliers.evidence[backend],
 	}
-	for _, a := range b.poller.recentAssignments[backend] {
+	for _, a := range b.poller.unreported.assignments[backend] {
 		snapshot.RecentAssignments = append(snapshot.RecentAssignments,
 			AssignmentSnapshot{At: a.at, Load: a.load})
 	}
@@ -141,7 +141,7 @@
 	copy(b.quotas.classSamples, snapshot.ClassSamples)
 	b.quotas.meanSessionLoad = snapshot.MeanSessionLoad
 	b.quotas.loadSamples = snapshot.LoadSamples
-	b.estimatedCapacity = snapshot.EstimatedCapacity
+	b.fleet.capacityBySessions = snapshot.EstimatedCapacity
 	b.initialBackends = snapshot.ListedBackends
 	for key, load := range snapshot.EndedSessionLoads {
 		b.quotas.endedLoads.store(now, key, load)
@@ -166,19 +166,19 @@
 	if !known || b.startedAt[backend] != snapshot.StartedAt {
 		return
 	}
-	b.poller.loads[backend] = decodeMissing(snapshot.Load, math.NaN())
-	b.poller.reportedAt[backend] = decodeMissing(snapshot.ReportedAt, math.Inf(-1))
-	b.poller.polledAt[backend] = decodeMissing(snapshot.PolledAt, math.Inf(-1))
+	b.poller.reports.loads[backend] = decodeMissing(snapshot.Load, math.NaN())
+	b.poller.reports.receivedAt[backend] = decodeMissing(snapshot.ReportedAt, math.Inf(-1))
+	b.poller.polls.latestAt[backend] = decodeMissing(snapshot.PolledAt, math.Inf(-1))
 	b.outliers.restore(backend, snapshot)
 	if snapshot.SlowStartAt >= 0 {
 		b.startSlowStart(backend, snapshot.SlowStartAt)
 	}
-	b.poller.recentAssignments[backend] = b.poller.recentAssignments[backend][:0]
+	b.poller.unreported.assignments[backend] = b.poller.unreported.assignments[backend][:0]
 	for _, a := range snapshot.RecentAssignments {
-		b.poller.recentAssignments[backend] = append(b.poller.recentAssignments[backend],
+		b.poller.unreported.assignments[backend] = append(b.poller.unreported.assignments[backend],
 			assignment{at: a.At, load: a.Load})
 	}
-	b.poller.dropReported(backend, b.poller.reportedAt[backend]-b.poller.maxReportAge)
+	b.poller.unreported.dropReported(backend, b.poller.reports.receivedAt[backend]-b.poller.reports.maxAge)
 	b.updateTracking(backend)
 }
 
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -42,9 +42,9 @@
 	require.NoError(t, json.Unmarshal(text, &r))
 	b := testFleet{Loads: []float64{math.NaN(), math.NaN(), math.NaN(), math.NaN()}, LastStartedAt: start - 4000}.build(t)
 	require.NoError(t, b.Restore(now, &r))
-	assert.Equal(t, old.poller.loads, b.poller.loads)
-	assert.Equal(t, old.poller.reportedAt, b.poller.reportedAt)
-	assert.Equal(t, old.poller.unreportedLoads, b.poller.unreportedLoads)
+	assert.Equal(t, old.poller.reports.loads, b.poller.reports.loads)
+	assert.Equal(t, old.poller.reports.receivedAt, b.poller.reports.receivedAt)
+	assert.Equal(t, old.poller.unreported.byBackend, b.poller.unreported.byBackend)
 	assert.Equal(t, old.outliers.consecutiveFailures, b.outliers.consecutiveFailures)
 	assert.Equal(t, old.slowStart.startedAt, b.slowStart.startedAt)
 	assert.Equal(t, old.quotas.classLoads, b.quotas.classLoads)
@@ -65,7 +65,7 @@
 	other := testFleet{Loads: []float64{0.5, 0.5}, LastStartedAt: start + 500}.build(t)
 	require.NoError(t, other.Restore(now, &r))
 	assert.Equal(t, []int{0, 0}, other.outliers.consecutiveFailures, "backend 2 has started again since")
-	assert.Equal(t, 0.5, other.poller.loads[1])
+	assert.Equal(t, 0.5, other.poller.reports.loads[1])
 }
 
 func TestInvalidSnapshotIsRefused(t *testing.T) {
--- a/balancer/start_times.go
+++ b/balancer/start_times.go
@@ -9,7 +9,7 @@
 	if b.assumedStarts == nil {
 		b.assumedStarts = map[int]bool{}
 	}
-	for backend, mentioned := range b.inUpdate {
+	for backend, mentioned := range b.update.mentioned {
 		if mentioned {
 			b.assumedStarts[backend] = true
 			b.startedAt[backend] = now
--- a/balancer/tracker.go
+++ b/balancer/tracker.go
@@ -39,8 +39,8 @@
 	countIf(isReady && b.outliers.isHealthy(backend), &t.isUsable[backend], &t.usable)
 	countIf(b.states[backend] != Gone, &t.isListed[backend], &t.listed)
 
-	canPoll := isReady && math.IsNaN(b.poller.pollSentAt[backend])
-	isFirst := canPoll && math.IsInf(b.poller.polledAt[backend], -1)
+	canPoll := isReady && math.IsNaN(b.poller.polls.sentAt[backend])
+	isFirst := canPoll && math.IsInf(b.poller.polls.latestAt[backend], -1)
 	t.setNeverPolled(backend, isFirst)
 
 	queue, other := &t.healthyQueue, &t.failedQueue
--- a/balancer/tracker_test.go
+++ b/balancer/tracker_test.go
@@ -11,13 +11,13 @@
 
 // nextActionByFullScan is NextAction without the tracker: it looks at every backend.
 func nextActionByFullScan(b *Balancer, now float64) Action {
-	d := Action{Wait: b.watchAt - now}
+	d := Action{Wait: b.watch.nextAt - now}
 	if d.Wait <= 0 {
-		b.watchAt = now + b.watchSilence()
+		b.watch.nextAt = now + b.watchSilence()
 		return Action{Kind: ActionSubscribe}
 	}
 	p := b.poller
-	if s := p.nextRequested(); s >= 0 {
+	if s := p.requests.next(); s >= 0 {
 		return b.startPoll(now, s)
 	}
 	part, every := b.pollingPlan()
@@ -25,15 +25,15 @@
 		return d
 	}
 	for s, c := range b.states {
-		if c != Ready || p.selectionDraws[s] >= part || !math.IsNaN(p.pollSentAt[s]) {
+		if c != Ready || p.polls.selectionDraws[s] >= part || !math.IsNaN(p.polls.sentAt[s]) {
 			continue
 		}
-		if math.IsInf(p.polledAt[s], -1) {
-			p.polledAt[s] = now + b.roundRobin.rng.Float64()*failedPollInterval - every
+		if math.IsInf(p.polls.latestAt[s], -1) {
+			p.polls.latestAt[s] = now + b.roundRobin.rng.Float64()*failedPollInterval - every
 		}
-		wait := p.polledAt[s] + every*(0.9+0.2*p.selectionDraws[s]) - now
+		wait := p.polls.latestAt[s] + every*(0.9+0.2*p.polls.selectionDraws[s]) - now
 		if b.outliers.consecutiveFailures[s] > 0 {
-			wait = p.polledAt[s] + failedPollInterval - now
+			wait = p.polls.latestAt[s] + failedPollInterval - now
 		}
 		if wait <= 0 {
 			return b.startPoll(now, s)
--- a/balancer/zones.go
+++ b/balancer/zones.go
@@ -23,35 +23,41 @@
 	AcceptsOverflow bool    `json:"Open"` // the zone takes sessions meant for others that find no room there
 }
 
+// zoneRouting is what is decided on zones and what was seen of them.
+type zoneRouting struct {
+	weights      []ZoneWeight      // empty while no decision is in force
+	observations []ZoneObservation // by number of the zone
+}
+
 // SetZoneWeights has sessions meant for zones by those weights from now on; none: wherever there is room. The
 // weights are decided elsewhere, for all relays. The paper's buckets (section IV-B) know servers of one
 // place; the departure, while there are weights, is that each session draws a zone first and takes its turn
 // among that zone's backends.
-func (b *Balancer) SetZoneWeights(weights []ZoneWeight) { b.zoneWeights = weights }
+func (b *Balancer) SetZoneWeights(weights []ZoneWeight) { b.zoneRouting.weights = weights }
 
-// allZonesClosed reports whether no zone is to have anything: an operators' order, as no decision by itself
+// allClosed reports whether no zone is to have anything: an operators' order, as no decision by itself
 // goes so far.
-func (b *Balancer) allZonesClosed() bool {
-	for _, zone := range b.zoneWeights {
+func (r *zoneRouting) allClosed() bool {
+	for _, zone := range r.weights {
 		if zone.AcceptsOverflow || zone.Weight > 0 {
 			return false
 		}
 	}
-	return len(b.zoneWeights) > 0
+	return len(r.weights) > 0
 }
 
 // targetZone is the zone that the session is meant for, or -1. Sessions of a group or key that decides draw
 // alike.
 func (b *Balancer) targetZone(session *Session) int {
-	if len(b.zoneWeights) == 0 {
+	if len(b.zoneRouting.weights) == 0 {
 		return -1
 	}
 	total := 0.0 // 1, but for what nobody has room for: that takes its chance with the rest
-	for _, zone := range b.zoneWeights {
+	for _, zone := range b.zoneRouting.weights {
 		total += zone.Weight
 	}
 	left := total * (1 - math.Exp(-exponentialDraw(b.affinityHash(session), 0)))
-	for _, zone := range b.zoneWeights {
+	for _, zone := range b.zoneRouting.weights {
 		left -= zone.Weight
 		if left < 0 {
 			return zone.Zone
@@ -63,7 +69,7 @@
 // zoneAllows reports whether the backend may have a session that is meant for the zone. One in a zone that
 // nobody has decided on may have any.
 func (b *Balancer) zoneAllows(backend, targetZone int) bool {
-	for _, zone := range b.zoneWeights {
+	for _, zone := range b.zoneRouting.weights {
 		if zone.Zone == b.zones[backend] {
 			return zone.AcceptsOverflow || zone.Zone == targetZone
 		}
@@ -73,7 +79,7 @@
 
 // observeAttempt counts the end of an attempt for its zone.
 func (b *Balancer) observeAttempt(backend int, failed bool) {
-	zone := b.zoneObservation(b.zones[backend])
+	zone := b.zoneRouting.observation(b.zones[backend])
 	if zone == nil {
 		return
 	}
@@ -85,7 +91,7 @@
 
 // observePoll counts the end of a poll for its zone.
 func (b *Balancer) observePoll(backend int, answered bool) {
-	zone := b.zoneObservation(b.zones[backend])
+	zone := b.zoneRouting.observation(b.zones[backend])
 	if zone == nil {
 		return
 	}
@@ -95,13 +101,13 @@
 	}
 }
 
-// zoneObservation returns the zone's counts, or nil for a number that is not observed.
-func (b *Balancer) zoneObservation(zone int) *ZoneObservation {
+// observation returns the zone's counts, or nil for a number that is not observed.
+func (r *zoneRouting) observation(zone int) *ZoneObservation {
 	if !isObservedZone(zone) {
 		return nil
 	}
-	b.zoneObservations = growToZone(b.zoneObservations, zone)
-	return &b.zoneObservations[zone]
+	r.observations = growToZone(r.observations, zone)
+	return &r.observations[zone]
 }
 
 func isObservedZone(zone int) bool { return zone >= 0 && zone < maxZones }
@@ -116,9 +122,9 @@
 // ZoneObservations returns what was seen of each zone, by its number, and the load of this relay's own
 // sessions in what one warm backend bears (0: not known).
 func (b *Balancer) ZoneObservations(now float64) (zones []ZoneObservation, demand float64) {
-	zones = append(zones, b.zoneObservations...)
+	zones = append(zones, b.zoneRouting.observations...)
 	for backend, state := range b.states {
-		demand += b.sessionLoads[backend]
+		demand += b.usage.loads[backend]
 		zone := b.zones[backend]
 		if state != Ready || !isObservedZone(zone) {
 			continue
@@ -129,8 +135,8 @@
 			zones[zone].Capacity += b.slowStart.capacityShare(backend, now)
 		}
 	}
-	if b.capacity > 0 {
-		return zones, demand / b.capacity
+	if b.fleet.capacity > 0 {
+		return zones, demand / b.fleet.capacity
 	}
 	return zones, 0
 }
