--- a/internal/fleet/query.go
+++ b/internal/fleet/query.go
@@ -118,4 +118,5 @@
 	text := n.core.AnswerQuery(n.clock.now(), snapshot)
 	n.mutex.Unlock()
 	conn.Write(membership.Seal(n.key, append(nonce, text...))) // a peer that is gone needs no answer
+	conn.(*net.TCPConn).CloseWrite()                           // the answer's end is told before the connection is closed
 }
