--- a/cmd/valeshift/fleet.go
+++ b/cmd/valeshift/fleet.go
@@ -84,7 +84,7 @@
 		}
 		left := remaining(status)
 		if left.isNone() {
-			fmt.Printf("%s: nothing rests on it any more: it can be switched off\n", c.Address)
+			fmt.Printf("%s: nothing depends on it any more: it can be switched off\n", c.Address)
 			return nil
 		}
 		if time.Now().After(deadline) {
@@ -154,10 +154,10 @@
 	printRelay(to, address, s)
 	printReplication(to, s.Replication)
 	for _, line := range s.Recovery.Accepted {
-		fmt.Fprintf(to, "  believed: %s\n", line)
+		fmt.Fprintf(to, "  accepted: %s\n", line)
 	}
 	for _, line := range s.Recovery.Discarded {
-		fmt.Fprintf(to, "  left out: %s\n", line)
+		fmt.Fprintf(to, "  discarded: %s\n", line)
 	}
 	printMembers(to, s.Members)
 }
@@ -166,15 +166,15 @@
 func printRelay(to io.Writer, address string, s *fleet.Status) {
 	recovery := s.Recovery
 	fmt.Fprintf(to, "%s  %s for %.1f s: %s\n", address, recovery.Phase, recovery.PhaseMillis/1000, recovery.Reason)
-	fmt.Fprintf(to, "  start %d, order %d, empty %t, %d links, %d turned away in the last second\n", s.Boot,
+	fmt.Fprintf(to, "  start %d, order %d, draining %t, %d sessions, %d rejected in the last second\n", s.Boot,
 		s.Order, s.Draining, s.Sessions, s.RejectedLastSecond)
-	fmt.Fprintf(to, "  list told by discovery %t, %d of %d servers cold, this relay's part of what they bear %.3f\n",
+	fmt.Fprintf(to, "  list confirmed by discovery %t, %d of %d backends warming up, this relay's share of their capacity %.3f\n",
 		recovery.EndpointsConfirmed, s.WarmingUp, s.Usable, recovery.CapacityShare)
 	if s.DiskFault != "" {
 		fmt.Fprintf(to, "  disk: %s\n", s.DiskFault)
 	}
 	if s.AheadMillis != 0 {
-		fmt.Fprintf(to, "  its time is %.1f s ahead of the fleet's\n", s.AheadMillis/1000)
+		fmt.Fprintf(to, "  its clock is %.1f s ahead of the fleet's\n", s.AheadMillis/1000)
 	}
 	if s.HasDuplicate {
 		fmt.Fprintln(to, "  ANOTHER PROCESS SERVES UNDER THIS RELAY'S NAME")
@@ -186,16 +186,16 @@
 	if s == nil {
 		return
 	}
-	fmt.Fprintf(to, "  holds %d places, %d marks and %d orders for others; enough relays for a promise %t\n",
+	fmt.Fprintf(to, "  stores %d reservations, %d attempt markers and %d orders for others; enough relays to replicate %t\n",
 		s.Kinds["places"].Stored, s.Kinds["marks"].Stored, s.Kinds["orders"].Stored, s.HasEnoughMembers)
 	reservations := s.Counts["places"]
-	fmt.Fprintf(to, "  places held by others %d, not in time %d; taken %d, used before %d, not got in time %d\n",
+	fmt.Fprintf(to, "  reservations replicated %d, not in time %d; used %d, used before %d, not found in time %d\n",
 		reservations.Replicated, reservations.NotReplicated, reservations.Found, reservations.AlreadyUsed,
 		reservations.Missed)
 	markers := s.Counts["marks"]
-	fmt.Fprintf(to, "  tries marked at others %d, not in time %d; clients' further tries that met a mark %d\n",
+	fmt.Fprintf(to, "  attempts marked %d, not in time %d; retries that met a marker %d\n",
 		markers.Replicated, markers.NotReplicated, markers.Found)
-	fmt.Fprintf(to, "  the latest words took %.1f ms to be held in the middle, %.1f ms at p99\n", s.P50Millis,
+	fmt.Fprintf(to, "  replication latency: p50 %.1f ms, p99 %.1f ms\n", s.P50Millis,
 		s.P99Millis)
 }
 
@@ -203,7 +203,7 @@
 func printMembers(to io.Writer, members []fleet.MemberStatus) {
 	table := tabwriter.NewWriter(to, 2, 8, 2, ' ', 0)
 	for _, m := range members {
-		fmt.Fprintf(table, "  %s\t%s\t%s\tstart %d\tup %.0f s\theard %.1f s ago\tzone %s\tlist %d\t%d links\n",
+		fmt.Fprintf(table, "  %s\t%s\t%s\tstart %d\tup %.0f s\theard %.1f s ago\tzone %s\tlist %d\t%d sessions\n",
 			m.Name, m.State, m.Phase, m.Boot, m.AgeMillis/1000, m.SilentMillis/1000, m.Zone, m.EndpointsVersion,
 			m.Sessions)
 	}
--- a/cmd/valeshift/replication.go
+++ b/cmd/valeshift/replication.go
@@ -85,7 +85,7 @@
 			return err
 		}
 		if !status.HasEnoughMembers {
-			fmt.Printf("%s: not enough relays for a promise\n", address)
+			fmt.Printf("%s: not enough relays to replicate\n", address)
 		}
 		for kind, one := range status.Kinds {
 			sum := statuses[kind]
