--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -2,6 +2,7 @@
 
 import "valeshift/balancer"
 
+// All in milliseconds.
 const (
 	readyTimeout    = 1000.0 // after which the relay serves on the list that it was started with
 	drainGrace      = 500.0  // clients still come for so long after a drain begins
--- a/internal/relay/established.go
+++ b/internal/relay/established.go
@@ -10,6 +10,7 @@
 // Established sessions: data that is forwarded both ways, backends that fall silent, and clients that are sent elsewhere
 // before their backend or this relay goes away. A session is never migrated to even out load.
 
+// Times are milliseconds.
 const (
 	reestablishTimeout        = 38000.0 // of a session from before the start; it counts as lost two seconds later
 	reestablishInterval       = 500.0
--- a/internal/relay/handoff.go
+++ b/internal/relay/handoff.go
@@ -9,6 +9,7 @@
 	"valeshift/balancer"
 )
 
+// Times are milliseconds.
 const (
 	handoffVersion    = 1
 	maxHandoffAge     = 10000.0 // above which a handoff says nothing of now
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -7,6 +7,7 @@
 	"valeshift/internal/protocol"
 )
 
+// Times are milliseconds.
 const (
 	requestTimeout     = 1500.0 // for a client's request to begin, pings or none: silent clients hold descriptors
 	slowRequestTimeout = 2700.0 // since its accept, for one that has begun: clients may take two seconds to write it
--- a/internal/relay/watch.go
+++ b/internal/relay/watch.go
@@ -2,6 +2,7 @@
 
 import "math"
 
+// All in milliseconds.
 const (
 	// heartbeatTimeout is for the next line of a watch: an empty one comes every 2 s. What a silent watch misses counts
 	// as told 6 s after it fell silent, which leaves time for a call that is refused once or twice.
