--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -18,6 +18,7 @@
 	Problem string
 }
 
+// Error returns "line:column: field: problem".
 func (e *PositionError) Error() string {
 	if e.Field == "" {
 		return fmt.Sprintf("%d:%d: %s", e.Line, e.Column, e.Problem)
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -17,6 +17,7 @@
 	Problem string // what was expected, and what the file has
 }
 
+// Error returns "field: problem".
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
 func newFieldError(field, format string, arguments ...any) error {
--- a/internal/relay/accept.go
+++ b/internal/relay/accept.go
@@ -11,7 +11,7 @@
 // acceptClients accepts clients until the end. nbio's own listener would spin where there are no descriptors left, as it
 // asks again at once.
 func (d *driver) acceptClients() {
-	defer close(d.acceptDone)
+	defer close(d.accept.done)
 	for d.waitUntilAccepting() {
 		d.acceptClient()
 	}
@@ -21,10 +21,10 @@
 func (d *driver) waitUntilAccepting() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	for d.acceptPaused && !d.acceptEnding {
-		d.acceptChanged.Wait()
+	for d.accept.paused && !d.accept.ending {
+		d.accept.changed.Wait()
 	}
-	return !d.acceptEnding
+	return !d.accept.ending
 }
 
 // acceptClient accepts one client, and reports whether one came.
--- a/internal/relay/carryout.go
+++ b/internal/relay/carryout.go
@@ -51,9 +51,9 @@
 
 // pauseAccept has clients accepted no longer, or again.
 func (d *driver) pauseAccept(on bool) {
-	d.acceptPaused = on
-	d.acceptChanged.Broadcast()
-	if d.acceptEnding {
+	d.accept.paused = on
+	d.accept.changed.Broadcast()
+	if d.accept.ending {
 		return // the listener's deadline is that of its last connections
 	}
 	if on { // also where a client is waited for already: the next is not accepted
@@ -83,10 +83,10 @@
 func (d *driver) carryOutHandoff(effect Effect) {
 	switch e := effect.(type) {
 	case *SendHandoff:
-		child, handoff := d.handoffChild, e.Handoff
+		child, handoff := d.siblings.handoffChild, e.Handoff
 		d.workers.run(func() { d.sendRecord(d.slot.SendHandoff, child, handoff) })
 	case *SendEndpoints:
-		if sibling, update := d.sibling, e.Update; sibling > 0 {
+		if sibling, update := d.siblings.nearest, e.Update; sibling > 0 {
 			d.workers.run(func() { d.sendRecord(d.slot.SendMessage, sibling, update) })
 		}
 	case *TransferSession:
--- a/internal/relay/closing.go
+++ b/internal/relay/closing.go
@@ -140,12 +140,12 @@
 // too, the backlog is left to that.
 func (d *driver) closeListener() {
 	d.mutex.Lock()
-	d.acceptEnding = true
+	d.accept.ending = true
 	yielded := d.machine.siblings.yielded
-	d.acceptChanged.Broadcast()
+	d.accept.changed.Broadcast()
 	d.listener.SetDeadline(time.Unix(1, 0))
 	d.mutex.Unlock()
-	<-d.acceptDone
+	<-d.accept.done
 	if !yielded {
 		d.acceptBacklog()
 	}
--- a/internal/relay/closing_test.go
+++ b/internal/relay/closing_test.go
@@ -111,8 +111,8 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	d.listener = listener.(*net.TCPListener)
-	d.acceptDone = make(chan struct{})
-	close(d.acceptDone) // the accept loop has not run since these came
+	d.accept.done = make(chan struct{})
+	close(d.accept.done) // the accept loop has not run since these came
 	var clients []net.Conn
 	for i := range 5 {
 		peer, err := net.Dial("tcp", listener.Addr().String())
--- a/internal/relay/driver.go
+++ b/internal/relay/driver.go
@@ -46,16 +46,26 @@
 	chunks  [][]byte                // used again for each write
 
 	lastClientConn uint64 // the highest number that a client's connection was given
-	acceptPaused   bool   // no client is accepted
-	acceptEnding   bool   // none is from now on, but for those in the backlog
-	acceptChanged  *sync.Cond
-	acceptDone     chan struct{} // closed once the accept loop is over
+	accept         acceptState
+	siblings       siblingState
 
-	siblings            SiblingProcessesChanged // which other processes there were at the last look
-	sibling             int                     // the slot's number of the nearest; 0: none
-	handoffChild        int                     // of the child that was last sent a handoff; 0: none
-	detached            *TransferredSession     // set by the effects of DetachRequested
-	acceptedBackendConn uint64                  // set by the effects of SessionReceived; 0: not accepted
+	detached            *TransferredSession // set by the effects of DetachRequested
+	acceptedBackendConn uint64              // set by the effects of SessionReceived; 0: not accepted
+}
+
+// acceptState says whether clients are accepted.
+type acceptState struct {
+	paused  bool          // no client is accepted
+	ending  bool          // none is from now on, but for those in the backlog
+	changed *sync.Cond    // of the driver's mutex, for both
+	done    chan struct{} // closed once the accept loop is over
+}
+
+// siblingState is what the last look at the other processes of this relay found.
+type siblingState struct {
+	last         SiblingProcessesChanged
+	nearest      int // the slot's number of the nearest; 0: none
+	handoffChild int // of the child that was last sent a handoff; 0: none
 }
 
 // Fleet is what the relay stores on disk, and what it knows of other relays. No method waits for either.
@@ -144,9 +154,9 @@
 		sockets:     map[uint64]*socket{},
 		dials:       map[uint64]*pendingDial{},
 		exit:        make(chan struct{}),
-		acceptDone:  make(chan struct{}),
+		accept:      acceptState{done: make(chan struct{})},
 	}
-	d.acceptChanged = sync.NewCond(&d.mutex)
+	d.accept.changed = sync.NewCond(&d.mutex)
 	d.discovery = newDiscoveryWatch(d.handle)
 	d.timer = time.AfterFunc(time.Hour, func() { d.handle(TimerFired{}) }) // until the first SetTimer
 	return d
--- a/internal/relay/driver_harness_test.go
+++ b/internal/relay/driver_harness_test.go
@@ -117,7 +117,7 @@
 	defer d.mutex.Unlock()
 	d.machine = machine
 	d.log = slog.New(slog.DiscardHandler)
-	d.acceptChanged = sync.NewCond(&d.mutex)
+	d.accept.changed = sync.NewCond(&d.mutex)
 	d.timer = time.NewTimer(time.Hour)
 	d.discovery = newDiscoveryWatch(d.handle)
 }
--- a/internal/relay/handoff_test.go
+++ b/internal/relay/handoff_test.go
@@ -244,7 +244,7 @@
 		s.play(c.name, step{1, "heard 1", ""}, step{105, "receive 7", "accepted 7 s1"})
 		links := s.queue.dispatcher.Balancer.BackendStatus(s.endpoints.byName["b1"].id).Sessions
 		assert.Equal(t, []int{1, 1, 1}, []int{links, s.Established, s.queue.sessions}, c.name)
-		assert.Equal(t, "in_flight 1, backends_known 1", s.told(), "served by the other process")
+		assert.Equal(t, "in_flight 1, backends_known 1", s.published(), "served by the other process")
 		s.handle(3000, "heard 1")
 		s.now = 105
 		s.play(c.name, c.steps...)
--- a/internal/relay/metrics_test.go
+++ b/internal/relay/metrics_test.go
@@ -10,24 +10,24 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// told gives the figures that are not 0, by name.
-func (s *harness) told() string {
-	var said []string
+// published returns the metrics that are not 0, by name.
+func (s *harness) published() string {
+	var published []string
 	values := s.metricValues(nil)
-	for i, f := range s.metricNames() {
+	for i, metric := range s.metricNames() {
 		if values[i] > 0 {
-			said = append(said, fmt.Sprint(f.Name, " ", values[i]))
+			published = append(published, fmt.Sprint(metric.Name, " ", values[i]))
 		}
 	}
-	return strings.Join(said, ", ")
+	return strings.Join(published, ", ")
 }
 
-// Every way in which a client's connection can end, against what it and the backends saw.
-func TestFigures(t *testing.T) {
+// Every way in which a client's connection can end, by what the client and the backends saw.
+func TestMetricsOfSessions(t *testing.T) {
 	const head = "came 1 OPEN a 1f c=feed,t=one,d=2000|"
 	up := []step{{100, "open 1", ""}, {100, head, "dial s1 10.0.0.1:9000"},
 		{101, "up s1", "write s1 OPEN a 1f c=feed,t=one,d=1989|"}}
-	stands := append(append([]step{}, up...), step{102, "came s1 UP r|", "write 1 UP r|"})
+	established := append(append([]step{}, up...), step{102, "came s1 UP r|", "write 1 UP r|"})
 	for _, c := range []struct {
 		name  string
 		start []step
@@ -36,21 +36,21 @@
 	}{
 		{"nothing yet", nil, "tick", ""},
 		{"accepted", nil, "open 1", ""},
-		{"a try that is not up", up[:2], "tick", "in_flight 1"},
-		{"a try is out", up, "tick", "attempts 1, in_flight 1"},
-		{"stands", stands, "tick", "served.feed 1, attempts 1, in_flight 1"},
-		{"stood, and the client ended it", stands, "end 1", "served.feed 1, attempts 1"},
-		{"stood, and the backend broke it", stands, "reset s1", "served.feed 1, attempts 1"},
-		{"stood, and was moved", stands, "news 1 2 delta b1=leaving",
+		{"dialing", up[:2], "tick", "in_flight 1"},
+		{"attempt sent", up, "tick", "attempts 1, in_flight 1"},
+		{"established", established, "tick", "served.feed 1, attempts 1, in_flight 1"},
+		{"established, and the client closed", established, "end 1", "served.feed 1, attempts 1"},
+		{"established, and the backend reset", established, "reset s1", "served.feed 1, attempts 1"},
+		{"established, and moved", established, "news 1 2 delta b1=leaving",
 			"served.feed 1, attempts 1"},
-		{"tried again", up, "came s1 BUSY|", "attempts 1, in_flight 1"},
-		{"a connect that never came up", up[:2], "reset s1", "in_flight 1"},
-		{"client gone before its answer", up, "end 1", "attempts 1"},
-		{"sent on without waiting", up, "came 1 x|", "failed.feed 1, attempts 1"},
-		{"head that can't be read", up[:1], "came 1 HELLO|", ""},
-		{"no category", up[:1], "came 1 OPEN a 1f c=x,d=2000|", ""},
-		{"a wait without sense", up[:1], "came 1 OPEN a 1f c=order,d=90000|", "failed.order 1"},
-		{"resumed", []step{{100, "open 1", ""}, {100, "came 1 OPEN a 1f c=feed,t=one,d=2000,at=b1|",
+		{"retried", up, "came s1 BUSY|", "attempts 1, in_flight 1"},
+		{"connection never established", up[:2], "reset s1", "in_flight 1"},
+		{"client left before its answer", up, "end 1", "attempts 1"},
+		{"data before the answer", up, "came 1 x|", "failed.feed 1, attempts 1"},
+		{"request that can't be read", up[:1], "came 1 HELLO|", ""},
+		{"unknown class", up[:1], "came 1 OPEN a 1f c=x,d=2000|", ""},
+		{"deadline that can't be", up[:1], "came 1 OPEN a 1f c=order,d=90000|", "failed.order 1"},
+		{"re-established", []step{{100, "open 1", ""}, {100, "came 1 OPEN a 1f c=feed,t=one,d=2000,at=b1|",
 			"dial s1 10.0.0.1:9000"}, {101, "up s1", "write s1 OPEN a 1f c=feed,t=one,d=2000,at=b1|"}},
 			"came s1 UP r|", "served.feed 1, attempts 1, in_flight 1"},
 		{"failed", []step{{100, "open 1", ""}, {100, "came 1 OPEN a 1f c=order,t=one,d=2000|",
@@ -65,27 +65,27 @@
 		if strings.HasPrefix(c.event, "news") {
 			want += ", backends_excluded 1"
 		}
-		assert.Equal(t, strings.TrimPrefix(c.want+", "+want, ", "), s.told(), c.name)
+		assert.Equal(t, strings.TrimPrefix(c.want+", "+want, ", "), s.published(), c.name)
 	}
 	s := newHarness(t, nil, 0)
-	s.play("no backend: given up", step{100, "open 1", ""}, step{100, head, ""})
+	s.play("no backend: rejected", step{100, "open 1", ""}, step{100, head, ""})
 	for now := 150.0; now < 1300; now += 50 {
 		s.handle(now, "tick")
 	}
-	assert.Equal(t, "refused.feed 1", s.told())
+	assert.Equal(t, "refused.feed 1", s.published())
 }
 
-// Backends that don't answer and those that drain are avoided; one that is gone is not known.
-func TestFiguresOfBackends(t *testing.T) {
+// Backends that don't answer and those that drain are excluded; one that has left is not known.
+func TestMetricsOfBackends(t *testing.T) {
 	s := newHarness(t, replacing(`"probes": false`, `"probes": true`), 0, "b1=active", "b2=active", "b3=leaving")
-	assert.Equal(t, "backends_known 3, backends_excluded 1", s.told())
+	assert.Equal(t, "backends_known 3, backends_excluded 1", s.published())
 	for now := 0.0; now < 3000; now += 50 {
 		s.handle(now, "tick") // no connection for a probe comes up
 	}
-	assert.Equal(t, "backends_known 3, backends_excluded 3", s.told())
+	assert.Equal(t, "backends_known 3, backends_excluded 3", s.published())
 	s.handle(3000, "heard 1")
 	s.handle(3001, "news 1 2 whole b2=active")
-	assert.Equal(t, "backends_known 1, backends_excluded 1", s.told())
+	assert.Equal(t, "backends_known 1, backends_excluded 1", s.published())
 }
 
 func TestLameDuck(t *testing.T) {
@@ -136,28 +136,28 @@
 	assert.True(t, s.isServing())
 }
 
-// seenAtNote is a log handler that looks at the board as the reducer's notes are written, in the middle of effects.
-type seenAtNote struct {
+// servingAtLog is a log handler that reads the board as the state machine logs, in the middle of effects.
+type servingAtLog struct {
 	slog.Handler
 	board func() *metricsBoard
 	ready []bool
 }
 
-func (h *seenAtNote) Enabled(context.Context, slog.Level) bool { return true }
+func (h *servingAtLog) Enabled(context.Context, slog.Level) bool { return true }
 
-// Handle is called under the lock of the sockets. The watch's failures are noted too, as discovery is not there.
-func (h *seenAtNote) Handle(_ context.Context, note slog.Record) error {
-	if note.Message == "draining" {
+// Handle is called under the driver's lock. The watch's failures are logged, too, as discovery is not there.
+func (h *servingAtLog) Handle(_ context.Context, record slog.Record) error {
+	if record.Message == "draining" {
 		h.ready = append(h.ready, h.board().serving.Load())
 	}
 	return nil
 }
 
-// Against a caller who has seen an effect, and is told figures from before it.
-func TestFiguresArePublishedBeforeEffects(t *testing.T) {
+// A caller who has seen an effect doesn't get metrics from before it.
+func TestMetricsArePublishedBeforeEffects(t *testing.T) {
 	s, _ := newTestDriver(t)
 	startMachine(t, s)
-	seen := &seenAtNote{board: func() *metricsBoard { return s.metrics }}
+	seen := &servingAtLog{board: func() *metricsBoard { return s.metrics }}
 	s.mutex.Lock()
 	s.log, s.metrics = slog.New(seen), newMetricsBoard(s.machine)
 	s.machine.becomeReady()
@@ -167,5 +167,5 @@
 	s.handle(DrainRequested{})
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	assert.Equal(t, []bool{false, true}, seen.ready, "as its note says")
+	assert.Equal(t, []bool{false, true}, seen.ready, "as its log line says")
 }
--- a/internal/relay/siblings.go
+++ b/internal/relay/siblings.go
@@ -48,8 +48,8 @@
 	if !config.HasParent {
 		return
 	}
-	d.siblings.HasParent = true
-	d.sibling = parent.Number
+	d.siblings.last.HasParent = true
+	d.siblings.nearest = parent.Number
 	record, err := d.slot.ReceiveHandoff(handoffTimeout)
 	if err == nil {
 		config.Handoff, err = ParseHandoff(record, d.now())
@@ -77,18 +77,18 @@
 // passes on what they have sent. It returns the child.
 func (d *driver) checkSiblings() (child hotrestart.Process) {
 	parent, child := d.slot.Siblings()
-	isNewChild := child.Number > 0 && !child.Ready && child.Number != d.handoffChild
+	isNewChild := child.Number > 0 && !child.Ready && child.Number != d.siblings.handoffChild
 	current := SiblingProcessesChanged{HasParent: parent.Number > 0, HasChild: child.Number > 0,
 		WantsHandoff: isNewChild}
 	d.mutex.Lock()
-	if isNewChild || current.HasParent != d.siblings.HasParent || current.HasChild != d.siblings.HasChild {
-		d.handoffChild = child.Number
-		d.siblings = current
+	if isNewChild || current.HasParent != d.siblings.last.HasParent || current.HasChild != d.siblings.last.HasChild {
+		d.siblings.handoffChild = child.Number
+		d.siblings.last = current
 		d.handleLocked(current)
 	}
-	d.sibling = max(parent.Number, child.Number)
+	d.siblings.nearest = max(parent.Number, child.Number)
 	d.mutex.Unlock()
-	if d.sibling > 0 {
+	if d.siblings.nearest > 0 {
 		d.receiveEndpoints()
 	}
 	return child
--- a/internal/relay/transfer.go
+++ b/internal/relay/transfer.go
@@ -44,7 +44,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	d.mutex.Lock()
-	both, child := sessionSockets{d.sockets[clientConn], d.sockets[backendConn]}, d.handoffChild
+	both, child := sessionSockets{d.sockets[clientConn], d.sockets[backendConn]}, d.siblings.handoffChild
 	d.mutex.Unlock()
 	if both[0] == nil || both[1] == nil || !d.openTransferChannel(child) {
 		return
@@ -65,7 +65,7 @@
 	}
 }
 
-// openTransferChannel opens the channel to the child where there is none, and tells whether it is open.
+// openTransferChannel opens the channel to the child where there is none, and reports whether it is open.
 func (d *driver) openTransferChannel(child int) bool {
 	p := &d.transfers
 	if p.channel == nil && !p.closed {
@@ -137,7 +137,7 @@
 	}
 }
 
-// sendSession sends a detached session, closes the descriptors, and tells whether the child has accepted it. After an
+// sendSession sends a detached session, closes the descriptors, and reports whether the child has accepted it. After an
 // error other than the child's refusal the channel is not used again.
 func (d *driver) sendSession(session *TransferredSession, descriptors transferDescriptors) bool {
 	p := &d.transfers
@@ -180,7 +180,7 @@
 	}
 }
 
-// isClosed tells whether nbio has closed the connection; its lock orders that before.
+// isClosed reports whether nbio has closed the connection; its lock orders that before.
 func isClosed(nbConn *nbio.Conn) bool {
 	nbConn.ExecuteLen()
 	closed, _ := nbConn.IsClosed()
@@ -195,7 +195,7 @@
 }
 
 // stopPolling takes a descriptor out of the poller's epoll set. nbio 1.6.8 leaves that to the kernel, which does so only
-// once no process holds the connection; and it tells nobody its set, which is found as the one that has the descriptor.
+// once no process holds the connection; and it doesn't export its set, which is found as the one that has the descriptor.
 func (d *driver) stopPolling(descriptor int) error {
 	p := &d.transfers
 	if p.epoll > 0 {
@@ -210,7 +210,7 @@
 	return syscall.ENOENT
 }
 
-// receiveSession takes over a session that the parent sends, and tells whether it did. Where the parent confirms that it
+// receiveSession takes over a session that the parent sends, and reports whether it did. Where the parent confirms that it
 // has let go of its descriptors, nothing is read or written before the returned function is called.
 func (d *driver) receiveSession(text []byte, files [hotrestart.FilesPerSession]*os.File) (accepted bool, released func()) {
 	session := &TransferredSession{}
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -29,6 +29,7 @@
 	Got      string // empty where the setting is missing
 }
 
+// Error names the setting by its path.
 func (e *Error) Error() string {
 	return fmt.Sprintf("settings: %s: %s expected, got %q", e.Path, e.Expected, e.Got)
 }
