--- a/balancer/assignment.go
+++ b/balancer/assignment.go
@@ -23,9 +23,9 @@
 // Assign decides where the session goes: to a backend, into the queue, or nowhere. A queued session is put to
 // it again.
 func (b *Balancer) Assign(now float64, session *Session) Decision {
-	if !session.known {
+	if !session.state.known {
 		b.admitSession(now, session)
-	} else if session.warmingBackend < 0 && session.attempts == 0 && b.admission.ShouldRedraw() {
+	} else if session.warming.backend < 0 && session.attempt.number == 0 && b.admission.ShouldRedraw() {
 		b.readmitSession(now, session)
 	}
 	if !b.attempts.canRetry(session, now) {
@@ -35,14 +35,14 @@
 		return queueFor(wait)
 	}
 	backend, full := noBackend, false
-	if session.pollsUntil > 0 || b.allowAttempt() {
+	if session.polls.awaitedUntil > 0 || b.allowAttempt() {
 		if !b.awaitPolls(now, session) {
-			return queueFor(session.pollsUntil - now)
+			return queueFor(session.polls.awaitedUntil - now)
 		}
-		session.pollsUntil = 0
+		session.polls.awaitedUntil = 0
 		b.refreshWeights(now)
 		backend, full = b.chooseBackend(session, now)
-		if full && session.warmingBackend >= 0 && session.attempts == 0 && b.admission.ShouldRedraw() {
+		if full && session.warming.backend >= 0 && session.attempt.number == 0 && b.admission.ShouldRedraw() {
 			b.returnSlowStartGrant(session)
 			full = false
 		}
@@ -61,9 +61,9 @@
 
 // admitSession prepares a session that has just arrived.
 func (b *Balancer) admitSession(now float64, session *Session) {
-	session.known = true
+	session.state.known = true
 	session.arrivedAt = now
-	session.backend = noBackend
+	session.attempt.backend = noBackend
 	session.hash = b.rng.Uint64()
 	b.attempts.budget.recordSession(now)
 	b.estimateSessionLoad(session)
@@ -72,7 +72,7 @@
 		// Otherwise a relay's first session, often its only one, finds no budget for slow starts.
 		b.refreshWeights(now)
 	}
-	session.warmingBackend = b.drawWarmingBackend(now, session)
+	session.warming.backend = b.drawWarmingBackend(now, session)
 }
 
 // readmitSession draws again for a session that is queued while the fleet recovers: all backends are in slow
@@ -81,14 +81,14 @@
 	if session.LoadHint <= 0 { // its estimate may be from before any load was known
 		b.estimateSessionLoad(session)
 	}
-	session.warmingBackend = b.drawWarmingBackend(now, session)
+	session.warming.backend = b.drawWarmingBackend(now, session)
 }
 
 // returnSlowStartGrant returns the slow-start budget that the session can't use, as the backend drawn for it
 // is full. The next draw uses another hash.
 func (b *Balancer) returnSlowStartGrant(session *Session) {
-	b.slowStart.requestedAt -= session.slowStartGrant
-	session.warmingBackend = noBackend
+	b.slowStart.requestedAt -= session.warming.usedBudget
+	session.warming.backend = noBackend
 	session.hash = b.rng.Uint64()
 }
 
@@ -113,7 +113,7 @@
 		balancer:     b,
 		session:      session,
 		now:          now,
-		avoided:      session.backend,
+		avoided:      session.attempt.backend,
 		targetZone:   b.targetZone(session),
 		firstZone:    b.settings.localZone,
 		firstLimit:   localZoneLoad + localZoneLoadPerFee*b.settings.crossZoneFee,
@@ -143,7 +143,8 @@
 	if !b.isInDeduplicationScope(s.session, backend) || !b.zoneAllows(backend, s.targetZone) {
 		return false
 	}
-	mayWarm := backend == s.session.warmingBackend && s.session.attempts == 0 && !s.session.onlyIfFull
+	warming := &s.session.warming
+	mayWarm := backend == warming.backend && s.session.attempt.number == 0 && !warming.onlyIfFull
 	return mayWarm || b.slowStart.capacityShare(backend, s.now) >= 1
 }
 
@@ -166,21 +167,21 @@
 // backends but all are full, so that waiting does not help.
 func (b *Balancer) chooseBackend(session *Session, now float64) (backend int, full bool) {
 	s := b.newSelection(session, now)
-	if s.hasRoomAt(session.warmingBackend) {
-		return session.warmingBackend, false
+	if s.hasRoomAt(session.warming.backend) {
+		return session.warming.backend, false
 	}
 	// A returning session departs from the turns: it goes to its or its group's backend, if that has room.
-	if preferred := session.preferred - 1; session.attempts == 0 && s.hasRoomAt(preferred) {
+	if preferred := session.preferred - 1; session.attempt.number == 0 && s.hasRoomAt(preferred) {
 		return preferred, false
 	}
 	if backend = b.chooseByTurn(&s); backend >= 0 {
 		return backend, false
 	}
 	full = b.zoneRouting.allClosed() || b.roundRobin.pick(s.isOpen) >= 0
-	if session.onlyIfFull {
-		session.onlyIfFull = false
-		if s.hasRoomAt(session.warmingBackend) {
-			return session.warmingBackend, false
+	if session.warming.onlyIfFull {
+		session.warming.onlyIfFull = false
+		if s.hasRoomAt(session.warming.backend) {
+			return session.warming.backend, false
 		}
 	}
 	return noBackend, full
--- a/balancer/attempt_outcome_test.go
+++ b/balancer/attempt_outcome_test.go
@@ -40,7 +40,7 @@
 		session := newSession(start)
 		b.Assign(start, session)
 		b.SessionEstablished(start+20, session)
-		b.outliers.consecutiveFailures[session.backend] = c.silent
+		b.outliers.consecutiveFailures[session.attempt.backend] = c.silent
 		b.AttemptFinished(start+c.after, session, OutcomeConnectionLost, true)
 		assert.InDelta(t, c.want, b.attempts.concurrencyLimit, 0.1)
 	}
--- a/balancer/attempt_policy.go
+++ b/balancer/attempt_policy.go
@@ -44,18 +44,18 @@
 
 // canRetry reports whether the session may have another attempt, or its first.
 func (p *AttemptPolicy) canRetry(session *Session, now float64) bool {
-	if session.attempts >= p.maxAttempts || now >= session.Deadline {
+	if session.attempt.number >= p.maxAttempts || now >= session.Deadline {
 		return false
 	}
-	if session.attempts > 0 && !p.withinBudget(now) {
+	if session.attempt.number > 0 && !p.withinBudget(now) {
 		return false
 	}
 	class := &p.classes[session.Class]
 	switch {
-	case !session.mayHaveRun || class.Idempotency == Idempotent:
+	case !session.executed.isPossible || class.Idempotency == Idempotent:
 		return true
 	case class.Idempotency == IdempotentByKey:
-		return now < session.executedAt+class.DeduplicationWindow
+		return now < session.executed.at+class.DeduplicationWindow
 	default:
 		return false
 	}
@@ -71,11 +71,11 @@
 // executed, or a repeat does no harm.
 func (p *AttemptPolicy) canBeRepeated(session *Session, now float64) bool {
 	class := &p.classes[session.Class]
-	if !session.mayHaveRun || class.Idempotency == Idempotent {
+	if !session.executed.isPossible || class.Idempotency == Idempotent {
 		return true
 	}
 	return class.Idempotency == IdempotentByKey && class.Scope == ScopeAll &&
-		now+p.maxRetryAfter < session.executedAt+class.DeduplicationWindow
+		now+p.maxRetryAfter < session.executed.at+class.DeduplicationWindow
 }
 
 // allowAttempt reports whether one more attempt may be in flight. A limit below one is the chance of a single
@@ -92,7 +92,7 @@
 	if timely {
 		widened := p.concurrencyLimit + min(1/p.concurrencyLimit, p.concurrencyLimit)
 		p.concurrencyLimit = min(widened, max(maxConcurrentAttempts/p.relays, 1))
-	} else if session.attemptedAt > p.limitReducedAt {
+	} else if session.attempt.startedAt > p.limitReducedAt {
 		p.reduceConcurrency(now, lateAttemptFactor)
 	}
 }
@@ -115,16 +115,16 @@
 // executed.
 func (b *Balancer) isInDeduplicationScope(session *Session, backend int) bool {
 	class := &b.attempts.classes[session.Class]
-	if !session.mayHaveRun || class.Idempotency == Idempotent {
+	if !session.executed.isPossible || class.Idempotency == Idempotent {
 		return true
 	}
 	switch class.Scope {
 	case ScopeAll:
 		return true
 	case ScopeZone:
-		return b.zones[backend] == session.executedZone
+		return b.zones[backend] == session.executed.zone
 	case ScopeCell:
-		return b.cells[backend] == session.executedCell
+		return b.cells[backend] == session.executed.cell
 	default:
 		return false
 	}
--- a/balancer/attempt_policy_test.go
+++ b/balancer/attempt_policy_test.go
@@ -34,7 +34,7 @@
 			Loads: []float64{0.3, 0.3, 0.3, 0.3}}.build(t)
 		session := newSession(start)
 		require.Equal(t, Assign, b.Assign(start, session).Kind, c.name)
-		session.attempts = c.attempts
+		session.attempt.number = c.attempts
 		assert.Equal(t, c.want, b.AttemptFinished(start+c.after, session, c.outcome, false).Kind, c.name)
 	}
 }
@@ -74,10 +74,10 @@
 				session := newSession(now)
 				require.Equal(t, Assign, b.Assign(now, session).Kind)
 				if c.silent {
-					b.outliers.consecutiveFailures[session.backend] = 1
+					b.outliers.consecutiveFailures[session.attempt.backend] = 1
 				}
 				b.AttemptFinished(now+500, session, c.outcome, true)
-				b.outliers.consecutiveFailures[session.backend] = 0
+				b.outliers.consecutiveFailures[session.attempt.backend] = 0
 			}
 			assigned := 0
 			now := start + 20000
@@ -97,7 +97,7 @@
 	b := testFleet{Loads: []float64{0.3}, Relays: 220}.build(t)
 	for i := range 8 {
 		attemptedAt := start + float64(i)
-		b.attempts.recordOutcome(&Session{attemptedAt: attemptedAt}, attemptedAt+0.5, false)
+		b.attempts.recordOutcome(&Session{attempt: latestAttempt{startedAt: attemptedAt}}, attemptedAt+0.5, false)
 	}
 	allowed := 0
 	for range 300 {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -35,7 +35,7 @@
 	poller      *LoadPoller
 	attempts    *AttemptPolicy
 	quotas      *Quotas
-	admission   *admission.Controller // nil until something is known from before the start, or the fleet recovers
+	admission   *admission.Controller // nil until something is known from before the start or the fleet recovers
 	tracker     backendTracker
 	usage       backendUsage
 	fleet       fleetEstimate
--- a/balancer/load_accounting.go
+++ b/balancer/load_accounting.go
@@ -22,8 +22,8 @@
 
 // reserve counts the session on its backend and for its tenant.
 func (b *Balancer) reserve(session *Session) {
-	b.usage.counts[session.backend]++
-	b.usage.loads[session.backend] += session.load
+	b.usage.counts[session.attempt.backend]++
+	b.usage.loads[session.attempt.backend] += session.load
 	if session.Tenant < len(b.quotas.openSessions) {
 		b.quotas.openSessions[session.Tenant]++
 	}
@@ -31,9 +31,9 @@
 
 // release undoes reserve. The backend's next report does not include the session any more, either.
 func (b *Balancer) release(session *Session) {
-	b.poller.unreported.remove(session.backend, session.attemptedAt)
-	b.usage.counts[session.backend]--
-	b.usage.loads[session.backend] -= session.load
+	b.poller.unreported.remove(session.attempt.backend, session.attempt.startedAt)
+	b.usage.counts[session.attempt.backend]--
+	b.usage.loads[session.attempt.backend] -= session.load
 	if session.Tenant < len(b.quotas.openSessions) {
 		b.quotas.openSessions[session.Tenant]--
 	}
@@ -41,7 +41,7 @@
 
 // changeLoad replaces the session's load on its backend.
 func (b *Balancer) changeLoad(session *Session, load float64) {
-	b.usage.loads[session.backend] += load - session.load
+	b.usage.loads[session.attempt.backend] += load - session.load
 	session.load = load
 }
 
--- a/balancer/load_polling.go
+++ b/balancer/load_polling.go
@@ -34,21 +34,21 @@
 	if !b.poller.enabled || b.poller.activeShare >= 1 {
 		return true
 	}
-	if session.pollsUntil == 0 {
+	if session.polls.awaitedUntil == 0 {
 		wait := pollWaitShare * b.attempts.classes[session.Class].LatencyObjective
-		session.pollsUntil = min(now+wait, session.Deadline)
+		session.polls.awaitedUntil = min(now+wait, session.Deadline)
 		b.requestCandidatePolls(now, session)
 	}
-	return now >= session.pollsUntil || !slices.ContainsFunc(session.candidates, b.poller.isAwaited)
+	return now >= session.polls.awaitedUntil || !slices.ContainsFunc(session.polls.candidates, b.poller.isAwaited)
 }
 
 // requestCandidatePolls draws the session's candidates and has them polled.
 func (b *Balancer) requestCandidatePolls(now float64, session *Session) {
 	b.drawCandidates(now, session)
-	if session.warmingBackend >= 0 {
-		session.candidates = append(session.candidates, session.warmingBackend)
+	if session.warming.backend >= 0 {
+		session.polls.candidates = append(session.polls.candidates, session.warming.backend)
 	}
-	for _, backend := range session.candidates {
+	for _, backend := range session.polls.candidates {
 		b.poller.requestPoll(backend, now)
 	}
 }
@@ -58,7 +58,7 @@
 	hash := b.affinityHash(session)
 	zone := b.targetZone(session)
 	count := int(max(min(candidatesPerSession, pollCostShare/max(b.poller.cost, 1e-9)), 1))
-	session.candidates = session.candidates[:0]
+	session.polls.candidates = session.polls.candidates[:0]
 	b.poller.candidateDraws = b.poller.candidateDraws[:0]
 	for backend, id := range b.ids {
 		if !b.isCandidate(backend, now, session, zone) {
@@ -72,9 +72,9 @@
 		if at >= count {
 			continue
 		}
-		session.candidates = slices.Insert(session.candidates, at, backend)
+		session.polls.candidates = slices.Insert(session.polls.candidates, at, backend)
 		b.poller.candidateDraws = slices.Insert(b.poller.candidateDraws, at, draw)
-		session.candidates = session.candidates[:min(len(session.candidates), count)]
+		session.polls.candidates = session.polls.candidates[:min(len(session.polls.candidates), count)]
 		b.poller.candidateDraws = b.poller.candidateDraws[:min(len(b.poller.candidateDraws), count)]
 	}
 }
@@ -82,7 +82,7 @@
 // isCandidate reports whether the backend may be polled for the session.
 func (b *Balancer) isCandidate(backend int, now float64, session *Session, zone int) bool {
 	isWarm := b.slowStart.capacityShare(backend, now) >= 1
-	if b.states[backend] != Ready || backend == session.backend || !isWarm {
+	if b.states[backend] != Ready || backend == session.attempt.backend || !isWarm {
 		return false
 	}
 	if !b.isInDeduplicationScope(session, backend) || !b.zoneAllows(backend, zone) {
--- a/balancer/outliers.go
+++ b/balancer/outliers.go
@@ -84,18 +84,19 @@
 
 // isShed reports whether the outcome is that of a session whose backend was too full for it.
 func (s *Session) isShed(now float64, outcome AttemptOutcome) bool {
-	return outcome == OutcomeConnectionLost && now < s.attemptedAt+shedWindow
+	return outcome == OutcomeConnectionLost && now < s.attempt.startedAt+shedWindow
 }
 
 // collectEvidence uses the end of an attempt or session as evidence on its backend's reports. A bad end
 // counts only if the next report claims capacity; a session that lasted counts for the backend at once.
 func (b *Balancer) collectEvidence(now float64, session *Session, outcome AttemptOutcome) {
 	if session.isShed(now, outcome) || outcome == OutcomeTimedOut {
-		b.outliers.awaitsReport[session.backend] = true
+		b.outliers.awaitsReport[session.attempt.backend] = true
 		return
 	}
-	if session.established && outcome != OutcomeConnectionLost && now >= session.attemptedAt+shedWindow {
-		b.outliers.addEvidence(session.backend, now, -outlierForgiveness)
+	lasted := now >= session.attempt.startedAt+shedWindow
+	if session.state.established && outcome != OutcomeConnectionLost && lasted {
+		b.outliers.addEvidence(session.attempt.backend, now, -outlierForgiveness)
 	}
 }
 
--- a/balancer/outliers_test.go
+++ b/balancer/outliers_test.go
@@ -95,7 +95,7 @@
 				b.AttemptFinished(at+10, session, OutcomeSucceeded, true)
 			}
 			endBadly := func(session *Session, at float64) {
-				if session.backend != 0 {
+				if session.attempt.backend != 0 {
 					endWell(session, at)
 					return
 				}
@@ -130,7 +130,7 @@
 			b := testFleet{Loads: []float64{0.1, 0.5, 0.5}}.build(t)
 			session := newSession(start)
 			b.SessionResumed(start, session, 1)
-			session.attemptedAt = start
+			session.attempt.startedAt = start
 			b.AttemptFinished(start+100, session, c.outcome, true)
 			assert.Zero(t, b.outliers.score(0, start+150), "not before its next report")
 			b.LoadReported(start+200, 1, []float64{0, c.report})
@@ -145,7 +145,7 @@
 	b.outliers.addEvidence(0, start, outlierPenalty)
 	session := &Session{Deadline: start + 2000}
 	b.SessionResumed(start, session, 1)
-	session.attemptedAt = start
+	session.attempt.startedAt = start
 	now := start + shedWindow
 	before := b.outliers.score(0, now)
 	b.AttemptFinished(now, session, OutcomeSucceeded, true)
--- a/balancer/session.go
+++ b/balancer/session.go
@@ -15,32 +15,51 @@
 	load     float64 // on its backend, measured or estimated
 	measured bool
 
+	arrivedAt float64
+	hash      uint64 // random; used where neither group nor key decides
+	preferred int    // index plus one of the backend where it or its group was before; 0: none
+
+	state    sessionState
+	attempt  latestAttempt
+	executed executedAttempt
+	polls    candidatePolls
+	warming  slowStartGrant
+}
+
+// sessionState is how far a session has come.
+type sessionState struct {
 	known       bool // Assign has seen it
 	reserved    bool // an attempt is in flight or the session is established: it counts on its backend
 	established bool
 	clientGone  bool
+}
 
-	arrivedAt float64
-	hash      uint64 // random; used where neither group nor key decides
-	preferred int    // index plus one of the backend where it or its group was before; 0: none
+// latestAttempt is the latest attempt of a session.
+type latestAttempt struct {
+	backend   int
+	number    int // from 1; 0: there was none
+	startedAt float64
+}
+
+// executedAttempt is the attempt of a session that may have been executed, if there is one.
+type executedAttempt struct {
+	isPossible bool
+	at         float64
+	zone       int // -1: unknown
+	cell       int // -1: unknown
+}
+
+// candidatePolls are the polls that the next assignment of a session waits for.
+type candidatePolls struct {
+	candidates   []int   // backends polled for it
+	awaitedUntil float64 // when it stops waiting for their answers; 0: none are polled
+}
 
-	// The latest attempt.
-	backend     int
-	attempts    int // its number, from 1
-	attemptedAt float64
-
-	// The attempt that may have been executed, if there is one.
-	mayHaveRun   bool
-	executedAt   float64
-	executedZone int // -1: unknown
-	executedCell int // -1: unknown
-
-	// What its next assignment depends on.
-	candidates     []int   // backends polled for it
-	pollsUntil     float64 // when it stops waiting for their answers; 0: none are polled
-	warmingBackend int     // drawn for it among those in slow start, or noBackend
-	onlyIfFull     bool    // warmingBackend may have it only if all warm backends are full
-	slowStartGrant float64 // budget that this draw used, as milliseconds
+// slowStartGrant is the backend in slow start that a session may go to.
+type slowStartGrant struct {
+	backend    int     // drawn for it, or noBackend
+	onlyIfFull bool    // it may go there only if all warm backends are full
+	usedBudget float64 // of slow starts, by this draw, as milliseconds
 }
 
 // Load returns what the session puts on its backend, and whether that was measured.
--- a/balancer/session_events.go
+++ b/balancer/session_events.go
@@ -3,13 +3,13 @@
 // startAttempt records that an attempt of the session begins and returns the decision for it.
 func (b *Balancer) startAttempt(now float64, session *Session, backend int) Decision {
 	b.attempts.inFlight++
-	if session.attempts > 0 {
+	if session.attempt.number > 0 {
 		b.attempts.budget.recordRetry(now)
 	}
-	session.attempts++
-	session.backend = backend
-	session.attemptedAt = now
-	session.reserved = true
+	session.attempt.number++
+	session.attempt.backend = backend
+	session.attempt.startedAt = now
+	session.state.reserved = true
 	b.reserve(session)
 	b.poller.unreported.add(backend, assignment{at: now, load: session.load})
 	return Decision{
@@ -18,7 +18,7 @@
 		// All the time that is left: an attempt cut short on a slow store leaves its work there, and asks for
 		// more.
 		Timeout: session.Deadline - now,
-		Attempt: session.attempts - 1,
+		Attempt: session.attempt.number - 1,
 	}
 }
 
@@ -29,13 +29,13 @@
 		backend = b.addBackend(id)
 	}
 	b.estimateSessionLoad(session)
-	session.known = true
+	session.state.known = true
 	session.arrivedAt = now
-	session.mayHaveRun = true
-	session.backend = backend
-	session.attempts = 1
-	session.reserved = true
-	session.established = true
+	session.executed.isPossible = true
+	session.attempt.backend = backend
+	session.attempt.number = 1
+	session.state.reserved = true
+	session.state.established = true
 	b.reserve(session)
 }
 
@@ -48,8 +48,8 @@
 
 // ClientDisconnected records that the client has left, and reports whether an outcome is still to come.
 func (b *Balancer) ClientDisconnected(session *Session) bool {
-	session.clientGone = true
-	return session.reserved
+	session.state.clientGone = true
+	return session.state.reserved
 }
 
 // RecordEarlierAttempt records, before the session's first Assign, that an attempt of its client at another
@@ -67,10 +67,7 @@
 // setExecuted records that an attempt may have been executed, and where: -1 stands for an unknown zone or
 // cell.
 func (s *Session) setExecuted(at float64, zone, cell int) {
-	s.mayHaveRun = true
-	s.executedAt = at
-	s.executedZone = zone
-	s.executedCell = cell
+	s.executed = executedAttempt{isPossible: true, at: at, zone: zone, cell: cell}
 }
 
 // PreferBackend sets, before the session's first Assign, where it or its group was established before,
--- a/balancer/session_load.go
+++ b/balancer/session_load.go
@@ -39,7 +39,7 @@
 
 // LoadMeasured records the load of an established session, in microseconds of work a second.
 func (b *Balancer) LoadMeasured(session *Session, load float64) {
-	if !(load >= 0) || math.IsInf(load, 1) || !session.reserved {
+	if !(load >= 0) || math.IsInf(load, 1) || !session.state.reserved {
 		return
 	}
 	if !session.measured {
@@ -61,7 +61,7 @@
 
 // rememberLoad stores the load of an established session that broke, as its client will return.
 func (b *Balancer) rememberLoad(now float64, session *Session, outcome AttemptOutcome) {
-	if session.established && session.measured && session.Key != 0 && outcome != OutcomeSucceeded {
+	if session.state.established && session.measured && session.Key != 0 && outcome != OutcomeSucceeded {
 		b.quotas.endedLoads.store(now, session.Key, session.load)
 	}
 }
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -86,8 +86,8 @@
 	if !withinEvenShare && !b.isLoadObserved(drawn.backend, now) {
 		return noBackend
 	}
-	session.onlyIfFull = !withinEvenShare
-	session.slowStartGrant = offered / due
+	session.warming.onlyIfFull = !withinEvenShare
+	session.warming.usedBudget = offered / due
 	return drawn.backend
 }
 
--- a/balancer/tracker_test.go
+++ b/balancer/tracker_test.go
@@ -98,7 +98,7 @@
 	t.Helper()
 	session, twin := newSession(c.now), newSession(c.now)
 	require.Equal(t, c.scanned.Assign(c.now, twin), c.tracked.Assign(c.now, session))
-	if session.reserved {
+	if session.state.reserved {
 		c.trackedSessions = append(c.trackedSessions, session)
 		c.scannedSessions = append(c.scannedSessions, twin)
 	}
