--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -16,24 +16,30 @@
 
 func goldenSnapshot() *Snapshot {
 	return &Snapshot{
-		TakenAt:              1700000001500.5,
-		Backends:             []BackendSnapshot{goldenBackend(1), goldenBackend(2)},
-		ClassLoads:           []float64{1200.5, 3400.25},
-		ClassSamples:         []float64{12, 34},
-		MeanSessionLoad:      2100.75,
-		LoadSamples:          46,
-		EstimatedCapacity:    4000000.5,
-		ListedBackends:       24,
-		EstablishedSessions:  17.5,
-		EstablishedSpan:      9000.25,
-		EstablishedAsOf:      1700000001400.25,
-		ConcurrencyLimit:     6.5,
-		ConcurrencyReducedAt: 1700000001200.125,
+		TakenAt:  1700000001500.5,
+		Backends: []BackendSnapshot{goldenBackend(1), goldenBackend(2)},
+		SessionLoadSnapshot: SessionLoadSnapshot{
+			ClassLoads:      []float64{1200.5, 3400.25},
+			ClassSamples:    []float64{12, 34},
+			MeanSessionLoad: 2100.75,
+			LoadSamples:     46,
+		},
+		EstimatedCapacity: 4000000.5,
+		ListedBackends:    24,
+		AttemptSnapshot: AttemptSnapshot{
+			EstablishedSessions:  17.5,
+			EstablishedSpan:      9000.25,
+			EstablishedAsOf:      1700000001400.25,
+			ConcurrencyLimit:     6.5,
+			ConcurrencyReducedAt: 1700000001200.125,
+		},
 		SlowStartRequestedAt: 1700000001300.5,
-		BudgetSlot:           21762557,
-		BudgetSessions:       []float64{3, 1, 4},
-		BudgetRetries:        []float64{1, 5, 9},
-		EndedSessionLoads:    map[uint64]float64{7: 900.5, 18446744073709551615: 1100.25},
+		RetryBudgetSnapshot: RetryBudgetSnapshot{
+			BudgetSlot:     21762557,
+			BudgetSessions: []float64{3, 1, 4},
+			BudgetRetries:  []float64{1, 5, 9},
+		},
+		EndedSessionLoads: map[uint64]float64{7: 900.5, 18446744073709551615: 1100.25},
 	}
 }
 
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -4,29 +4,47 @@
 	"errors"
 	"fmt"
 	"math"
+	"slices"
 )
 
 // Snapshot is what one process of a relay leaves to the next: what it has learnt, none of the sessions it
 // has. All times are milliseconds on the relay's clock; -1 stands for a value that is not there.
+//
+// It is stored as one flat object, so its parts are embedded; their order is the order of the stored fields.
 type Snapshot struct {
-	TakenAt              float64            `json:"At"`
-	Backends             []BackendSnapshot  `json:"Servers"`
-	ClassLoads           []float64          `json:"Loads"`   // mean session load, by class
-	ClassSamples         []float64          `json:"Weighed"` // sessions that those rest on
-	MeanSessionLoad      float64            `json:"LoadMean"`
-	LoadSamples          float64            `json:"Known"`   // sessions that the mean rests on
-	EstimatedCapacity    float64            `json:"Guessed"` // of a backend, by the relay's own sessions
-	ListedBackends       float64            `json:"Listed"`  // ready backends of the first endpoint list
-	EstablishedSessions  float64            `json:"Stood"`   // fading count
-	EstablishedSpan      float64            `json:"Over"`    // time over which it was counted, fading alike
-	EstablishedAsOf      float64            `json:"AsOf"`
-	ConcurrencyLimit     float64            `json:"Width"` // of attempts in flight
-	ConcurrencyReducedAt float64            `json:"CutAt"`
-	SlowStartRequestedAt float64            `json:"Asked"` // when a session last drew on that budget
-	BudgetSlot           float64            `json:"Slot"`  // number of the retry budget's latest slot
-	BudgetSessions       []float64          `json:"Taken"` // by slot; none: there is no budget
-	BudgetRetries        []float64          `json:"More"`
-	EndedSessionLoads    map[uint64]float64 `json:"Ended"` // by client key
+	TakenAt  float64           `json:"At"`
+	Backends []BackendSnapshot `json:"Servers"`
+	SessionLoadSnapshot
+	EstimatedCapacity float64 `json:"Guessed"` // of a backend, by the relay's own sessions
+	ListedBackends    float64 `json:"Listed"`  // ready backends of the first endpoint list
+	AttemptSnapshot
+	SlowStartRequestedAt float64 `json:"Asked"` // when a session last drew on that budget
+	RetryBudgetSnapshot
+	EndedSessionLoads map[uint64]float64 `json:"Ended"` // by client key
+}
+
+// SessionLoadSnapshot is what was learnt of the load of sessions.
+type SessionLoadSnapshot struct {
+	ClassLoads      []float64 `json:"Loads"`   // mean session load, by class
+	ClassSamples    []float64 `json:"Weighed"` // sessions that those rest on
+	MeanSessionLoad float64   `json:"LoadMean"`
+	LoadSamples     float64   `json:"Known"` // sessions that the mean rests on
+}
+
+// AttemptSnapshot is the state of the attempt policy.
+type AttemptSnapshot struct {
+	EstablishedSessions  float64 `json:"Stood"` // fading count
+	EstablishedSpan      float64 `json:"Over"`  // time over which it was counted, fading alike
+	EstablishedAsOf      float64 `json:"AsOf"`
+	ConcurrencyLimit     float64 `json:"Width"` // of attempts in flight
+	ConcurrencyReducedAt float64 `json:"CutAt"`
+}
+
+// RetryBudgetSnapshot is the state of the retry budget.
+type RetryBudgetSnapshot struct {
+	BudgetSlot     float64   `json:"Slot"`  // number of the budget's latest slot
+	BudgetSessions []float64 `json:"Taken"` // by slot; none: there is no budget
+	BudgetRetries  []float64 `json:"More"`
 }
 
 // BackendSnapshot is what was learnt of one backend.
@@ -71,25 +89,14 @@
 	b.outliers.decay(now)
 	snapshot := Snapshot{
 		TakenAt:              now,
-		ClassLoads:           append([]float64{}, b.quotas.classLoads...),
-		ClassSamples:         append([]float64{}, b.quotas.classSamples...),
-		MeanSessionLoad:      b.quotas.meanSessionLoad,
-		LoadSamples:          b.quotas.loadSamples,
+		SessionLoadSnapshot:  b.quotas.snapshot(),
 		EstimatedCapacity:    b.fleet.capacityBySessions,
 		ListedBackends:       b.initialBackends,
-		EstablishedSessions:  b.attempts.established,
-		EstablishedSpan:      b.attempts.establishedSpan,
-		EstablishedAsOf:      b.attempts.establishedAsOf,
-		ConcurrencyLimit:     b.attempts.concurrencyLimit,
-		ConcurrencyReducedAt: b.attempts.limitReducedAt,
+		AttemptSnapshot:      b.attempts.snapshot(),
 		SlowStartRequestedAt: b.slowStart.requestedAt,
+		RetryBudgetSnapshot:  b.attempts.budget.snapshot(),
 		EndedSessionLoads:    b.quotas.endedLoads.newest(maxStoredKeys),
 	}
-	if budget := b.attempts.budget; budget != nil {
-		snapshot.BudgetSlot = encodeMissing(budget.currentSlot)
-		snapshot.BudgetSessions = append(snapshot.BudgetSessions, budget.sessions[:]...)
-		snapshot.BudgetRetries = append(snapshot.BudgetRetries, budget.retries[:]...)
-	}
 	for backend, state := range b.states {
 		if state != Gone {
 			snapshot.Backends = append(snapshot.Backends, b.backendSnapshot(backend))
@@ -98,6 +105,36 @@
 	return snapshot
 }
 
+func (q *Quotas) snapshot() SessionLoadSnapshot {
+	return SessionLoadSnapshot{
+		ClassLoads:      append([]float64{}, q.classLoads...),
+		ClassSamples:    append([]float64{}, q.classSamples...),
+		MeanSessionLoad: q.meanSessionLoad,
+		LoadSamples:     q.loadSamples,
+	}
+}
+
+func (p *AttemptPolicy) snapshot() AttemptSnapshot {
+	return AttemptSnapshot{
+		EstablishedSessions:  p.established,
+		EstablishedSpan:      p.establishedSpan,
+		EstablishedAsOf:      p.establishedAsOf,
+		ConcurrencyLimit:     p.concurrencyLimit,
+		ConcurrencyReducedAt: p.limitReducedAt,
+	}
+}
+
+func (b *RetryBudget) snapshot() RetryBudgetSnapshot {
+	if b == nil {
+		return RetryBudgetSnapshot{}
+	}
+	return RetryBudgetSnapshot{
+		BudgetSlot:     encodeMissing(b.currentSlot),
+		BudgetSessions: slices.Clone(b.sessions[:]),
+		BudgetRetries:  slices.Clone(b.retries[:]),
+	}
+}
+
 func (b *Balancer) backendSnapshot(backend int) BackendSnapshot {
 	snapshot := BackendSnapshot{
 		ID:                  b.ids[backend],
@@ -124,8 +161,14 @@
 		return fmt.Errorf("restore snapshot: %w", err)
 	}
 	b.outliers.decay(now)
-	b.restoreLoads(now, snapshot)
-	b.attempts.restore(now, snapshot)
+	b.quotas.restore(&snapshot.SessionLoadSnapshot)
+	for key, load := range snapshot.EndedSessionLoads {
+		b.quotas.endedLoads.store(now, key, load)
+	}
+	b.fleet.capacityBySessions = snapshot.EstimatedCapacity
+	b.initialBackends = snapshot.ListedBackends
+	b.attempts.restore(now, &snapshot.AttemptSnapshot)
+	b.attempts.budget.restore(&snapshot.RetryBudgetSnapshot)
 	// What the other process has saved up for slow starts it has not handed out since, and neither is it
 	// given twice.
 	b.slowStart.requestedAt = max(min(snapshot.SlowStartRequestedAt, now), snapshot.TakenAt)
@@ -136,29 +179,28 @@
 	return nil
 }
 
-func (b *Balancer) restoreLoads(now float64, snapshot *Snapshot) {
-	copy(b.quotas.classLoads, snapshot.ClassLoads)
-	copy(b.quotas.classSamples, snapshot.ClassSamples)
-	b.quotas.meanSessionLoad = snapshot.MeanSessionLoad
-	b.quotas.loadSamples = snapshot.LoadSamples
-	b.fleet.capacityBySessions = snapshot.EstimatedCapacity
-	b.initialBackends = snapshot.ListedBackends
-	for key, load := range snapshot.EndedSessionLoads {
-		b.quotas.endedLoads.store(now, key, load)
-	}
+func (q *Quotas) restore(snapshot *SessionLoadSnapshot) {
+	copy(q.classLoads, snapshot.ClassLoads)
+	copy(q.classSamples, snapshot.ClassSamples)
+	q.meanSessionLoad = snapshot.MeanSessionLoad
+	q.loadSamples = snapshot.LoadSamples
 }
 
-func (p *AttemptPolicy) restore(now float64, snapshot *Snapshot) {
+func (p *AttemptPolicy) restore(now float64, snapshot *AttemptSnapshot) {
 	p.established = snapshot.EstablishedSessions
 	p.establishedSpan = snapshot.EstablishedSpan
 	p.establishedAsOf = min(snapshot.EstablishedAsOf, now)
 	p.concurrencyLimit = snapshot.ConcurrencyLimit
 	p.limitReducedAt = snapshot.ConcurrencyReducedAt
-	if p.budget != nil && len(snapshot.BudgetSessions) > 0 {
-		p.budget.currentSlot = decodeMissing(snapshot.BudgetSlot, math.Inf(-1))
-		copy(p.budget.sessions[:], snapshot.BudgetSessions)
-		copy(p.budget.retries[:], snapshot.BudgetRetries)
+}
+
+func (b *RetryBudget) restore(snapshot *RetryBudgetSnapshot) {
+	if b == nil || len(snapshot.BudgetSessions) == 0 {
+		return
 	}
+	b.currentSlot = decodeMissing(snapshot.BudgetSlot, math.Inf(-1))
+	copy(b.sessions[:], snapshot.BudgetSessions)
+	copy(b.retries[:], snapshot.BudgetRetries)
 }
 
 func (b *Balancer) restoreBackend(snapshot *BackendSnapshot) {
@@ -191,7 +233,7 @@
 
 // validate returns an error if the snapshot can't be true for a relay with that many classes.
 func (s *Snapshot) validate(classes int) error {
-	if err := s.validateBudget(); err != nil {
+	if err := s.RetryBudgetSnapshot.validate(); err != nil {
 		return err
 	}
 	if len(s.ClassLoads) != classes || len(s.ClassSamples) != classes {
@@ -217,7 +259,7 @@
 	return nil
 }
 
-func (s *Snapshot) validateBudget() error {
+func (s *RetryBudgetSnapshot) validate() error {
 	slots := len(s.BudgetSessions)
 	if slots != len(s.BudgetRetries) || (slots != 0 && slots != budgetSlots+1) {
 		return fmt.Errorf("%d slots of the retry budget or none expected, got %d and %d", budgetSlots+1,
