--- a/balancer/assignment.go
+++ b/balancer/assignment.go
@@ -10,7 +10,7 @@
 	priorityLoadRange = 0.08 // how far the priority of a session moves that limit at most
 	maxPriorityLog    = 1.0  // doublings of the mean priority that move it that far
 	blindLoadMargin   = 0.15 // lowers it where candidates are polled: others assign meanwhile unseen
-	calmLoadLimit     = 0.45 // below this load no backend sits out a turn for being busier than the mean
+	calmLoadLimit     = 0.45 // below this load no backend is skipped for being busier than the mean
 	crowdedFactor     = 1.5  // multiple of the mean load that replaces the limits if loads are not absolute
 
 	localZoneLoad       = 0.40 // backends of the local zone come first up to this load, if crossing zones costs
@@ -102,7 +102,7 @@
 	targetZone   int     // zone drawn for the session by the zone weights, or -1
 	firstZone    int     // zone whose backends come first
 	firstLimit   float64 // load up to which they come first
-	calmLimit    float64 // load up to which backends take turns, whatever their zone
+	calmLimit    float64 // load up to which no backend is skipped, whatever its zone
 	limit        float64 // load at which a backend is full for the session
 	sessionShare float64 // share of a warm backend's capacity that the session needs; 0 while it is unknown
 }
@@ -170,11 +170,11 @@
 	if s.hasRoomAt(session.warming.backend) {
 		return session.warming.backend, false
 	}
-	// A returning session departs from the turns: it goes to its or its group's backend, if that has room.
+	// A returning session goes to its or its group's backend, if that has room, before round robin picks one.
 	if preferred := session.preferred - 1; session.attempt.number == 0 && s.hasRoomAt(preferred) {
 		return preferred, false
 	}
-	if backend = b.chooseByTurn(&s); backend >= 0 {
+	if backend = b.pickRoundRobin(&s); backend >= 0 {
 		return backend, false
 	}
 	full = b.zoneRouting.allClosed() || b.roundRobin.pick(s.isOpen) >= 0
@@ -187,8 +187,8 @@
 	return noBackend, full
 }
 
-// chooseByTurn walks the table of buckets up to four times, accepting more backends each time.
-func (b *Balancer) chooseByTurn(s *selection) int {
+// pickRoundRobin walks the table of buckets up to four times, accepting more backends each time.
+func (b *Balancer) pickRoundRobin(s *selection) int {
 	// Where nothing is paid for crossing zones and none is decided on, the local zone does not come first.
 	if b.settings.crossZoneFee > 0 || s.targetZone >= 0 {
 		inFirstZone := func(backend int) bool {
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -59,13 +59,14 @@
 	capacityShare float64 // sum of theirs
 }
 
-// drawWarmingBackend returns the backend in slow start that the session may go to, or noBackend. Of hundreds
-// of relays each may have a session at the same time, so the budget is spent by chance: in proportion to the
-// time since the last session and to this relay's share of what fills such backends over their slow start.
-// Little of it is saved up. Within an even share the session may go there at once, beyond it only if no warm
-// backend has room. Once reports include what all relays assigned during the overload span, and candidates
-// are polled for each session, the budget is wider; else relays with few sessions would leave backends idle
-// while they reject clients.
+// drawWarmingBackend returns the backend in slow start that the session may go to, or noBackend.
+//
+// The budget of slow starts is spent by chance. Counting sessions would not do: of hundreds of relays each may
+// have a session at the same moment. The chance of a session, due, grows with
+//   - the time since the last session here, of which little is saved up,
+//   - this relay's share of what fills these backends over their slow start (slowStartPace).
+//
+// A session of more than the mean load has less of a chance, as it uses more of the budget.
 func (b *Balancer) drawWarmingBackend(now float64, session *Session) int {
 	s := b.slowStart
 	drawn := b.drawAmongWarming(now, session)
@@ -82,6 +83,9 @@
 	if b.attempts.draining || drawn.backend == noBackend || !(chance < due) {
 		return noBackend
 	}
+	// Beyond an even share of the sessions, a backend in slow start has one only if no warm backend has room,
+	// and only while its reports show what all relays sent it. Without that, relays with few sessions would
+	// leave such backends idle while they reject clients.
 	withinEvenShare := chance < drawn.count/float64(b.tracker.usable)
 	if !withinEvenShare && !b.isLoadObserved(drawn.backend, now) {
 		return noBackend
@@ -102,7 +106,7 @@
 			continue
 		}
 		share := b.slowStart.capacityShare(backend, now)
-		if b.isLoadObserved(backend, now) {
+		if b.isLoadObserved(backend, now) { // its reports bound what it is sent, so its budget may be wider
 			share *= 1 + (observedPaceFactor-1)*(1-b.poller.activeShare)
 		}
 		drawn.count++
