--- a/cmd/valeshift/fleet.go
+++ b/cmd/valeshift/fleet.go
@@ -145,8 +145,9 @@
 
 func (r remainder) isNone() bool { return r == remainder{} }
 
+// String says what is left, for people.
 func (r remainder) String() string {
-	return fmt.Sprintf("%d links and %d records of others are left", r.sessions, r.records)
+	return fmt.Sprintf("%d sessions and %d records of others are left", r.sessions, r.records)
 }
 
 // printFleetStatus prints a relay's status for people.
--- a/internal/relay/timers.go
+++ b/internal/relay/timers.go
@@ -17,21 +17,27 @@
 // timerHeap orders timers by their times, for container/heap.
 type timerHeap []*timer
 
-func (h timerHeap) Len() int           { return len(h) }
+// Len implements heap.Interface.
+func (h timerHeap) Len() int { return len(h) }
+
+// Less implements heap.Interface: the earlier one comes first.
 func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
 
+// Swap implements heap.Interface.
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].position = i + 1
 	h[j].position = j + 1
 }
 
+// Push implements heap.Interface.
 func (h *timerHeap) Push(x any) {
 	t := x.(*timer)
 	*h = append(*h, t)
 	t.position = len(*h)
 }
 
+// Pop implements heap.Interface.
 func (h *timerHeap) Pop() any {
 	last := len(*h) - 1
 	t := (*h)[last]
--- a/internal/testbed/sim/network.go
+++ b/internal/testbed/sim/network.go
@@ -28,12 +28,21 @@
 // queue is a heap of events, the next one first.
 type queue []event
 
+// Len implements heap.Interface.
 func (q queue) Len() int { return len(q) }
+
+// Less implements heap.Interface: the earlier one comes first.
 func (q queue) Less(i, j int) bool {
 	return q[i].at < q[j].at || (q[i].at == q[j].at && q[i].seq < q[j].seq)
 }
+
+// Swap implements heap.Interface.
 func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
+
+// Push implements heap.Interface.
+func (q *queue) Push(x any) { *q = append(*q, x.(event)) }
+
+// Pop implements heap.Interface.
 func (q *queue) Pop() any {
 	last := len(*q) - 1
 	x := (*q)[last]
