--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -57,7 +57,7 @@
 	old.refreshWeights(now)
 	b.refreshWeights(now)
 	assert.Equal(t, old.outliers.evidence, b.outliers.evidence)
-	for i, n := range old.roundRobin.bucketCounts { // its own sessions tell the elder more of what a backend bears
+	for i, n := range old.roundRobin.bucketCounts { // its own sessions tell the parent more of a backend's capacity
 		assert.InDelta(t, n, b.roundRobin.bucketCounts[i], 1)
 	}
 	assert.GreaterOrEqual(t, b.slowStart.requestedAt, now, "what was saved up for backends in slow start is not given twice")
--- a/cmd/valeshift-testbed/cost.go
+++ b/cmd/valeshift-testbed/cost.go
@@ -82,6 +82,6 @@
 func printCost(r *cost.Result) {
 	fmt.Printf("%5d backends  %-9s %7.0f set-ups/s (%d failed) %7.0f a CPU second  line p50 %.3f p99 %.3f "+
 		"p99.9 %.3f ms  %.1f us CPU a line  %.0f bytes a session (%d)\n",
-		r.Servers, r.Path, r.SetupsPerSecond, r.Failed, r.SetupsPerCPUSecond, r.LineP50Millis, r.LineP99Millis,
+		r.Backends, r.Path, r.SetupsPerSecond, r.Failed, r.SetupsPerCPUSecond, r.LineP50Millis, r.LineP99Millis,
 		r.LineP999Millis, r.CPUMicrosPerLine, r.BytesPerSession, r.IdleSessions)
 }
--- a/cmd/valeshift-testbed/load.go
+++ b/cmd/valeshift-testbed/load.go
@@ -55,12 +55,12 @@
 	}
 	r := report.New(x)
 	run := r.AddRun(x, report.Outcome{
-		Variant:       experiment.Policies[0],
-		Mode:          report.OnSockets,
-		Metrics:       result.Metrics,
-		FaultSpans:    result.FaultSpans,
-		Audit:         result.Auditor,
-		ColdOverloads: result.ColdOverloads,
+		Variant:            experiment.Policies[0],
+		Mode:               report.OnSockets,
+		Metrics:            result.Metrics,
+		FaultSpans:         result.FaultSpans,
+		Audit:              result.Auditor,
+		SlowStartOverloads: result.SlowStartOverloads,
 	})
 	run.IsLate = result.BehindSchedule
 	run.Memory = result.Memory
--- a/cmd/valeshift-testbed/sim.go
+++ b/cmd/valeshift-testbed/sim.go
@@ -61,12 +61,12 @@
 		return nil, err
 	}
 	run := r.AddRun(x, report.Outcome{
-		Variant:       variant,
-		Mode:          report.Simulated,
-		Metrics:       result.Metrics,
-		FaultSpans:    result.FaultSpans,
-		Audit:         result.Auditor,
-		ColdOverloads: result.ColdOverloads,
+		Variant:            variant,
+		Mode:               report.Simulated,
+		Metrics:            result.Metrics,
+		FaultSpans:         result.FaultSpans,
+		Audit:              result.Auditor,
+		SlowStartOverloads: result.SlowStartOverloads,
 	})
 	seconds := result.RealTime.Seconds()
 	printRun(run, fmt.Sprintf("(%.1f simulated seconds a second, %.2f M events/s)",
--- a/internal/fleet/clock.go
+++ b/internal/fleet/clock.go
@@ -65,7 +65,7 @@
 }
 
 // lowerMedian sorts the offsets and returns the median. One clock that is wrong moves it by one place only; of
-// the two in the middle it is the earlier, by which backends are younger and so less warm.
+// the two in the middle it is the earlier, by which backends have started later and so are less warm.
 func lowerMedian(offsets []float64) float64 {
 	slices.Sort(offsets)
 	return offsets[(len(offsets)-1)/2]
--- a/internal/testbed/audit/attempts.go
+++ b/internal/testbed/audit/attempts.go
@@ -31,7 +31,7 @@
 	a.checkDrain(now, id, backend, news, state)
 	isToldOfThisStart := news.since > 0 && news.since >= state.startedAt
 	if cold && isToldOfThisStart {
-		a.addColdLoad(now, id, backend, capacity, load)
+		a.addSlowStartLoad(now, id, backend, capacity, load)
 	}
 	s.attempts = append(s.attempts, attempt{backend: backend, startedAt: now, wasDark: state.isUnreachable})
 }
@@ -58,20 +58,20 @@
 	}
 }
 
-// addColdLoad counts what a cold backend is sent by relays that know that it is cold. A session can't be split,
+// addSlowStartLoad counts what a backend in slow start is sent by relays that know of that. A session can't be split,
 // so the heaviest one of a window is not too much by itself.
-func (a *Auditor) addColdLoad(now float64, id, backend string, capacity, load float64) {
+func (a *Auditor) addSlowStartLoad(now float64, id, backend string, capacity, load float64) {
 	state := a.backend(backend)
-	recent := state.coldLoads[:0]
+	recent := state.slowStartLoads[:0]
 	sum, heaviest := load, load
-	for _, l := range state.coldLoads {
+	for _, l := range state.slowStartLoads {
 		if l.at > now-a.overloadWindow {
 			recent = append(recent, l)
 			sum += l.load
 			heaviest = max(heaviest, l.load)
 		}
 	}
-	state.coldLoads = append(recent, timedLoad{now, load})
+	state.slowStartLoads = append(recent, timedLoad{now, load})
 	if sum-heaviest > a.overloadMultiple*capacity && now > state.overloadReportedAt+a.overloadWindow {
 		state.overloadReportedAt = now
 		a.report(SlowStart, now, id, "%s was sent %.2f cores within %.0f ms, and has %.2f", backend, sum,
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -1,5 +1,5 @@
 // Package audit checks what relays do against the rules, by what clients, backends and discovery saw: one final
-// answer in time, no effect twice, drains respected, no cold backend pushed over, no line lost, duplicated or
+// answer in time, no effect twice, drains respected, no backend overloaded in slow start, no line lost, duplicated or
 // held back. It sees no relay from the inside, so that a relay that is broken in any way is caught.
 package audit
 
@@ -18,7 +18,7 @@
 	FinalAnswer  Rule = iota // exactly one, before the hard limit
 	AtMostOnce               // no effect twice, one attempt out at a time
 	Drain                    // nothing new to a backend that is said to leave or to be gone
-	SlowStart                // no cold backend pushed over
+	SlowStart                // no backend overloaded in slow start
 	LineDelivery             // passed on once, in order, at once; no session cut off without a MOVE
 	ruleCount
 )
@@ -87,7 +87,7 @@
 	sweptAt  float64
 }
 
-// New returns an auditor. Slack is how much later than it happens a thing may be seen. A cold backend may be
+// New returns an auditor. Slack is how much later than it happens a thing may be seen. A backend in slow start may be
 // sent a multiple of its present capacity within a window of milliseconds.
 func New(slack, overloadMultiple, overloadWindow float64) *Auditor {
 	return &Auditor{
--- a/internal/testbed/audit/fleet.go
+++ b/internal/testbed/audit/fleet.go
@@ -25,7 +25,7 @@
 	isUnreachable      bool
 	reachableAt        float64 // when it was unreachable last
 	startedAt          float64
-	coldLoads          []timedLoad // in this start, by relays that know that it is cold
+	slowStartLoads     []timedLoad // in this slow start, by relays that know of it
 	overloadReportedAt float64
 }
 
@@ -107,7 +107,7 @@
 func (a *Auditor) BackendStarted(now float64, backend string) {
 	b := a.backend(backend)
 	b.startedAt = now
-	b.coldLoads = nil
+	b.slowStartLoads = nil
 }
 
 // BackendUnreachable is called when nothing passes to a backend, or does again. The sessions on it are marked
--- a/internal/testbed/cost/cost.go
+++ b/internal/testbed/cost/cost.go
@@ -15,7 +15,7 @@
 // Result is what one path came to.
 type Result struct {
 	Path               string  `json:"way"`
-	Servers            int     `json:"servers"`
+	Backends           int     `json:"servers"`
 	Setups             int     `json:"setups"`
 	Failed             int     `json:"failed"`
 	SetupsPerSecond    float64 `json:"setups-a-second"`
@@ -96,7 +96,7 @@
 func newMeasurement(p *path, plan Plan) (*measurement, error) {
 	m := &measurement{
 		path:       p,
-		result:     &Result{Path: p.name, Servers: plan.Servers},
+		result:     &Result{Path: p.name, Backends: plan.Servers},
 		lineMicros: newLineHistogram(),
 	}
 	if p.cmd == nil || plan.IdleSessions <= 0 {
--- a/internal/testbed/cost/forwarder.go
+++ b/internal/testbed/cost/forwarder.go
@@ -14,7 +14,7 @@
 // acceptRetryDelay passes before the next connection is accepted, if there was no descriptor for the last.
 const acceptRetryDelay = 10 * time.Millisecond
 
-var errNoBackends = errors.New("servers' addresses expected on standard input, got none")
+var errNoBackends = errors.New("backends' addresses expected on standard input, got none")
 
 // RunForwarder is the bare forwarder: it reads the backends' addresses, one a line, and serves at the address
 // until the context ends.
--- a/internal/testbed/cost/golden_test.go
+++ b/internal/testbed/cost/golden_test.go
@@ -13,7 +13,7 @@
 func TestResultGolden(t *testing.T) {
 	want := Result{
 		Path:               "relay",
-		Servers:            30,
+		Backends:           30,
 		Setups:             900,
 		Failed:             2,
 		SetupsPerSecond:    300.5,
--- a/internal/testbed/live/fleet.go
+++ b/internal/testbed/live/fleet.go
@@ -14,7 +14,7 @@
 )
 
 // fleetKey is the key that all relays of a run share.
-const fleetKey = "the key of the lab's fleet"
+const fleetKey = "the key of the testbed's fleet"
 
 // configureFleet writes each relay's operators' file, where the experiment has relays know of each other, have
 // disks or be told the age of load reports. A folder is a relay's disk; a proxy stands between each two relays.
--- a/internal/testbed/live/live_test.go
+++ b/internal/testbed/live/live_test.go
@@ -159,8 +159,8 @@
 	}
 }
 
-// lab builds the lab's relay.
-func lab(t *testing.T, flags ...string) string {
+// buildRelay builds the relay and the coordinator with a faultdisk.
+func buildRelay(t *testing.T, flags ...string) string {
 	dir := t.TempDir()
 	build := append([]string{"build", "-tags", "faultdisk", "-o", dir}, flags...)
 	said, err := exec.Command("go", append(build, "valeshift/cmd/valeshift",
@@ -188,7 +188,7 @@
 }
 
 func livePlay(t *testing.T, text string, want []string, least float64) {
-	r := played(t, lab(t, "-race"), text)
+	r := played(t, buildRelay(t, "-race"), text)
 	if r == nil {
 		return
 	}
--- a/internal/testbed/live/machines_test.go
+++ b/internal/testbed/live/machines_test.go
@@ -50,7 +50,7 @@
 // Hard cases of a power loss by nine processes under load, faults between them: no rule is broken, no server
 // pushed over, nobody stays in a phase, and service is back at the end.
 func TestHardCasesByProcesses(t *testing.T) {
-	binary := lab(t)
+	binary := buildRelay(t)
 	loss := func(rest string) string {
 		return fault("power-loss", "5s", "for = \"1s\"\nspread = \"500ms\"\nshare = 1.0\n"+rest)
 	}
@@ -96,7 +96,7 @@
 				return
 			}
 			assert.Zero(t, r.Auditor.ViolationCount(), "%v", r.Auditor.Violations)
-			assert.Zero(t, r.ColdOverloads, "servers pushed over")
+			assert.Zero(t, r.SlowStartOverloads, "servers pushed over")
 			assert.Greater(t, r.Metrics.ServedShare(17000, 20000), 0.8)
 			for i, text := range r.FleetStatus {
 				var s fleet.Status
@@ -110,7 +110,7 @@
 // What nine processes tell their clients while they recover lies at three machines each: clients find their
 // places at any relay, with machines lost with their disks meanwhile, ways cut and relays that sleep.
 func TestPlacesByProcesses(t *testing.T) {
-	binary := lab(t)
+	binary := buildRelay(t)
 	side := make(chan struct{}, 4)
 	for _, c := range []struct {
 		name, faults string
@@ -139,7 +139,7 @@
 				return
 			}
 			assert.Zero(t, r.Auditor.ViolationCount(), "%v", r.Auditor.Violations)
-			assert.Zero(t, r.ColdOverloads, "servers pushed over")
+			assert.Zero(t, r.SlowStartOverloads, "servers pushed over")
 			var promised, took, again, missed uint64
 			for _, text := range r.FleetStatus {
 				var s fleet.Status
@@ -160,7 +160,7 @@
 // nine processes: next to none of it is begun a second time, with machines lost with their disks, words lost
 // between them and processes that sleep.
 func TestMarksByProcesses(t *testing.T) {
-	binary := lab(t)
+	binary := buildRelay(t)
 	side := make(chan struct{}, 3)
 	for _, c := range []struct {
 		name, faults string
--- a/internal/testbed/live/run.go
+++ b/internal/testbed/live/run.go
@@ -28,15 +28,15 @@
 
 // Result is the outcome of a run.
 type Result struct {
-	Metrics        *model.Metrics
-	FaultSpans     []model.FaultSpan
-	Auditor        *audit.Auditor
-	ColdOverloads  int
-	BehindSchedule bool // the machine was too slow to keep the schedule: the figures don't count
-	Logs           string
-	Memory         map[int]int64   // resident bytes of each relay at the end
-	CPU            map[int]float64 // seconds of each relay at the end
-	FleetStatus    map[int][]byte  // what each relay says of the others, as JSON
+	Metrics            *model.Metrics
+	FaultSpans         []model.FaultSpan
+	Auditor            *audit.Auditor
+	SlowStartOverloads int
+	BehindSchedule     bool // the machine was too slow to keep the schedule: the figures don't count
+	Logs               string
+	Memory             map[int]int64   // resident bytes of each relay at the end
+	CPU                map[int]float64 // seconds of each relay at the end
+	FleetStatus        map[int][]byte  // what each relay says of the others, as JSON
 }
 
 // Run is one run on sockets. It implements model.Infrastructure.
@@ -166,7 +166,7 @@
 	result.Metrics = r.environment.Metrics
 	result.FaultSpans = r.environment.FaultSpans
 	result.Auditor = r.auditor
-	result.ColdOverloads = r.environment.ColdOverloads()
+	result.SlowStartOverloads = r.environment.SlowStartOverloads()
 	result.BehindSchedule = r.environment.Metrics.MaxLag > maxLagMillis
 }
 
--- a/internal/testbed/live/zones_test.go
+++ b/internal/testbed/live/zones_test.go
@@ -92,7 +92,7 @@
 // Zones decided in common by fourteen processes, faults between them: one picture to a number, no relay back
 // in number also over its starts, no rule broken, and what each case is about.
 func TestZonesByProcesses(t *testing.T) {
-	binary := lab(t)
+	binary := buildRelay(t)
 	side := make(chan struct{}, 3)
 	many := func(kind string, from, step, n int, rest string) (text string) {
 		for i := range n {
@@ -150,7 +150,7 @@
 				return
 			}
 			assert.Zero(t, r.Auditor.ViolationCount(), "%v", r.Auditor.Violations)
-			assert.Zero(t, r.ColdOverloads, "servers pushed over")
+			assert.Zero(t, r.SlowStartOverloads, "servers pushed over")
 			assert.Greater(t, r.Metrics.ServedShare(19000, 24000), c.service)
 			pictures := map[uint64]string{}
 			emptied := false
--- a/internal/testbed/model/backend.go
+++ b/internal/testbed/model/backend.go
@@ -17,7 +17,7 @@
 	ReportNoise      float64 // standard deviation of a reported load, as a part of it
 	SlowStartFrom    float64 // part of its capacity that it starts with
 	SlowStart        float64 // time until it has all of it
-	OverloadMultiple float64 // of its present capacity: sent more within OverloadWindow while cold, it falls over
+	OverloadMultiple float64 // of its present capacity: sent more within OverloadWindow in slow start, it fails
 	OverloadWindow   float64
 	OverloadDowntime float64 // for which it lies there
 }
@@ -29,12 +29,12 @@
 	// OnChange, which must be set, is called when the backend has died or is back by itself.
 	OnChange func()
 
-	Since         float64 // time of its start; 0: long ago
-	Draining      bool
-	Dead          bool
-	Sessions      int     // that are established
-	Demand        float64 // of those, in cores
-	ColdOverloads int     // how often it was pushed over while cold
+	Since              float64 // time of its start; 0: long ago
+	Draining           bool
+	Dead               bool
+	Sessions           int     // that are established
+	Demand             float64 // of those, in cores
+	SlowStartOverloads int     // how often it was overloaded in slow start
 
 	host         Host
 	observer     Observer
@@ -46,10 +46,10 @@
 	conns map[uint64]*backendConn
 	cpu   cpu
 
-	offered   float64 // demand in cores, smoothed over a second
-	offeredAt float64 // when that was reckoned
-	report    loadReport
-	coldLoads []timedLoad // that it was sent while cold
+	offered        float64 // demand in cores, smoothed over a second
+	offeredAt      float64 // when that was reckoned
+	report         loadReport
+	slowStartLoads []timedLoad // that it was sent in slow start
 }
 
 // backendFaults is what faults make of a backend.
@@ -75,7 +75,7 @@
 const (
 	// HasCapacity fills a backend up to these parts, so that a session still on its way finds room.
 	capacityMargin = 0.9 // of its present capacity, by sessions that are established or on their way
-	overloadMargin = 0.8 // of what a cold backend bears within its window
+	overloadMargin = 0.8 // of what a backend in slow start can take within its window
 )
 
 // NewBackend returns a backend that has run for long.
@@ -98,19 +98,19 @@
 
 func (b *Backend) isServing() bool { return !b.Dead && !b.Draining }
 
-// warmth is the part of its capacity that the backend has by now.
-func (b *Backend) warmth(now float64) float64 {
+// capacityShare is the part of its capacity that the backend has by now.
+func (b *Backend) capacityShare(now float64) float64 {
 	if b.Since <= 0 || b.SlowStart <= 0 {
 		return 1
 	}
 	return min(1, b.SlowStartFrom+(1-b.SlowStartFrom)*max(0, now-b.Since)/b.SlowStart)
 }
 
-func (b *Backend) isCold(now float64) bool { return b.warmth(now) < 1 }
+func (b *Backend) isWarmingUp(now float64) bool { return b.capacityShare(now) < 1 }
 
 // Capacity returns what the backend can do now, in cores of speed one.
 func (b *Backend) Capacity(now float64) float64 {
-	return b.Cores * (1 - b.faults.stolenShare) * b.Speed * b.faults.speedFactor * b.warmth(now)
+	return b.Cores * (1 - b.faults.stolenShare) * b.Speed * b.faults.speedFactor * b.capacityShare(now)
 }
 
 // Utilization returns the demand of about the last second as a part of the present capacity.
@@ -138,12 +138,12 @@
 	if b.Demand+pending >= capacityMargin*capacity {
 		return false
 	}
-	return !b.isCold(now) || b.recentColdLoad(now) < overloadMargin*b.OverloadMultiple*capacity
+	return !b.isWarmingUp(now) || b.recentSlowStartLoad(now) < overloadMargin*b.OverloadMultiple*capacity
 }
 
-// recentColdLoad is what the backend was sent while cold within its window.
-func (b *Backend) recentColdLoad(now float64) (sum float64) {
-	for _, l := range b.coldLoads {
+// recentSlowStartLoad returns what the backend was sent in slow start within its window.
+func (b *Backend) recentSlowStartLoad(now float64) (sum float64) {
+	for _, l := range b.slowStartLoads {
 		if l.at > now-b.OverloadWindow {
 			sum += l.load
 		}
@@ -151,27 +151,27 @@
 	return sum
 }
 
-// addColdLoad counts what a cold backend is sent, and tells whether that pushes it over. A session can't be
+// addSlowStartLoad counts what a backend in slow start is sent, and reports whether that overloads it. A session can't be
 // split, so the heaviest of the window may come on top.
-func (b *Backend) addColdLoad(now, load, capacity float64) (overloaded bool) {
-	b.coldLoads = append(b.coldLoads, timedLoad{now, load})
-	recent := b.coldLoads[:0]
+func (b *Backend) addSlowStartLoad(now, load, capacity float64) (overloaded bool) {
+	b.slowStartLoads = append(b.slowStartLoads, timedLoad{now, load})
+	recent := b.slowStartLoads[:0]
 	sum, heaviest := 0.0, 0.0
-	for _, l := range b.coldLoads {
+	for _, l := range b.slowStartLoads {
 		if l.at > now-b.OverloadWindow {
 			recent = append(recent, l)
 			sum += l.load
 			heaviest = max(heaviest, l.load)
 		}
 	}
-	b.coldLoads = recent
+	b.slowStartLoads = recent
 	return sum-heaviest > b.OverloadMultiple*capacity
 }
 
-// fallOver ends a backend that was overloaded while cold, for its downtime.
+// fallOver stops a backend that was overloaded in slow start, for its downtime.
 func (b *Backend) fallOver() {
 	b.Kill()
-	b.ColdOverloads++
+	b.SlowStartOverloads++
 	b.host.After(b.OverloadDowntime, func() {
 		if b.Dead {
 			b.Start()
@@ -218,13 +218,13 @@
 	b.offered = 0
 }
 
-// Start has a backend that died serve again, cold.
+// Start has a backend that died serve again, in slow start.
 func (b *Backend) Start() {
 	now := b.host.Now()
 	b.Dead = false
 	b.Since = now
 	b.cpu.reckonedAt = now
-	b.coldLoads = nil
+	b.slowStartLoads = nil
 	b.faults.stalled = false
 	b.report.at = math.Inf(-1)
 	b.observer.BackendStarted(now, b.Name)
--- a/internal/testbed/model/backend_sessions.go
+++ b/internal/testbed/model/backend_sessions.go
@@ -169,7 +169,7 @@
 	c.attempting = true
 	c.isOpen = true
 	capacity := b.Capacity(now)
-	isCold := b.isCold(now)
+	isCold := b.isWarmingUp(now)
 	b.observer.AttemptReceived(now, c.id, b.Name, isCold, capacity, c.load/1000)
 	if b.faults.failingShare > 0 && b.rng.Float64() < b.faults.failingShare {
 		b.disconnect(c, true)
@@ -180,7 +180,7 @@
 		b.disconnect(c, false)
 		return
 	}
-	if isCold && b.addColdLoad(now, c.load/1000, capacity) {
+	if isCold && b.addSlowStartLoad(now, c.load/1000, capacity) {
 		b.fallOver()
 		return
 	}
--- a/internal/testbed/model/cpu.go
+++ b/internal/testbed/model/cpu.go
@@ -3,7 +3,7 @@
 import "container/heap"
 
 const (
-	// maxLook is the longest time until the next look at the jobs. A cold backend gets faster meanwhile, so the
+	// maxLook is the longest time until the next look at the jobs. A backend in slow start gets faster meanwhile, so the
 	// time of a job's end is not known long before.
 	maxLook = 1000.0
 	// minLook keeps a look from being due sooner than the clock can tell.
@@ -73,7 +73,7 @@
 	if count == 0 || b.faults.stalled {
 		return 0
 	}
-	return min(b.Speed*b.faults.speedFactor*b.warmth(now), b.Capacity(now)/count)
+	return min(b.Speed*b.faults.speedFactor*b.capacityShare(now), b.Capacity(now)/count)
 }
 
 // reckonWork brings the work clock up to now, at the present rate.
--- a/internal/testbed/model/environment.go
+++ b/internal/testbed/model/environment.go
@@ -210,10 +210,10 @@
 	return b.isServing() && !e.sessionStore.isBusy(now) && b.hasCapacity(now)
 }
 
-// ColdOverloads returns how often a cold backend was pushed over.
-func (e *Environment) ColdOverloads() (count int) {
+// SlowStartOverloads returns how often a backend in slow start was overloaded.
+func (e *Environment) SlowStartOverloads() (count int) {
 	for _, b := range e.Backends {
-		count += b.ColdOverloads
+		count += b.SlowStartOverloads
 	}
 	return count
 }
--- a/internal/testbed/model/faults_backends.go
+++ b/internal/testbed/model/faults_backends.go
@@ -154,7 +154,7 @@
 	}
 }
 
-// addBackends adds new, cold backends, as many as that share of the present ones.
+// addBackends adds new backends, in slow start, as many as that share of the present ones.
 func (e *Environment) addBackends(f *experiment.Fault) (undo func()) {
 	for range max(int(f.Share*float64(len(e.Backends))), 1) {
 		b := e.addBackend(e.rng.Intn(e.experiment.Fleet.Zones))
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -39,20 +39,20 @@
 
 // Run is one variant's run. Times are milliseconds, latencies too.
 type Run struct {
-	Variant         string              `json:"variant"`
-	Mode            Mode                `json:"how"`
-	ServedShare     float64             `json:"service"`
-	WorstSecond     float64             `json:"worst-second"` // lowest served share of a second
-	Answers         map[string]int      `json:"answers"`      // by verb
-	ViolationCounts map[string]int      `json:"rules-broken"` // by rule
-	Violations      []string            `json:"breaks,omitempty"`
-	ColdOverloads   int                 `json:"cold-servers-fallen"`
-	RecoveryTime    *float64            `json:"recovered-after-last-fault,omitempty"` // nil: never, or there was no fault
-	Classes         map[string]*Latency `json:"categories"`
-	Seconds         []model.Second      `json:"seconds"`
-	IsLate          bool                `json:"late"`                        // the machine was too slow: the run does not count
-	Memory          map[int]int64       `json:"relay-memory,omitempty"`      // bytes, by relay
-	CPU             map[int]float64     `json:"relay-cpu-seconds,omitempty"` // by relay
+	Variant            string              `json:"variant"`
+	Mode               Mode                `json:"how"`
+	ServedShare        float64             `json:"service"`
+	WorstSecond        float64             `json:"worst-second"` // lowest served share of a second
+	Answers            map[string]int      `json:"answers"`      // by verb
+	ViolationCounts    map[string]int      `json:"rules-broken"` // by rule
+	Violations         []string            `json:"breaks,omitempty"`
+	SlowStartOverloads int                 `json:"cold-servers-fallen"`
+	RecoveryTime       *float64            `json:"recovered-after-last-fault,omitempty"` // nil: never, or there was no fault
+	Classes            map[string]*Latency `json:"categories"`
+	Seconds            []model.Second      `json:"seconds"`
+	IsLate             bool                `json:"late"`                        // the machine was too slow: the run does not count
+	Memory             map[int]int64       `json:"relay-memory,omitempty"`      // bytes, by relay
+	CPU                map[int]float64     `json:"relay-cpu-seconds,omitempty"` // by relay
 }
 
 // Latency is how long the sessions of one class took.
@@ -71,12 +71,12 @@
 
 // Outcome is what one run of an experiment came to.
 type Outcome struct {
-	Variant       string
-	Mode          Mode
-	Metrics       *model.Metrics
-	FaultSpans    []model.FaultSpan
-	Audit         *audit.Auditor
-	ColdOverloads int
+	Variant            string
+	Mode               Mode
+	Metrics            *model.Metrics
+	FaultSpans         []model.FaultSpan
+	Audit              *audit.Auditor
+	SlowStartOverloads int
 }
 
 // New returns a report without runs.
@@ -89,16 +89,16 @@
 	from, to := float64(x.Warmup), float64(x.Length)
 	m := o.Metrics
 	run := Run{
-		Variant:         o.Variant,
-		Mode:            o.Mode,
-		ServedShare:     m.ServedShare(from, to),
-		WorstSecond:     worstSecond(m, from, to),
-		Answers:         m.Answers,
-		ViolationCounts: map[string]int{},
-		ColdOverloads:   o.ColdOverloads,
-		RecoveryTime:    recoveryTime(m, o.FaultSpans, to),
-		Classes:         map[string]*Latency{},
-		Seconds:         m.Seconds[:min(len(m.Seconds), int(math.Ceil(to/1000)))],
+		Variant:            o.Variant,
+		Mode:               o.Mode,
+		ServedShare:        m.ServedShare(from, to),
+		WorstSecond:        worstSecond(m, from, to),
+		Answers:            m.Answers,
+		ViolationCounts:    map[string]int{},
+		SlowStartOverloads: o.SlowStartOverloads,
+		RecoveryTime:       recoveryTime(m, o.FaultSpans, to),
+		Classes:            map[string]*Latency{},
+		Seconds:            m.Seconds[:min(len(m.Seconds), int(math.Ceil(to/1000)))],
 	}
 	for rule, count := range o.Audit.Counts {
 		if count > 0 {
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -40,12 +40,12 @@
 		result, err := sim.Run(x, variant, nil)
 		require.NoError(t, err)
 		r.AddRun(x, Outcome{
-			Variant:       variant,
-			Mode:          Simulated,
-			Metrics:       result.Metrics,
-			FaultSpans:    result.FaultSpans,
-			Audit:         result.Auditor,
-			ColdOverloads: result.ColdOverloads,
+			Variant:            variant,
+			Mode:               Simulated,
+			Metrics:            result.Metrics,
+			FaultSpans:         result.FaultSpans,
+			Audit:              result.Auditor,
+			SlowStartOverloads: result.SlowStartOverloads,
 		})
 	}
 	return r
--- a/internal/testbed/sim/faulty_test.go
+++ b/internal/testbed/sim/faulty_test.go
@@ -13,7 +13,7 @@
 	"valeshift/internal/testbed/audit"
 )
 
-// faultyStateMachine puts something wrong between the network and a reducer.
+// faultyStateMachine breaks a rule on purpose, for tests of the auditor.
 type faultyStateMachine struct {
 	StateMachine
 	before func(e relay.Event) relay.Event
--- a/internal/testbed/sim/recovery_test.go
+++ b/internal/testbed/sim/recovery_test.go
@@ -106,7 +106,7 @@
 			r, err := s.Run()
 			require.NoError(t, err)
 			assert.Zero(t, r.Auditor.ViolationCount(), "%v", r.Auditor.Violations)
-			assert.Zero(t, r.ColdOverloads, "servers pushed over")
+			assert.Zero(t, r.SlowStartOverloads, "servers pushed over")
 			least := 0.9
 			if strings.Contains(c.faults, "wiped") || strings.Contains(c.faults, "another's") {
 				least = 0.85 // nothing is known of what servers bear: 0.86 to 1 over six seeds
@@ -179,7 +179,7 @@
 				}
 				r, err := s.Run()
 				require.NoError(t, err)
-				assert.Equal(t, planted, r.Auditor.ViolationCount()+r.ColdOverloads > 0, "%v", r.Auditor.Violations)
+				assert.Equal(t, planted, r.Auditor.ViolationCount()+r.SlowStartOverloads > 0, "%v", r.Auditor.Violations)
 			})
 		}
 	}
--- a/internal/testbed/sim/relayprocess.go
+++ b/internal/testbed/sim/relayprocess.go
@@ -35,24 +35,40 @@
 	impairments  map[[2]int]experiment.Impairment // of the paths between machines, shared by the run
 	observer     model.Observer
 	onExit       func()
-	clockOffset  float64 // of the machine's clock at the start, ahead of the true time
+	clockOffset  float64    // of the machine's clock at the start, ahead of the true time
+	fleetNode    *fleetNode // nil: the relay has no disk and knows no other
 
+	eventLoop
+	connNumbers
+	endpointWatch
+	siblingState
+}
+
+// eventLoop is the process's handling of events, one after the other.
+type eventLoop struct {
 	isExited      bool
 	isFrozen      bool
 	isHandling    bool          // an event; those raised meanwhile are queued
 	pendingEvents []relay.Event // queued
 	timerID       uint64        // of the timer that is set; earlier ones do nothing
+}
 
-	nodeConns   map[uint64]uint64 // the node's numbers of connections by the state machine's
+// connNumbers maps the numbers of connections: those of the node, which outlive a process, and the state machine's.
+type connNumbers struct {
+	nodeConns   map[uint64]uint64 // the node's by the state machine's
 	relayConns  map[uint64]uint64 // and back
 	clientCount uint64            // of clients accepted
+}
 
+// endpointWatch is the process's watch of the endpoint list.
+type endpointWatch struct {
 	openWatch *watch          // nil: none
 	notified  map[string]bool // the backends that the relay was notified of
+}
 
-	fleetNode *fleetNode // nil: the relay has no disk and knows no other
-
-	sibling             *relayProcess // another process on the same socket
+// siblingState is what the process has to do with another one on the same socket.
+type siblingState struct {
+	sibling             *relayProcess // nil: there is none
 	acceptPaused        bool
 	handoff             *relay.Handoff            // for the new process
 	detachedSession     *relay.TransferredSession // that is being transferred
@@ -63,16 +79,15 @@
 func newRelayProcess(n *node, number int, stateMachine StateMachine, discovery *model.Discovery,
 	impairments map[[2]int]experiment.Impairment, observer model.Observer, onExit func()) *relayProcess {
 	return &relayProcess{
-		node:         n,
-		number:       number,
-		stateMachine: stateMachine,
-		discovery:    discovery,
-		impairments:  impairments,
-		observer:     observer,
-		onExit:       onExit,
-		nodeConns:    map[uint64]uint64{},
-		relayConns:   map[uint64]uint64{},
-		notified:     map[string]bool{},
+		node:          n,
+		number:        number,
+		stateMachine:  stateMachine,
+		discovery:     discovery,
+		impairments:   impairments,
+		observer:      observer,
+		onExit:        onExit,
+		connNumbers:   connNumbers{nodeConns: map[uint64]uint64{}, relayConns: map[uint64]uint64{}},
+		endpointWatch: endpointWatch{notified: map[string]bool{}},
 	}
 }
 
@@ -138,8 +153,8 @@
 	case *relay.SendEndpoints:
 		p.sendEndpoints(f.Update)
 	case *relay.TransferSession:
-		client, server := f.ClientConn, f.BackendConn
-		p.network.after(transferTime, func() { p.transfer(client, server) })
+		client, backend := f.ClientConn, f.BackendConn
+		p.network.after(transferTime, func() { p.transfer(client, backend) })
 	case *relay.SessionDetached:
 		p.detachedSession = f.Session
 	case *relay.SessionAccepted:
@@ -240,7 +255,7 @@
 }
 
 // transfer hands an established session to the sibling process, in the form that it has between two real ones.
-func (p *relayProcess) transfer(client, server uint64) {
+func (p *relayProcess) transfer(client, backend uint64) {
 	if p.isExited || p.sibling == nil {
 		return
 	}
@@ -253,7 +268,7 @@
 	accepted := !next.isExited && next.receive(decodeSession(encodeSession(p.detachedSession)))
 	if accepted {
 		p.moveConnection(next, client, next.clientCount)
-		p.moveConnection(next, server, next.acceptedBackendConn)
+		p.moveConnection(next, backend, next.acceptedBackendConn)
 	}
 	p.handle(relay.SessionTransferred{Conn: client, Accepted: accepted})
 }
--- a/internal/testbed/sim/replication_test.go
+++ b/internal/testbed/sim/replication_test.go
@@ -89,7 +89,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			s, r := runReplicated(t, text+c.faults)
-			assert.Zero(t, r.ColdOverloads, "backends overloaded until they failed")
+			assert.Zero(t, r.SlowStartOverloads, "backends overloaded until they failed")
 			counts := s.replicationCounts(reservations)
 			stored := s.storedRecords()
 			t.Logf("%+v, stored at the end %v, service %.4f", counts, stored, r.Metrics.ServedShare(12000, 24000))
@@ -160,7 +160,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			_, r := runReplicated(t, c.text)
-			assert.Zero(t, r.ColdOverloads, "backends overloaded until they failed")
+			assert.Zero(t, r.SlowStartOverloads, "backends overloaded until they failed")
 			share := float64(r.Auditor.AffineReconnects) / float64(r.Auditor.Reconnects)
 			t.Logf("%d of %d, service %.4f", r.Auditor.AffineReconnects, r.Auditor.Reconnects, r.Metrics.ServedShare(12000, 20000))
 			assert.Greater(t, r.Auditor.Reconnects, 60)
@@ -183,7 +183,7 @@
 		fault("relay-kill", "4500ms", "share = 0.03\ndisk = \"wiped\"") +
 		fault("answers-lost", "3s", "for = \"4s\"\nshare = 1.0\nfactor = 0.4")
 	s, r := runReplicated(t, text)
-	assert.Zero(t, r.ColdOverloads, "backends overloaded until they failed")
+	assert.Zero(t, r.SlowStartOverloads, "backends overloaded until they failed")
 	counts := s.replicationCounts(markers)
 	t.Logf("markers %+v; begun again %d; %d of %d back at their backends; service %.4f", counts, r.Auditor.RepeatedEffects,
 		r.Auditor.AffineReconnects, r.Auditor.Reconnects, r.Metrics.ServedShare(4500, 8000))
--- a/internal/testbed/sim/simulation.go
+++ b/internal/testbed/sim/simulation.go
@@ -14,15 +14,15 @@
 
 // Result is the outcome of one run.
 type Result struct {
-	Variant       string
-	Metrics       *model.Metrics
-	FaultSpans    []model.FaultSpan
-	Auditor       *audit.Auditor
-	ColdOverloads int
-	Events        int
-	Bytes         int
-	RealTime      time.Duration // that the run took; the only figure that differs from run to run
-	Relays        []relay.Counters
+	Variant            string
+	Metrics            *model.Metrics
+	FaultSpans         []model.FaultSpan
+	Auditor            *audit.Auditor
+	SlowStartOverloads int
+	Events             int
+	Bytes              int
+	RealTime           time.Duration // that the run took; the only figure that differs from run to run
+	Relays             []relay.Counters
 }
 
 // Sim is one run of one variant. It implements model.Infrastructure.
@@ -99,7 +99,7 @@
 		n.isRefusing = true
 		addresses = append(addresses, n.address)
 		s.machines = append(s.machines, &machine{
-			process:        &relayProcess{node: n, isExited: true},
+			process:        &relayProcess{node: n, eventLoop: eventLoop{isExited: true}},
 			knownEndpoints: s.endpointsToKeep(),
 			disk:           &simulatedDisk{memory: store.NewMemoryFS()},
 		})
@@ -119,14 +119,14 @@
 
 func (s *Sim) result(realTime time.Duration) *Result {
 	r := &Result{
-		Variant:       s.variant,
-		Metrics:       s.environment.Metrics,
-		FaultSpans:    s.environment.FaultSpans,
-		Auditor:       s.auditor,
-		ColdOverloads: s.environment.ColdOverloads(),
-		Events:        s.network.events,
-		Bytes:         s.network.bytes,
-		RealTime:      realTime,
+		Variant:            s.variant,
+		Metrics:            s.environment.Metrics,
+		FaultSpans:         s.environment.FaultSpans,
+		Auditor:            s.auditor,
+		SlowStartOverloads: s.environment.SlowStartOverloads(),
+		Events:             s.network.events,
+		Bytes:              s.network.bytes,
+		RealTime:           realTime,
 	}
 	for _, m := range s.machines {
 		counters := m.stateMachine.Counters
--- a/internal/testbed/sim/zones_test.go
+++ b/internal/testbed/sim/zones_test.go
@@ -111,7 +111,7 @@
 	r, err := Run(x, x.Variants[0], d)
 	require.NoError(t, err)
 	assert.Zero(t, r.Auditor.ViolationCount(), "%v", r.Auditor.Violations)
-	assert.Zero(t, r.ColdOverloads, "servers pushed over")
+	assert.Zero(t, r.SlowStartOverloads, "servers pushed over")
 	assert.Empty(t, d.wrong)
 	return r, d
 }
