--- a/internal/coordinator/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -21,7 +21,6 @@
 	"valeshift/internal/failover"
 	"valeshift/internal/membership"
 	"valeshift/internal/store"
-	"valeshift/internal/testbed/procstat"
 )
 
 // golden reads a file that an earlier build has written. The files are never written anew: what they hold
@@ -39,7 +38,7 @@
 	t.Helper()
 	folder := t.TempDir()
 	require.NoError(t, os.CopyFS(folder, os.DirFS(filepath.Join("testdata", "golden", "folder"))))
-	address, err := procstat.FreeAddressOn("127.0.0.1")
+	address, err := claimLoopback(t).AssignAddress(0)
 	require.NoError(t, err)
 	self := consensus.Member{Name: "v", Address: address}
 	zones := []failover.Zone{{Name: "a", Region: "r0"}, {Name: "b", Region: "r0"}, {Name: "c", Region: "r1"},
--- a/internal/coordinator/process_harness_test.go
+++ b/internal/coordinator/process_harness_test.go
@@ -38,6 +38,7 @@
 	binary       string
 	adminAddress string
 	udpAddress   string
+	proxyHost    string // where the near ends of its paths listen
 	configPath   string
 	paths        map[int]*netem.Proxy // to the others
 	cmd          *exec.Cmd            // nil: it doesn't run
@@ -52,22 +53,24 @@
 		"valeshift/cmd/valeshift-coordinator").CombinedOutput()
 	require.NoError(t, err, "%s", output)
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "key"), []byte(key), 0o600))
+	loopback := claimLoopback(t)
 	for i := range count {
 		v := &voterProcess{
-			t:      t,
-			name:   fmt.Sprint("v", i),
-			dir:    filepath.Join(dir, fmt.Sprint(i)),
-			binary: binary,
-			paths:  map[int]*netem.Proxy{},
+			t:         t,
+			name:      fmt.Sprint("v", i),
+			dir:       filepath.Join(dir, fmt.Sprint(i)),
+			binary:    binary,
+			proxyHost: loopback.ProxyHost(i),
+			paths:     map[int]*netem.Proxy{},
 		}
 		require.NoError(t, os.MkdirAll(v.diskPath(), 0o700))
-		v.udpAddress, err = procstat.FreeAddressOn(loopback(i))
+		v.udpAddress, err = loopback.AssignAddress(i)
 		require.NoError(t, err)
 		all = append(all, v)
 		t.Cleanup(v.kill)
 	}
 	for i, v := range all {
-		v.adminAddress, err = procstat.FreeAddressOn(loopback(i))
+		v.adminAddress, err = loopback.AssignAddress(i)
 		require.NoError(t, err)
 		v.writeConfig(i, all)
 		v.start()
@@ -75,8 +78,14 @@
 	return all
 }
 
-// loopback returns the address of a voter's machine.
-func loopback(i int) string { return fmt.Sprintf("127.0.10.%d", i+1) }
+// claimLoopback claims a loopback network of this test's own.
+func claimLoopback(t *testing.T) *procstat.LoopbackNetwork {
+	t.Helper()
+	network, err := procstat.ClaimLoopbackNetwork()
+	require.NoError(t, err)
+	t.Cleanup(func() { network.Close() })
+	return network
+}
 
 func (v *voterProcess) diskPath() string { return filepath.Join(v.dir, "disk") }
 
@@ -104,7 +113,7 @@
 // openPath opens the emulated path from voter i to another, and returns its near end.
 func (v *voterProcess) openPath(i, k int, other *voterProcess) (address string) {
 	v.t.Helper()
-	path, err := netem.New(loopback(i), other.udpAddress, rand.New(rand.NewSource(int64(10*i+k))))
+	path, err := netem.New(v.proxyHost, other.udpAddress, rand.New(rand.NewSource(int64(10*i+k))))
 	require.NoError(v.t, err)
 	v.t.Cleanup(path.Close)
 	v.paths[k] = path
--- a/internal/fleet/processes_test.go
+++ b/internal/fleet/processes_test.go
@@ -24,6 +24,7 @@
 // machine is one relay process with a folder as its disk.
 type machine struct {
 	t             *testing.T
+	loopback      *procstat.LoopbackNetwork // of all machines of the test
 	number        int
 	dir           string
 	binary        string
@@ -52,12 +53,15 @@
 	output, err := exec.Command("go", "build", "-tags", "faultdisk", "-o", binary,
 		"valeshift/cmd/valeshift").CombinedOutput()
 	require.NoError(t, err, "%s", output)
+	loopback, err := procstat.ClaimLoopbackNetwork()
+	require.NoError(t, err)
+	t.Cleanup(func() { loopback.Close() })
 	var seeds []string
 	for i := range count {
-		m := &machine{t: t, number: i, dir: filepath.Join(dir, fmt.Sprint(i)), binary: binary,
+		m := &machine{t: t, loopback: loopback, number: i, dir: filepath.Join(dir, fmt.Sprint(i)), binary: binary,
 			key: "a key that all share"}
 		require.NoError(t, os.MkdirAll(m.disk(), 0o700))
-		m.gossipAddress, err = procstat.FreeAddressOn(fmt.Sprintf("127.0.9.%d", i+1))
+		m.gossipAddress, err = loopback.AssignAddress(i)
 		require.NoError(t, err)
 		if seeds = append(seeds, m.gossipAddress); len(seeds) > 3 {
 			seeds = seeds[:3]
@@ -82,9 +86,9 @@
 
 func (m *machine) start() {
 	var err error
-	m.adminAddress, err = procstat.FreeAddressOn(fmt.Sprintf("127.0.9.%d", m.number+1))
+	m.adminAddress, err = m.loopback.AssignAddress(m.number)
 	require.NoError(m.t, err)
-	listen, err := procstat.FreeAddressOn(fmt.Sprintf("127.0.9.%d", m.number+1))
+	listen, err := m.loopback.AssignAddress(m.number)
 	require.NoError(m.t, err)
 	quoted := strings.Join(m.seeds, `", "`)
 	operator := m.write("operator.toml",
@@ -142,18 +146,23 @@
 func eventually(t *testing.T, all []*machine, what string, isReached func(m *machine, s Status) bool) {
 	t.Helper()
 	var last []string
+	var missing []*machine
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
-		last = nil
+		last, missing = nil, nil
 		for _, m := range all {
 			if s, err := m.status(); err != nil || !isReached(m, s) {
 				text, _ := json.Marshal(s)
 				last = append(last, fmt.Sprintf("relay-%d: %v %s", m.number, err, text))
+				missing = append(missing, m)
 			}
 		}
 		if len(last) == 0 {
 			return
 		}
 	}
+	for _, m := range missing {
+		t.Logf("log of relay-%d:\n%s", m.number, logged{m})
+	}
 	t.Fatalf("%s: never came\n%s", what, strings.Join(last, "\n"))
 }
 
@@ -297,7 +306,7 @@
 
 	// A second process under the name and with the disk of another: it is kept from the disk, and both are told.
 	twin := *all[2]
-	twin.gossipAddress, err = procstat.FreeAddressOn("127.0.9.8")
+	twin.gossipAddress, err = twin.loopback.AssignAddress(7)
 	require.NoError(t, err)
 	twin.dir = filepath.Join(all[7].dir, "twin")
 	require.NoError(t, os.MkdirAll(twin.dir, 0o700))
--- a/internal/testbed/live/coordinator.go
+++ b/internal/testbed/live/coordinator.go
@@ -48,7 +48,7 @@
 func (r *Run) coordinatorListenAddresses() ([]string, error) {
 	listen := make([]string, r.experiment.Relays.Coordinators)
 	for machine := range listen {
-		address, err := r.freeAddress(machine)
+		address, err := r.loopback.AssignAddress(machine)
 		if err != nil {
 			return nil, fmt.Errorf("address of coordinator %d: %w", machine, err)
 		}
@@ -80,7 +80,7 @@
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, fmt.Errorf("folder of coordinator %d: %w", machine, err)
 	}
-	adminAddress, err := r.freeAddress(machine)
+	adminAddress, err := r.loopback.AssignAddress(machine)
 	if err != nil {
 		return nil, fmt.Errorf("admin address of coordinator %d: %w", machine, err)
 	}
--- a/internal/testbed/live/fleet.go
+++ b/internal/testbed/live/fleet.go
@@ -29,7 +29,7 @@
 	}
 	addresses := make([]string, len(r.relays))
 	for i := range r.relays {
-		address, err := r.freeAddress(i)
+		address, err := r.loopback.AssignAddress(i)
 		if err != nil {
 			return err
 		}
@@ -88,7 +88,7 @@
 			continue
 		}
 		rng := r.experiment.Rand("way", 1000*(from+1)+to)
-		proxy, err := netem.New(r.proxyHostAddress(from), address, rng)
+		proxy, err := netem.New(r.loopback.ProxyHost(from), address, rng)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/testbed/live/relayprocess.go
+++ b/internal/testbed/live/relayprocess.go
@@ -72,7 +72,7 @@
 	})
 	var err error
 	if !isReplaced {
-		p.address, err = r.freeAddress(p.number)
+		p.address, err = r.loopback.AssignAddress(p.number)
 		return err
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -165,7 +165,7 @@
 		return err
 	}
 	var err error
-	if p.adminAddress, err = r.freeAddress(p.number); err != nil {
+	if p.adminAddress, err = r.loopback.AssignAddress(p.number); err != nil {
 		return err
 	}
 	if err := r.writeConfig(p); err != nil {
--- a/internal/testbed/live/run.go
+++ b/internal/testbed/live/run.go
@@ -7,7 +7,6 @@
 	"context"
 	"fmt"
 	"path/filepath"
-	"sync/atomic"
 	"time"
 
 	"valeshift/internal/testbed/audit"
@@ -23,9 +22,6 @@
 	settleTime       = 4 * time.Second
 )
 
-// runCount numbers the runs of this process, as several may go on side by side.
-var runCount atomic.Int64
-
 // Result is the outcome of a run.
 type Result struct {
 	Metrics        *model.Metrics
@@ -42,15 +38,14 @@
 // Run is one run on sockets. It implements model.Infrastructure.
 type Run struct {
 	*network
-	experiment        *experiment.Experiment
-	environment       *model.Environment
-	auditor           *audit.Auditor
-	relays            []*relayProcess
-	dir               string
-	relayBinary       string
-	number            int64                 // of the run
-	coordinators      []*coordinatorProcess // on the first machines
-	assignedAddresses map[string]bool
+	experiment   *experiment.Experiment
+	environment  *model.Environment
+	auditor      *audit.Auditor
+	relays       []*relayProcess
+	dir          string
+	relayBinary  string
+	loopback     *procstat.LoopbackNetwork
+	coordinators []*coordinatorProcess // on the first machines
 
 	impairments map[[2]int]experiment.Impairment // as they are, by sender and receiver
 	proxies     map[[2]int][]*netem.Proxy        // by who dials and who is dialed
@@ -58,9 +53,14 @@
 
 // Play runs an experiment with relays of that program; files and logs go to dir.
 func Play(ctx context.Context, x *experiment.Experiment, binary, dir string) (*Result, error) {
+	loopback, err := procstat.ClaimLoopbackNetwork()
+	if err != nil {
+		return nil, err
+	}
+	defer loopback.Close() // once nobody of the run listens
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	r := newRun(ctx, x, binary, dir)
+	r := newRun(ctx, x, loopback, binary, dir)
 	defer r.close()
 	if err := r.setUpEnvironment(); err != nil {
 		return nil, err
@@ -85,17 +85,21 @@
 	return result, nil
 }
 
-func newRun(ctx context.Context, x *experiment.Experiment, binary, dir string) *Run {
+func newRun(
+	ctx context.Context,
+	x *experiment.Experiment,
+	loopback *procstat.LoopbackNetwork,
+	binary, dir string,
+) *Run {
 	return &Run{
-		network:           newNetwork(ctx),
-		experiment:        x,
-		auditor:           audit.New(auditSlackMillis, x.Fleet.OverloadMultiple, float64(x.Fleet.OverloadWindow)),
-		dir:               dir,
-		relayBinary:       binary,
-		number:            runCount.Add(1),
-		assignedAddresses: map[string]bool{},
-		impairments:       map[[2]int]experiment.Impairment{},
-		proxies:           map[[2]int][]*netem.Proxy{},
+		network:     newNetwork(ctx),
+		experiment:  x,
+		auditor:     audit.New(auditSlackMillis, x.Fleet.OverloadMultiple, float64(x.Fleet.OverloadWindow)),
+		dir:         dir,
+		relayBinary: binary,
+		loopback:    loopback,
+		impairments: map[[2]int]experiment.Impairment{},
+		proxies:     map[[2]int][]*netem.Proxy{},
 	}
 }
 
@@ -201,33 +205,10 @@
 	}
 }
 
-// machineAddress is a machine's own address on loopback, used by no other run: a port that is free when it is
-// looked for could be taken by another run before it is listened on.
-func (r *Run) machineAddress(machine int) string {
-	return fmt.Sprintf("127.%d.%d.%d", 1+r.number%250, 1+machine/200, 1+machine%200)
-}
-
-// proxyHostAddress is where the proxies that a machine dials listen: apart from it, for the same reason.
-func (r *Run) proxyHostAddress(machine int) string {
-	return fmt.Sprintf("127.%d.%d.%d", 1+r.number%250, 101+machine/200, 1+machine%200)
-}
-
-// freeAddress is an address of a machine whose port is free and was not assigned before, as an assigned one may
-// not be listened on yet.
-func (r *Run) freeAddress(machine int) (string, error) {
-	for {
-		address, err := procstat.FreeAddressOn(r.machineAddress(machine))
-		if err != nil || !r.assignedAddresses[address] {
-			r.assignedAddresses[address] = true
-			return address, err
-		}
-	}
-}
-
 // newProxy puts a proxy between machine from, which dials it, and the target of machine to; stream numbers its
 // random source.
 func (r *Run) newProxy(from, to int, target string, stream int) (*netem.Proxy, error) {
-	proxy, err := netem.New(r.proxyHostAddress(from), target, r.experiment.Rand("way", stream))
+	proxy, err := netem.New(r.loopback.ProxyHost(from), target, r.experiment.Rand("way", stream))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/procstat/procstat.go
+++ b/internal/testbed/procstat/procstat.go
@@ -1,5 +1,5 @@
-// Package procstat has what the testbed needs of the machine to run programs beside itself: a free port, and
-// what a process has used.
+// Package procstat has what the testbed needs of the machine to run programs beside itself: addresses to listen
+// on, and what a process has used.
 package procstat
 
 import (
@@ -19,13 +19,10 @@
 	ticksPerSecond = 100 // USER_HZ, the same on all Linux platforms that Go runs on
 )
 
-// FreeAddress returns a loopback address whose port is free. The port is released at once, so another process
-// may take it first.
-func FreeAddress() (string, error) { return FreeAddressOn("127.0.0.1") }
-
-// FreeAddressOn does as FreeAddress for another loopback host.
-func FreeAddressOn(host string) (string, error) {
-	l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
+// FreeAddress returns an address on 127.0.0.1 whose port is free. The port is released at once, so another process
+// may take it first, and the next call may return it again: where that matters, use a LoopbackNetwork.
+func FreeAddress() (string, error) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
