--- a/internal/relay/established.go
+++ b/internal/relay/established.go
@@ -10,6 +10,7 @@
 // Established sessions: data that is forwarded both ways, backends that fall silent, and clients that are sent elsewhere
 // before their backend or this relay goes away. A session is never migrated to even out load.
 
+// Times are milliseconds.
 const (
 	reestablishTimeout        = 38000.0 // of a session from before the start; it counts as lost two seconds later
 	reestablishInterval       = 500.0
@@ -127,16 +128,16 @@
 func (m *StateMachine) inspectLine(session *session, line []byte) {
 	verb, rest := protocol.CutVerb(line)
 	switch string(verb) {
-	case "LOAD":
+	case verbLoad:
 		if load, ok := protocol.ParseLoad(rest); ok {
 			m.balancer().LoadMeasured(&session.Entry.Session, load)
 		}
-	case "BYE":
+	case verbBye:
 		if m.rules.reportsInAnswers {
 			m.recordReport(session.backendConn.backend, rest)
 		}
 		m.announceEnd(session, BackendFinished)
-	case "MOVE":
+	case verbMove:
 		m.announceEnd(session, BackendMovedClient)
 	}
 }
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -44,11 +44,20 @@
 			Backends: []balancer.BackendSnapshot{{ID: 77, StartedAt: 1700000000123.5, Load: 0.5, ReportedAt: 1700000003000,
 				PolledAt: 1700000003100, SlowStartAt: 1700000000200, ConsecutiveFailures: 2, SessionsLost: true, OutlierEvidence: 0.75,
 				RecentAssignments: []balancer.AssignmentSnapshot{{At: 1700000003900, Load: 40000.5}}}},
-			ClassLoads: []float64{39000.5, 43000.5}, ClassSamples: []float64{12.5, 7.25}, MeanSessionLoad: 41000.25,
-			LoadSamples: 900000.5, EstimatedCapacity: 0.125, ListedBackends: 1700000001000, EstablishedSessions: 11.5,
-			EstablishedSpan: 10.25, EstablishedAsOf: 1700000003500, ConcurrencyLimit: 1.75, ConcurrencyReducedAt: 1700000002500,
-			SlowStartRequestedAt: 1700000000300, BudgetSlot: 17000000, BudgetSessions: []float64{1.5, 2.5},
-			BudgetRetries: []float64{3.5, 4.5}, EndedSessionLoads: map[uint64]float64{31: 41000.5},
+			SessionLoadSnapshot: balancer.SessionLoadSnapshot{
+				ClassLoads: []float64{39000.5, 43000.5}, ClassSamples: []float64{12.5, 7.25}, MeanSessionLoad: 41000.25,
+				LoadSamples: 900000.5,
+			},
+			EstimatedCapacity: 0.125, ListedBackends: 1700000001000,
+			AttemptSnapshot: balancer.AttemptSnapshot{
+				EstablishedSessions: 11.5, EstablishedSpan: 10.25, EstablishedAsOf: 1700000003500,
+				ConcurrencyLimit: 1.75, ConcurrencyReducedAt: 1700000002500,
+			},
+			SlowStartRequestedAt: 1700000000300,
+			RetryBudgetSnapshot: balancer.RetryBudgetSnapshot{
+				BudgetSlot: 17000000, BudgetSessions: []float64{1.5, 2.5}, BudgetRetries: []float64{3.5, 4.5},
+			},
+			EndedSessionLoads: map[uint64]float64{31: 41000.5},
 		},
 		BackendNames: []string{"b1"}, Descriptors: 512, Sessions: 128,
 	}},
@@ -65,7 +74,7 @@
 	}},
 }
 
-// Every stored or sent form reads from its golden file as the values that were written, and is written as the same
+// TestStoredFormsKeepTheirBytes: every stored or sent form reads from its golden file as the values that were written, and is written as the same
 // bytes. So a field that is renamed in the code keeps its name on disk and between processes.
 func TestStoredFormsKeepTheirBytes(t *testing.T) {
 	for _, form := range goldenForms {
@@ -84,7 +93,7 @@
 	}
 }
 
-// The golden values leave no stored field at its zero value, so that none can be renamed or left out unseen.
+// TestGoldenValuesAreFull: the golden values leave no stored field at its zero value, so that none can be renamed or left out unseen.
 func TestGoldenValuesAreFull(t *testing.T) {
 	for _, form := range goldenForms {
 		requireFull(t, form.file, reflect.ValueOf(form.value))
@@ -114,20 +123,20 @@
 	}
 }
 
-// A golden snapshot and a golden hand-over also pass the checks that the program makes of what it reads.
+// TestGoldenFilesAreRead: a golden snapshot and a golden handoff also pass the checks that the program makes of what it reads.
 func TestGoldenFilesAreRead(t *testing.T) {
 	text, err := os.ReadFile("testdata/golden/kept.json")
 	require.NoError(t, err)
-	kept, err := ParseSnapshot(text)
+	snapshot, err := ParseSnapshot(text)
 	require.NoError(t, err)
-	written, err := kept.Encode()
+	written, err := snapshot.Encode()
 	require.NoError(t, err)
 	assert.Equal(t, string(text), string(written))
 
 	text, err = os.ReadFile("testdata/golden/handover.json")
 	require.NoError(t, err)
-	handover, err := ParseHandoff(text, 1700000005000)
+	handoff, err := ParseHandoff(text, 1700000005000)
 	require.NoError(t, err)
-	assert.Equal(t, 128, handover.Sessions)
-	assert.Equal(t, uint32(77), handover.Balancer.Backends[0].ID)
+	assert.Equal(t, 128, handoff.Sessions)
+	assert.Equal(t, uint32(77), handoff.Balancer.Backends[0].ID)
 }
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -7,6 +7,7 @@
 	"valeshift/internal/protocol"
 )
 
+// Times are milliseconds.
 const (
 	requestTimeout     = 1500.0 // for a client's request to begin, pings or none: silent clients hold descriptors
 	slowRequestTimeout = 2700.0 // since its accept, for one that has begun: clients may take two seconds to write it
@@ -82,7 +83,7 @@
 		}
 		data = rest
 		switch {
-		case string(protocol.TrimLineEnd(line)) == "PING":
+		case string(protocol.TrimLineEnd(line)) == verbPing:
 			m.answerPing(session)
 		case len(data) > 0: // a client waits after its request: this is none, and no backend is to see any of it
 			m.rejectClient(session, UnexpectedData, errorAnswer)
