--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -5,7 +5,7 @@
 // A relay owns one Balancer and calls it from one goroutine at a time. Three methods return decisions: Assign
 // (where a session goes, or that it is queued, rejected or failed), AttemptFinished (what follows an
 // attempt's outcome) and NextAction (which poll or watch is due; asked again until it returns ActionWait).
-// DrainDelay paces sessions that must leave their backend, and IsUnresponsive names backends that went
+// BackendDrainDelay and ShutdownDrainDelay pace sessions that must leave, and IsUnresponsive names backends that went
 // silent. All other methods report what was observed, or move state between processes and incarnations of a
 // relay.
 //
--- a/balancer/drain.go
+++ b/balancer/drain.go
@@ -5,26 +5,35 @@
 	shutdownDrainSpread = 1500.0 // over which all sessions leave, at the end of a shutdown
 )
 
-// DrainDelay returns after how many milliseconds the nth of so many sessions, from 0, is to leave its
-// backend. Within is the time left until this relay shuts down; 0 means that the backend drains. Sessions
-// leave one after the other, as the clients of a whole backend that return within one report interval would
-// be assigned by a single late report. Where there are other relays each session's time has jitter, since
-// with one session each all relays would move theirs at the same moment. A shutdown uses the end of its time,
-// as a relay that was stopped before may not be back yet, or all of it where another process of this relay
-// takes the sessions over at once.
-func (b *Balancer) DrainDelay(nth, of int, within float64) float64 {
-	isShutdown := within > 0
-	spread := drainSpread
-	switch {
-	case isShutdown && b.attempts.draining:
+// BackendDrainDelay returns after how many milliseconds the nth of so many sessions, from 0, is to leave a
+// backend that drains. They leave one after the other, over drainSpread: the clients of a whole backend, if
+// they returned within one report interval, would be assigned by a single late report.
+func (b *Balancer) BackendDrainDelay(nth, of int) float64 { return b.pace(nth, of, drainSpread) }
+
+// ShutdownDrainDelay returns after how many milliseconds the nth of so many sessions, from 0, is to leave this
+// relay, which shuts down within so many milliseconds. Sessions leave one after the other,
+//   - over the end of that time, as a relay that was stopped before may not be back yet;
+//   - over all of it, up to drainSpread, if another process of this relay takes the sessions over at once;
+//   - all at its end, if this is the only relay, as nobody else takes them;
+//   - as from a backend that drains, if no time is left.
+func (b *Balancer) ShutdownDrainDelay(nth, of int, within float64) float64 {
+	if within <= 0 {
+		return b.BackendDrainDelay(nth, of)
+	}
+	spread := min(within, shutdownDrainSpread)
+	if b.attempts.draining {
 		spread = min(within, drainSpread)
-	case isShutdown && b.quotas.relays < 2:
-		return within // nobody else takes them
-	case isShutdown:
-		spread = min(within, shutdownDrainSpread)
+	} else if b.quotas.relays < 2 {
+		return within
 	}
+	return max(within-spread, 0) + b.pace(nth, of, spread)
+}
+
+// pace returns the time of the nth of so many sessions that leave within the spread. Where there are other
+// relays it has jitter, since with one session each all relays would move theirs at the same moment.
+func (b *Balancer) pace(nth, of int, spread float64) float64 {
 	jitter := b.rng.Float64() * (1 - 1/b.quotas.relays)
-	return max(within-spread, 0) + spread*(float64(nth)+jitter)/float64(of)
+	return spread * (float64(nth) + jitter) / float64(of)
 }
 
 // SetDraining sets whether another process of this relay has taken over. A draining process assigns nothing
--- a/balancer/drain_test.go
+++ b/balancer/drain_test.go
@@ -8,20 +8,24 @@
 
 // Sessions leave one after the other, so that clients do not all return within one report.
 func TestDrainDelayIsPaced(t *testing.T) {
-	assert.Equal(t, 4000.0, testFleet{}.build(t).DrainDelay(5, 10, 4000), "the only relay stops")
+	assert.Equal(t, 4000.0, testFleet{}.build(t).ShutdownDrainDelay(5, 10, 4000), "the only relay stops")
 	b := testFleet{Loads: []float64{0.1, 0.1}, Relays: 2}.build(t)
 	for _, c := range []struct {
-		nth, of          int
-		within           float64
+		name             string
+		delay            float64
 		soonest, slowest float64
 	}{
-		{0, 30, 0, 0, drainSpread / 30}, {15, 30, 0, drainSpread / 2, drainSpread * 16 / 30},
-		{29, 30, 0, drainSpread * 29 / 30, drainSpread},
-		{5, 10, 400, 200, 240}, {5, 10, 4000, 4000 - shutdownDrainSpread/2, 4000 - shutdownDrainSpread*4/10},
+		{"first of a backend", b.BackendDrainDelay(0, 30), 0, drainSpread / 30},
+		{"middle of a backend", b.BackendDrainDelay(15, 30), drainSpread / 2, drainSpread * 16 / 30},
+		{"last of a backend", b.BackendDrainDelay(29, 30), drainSpread * 29 / 30, drainSpread},
+		{"short shutdown", b.ShutdownDrainDelay(5, 10, 400), 200, 240},
+		{"long shutdown", b.ShutdownDrainDelay(5, 10, 4000), 4000 - shutdownDrainSpread/2,
+			4000 - shutdownDrainSpread*4/10},
+		{"shutdown without time", b.ShutdownDrainDelay(15, 30, 0), drainSpread / 2, drainSpread * 16 / 30},
+		{"shutdown beyond its time", b.ShutdownDrainDelay(15, 30, -50), drainSpread / 2, drainSpread * 16 / 30},
 	} {
-		got := b.DrainDelay(c.nth, c.of, c.within)
-		assert.GreaterOrEqual(t, got, c.soonest, "%v", c)
-		assert.LessOrEqual(t, got, c.slowest, "%v", c)
+		assert.GreaterOrEqual(t, c.delay, c.soonest, c.name)
+		assert.LessOrEqual(t, c.delay, c.slowest, c.name)
 	}
 }
 
@@ -30,7 +34,7 @@
 	var at [4]int
 	for seed := range int64(80) {
 		b := testFleet{Loads: []float64{0.1, 0.1}, Relays: 80, Seed: seed}.build(t)
-		at[int(b.DrainDelay(0, 1, 0)*float64(len(at))/drainSpread)]++
+		at[int(b.BackendDrainDelay(0, 1)*float64(len(at))/drainSpread)]++
 	}
 	for quarter, n := range at {
 		assert.InDelta(t, 20, n, 12, "quarter %d of the time", quarter)
@@ -40,9 +44,9 @@
 // A shutdown with another process to take the sessions uses all its time, not just the end.
 func TestDrainDelayWithSuccessor(t *testing.T) {
 	b := testFleet{Loads: []float64{0.1}}.build(t)
-	assert.Equal(t, 2400.0, b.DrainDelay(0, 4, 2400))
+	assert.Equal(t, 2400.0, b.ShutdownDrainDelay(0, 4, 2400))
 	b.SetDraining(true)
 	for i := range 4 {
-		assert.InDelta(t, 600*float64(i), b.DrainDelay(i, 4, 2400), 0.01)
+		assert.InDelta(t, 600*float64(i), b.ShutdownDrainDelay(i, 4, 2400), 0.01)
 	}
 }
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -61,8 +61,8 @@
 
 // drawWarmingBackend returns the backend in slow start that the session may go to, or noBackend.
 //
-// The budget of slow starts is spent by chance. Counting sessions would not do: of hundreds of relays each may
-// have a session at the same moment. The chance of a session, due, grows with
+// The budget of slow starts is spent by chance. Counting sessions would not do: of hundreds of relays each
+// may have a session at the same moment. The chance of a session, due, grows with
 //   - the time since the last session here, of which little is saved up,
 //   - this relay's share of what fills these backends over their slow start (slowStartPace).
 //
--- a/internal/dispatch/balancer.go
+++ b/internal/dispatch/balancer.go
@@ -88,8 +88,11 @@
 
 // Drainer paces sessions that must leave, and shares a relay's budgets with its other process.
 type Drainer interface {
-	// DrainDelay returns after how many milliseconds the nth of so many sessions leaves its backend.
-	DrainDelay(nth, of int, within float64) float64
+	// BackendDrainDelay returns after how many milliseconds the nth of so many sessions leaves a draining backend.
+	BackendDrainDelay(nth, of int) float64
+	// ShutdownDrainDelay returns after how many milliseconds the nth of so many sessions leaves this relay, which
+	// shuts down within so many milliseconds.
+	ShutdownDrainDelay(nth, of int, within float64) float64
 	// SetDraining sets whether another process of this relay has taken over.
 	SetDraining(draining bool)
 	// IsReady reports whether enough is known to take over from another process.
--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -114,7 +114,7 @@
 
 // migrationTime is when the nth of so many established sessions is migrated in a drain.
 func (m *StateMachine) migrationTime(nth, of int) float64 {
-	return m.drain.startedAt + drainGrace + m.balancer().DrainDelay(nth, of, m.maxDrainTime()-drainGrace)
+	return m.drain.startedAt + drainGrace + m.balancer().ShutdownDrainDelay(nth, of, m.maxDrainTime()-drainGrace)
 }
 
 // finishDrain answers or migrates whatever is left.
--- a/internal/relay/established.go
+++ b/internal/relay/established.go
@@ -216,6 +216,6 @@
 // nth of the backend's.
 func (m *StateMachine) scheduleMigration(backend *backend, session *session, nth int) {
 	if backend.condition != balancer.Ready && !session.migrationTimer.isSet() {
-		m.timers.set(&session.migrationTimer, m.now+m.balancer().DrainDelay(nth, len(backend.sessions), 0))
+		m.timers.set(&session.migrationTimer, m.now+m.balancer().BackendDrainDelay(nth, len(backend.sessions)))
 	}
 }
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -186,9 +186,14 @@
 // drainSpread is the time over which sessions are closed in a drain, in milliseconds.
 const drainSpread = 1500
 
-// DrainDelay spreads the sessions of a drain over the last part of the time that there is.
-func (p *Policy) DrainDelay(nth, of int, within float64) float64 {
-	return max(within-drainSpread, 0) + drainSpread*float64(nth)/float64(of)
+// BackendDrainDelay spreads the sessions of a draining backend evenly.
+func (p *Policy) BackendDrainDelay(nth, of int) float64 {
+	return drainSpread * float64(nth) / float64(of)
+}
+
+// ShutdownDrainDelay spreads the sessions of a shutdown over the last part of the time that there is.
+func (p *Policy) ShutdownDrainDelay(nth, of int, within float64) float64 {
+	return max(within-drainSpread, 0) + p.BackendDrainDelay(nth, of)
 }
 
 // HasClass reports whether there is such a class.
