--- a/balancer/assignment.go
+++ b/balancer/assignment.go
@@ -171,8 +171,9 @@
 		return session.warming.backend, false
 	}
 	// A returning session goes to its or its group's backend, if that has room, before round robin picks one.
-	if preferred := session.preferred - 1; session.attempt.number == 0 && s.hasRoomAt(preferred) {
-		return preferred, false
+	preferred := session.preferred
+	if preferred.isSet && session.attempt.number == 0 && s.hasRoomAt(preferred.index) {
+		return preferred.index, false
 	}
 	if backend = b.pickRoundRobin(&s); backend >= 0 {
 		return backend, false
--- a/balancer/session.go
+++ b/balancer/session.go
@@ -16,8 +16,8 @@
 	measured bool
 
 	arrivedAt float64
-	hash      uint64 // random; used where neither group nor key decides
-	preferred int    // index plus one of the backend where it or its group was before; 0: none
+	hash      uint64          // random; used where neither group nor key decides
+	preferred optionalBackend // where it or its group was before
 
 	state    sessionState
 	attempt  latestAttempt
@@ -26,6 +26,13 @@
 	warming  slowStartGrant
 }
 
+// optionalBackend is the index of a backend, if it is set. Its zero value is none, as sessions are made by the
+// caller and know no noBackend then.
+type optionalBackend struct {
+	index int
+	isSet bool
+}
+
 // sessionState is how far a session has come.
 type sessionState struct {
 	known       bool // Assign has seen it
--- a/balancer/session_events.go
+++ b/balancer/session_events.go
@@ -75,6 +75,6 @@
 // session.
 func (b *Balancer) PreferBackend(session *Session, id uint32) {
 	if backend, known := b.indexByID[id]; known {
-		session.preferred = backend + 1
+		session.preferred = optionalBackend{index: backend, isSet: true}
 	}
 }
