--- a/balancer/assignment.go
+++ b/balancer/assignment.go
@@ -20,8 +20,23 @@
 	maxQueueShare   = 0.5  // share of the time to its deadline that a session may be queued
 )
 
-// Assign decides where the session goes: to a backend, into the queue, or nowhere. A queued session is put to
-// it again.
+// Assign decides where the session goes: to a backend, into the queue, or nowhere. The caller calls it for a
+// new session, and again for one that is queued, after Decision.Wait or when a poll was answered.
+//
+// A retry is decided here too: AttemptFinished calls Assign for a session whose attempt failed. On the way to
+// a backend these are checked, in this order:
+//   - the attempt policy (canRetry): attempts left; time left until the deadline; for a retry, the retry
+//     budget; if an attempt may have been executed, that the request is idempotent, or by its key and still
+//     within the deduplication window;
+//   - the pause, if the endpoint list may be out of date;
+//   - concurrency (allowAttempt): the limit of attempts in flight, unless the session awaits polls;
+//   - the polls of its candidates, where not the whole fleet is polled regularly;
+//   - for each backend (selection): that it is ready, within the deduplication scope, allowed by the zone
+//     weights, warm or drawn in slow start, and has room. The backend of the last attempt comes last.
+//
+// A session that fails the first check is given up: rejected or failed. One held up by a later check is
+// queued; for lack of a backend or of concurrency only for a part of its time, and not at all if all backends
+// are full.
 func (b *Balancer) Assign(now float64, session *Session) Decision {
 	if !session.state.known {
 		b.admitSession(now, session)
--- a/balancer/attempt_outcome.go
+++ b/balancer/attempt_outcome.go
@@ -4,7 +4,11 @@
 
 // AttemptFinished records the outcome of an attempt, or of the session that it established, and decides what
 // follows: another attempt, the queue, or the client's answer. With last the session is over, whatever the
-// outcome.
+// outcome, as it is if it was established or its client has left: then there is NoDecision.
+//
+// Otherwise it calls Assign again, which decides on a retry by the attempts and time left, the retry budget,
+// idempotency and the deduplication window, and concurrency. The first attempt whose outcome does not prove
+// that the request was not executed (AttemptOutcome.IsUnprocessed) is the one that may have been executed.
 func (b *Balancer) AttemptFinished(now float64, session *Session, outcome AttemptOutcome,
 	last bool) Decision {
 	if !session.state.reserved {
