--- a/balancer/assignment.go
+++ b/balancer/assignment.go
@@ -65,7 +65,7 @@
 	if backend >= 0 {
 		return b.startAttempt(now, session, backend)
 	}
-	queuedUntil := session.arrivedAt + maxQueueShare*(session.Deadline-session.arrivedAt)
+	queuedUntil := session.state.arrivedAt + maxQueueShare*(session.Deadline-session.state.arrivedAt)
 	if !full && now+queueRetryDelay < queuedUntil {
 		return queueFor(queueRetryDelay)
 	}
@@ -77,7 +77,7 @@
 // admitSession prepares a session that has just arrived.
 func (b *Balancer) admitSession(now float64, session *Session) {
 	session.state.known = true
-	session.arrivedAt = now
+	session.state.arrivedAt = now
 	session.attempt.backend = noBackend
 	session.hash = b.rng.Uint64()
 	b.attempts.budget.recordSession(now)
--- a/balancer/session.go
+++ b/balancer/session.go
@@ -15,7 +15,6 @@
 	load     float64 // on its backend, measured or estimated
 	measured bool
 
-	arrivedAt float64
 	hash      uint64          // random; used where neither group nor key decides
 	preferred optionalBackend // where it or its group was before
 
@@ -26,8 +25,8 @@
 	warming  slowStartGrant
 }
 
-// optionalBackend is the index of a backend, if it is set. Its zero value is none, as sessions are made by the
-// caller and know no noBackend then.
+// optionalBackend is the index of a backend, if it is set. Its zero value is none, as the caller makes sessions
+// and can't set noBackend.
 type optionalBackend struct {
 	index int
 	isSet bool
@@ -35,8 +34,9 @@
 
 // sessionState is how far a session has come.
 type sessionState struct {
-	known       bool // Assign has seen it
-	reserved    bool // an attempt is in flight or the session is established: it counts on its backend
+	known       bool    // Assign has seen it, or it was established elsewhere
+	arrivedAt   float64 // here
+	reserved    bool    // an attempt is in flight or the session is established: it counts on its backend
 	established bool
 	clientGone  bool
 }
--- a/balancer/session_events.go
+++ b/balancer/session_events.go
@@ -30,7 +30,7 @@
 	}
 	b.estimateSessionLoad(session)
 	session.state.known = true
-	session.arrivedAt = now
+	session.state.arrivedAt = now
 	session.executed.isPossible = true
 	session.attempt.backend = backend
 	session.attempt.number = 1
