--- a/balancer/session.go
+++ b/balancer/session.go
@@ -15,9 +15,8 @@
 	load     float64 // on its backend, measured or estimated
 	measured bool
 
-	arrivedAt float64
-	hash      uint64 // random; used where neither group nor key decides
-	preferred int    // index plus one of the backend where it or its group was before; 0: none
+	hash      uint64          // random; used where neither group nor key decides
+	preferred optionalBackend // where it or its group was before
 
 	state    sessionState
 	attempt  latestAttempt
@@ -26,10 +25,18 @@
 	warming  slowStartGrant
 }
 
+// optionalBackend is the index of a backend, if it is set. Its zero value is none, as the caller makes sessions
+// and can't set noBackend.
+type optionalBackend struct {
+	index int
+	isSet bool
+}
+
 // sessionState is how far a session has come.
 type sessionState struct {
-	known       bool // Assign has seen it
-	reserved    bool // an attempt is in flight or the session is established: it counts on its backend
+	known       bool    // Assign has seen it, or it was established elsewhere
+	arrivedAt   float64 // here
+	reserved    bool    // an attempt is in flight or the session is established: it counts on its backend
 	established bool
 	clientGone  bool
 }
--- a/balancer/session_events.go
+++ b/balancer/session_events.go
@@ -30,7 +30,7 @@
 	}
 	b.estimateSessionLoad(session)
 	session.state.known = true
-	session.arrivedAt = now
+	session.state.arrivedAt = now
 	session.executed.isPossible = true
 	session.attempt.backend = backend
 	session.attempt.number = 1
@@ -75,6 +75,6 @@
 // session.
 func (b *Balancer) PreferBackend(session *Session, id uint32) {
 	if backend, known := b.indexByID[id]; known {
-		session.preferred = backend + 1
+		session.preferred = optionalBackend{index: backend, isSet: true}
 	}
 }
