--- a/cmd/valeshift/zone.go
+++ b/cmd/valeshift/zone.go
@@ -38,7 +38,7 @@
 type zoneArguments struct {
 	Action       string        `arg:"" name:"do" enum:"status,history,empty,return,hold" help:"What to do."`
 	Zone         string        `arg:"" name:"zone" optional:"" help:"The zone that the order is for."`
-	Coordinators []string      `name:"council" required:"" placeholder:"ADDRESS" help:"Admin addresses of the coordinators."`
+	Coordinators []string      `name:"council" required:"" placeholder:"ADDRESS" help:"Coordinators' admin addresses."`
 	Reason       string        `name:"reason" help:"Why the order is given."`
 	IssuedBy     string        `name:"who" env:"USER" help:"Who gives the order."`
 	Duration     time.Duration `name:"for" help:"How long the order holds. 0: until another replaces it."`
--- a/cmd/valeshift/zone_test.go
+++ b/cmd/valeshift/zone_test.go
@@ -127,10 +127,13 @@
 		args []string
 		want string
 	}{
-		"an order without a zone":       {[]string{"empty", "--council", leaderAddress}, errNoZone.Error()},
-		"nobody that was asked leads":   {[]string{"empty", "d", "--council", otherAddress}, errNoLeader.Error()},
-		"no leader to show":             {[]string{"status", "--council", otherAddress}, errNoLeader.Error()},
-		"an order that is not accepted": {[]string{"empty", "refuse-me", "--id=1", "--council", leaderAddress}, "order 1: refused: no such zone"},
+		"an order without a zone":     {[]string{"empty", "--council", leaderAddress}, errNoZone.Error()},
+		"nobody that was asked leads": {[]string{"empty", "d", "--council", otherAddress}, errNoLeader.Error()},
+		"no leader to show":           {[]string{"status", "--council", otherAddress}, errNoLeader.Error()},
+		"an order that is not accepted": {
+			[]string{"empty", "refuse-me", "--id=1", "--council", leaderAddress},
+			"order 1: refused: no such zone",
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := printed(t, nil, func() error { return runSubcommand(&zoneArguments{}, "valeshift zone", c.args) })
@@ -143,7 +146,8 @@
 func TestZoneCommandHelpGolden(t *testing.T) {
 	t.Setenv("USER", "")
 	var help bytes.Buffer
-	parser, err := kong.New(&zoneArguments{}, kong.Name("valeshift zone"), kong.Writers(&help, &help), kong.Exit(func(int) {}))
+	parser, err := kong.New(&zoneArguments{}, kong.Name("valeshift zone"), kong.Writers(&help, &help),
+		kong.Exit(func(int) {}))
 	require.NoError(t, err)
 	parser.Parse([]string{"--help"})
 	assert.Equal(t, zoneGolden(t, "help.txt"), help.String())
--- a/internal/failover/zone.go
+++ b/internal/failover/zone.go
@@ -30,13 +30,17 @@
 
 // Zone is what has been decided about one zone.
 type Zone struct {
-	Name       string         `json:"Name"`
-	Region     string         `json:"Region"`
-	State      State          `json:"State"`
-	Share      float64        `json:"Share"`          // of the work near the zone that it serves itself, 0 to 1
-	Diversions []TrafficShare `json:"To,omitempty"`   // where the rest of that work goes
-	Unserved   float64        `json:"Left,omitempty"` // the share that no zone has capacity for: clients are told to retry later
-	Reason     Reason         `json:"Why"`
+	Name   string  `json:"Name"`
+	Region string  `json:"Region"`
+	State  State   `json:"State"`
+	Share  float64 `json:"Share"` // of the work near the zone that it serves itself, 0 to 1
+
+	// Diversions is where the rest of that work goes.
+	Diversions []TrafficShare `json:"To,omitempty"`
+	// Unserved is the share that no zone has capacity for: clients are told to retry later.
+	Unserved float64 `json:"Left,omitempty"`
+
+	Reason Reason `json:"Why"`
 }
 
 // TrafficShare is the fraction of the work near one zone that goes to another.
