--- a/cmd/valeshift/zone_test.go
+++ b/cmd/valeshift/zone_test.go
@@ -83,7 +83,7 @@
 	other := &voterStandIn{status: zoneGolden(t, "status-other.json")}
 	leaderAddress, otherAddress := leader.start(t), other.start(t)
 	names := map[string]string{leaderAddress: "LEADER", otherAddress: "OTHER"}
-	council := []string{"--council", otherAddress, "--council", leaderAddress}
+	coordinators := []string{"--council", otherAddress, "--council", leaderAddress}
 	for name, args := range map[string][]string{
 		"status":  {"status"},
 		"history": {"history"},
@@ -93,7 +93,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			leader.order = nil
-			text, err := printed(t, names, func() error { return runSubcommand(&zoneArguments{}, "valeshift zone", append(args, council...)) })
+			text, err := printed(t, names, func() error {
+				return runSubcommand(&zoneArguments{}, "valeshift zone", append(args, coordinators...))
+			})
 			require.NoError(t, err)
 			assert.Equal(t, zoneGolden(t, name+".txt"), text)
 			if leader.order != nil {
