--- a/cmd/valeshift/zone_test.go
+++ b/cmd/valeshift/zone_test.go
@@ -83,7 +83,7 @@
 	other := &voterStandIn{status: zoneGolden(t, "status-other.json")}
 	leaderAddress, otherAddress := leader.start(t), other.start(t)
 	names := map[string]string{leaderAddress: "LEADER", otherAddress: "OTHER"}
-	council := []string{"--council", otherAddress, "--council", leaderAddress}
+	coordinators := []string{"--council", otherAddress, "--council", leaderAddress}
 	for name, args := range map[string][]string{
 		"status":  {"status"},
 		"history": {"history"},
@@ -93,7 +93,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			leader.order = nil
-			text, err := printed(t, names, func() error { return runSubcommand(&zoneArguments{}, "valeshift zone", append(args, council...)) })
+			text, err := printed(t, names, func() error {
+				return runSubcommand(&zoneArguments{}, "valeshift zone", append(args, coordinators...))
+			})
 			require.NoError(t, err)
 			assert.Equal(t, zoneGolden(t, name+".txt"), text)
 			if leader.order != nil {
@@ -127,10 +129,13 @@
 		args []string
 		want string
 	}{
-		"an order without a zone":       {[]string{"empty", "--council", leaderAddress}, errNoZone.Error()},
-		"nobody that was asked leads":   {[]string{"empty", "d", "--council", otherAddress}, errNoLeader.Error()},
-		"no leader to show":             {[]string{"status", "--council", otherAddress}, errNoLeader.Error()},
-		"an order that is not accepted": {[]string{"empty", "refuse-me", "--id=1", "--council", leaderAddress}, "order 1: refused: no such zone"},
+		"an order without a zone":     {[]string{"empty", "--council", leaderAddress}, errNoZone.Error()},
+		"nobody that was asked leads": {[]string{"empty", "d", "--council", otherAddress}, errNoLeader.Error()},
+		"no leader to show":           {[]string{"status", "--council", otherAddress}, errNoLeader.Error()},
+		"an order that is not accepted": {
+			[]string{"empty", "refuse-me", "--id=1", "--council", leaderAddress},
+			"order 1: refused: no such zone",
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := printed(t, nil, func() error { return runSubcommand(&zoneArguments{}, "valeshift zone", c.args) })
@@ -143,7 +148,8 @@
 func TestZoneCommandHelpGolden(t *testing.T) {
 	t.Setenv("USER", "")
 	var help bytes.Buffer
-	parser, err := kong.New(&zoneArguments{}, kong.Name("valeshift zone"), kong.Writers(&help, &help), kong.Exit(func(int) {}))
+	parser, err := kong.New(&zoneArguments{}, kong.Name("valeshift zone"), kong.Writers(&help, &help),
+		kong.Exit(func(int) {}))
 	require.NoError(t, err)
 	parser.Parse([]string{"--help"})
 	assert.Equal(t, zoneGolden(t, "help.txt"), help.String())
