--- a/internal/consensus/identity.go
+++ b/internal/consensus/identity.go
@@ -93,7 +93,9 @@
 func (v *Voter) answerIdentityQuery(now float64, query message) {
 	known := v.identity.known[query.From.ID()]
 	if query.Claim.Boot == known.Boot && query.Claim.Incarnation == known.Incarnation {
-		known.Boot-- // it is the same start that is known, and not one from a copied disk
+		// The voter asks again in the same start. It takes an equal number for a start from a copied disk, so it is
+		// told one less.
+		known.Boot--
 	}
 	v.send(v.addressOf(query.From), message{KnownClaim: known})
 	if !query.HasCluster && len(v.founders) > 0 {
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -103,8 +103,8 @@
 	return v, nil
 }
 
-// resetToNewDisk gives this voter a new identity: a disk of a new name, from which no vote was ever cast. What
-// is being saved at this moment precedes it on the medium.
+// resetToNewDisk gives this voter a new identity: a disk of a new name, from which no vote was ever cast. A
+// save that is in progress completes before the new identity is written.
 func (v *Voter) resetToNewDisk() {
 	v.self.Disk = fmt.Sprintf("%016x", v.rng.Uint64())
 	v.boot = 1
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -72,7 +72,7 @@
 	for e := v.newestFirst.Front(); e != nil; e = e.Next() {
 		m := e.Value.(*Member)
 		if v.liveness(now, m) == Gone {
-			break // its state would look like news elsewhere, and so would all that are older
+			break // passed on, its state would make it look alive elsewhere, and so would all older ones
 		}
 		if len(v.names) > 2*usualStates && v.rng.Float64() < skipChance {
 			continue
--- a/internal/relay/accept.go
+++ b/internal/relay/accept.go
@@ -1,5 +1,7 @@
 package relay
 
+// This file is the driver's side of accepting: the loop at the listener, and its pauses.
+
 import (
 	"errors"
 	"os"
--- a/internal/relay/attempts.go
+++ b/internal/relay/attempts.go
@@ -1,5 +1,8 @@
 package relay
 
+// This file is the state machine's queue of sessions and their attempts: it asks the balancer, by the dispatcher, and
+// does what it decides.
+
 import (
 	"valeshift/balancer"
 	"valeshift/internal/dispatch"
--- a/internal/relay/carryout.go
+++ b/internal/relay/carryout.go
@@ -1,5 +1,7 @@
 package relay
 
+// This file is where the driver carries out the state machine's effects.
+
 import "time"
 
 // carryOut does what the state machine asks for, in order. The lock is held.
--- a/internal/relay/handoff.go
+++ b/internal/relay/handoff.go
@@ -1,5 +1,8 @@
 package relay
 
+// This file is the state machine's side of a hot restart: what a parent process leaves to its child, and what each does
+// while both are there.
+
 import (
 	"encoding/json"
 	"errors"
@@ -144,8 +147,8 @@
 }
 
 // applySiblingEndpoints goes by the list that the sibling was told, as far as it is stricter than this process's: backends
-// that are to get nothing new, or have restarted. Discovery may tell one of the two later, and to who drains a backend
-// both are one relay.
+// that are to get nothing new, or have restarted. Discovery may notify one of the two later, and an operator who drains
+// a backend sees both processes as one relay.
 func (m *StateMachine) applySiblingEndpoints(update *EndpointUpdate) {
 	if !m.siblings.hasSibling() {
 		return
--- a/internal/relay/handoff_test.go
+++ b/internal/relay/handoff_test.go
@@ -100,7 +100,7 @@
 }
 
 // TestParentAsksForTheWholeList: a parent without a watch asks for the list when the child appears, and soon again where
-// that fails. The child is told by its own watch, and to who drains a backend both are one relay.
+// that fails. The child is notified by its own watch, and an operator who drains a backend sees both as one relay.
 func TestParentAsksForTheWholeList(t *testing.T) {
 	s := newHarness(t, nil, 0, "b1=active")
 	s.play("fails", step{1, "failed 1", ""}, step{10, "sibling child", "watch 2 after 0; send-handoff"},
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -1,5 +1,7 @@
 package relay
 
+// This file is the state machine's side of clients that have no session yet: connections without a whole request.
+
 import (
 	"strconv"
 
--- a/internal/relay/snapshot.go
+++ b/internal/relay/snapshot.go
@@ -140,7 +140,7 @@
 		m.balancer().AssumeEndpoints(m.now)
 	}
 	if len(m.endpoints.inOrder) > 0 {
-		m.becomeReady() // by hearsay at once; else it would be by nothing, a second after the start
+		m.becomeReady() // on the restored list; otherwise it would be a second after the start, without any list
 	}
 	if m.watch.id == 0 { // the balancer has just been told a list, and would ask for one late
 		m.startWatch()
--- a/internal/relay/statemachine.go
+++ b/internal/relay/statemachine.go
@@ -2,7 +2,8 @@
 //
 // StateMachine owns all state of the relay and makes every change of it: it is given one event at a time, and returns the
 // effects that follow. It touches no socket, clock or log, starts no goroutine, and leaves to package balancer where
-// sessions go. So the simulation and the tests play it without a network. Sockets runs one on real connections.
+// sessions go. So the simulation and the tests run it without a network. The driver (driver.go), which Serve
+// starts, runs one on real connections.
 package relay
 
 import (
@@ -20,22 +21,23 @@
 	resumeReadTime   = 150.0  // for what came meanwhile to be read
 )
 
-// StateMachine is the state of one relay. Each part is owned by the file of that name. It is not safe for concurrent use.
+// StateMachine is the state of one relay. Each part is written only by the file named beside it. It is not safe for
+// concurrent use.
 type StateMachine struct {
 	Counters
 	now float64 // Unix milliseconds, of the event that is being handled
 
-	rules       sessionRules
-	limits      descriptorLimits
-	timers      timerQueue
-	conns       connTable
-	intake      clientIntake
-	queue       sessionQueue // attempts.go
-	endpoints   endpointSet
-	watch       endpointWatch
-	drain       lifecycle
-	siblings    processHandoff // handoff.go
-	replication replicationState
+	rules       sessionRules     // rules.go
+	limits      descriptorLimits // limits.go
+	timers      timerQueue       // timers.go
+	conns       connTable        // conns.go
+	intake      clientIntake     // intake.go
+	queue       sessionQueue     // attempts.go
+	endpoints   endpointSet      // endpoints.go
+	watch       endpointWatch    // watch.go
+	drain       lifecycle        // drain.go
+	siblings    processHandoff   // handoff.go
+	replication replicationState // replication.go
 
 	illegalTransitions int // changes of a session's state that sessionTransitions doesn't list; session.go
 
--- a/internal/relay/transfer.go
+++ b/internal/relay/transfer.go
@@ -1,5 +1,7 @@
 package relay
 
+// This file is the driver's side of transferring established sessions to a child process.
+
 import (
 	"encoding/json"
 	"errors"
--- a/internal/relay/watch.go
+++ b/internal/relay/watch.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// startWatch asks for the changes since the list that is held; for the whole list where a child process is there. The
-// child is told the whole list by its first call, and to who drains a backend both processes are one relay: this one is
-// not to be told later.
+// startWatch asks for the changes since the known list, or for the whole list if there is a child process: the child
+// gets the whole list by its first call, and this process must not be notified later, as an operator who drains a
+// backend sees both processes as one relay.
 func (m *StateMachine) startWatch() {
 	m.Watches++
 	m.watch.lastID++
--- a/internal/replication/verify.go
+++ b/internal/replication/verify.go
@@ -99,9 +99,9 @@
 		v.report(record.Kind, "%s of %s is another record at %s than at %s", record.ID, record.Owner, page.Relay,
 			first.storedBy[0])
 	case !slices.ContainsFunc(record.Replicas, func(o Replica) bool { return o.Name == page.Relay }):
-		v.report(record.Kind, "%s of %s lies at %s, which is none of its holders", record.ID, record.Owner, page.Relay)
+		v.report(record.Kind, "%s of %s is stored at %s, which is not one of its replicas", record.ID, record.Owner, page.Relay)
 	case record.ExpiresAt > page.Now+maxLifetimeMillis:
-		v.report(record.Kind, "%s of %s at %s ends beyond all bounds", record.ID, record.Owner, page.Relay)
+		v.report(record.Kind, "%s of %s at %s expires later than allowed", record.ID, record.Owner, page.Relay)
 	}
 }
 
@@ -118,7 +118,7 @@
 func (v *verifier) checkOrder(order RecordSnapshot) {
 	version := orderVersion{order.Key, order.Version}
 	if other, ok := v.orders[version]; ok && string(other.Body) != string(order.Body) {
-		v.report(order.Kind, "order %d of %s is two: %s and %s", order.Version, order.Key, other.Body, order.Body)
+		v.report(order.Kind, "two different orders share version %d of %s: %s and %s", order.Version, order.Key, other.Body, order.Body)
 	}
 	v.orders[version] = order
 }
--- a/internal/replication/verify_test.go
+++ b/internal/replication/verify_test.go
@@ -87,7 +87,7 @@
 		{"two orders of one version", func(pages []Page) []Page {
 			orderAt(pages, 1).Body = []byte("other")
 			return pages
-		}, whole, "is two"},
+		}, whole, "share version"},
 		{"another version of one ID", func(pages []Page) []Page {
 			orderAt(pages, 2).Version = 9
 			return pages
@@ -95,12 +95,12 @@
 		{"expires too late", func(pages []Page) []Page {
 			orderAt(pages, 2).ExpiresAt = 1e300
 			return pages
-		}, whole, "beyond all bounds"},
+		}, whole, "expires later than allowed"},
 		{"stored by a relay that is no replica", func(pages []Page) []Page {
 			pages[0].Records = append(pages[0].Records, *orderAt(pages, 0))
 			pages[0].Relay = "stranger" // the page that is changed may be a replica's
 			return pages
-		}, nil, "none of its holders"},
+		}, nil, "not one of its replicas"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newTestFleet(t, 9, 3, 3, 4, injectedFaults{})
