--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -1,6 +1,6 @@
 package relay
 
-// This file is the state machine's side of clients that have no session yet: connections without a whole request.
+// This file handles clients that have no session yet: connections on which no complete request has arrived.
 
 import (
 	"strconv"
@@ -9,16 +9,16 @@
 	"valeshift/internal/protocol"
 )
 
-// Times are milliseconds.
+// All times are in milliseconds.
 const (
-	requestTimeout     = 1500.0 // for a client's request to begin, pings or none: silent clients hold descriptors
-	slowRequestTimeout = 2700.0 // since its accept, for one that has begun: clients may take two seconds to write it
-	maxPings           = 16     // before the request
-	evictionGrace      = 30.0   // left to a client without a request, however many there are
-	errorLogInterval   = 1000.0 // between two log lines on rejected clients, so that a flood of them can't fill the log
-	maxWaitFactor      = 10     // times the class's hard limit; a client's timeout beyond that is malformed
-	answerMargin       = 10.0   // the answer is there so long before the client gives up
-	minWait            = 1.0
+	requestTimeout     = 1500.0 // time for a client to begin its request, even if it pings: silent ones hold descriptors
+	slowRequestTimeout = 2700.0 // time from accept for a request that has begun: clients may take two seconds to write it
+	maxPings           = 16     // most pings that a client may send before its request
+	evictionGrace      = 30.0   // a client without a request is not evicted before this time, however many there are
+	errorLogInterval   = 1000.0 // least time between log lines on rejected clients, so that a flood can't fill the log
+	maxTimeoutFactor   = 10     // a client's timeout above this multiple of its class's hard limit is malformed
+	answerMargin       = 10.0   // how long before the client's timeout its answer is due
+	minTimeout         = 1.0    // least time for a session, however short the client's timeout
 )
 
 const (
@@ -26,7 +26,7 @@
 	pongAnswer  = "PONG\r\n"
 )
 
-// formatBusy is a rejection that tells the client to come again after wait milliseconds; 0: whenever it likes.
+// formatBusy returns a rejection that tells the client to retry after wait milliseconds; 0 gives no time.
 func formatBusy(wait float64) string {
 	if wait > 0 {
 		return "BUSY " + strconv.FormatInt(int64(wait), 10) + "\r\n"
@@ -34,16 +34,16 @@
 	return "BUSY\r\n"
 }
 
-// clientIntake owns the clients whose request has not come, and whether further ones are accepted.
+// clientIntake owns the clients whose request has not arrived yet, and whether further clients are accepted.
 type clientIntake struct {
-	awaiting       []*connection // in the order in which they came, with some that are over; the first is not over
-	awaitingCount  int           // how many of them have no request
-	evictionTimer  timer         // until the oldest of them may be evicted
-	acceptPaused   bool
-	nextErrorLogAt float64 // from when rejected clients may be logged again
+	awaiting       []*connection // clients in order of arrival; all but the first may have sent a request or ended
+	awaitingCount  int           // number of clients still without a request
+	evictionTimer  timer         // fires when the oldest client may be evicted
+	acceptPaused   bool          // PauseAccept is in effect
+	nextErrorLogAt float64       // earliest time of the next log line about rejected clients, in Unix milliseconds
 }
 
-// acceptClient takes in a client's connection.
+// acceptClient adds a client's connection, and starts the timeout for its request.
 func (m *StateMachine) acceptClient(connID uint64) {
 	m.Accepted++
 	session := &session{}
@@ -62,7 +62,7 @@
 	m.timers.set(&conn.deadline, m.now+requestTimeout)
 }
 
-// stopAwaiting says that the client has sent its request, or is over without one.
+// stopAwaiting removes a client that has sent its request, or has ended without one, from the waiting clients.
 func (m *StateMachine) stopAwaiting(session *session, next sessionState) {
 	m.enter(session, next)
 	m.intake.awaitingCount--
@@ -71,8 +71,8 @@
 	}
 }
 
-// receiveFromClient handles what a client sends: pings and its request, later what the backend is to get. The last byte
-// arrived at that time.
+// receiveFromClient handles data from a client: pings and its request, and after that data for the backend. arrivedAt is
+// when the last byte arrived.
 func (m *StateMachine) receiveFromClient(session *session, data []byte, arrivedAt float64) {
 	for session.state == awaitingRequest {
 		line, rest, err := session.clientConn.input.Next(data)
@@ -88,7 +88,7 @@
 		switch {
 		case string(protocol.TrimLineEnd(line)) == verbPing:
 			m.answerPing(session)
-		case len(data) > 0: // a client waits after its request: this is none, and no backend is to see any of it
+		case len(data) > 0: // a client must wait for its answer, so this is no valid request, and no backend may get any of it
 			m.rejectClient(session, UnexpectedData, errorAnswer)
 		default:
 			m.startSession(session, line, arrivedAt)
@@ -99,12 +99,12 @@
 	case session.state == established:
 		m.forwardToBackend(session, data)
 	default:
-		m.failImpatientClient(session)
+		m.failOnUnexpectedData(session)
 	}
 }
 
-// failImpatientClient ends a session whose client sent on without waiting for its answer.
-func (m *StateMachine) failImpatientClient(session *session) {
+// failOnUnexpectedData ends a session whose client sent more data before its answer.
+func (m *StateMachine) failOnUnexpectedData(session *session) {
 	m.RequestErrors[UnexpectedData]++
 	m.queue.countFailed(session.Class)
 	conn := session.clientConn
@@ -113,7 +113,7 @@
 	m.dropConn(conn, gracefully)
 }
 
-// answerPing tells a client whether the relay serves; before it is ready, the answer waits until it is.
+// answerPing tells a client whether the relay is serving. Until the relay is ready, the answer is held back.
 func (m *StateMachine) answerPing(session *session) {
 	conn := session.clientConn
 	conn.pings++
@@ -130,9 +130,9 @@
 	}
 }
 
-// startSession takes a session in once its request has been checked whole: a backend would close on what it can't use,
-// and be blamed for it. The line is copied, as read buffers are used again; the request points into the copy. The client's
-// time runs from when its request arrived.
+// startSession creates a session from a client's request. The request is fully validated first: a backend would close the
+// connection on an invalid one, and that would count as the backend's failure. The line is copied because read buffers are
+// reused; the parsed request points into the copy. The client's timeout runs from the arrival of its request.
 func (m *StateMachine) startSession(session *session, line []byte, arrivedAt float64) {
 	request, err := protocol.ParseRequest(append([]byte(nil), line...))
 	if err != nil {
@@ -145,7 +145,7 @@
 	case !knownClass || (!knownTenant && len(request.Tenant) > 0 && len(m.rules.tenants) > 0):
 		m.rejectClient(session, UnknownName, errorAnswer)
 		return
-	case len(request.StickyBackend) == 0 && request.Timeout > maxWaitFactor*m.rules.hardLimits[class]:
+	case len(request.StickyBackend) == 0 && request.Timeout > maxTimeoutFactor*m.rules.hardLimits[class]:
 		m.queue.countFailed(class)
 		m.rejectClient(session, MalformedRequest, errorAnswer)
 		return
@@ -160,7 +160,7 @@
 	session.Key = request.Key
 	session.AffinityGroup = request.AffinityGroup
 	session.LoadHint = request.LoadHint * 1000
-	session.Deadline = arrivedAt + max(min(request.Timeout, m.rules.hardLimits[class])-answerMargin, minWait)
+	session.Deadline = arrivedAt + max(min(request.Timeout, m.rules.hardLimits[class])-answerMargin, minTimeout)
 	m.Requests++
 	m.addSession(session, string(request.ID))
 	m.timers.stop(&session.clientConn.deadline)
@@ -168,18 +168,18 @@
 	m.admit(session)
 }
 
-// admit has a new session assigned, or its answer sought where it has been established before; or rejects it.
+// admit has a new session assigned, re-establishes one that names its earlier backend, or rejects the session.
 func (m *StateMachine) admit(session *session) {
 	switch {
-	case m.drain.exiting, // nobody is left to see it through to its answer
-		m.now >= session.Deadline: // it waited in the listener's backlog until its time was up
+	case m.drain.exiting, // the process is about to end and could not finish the session
+		m.now >= session.Deadline: // its time ran out in the listener's backlog
 		m.Execute(session, balancer.Decision{Kind: balancer.Reject, Wait: m.rules.maxRetryAfter})
 	case len(session.request.StickyBackend) > 0:
 		m.reestablish(session)
 	case m.isShortOfDescriptors() || m.queue.sessions > m.limits.ownSessions:
-		// Else descriptors would run out in the middle of a session; nothing was sent, so that a retry is harmless. A
-		// queued session counts with the connection that it will have: else queued ones would take all there are once
-		// they go on, and whoever comes then would wait to be accepted until its time is up.
+		// Otherwise descriptors would run out in the middle of a session. Nothing has been sent yet, so a retry is
+		// harmless. A queued session is counted with its future backend connection. Otherwise queued sessions would take
+		// all descriptors when they are assigned, and new clients would wait to be accepted until their time runs out.
 		m.Execute(session, balancer.Decision{Kind: balancer.Reject, Wait: m.rules.maxRetryAfter})
 	default:
 		m.lookUpReservation(session)
@@ -189,7 +189,7 @@
 	}
 }
 
-// rejectClient answers a client that has no session.
+// rejectClient sends the answer to a client that has no session, and closes its connection.
 func (m *StateMachine) rejectClient(session *session, why RequestError, answer string) {
 	m.RequestErrors[why]++
 	if m.now >= m.intake.nextErrorLogAt {
@@ -201,17 +201,18 @@
 	m.dropConn(session.clientConn, gracefully)
 }
 
-// busyAnswer has a client come again later, where it may be told when.
+// busyAnswer returns a rejection with the longest retry time, if the settings allow retry times.
 func (m *StateMachine) busyAnswer() string { return formatBusy(m.rules.maxRetryAfter) }
 
-// evictionCandidate is the client without a request that is evicted first: those that have begun none before those that
-// have, and of each the one that has brought nothing for longest. So a crowd that connects and idles, or stops half way,
-// can't push out one that writes its request slowly. nil: all have come just now.
+// evictionCandidate returns the client without a request that is evicted first. Clients that have not begun a request come
+// before those that have; within each group, the client that has sent nothing for the longest time comes first. So a crowd
+// of clients that idle, or stop halfway through their requests, can't cause the eviction of one that writes its request
+// slowly. It returns nil if all clients are younger than evictionGrace.
 func (m *StateMachine) evictionCandidate() *connection {
 	var candidate *connection
 	for _, conn := range m.intake.awaiting {
 		if m.now < conn.acceptedAt+evictionGrace {
-			break // so are all that came later
+			break // and all later ones are younger still
 		}
 		if conn.session.state != awaitingRequest {
 			continue
@@ -223,7 +224,7 @@
 	return candidate
 }
 
-// isEvictedBefore orders clients without a request for eviction.
+// isEvictedBefore reports whether c, a client without a request, is evicted before other.
 func (c *connection) isEvictedBefore(other *connection) bool {
 	if c.input.HasPending() != other.input.HasPending() {
 		return other.input.HasPending()
@@ -231,15 +232,17 @@
 	return c.lastDataAt < other.lastDataAt
 }
 
-// isCrowded tells whether there are too many clients without a request, or no descriptors for further ones.
-func (m *StateMachine) isCrowded() bool {
+// exceedsIntakeLimits reports whether too many clients wait without a request, or no descriptor is left for
+// another client.
+func (m *StateMachine) exceedsIntakeLimits() bool {
 	return m.intake.awaitingCount > m.limits.maxAwaiting() || len(m.conns.byID) >= m.limits.ownDescriptors
 }
 
-// limitIntake evicts clients without a request where there are too many, and pauses the accepting of others meanwhile:
-// silent ones would take the descriptors that sessions need. One whose request may be on its way is told to come again.
+// limitIntake evicts clients without a request while there are too many: silent clients would take the descriptors that
+// sessions need. An evicted client is told to retry, as its request may be on its way. limitIntake pauses accepting while
+// eviction is not enough, after all clients have been yielded to a child process, and in a child that is not ready yet.
 func (m *StateMachine) limitIntake() {
-	for m.isCrowded() {
+	for m.exceedsIntakeLimits() {
 		conn := m.evictionCandidate()
 		if conn == nil {
 			if len(m.intake.awaiting) > 0 {
@@ -249,7 +252,7 @@
 		}
 		m.rejectClient(conn.session, Evicted, m.busyAnswer())
 	}
-	pause := m.isCrowded() || m.siblings.yielded || (m.siblings.hasParent && !m.drain.ready)
+	pause := m.exceedsIntakeLimits() || m.siblings.yielded || (m.siblings.hasParent && !m.drain.ready)
 	if pause == m.intake.acceptPaused {
 		return
 	}
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	descriptorsPerSession = 2
-	spareDescriptors      = 32 // kept for the listener, polls, the watch and dials
-	siblingDescriptors    = 18 // of a process without connections: 13 when idle, the watch, the channel to its sibling
-	awaitingDivisor       = 8  // one in so many descriptors may be held by clients without a request
-	minAwaiting           = 4  // but no fewer than so many
+	descriptorsPerSession = 2  // one for the client, one for the backend
+	spareDescriptors      = 32 // descriptors kept for the listener, polls, the watch and dials
+	siblingDescriptors    = 18 // needed by a process without connections: 13 when idle, the watch, the sibling channel
+	awaitingDivisor       = 8  // clients without a request may hold one in this many descriptors
+	minAwaiting           = 4  // least number of descriptors for clients without a request
 )
 
-// descriptorLimits are how many file descriptors and sessions this process may have. While there is another process of
-// this relay, both share what there is.
+// descriptorLimits limits how many file descriptors and sessions this process may have. While there is another process
+// of this relay, the two share the relay's limits.
 type descriptorLimits struct {
-	descriptors int // for connections, of both processes; math.MaxInt: not limited
-	reserved    int // kept for other things, of each process
-	sessions    int // of both processes
+	descriptors int // descriptors for connections, of both processes together; math.MaxInt: no limit
+	reserved    int // descriptors that each process keeps for other purposes
+	sessions    int // sessions of both processes together
 
-	ownDescriptors     int // for connections, of this process
-	sessionDescriptors int // of those, for sessions
-	ownSessions        int // of this process
+	ownDescriptors     int // this process's descriptors for connections
+	sessionDescriptors int // the part of ownDescriptors that sessions and polls may use
+	ownSessions        int // this process's sessions
 }
 
-// newDescriptorLimits reads the limits: maxSessions of the settings, descriptors of the configuration.
+// newDescriptorLimits computes the limits: maxSessions comes from the settings, the descriptors from the configuration.
 func newDescriptorLimits(config *Config, maxSessions int) (descriptorLimits, error) {
 	l := descriptorLimits{descriptors: math.MaxInt, sessions: maxSessions}
 	if config.MaxSockets <= 0 {
@@ -45,19 +45,19 @@
 	return l, nil
 }
 
-// awaitingShare is how many of so many descriptors clients without a request may hold.
+// awaitingShare returns how many of the given descriptors clients without a request may hold.
 func awaitingShare(descriptors int) int { return max(descriptors/awaitingDivisor, minAwaiting) }
 
-// maxAwaiting is how many clients without a request there may be: descriptors that sessions can never take.
+// maxAwaiting returns how many clients may be without a request. Sessions never use the descriptors of that share.
 func (l *descriptorLimits) maxAwaiting() int { return awaitingShare(l.ownDescriptors) }
 
-// siblingReserve is how many descriptors the other process needs for itself.
+// siblingReserve returns how many descriptors the other process needs besides its connections.
 func (l *descriptorLimits) siblingReserve() int {
 	return siblingDescriptors + l.reserved - spareDescriptors
 }
 
-// allow sets what this process may have.
-func (l *descriptorLimits) allow(descriptors, sessions int) {
+// setOwnLimits sets the limits of this process.
+func (l *descriptorLimits) setOwnLimits(descriptors, sessions int) {
 	l.ownDescriptors = descriptors
 	l.ownSessions = sessions
 	l.sessionDescriptors = descriptors
@@ -66,19 +66,20 @@
 	}
 }
 
-// isExceededBy tells whether so many sessions and connections for polls need more descriptors than there are for them.
+// isExceededBy reports whether the given numbers of sessions and poll connections need more descriptors than sessions and
+// polls may use.
 func (l *descriptorLimits) isExceededBy(sessions, polling int) bool {
 	return descriptorsPerSession*sessions+polling > l.sessionDescriptors
 }
 
-// isShortOfDescriptors tells whether sessions and polls need more descriptors than there are for them.
+// isShortOfDescriptors reports whether sessions and polls need more descriptors than they may use.
 func (m *StateMachine) isShortOfDescriptors() bool {
 	return m.limits.isExceededBy(m.queue.sessions, m.conns.polling)
 }
 
-// shareLimits holds this process to its part of the descriptors and sessions while there is another process. A parent
-// keeps what it has, or half of what there is where that is more; a child gets the rest. What is reserved for dials and
-// the like is there once for both.
+// shareLimits sets this process's share of the descriptors and sessions while there is another process. A parent keeps
+// what it uses, or half of the total if that is more; a child gets the rest. The descriptors reserved for dials and
+// similar purposes exist once for both processes.
 func (m *StateMachine) shareLimits() {
 	descriptors, sessions := m.limits.descriptors, m.limits.sessions
 	limited := descriptors < math.MaxInt
@@ -100,9 +101,9 @@
 		}
 		sessions /= 2
 	}
-	if m.siblings.hasParent { // however little the parent leaves
+	if m.siblings.hasParent { // a minimum, however little the parent leaves
 		descriptors = max(descriptors, minAwaiting+descriptorsPerSession)
 		sessions = max(sessions, 1)
 	}
-	m.limits.allow(descriptors, sessions)
+	m.limits.setOwnLimits(descriptors, sessions)
 }
--- a/internal/relay/rules.go
+++ b/internal/relay/rules.go
@@ -7,23 +7,24 @@
 	"valeshift/internal/settings"
 )
 
-// sessionRules are what the settings say of sessions. They don't change while the relay runs. Times are milliseconds.
+// sessionRules holds the settings that concern sessions. They don't change while the relay runs. All times are in
+// milliseconds.
 type sessionRules struct {
-	classes          map[string]int // numbers by name
-	tenants          map[string]int // numbers by name
-	zones            map[string]int // numbers by name, of those that the settings name
-	hardLimits       []float64      // by class
-	longestHardLimit float64
-	nonIdempotent    []bool  // by class: an attempt that may have run may not simply be made again
-	maxRetryAfter    float64 // the longest wait that a client follows
-	connectTimeout   float64 // for a connection to a backend to come up
-	canCancel        bool    // an attempt whose client has gone is ended
-	maxSessions      int     // at once
-	reportFields     []string
-	reportsInAnswers bool // load reports come with answers
+	classes          map[string]int // class indexes by name
+	tenants          map[string]int // tenant indexes by name
+	zones            map[string]int // zone indexes by name, for the zones named in the settings
+	hardLimits       []float64      // hard limit of each class
+	longestHardLimit float64        // largest hard limit of any class
+	nonIdempotent    []bool         // for each class: an attempt that may have run must not simply be retried
+	maxRetryAfter    float64        // longest Retry-After that clients follow; 0: they follow none
+	connectTimeout   float64        // limit for establishing a connection to a backend
+	canCancel        bool           // an attempt is ended when its client disconnects
+	maxSessions      int            // most sessions at a time
+	reportFields     []string       // names of the fields of load reports
+	reportsInAnswers bool           // backends send load reports with their answers
 }
 
-// newSessionRules reads the rules. The reader's error says which setting can't be used: the first, in this order.
+// newSessionRules reads the rules. The reader's error names the first invalid setting, in the order in which they are read.
 func newSessionRules(reader *settings.Reader) sessionRules {
 	r := sessionRules{
 		classes:          reader.RecordIndexes("categories"),
@@ -46,8 +47,8 @@
 	return r
 }
 
-// tenant is the number of a tenant; one that the settings don't name shares the number behind the last. known is whether
-// they name it.
+// tenant returns the index of a tenant, and whether the settings name it. All tenants that they don't name share the
+// index after the last named one.
 func (r *sessionRules) tenant(name string) (number int, known bool) {
 	number, known = r.tenants[name]
 	if !known {
@@ -56,7 +57,7 @@
 	return number, known
 }
 
-// nameOf is the name that has the number; empty where none has.
+// nameOf returns the name that has the index, or the empty string if there is none.
 func nameOf(names map[string]int, number int) string {
 	for name, n := range names {
 		if n == number {
--- a/internal/relay/statemachine.go
+++ b/internal/relay/statemachine.go
@@ -1,9 +1,9 @@
-// Package relay is one relay: the balancer's decisions, carried out on sockets.
+// Package relay implements one relay: it carries out the balancer's decisions on network connections.
 //
-// StateMachine owns all state of the relay and makes every change of it: it is given one event at a time, and returns the
-// effects that follow. It touches no socket, clock or log, starts no goroutine, and leaves to package balancer where
-// sessions go. So the simulation and the tests run it without a network. The driver (driver.go), which Serve
-// starts, runs one on real connections.
+// StateMachine owns all state of the relay, and nothing else changes it. It handles one event at a time and returns the
+// effects that follow. It uses no socket, clock or log and starts no goroutine, so that the simulation and the tests can
+// run it without a network. Package balancer decides where sessions go. The driver (driver.go), started by Serve, runs a
+// StateMachine on real connections.
 package relay
 
 import (
@@ -14,11 +14,11 @@
 	"valeshift/internal/settings"
 )
 
-// StateMachine is the state of one relay. Each part is written only by the file named beside it. It is not safe for
-// concurrent use.
+// StateMachine is the state of one relay. Each component is modified only by the file named in its comment. A
+// StateMachine is not safe for concurrent use.
 type StateMachine struct {
 	Counters
-	now float64 // Unix milliseconds, of the event that is being handled
+	now float64 // time of the event being handled, in Unix milliseconds
 
 	rules       sessionRules     // rules.go
 	limits      descriptorLimits // limits.go
@@ -32,13 +32,13 @@
 	siblings    processHandoff   // handoff.go
 	replication replicationState // replication.go
 
-	illegalTransitions int // changes of a session's state that sessionTransitions doesn't list; session.go
+	illegalTransitions int // session state changes not listed in sessionTransitions; session.go
 
-	effects  *effectBuffer // of the event that is being handled
-	returned *effectBuffer // as they were returned last
+	effects     *effectBuffer // effects of the event being handled
+	lastEffects *effectBuffer // buffer that the previous call of Handle returned; every call swaps the two
 }
 
-// New builds the relay's state from its configuration, at the time now, Unix milliseconds.
+// New creates a state machine from the configuration. now is the current time in Unix milliseconds.
 func New(now float64, config *Config) (*StateMachine, error) {
 	balancer, err := settings.NewReader(config.Settings).BuildBalancer(config.Seed)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return NewWithBalancer(now, config, balancer)
 }
 
-// NewWithBalancer builds the state on a balancer that exists already, as the testbed does.
+// NewWithBalancer creates a state machine that uses the given balancer. The testbed passes its own.
 func NewWithBalancer(now float64, config *Config, balancer dispatch.Balancer) (*StateMachine, error) {
 	if config.MaxReportAgeMillis > 0 {
 		balancer.SetMaxReportAge(config.MaxReportAgeMillis)
@@ -59,17 +59,17 @@
 		return nil, err
 	}
 	m := &StateMachine{
-		now:       now,
-		rules:     rules,
-		limits:    limits,
-		timers:    newTimerQueue(),
-		conns:     newConnTable(),
-		queue:     sessionQueue{byID: map[string]*session{}, answers: make([]answerCounts, len(rules.hardLimits))},
-		endpoints: newEndpointSet(rules.zones),
-		watch:     newEndpointWatch(config.Discovery),
-		siblings:  processHandoff{hasParent: config.HasParent, handoff: config.Handoff},
-		effects:   &effectBuffer{},
-		returned:  &effectBuffer{},
+		now:         now,
+		rules:       rules,
+		limits:      limits,
+		timers:      newTimerQueue(),
+		conns:       newConnTable(),
+		queue:       sessionQueue{byID: map[string]*session{}, answers: make([]answerCounts, len(rules.hardLimits))},
+		endpoints:   newEndpointSet(rules.zones),
+		watch:       newEndpointWatch(config.Discovery),
+		siblings:    processHandoff{hasParent: config.HasParent, handoff: config.Handoff},
+		effects:     &effectBuffer{},
+		lastEffects: &effectBuffer{},
 	}
 	m.shareLimits()
 	if err := reader.Err(); err != nil {
@@ -84,12 +84,12 @@
 	return m, nil
 }
 
-// startTimers sets what the parts wait for from the start.
+// startTimers sets the timers' callbacks, and starts the timer that limits how long the relay waits to become ready.
 func (m *StateMachine) startTimers() {
 	m.watch.silenceTimer.fire = m.watchTimedOut
 	m.watch.renewTimer.fire = m.Subscribe
 	m.drain.readyTimer.fire = m.becomeReady
-	m.intake.evictionTimer.fire = func() {} // limitIntake follows each event
+	m.intake.evictionTimer.fire = func() {} // firing it is enough: limitIntake runs after every event
 	if m.siblings.hasParent {
 		m.timers.set(&m.drain.readyTimer, m.now+childReadyTimeout)
 	} else {
@@ -97,7 +97,7 @@
 	}
 }
 
-// CheckConfig tells whether a relay could start with the configuration.
+// CheckConfig returns an error if a relay could not start with the configuration.
 func CheckConfig(config *Config) error {
 	if config.SocketFD > 0 {
 		if err := hotrestart.CheckListener(config.SocketFD); err != nil {
@@ -108,8 +108,8 @@
 	return err
 }
 
-// Handle takes one event at the time now, Unix milliseconds, and returns the effects that follow, in order. They may be
-// read until the next call.
+// Handle handles one event that happened at the time now, in Unix milliseconds, and returns the resulting effects in
+// order. The effects are valid until the next call.
 func (m *StateMachine) Handle(now float64, event Event) []Effect {
 	if suspended := m.suspendedFor(now, event); suspended > 0 {
 		m.resumeAfterSuspend(now, suspended)
@@ -125,12 +125,12 @@
 	return m.takeEffects()
 }
 
-// dispatch hands the event to the part that it concerns.
+// dispatch calls the handler for the type of the event.
 func (m *StateMachine) dispatch(event Event) {
 	switch e := event.(type) {
 	case TimerFired:
 		m.timers.woken()
-	case ProcessSuspended: // resumeAfterSuspend has handled it
+	case ProcessSuspended: // already handled by resumeAfterSuspend
 	case ConnAccepted:
 		m.acceptClient(e.Conn)
 	case ConnEstablished:
@@ -158,7 +158,7 @@
 	}
 }
 
-// dispatchRemote hands events of the other process of this relay, and of the fleet, to the part that they concern.
+// dispatchRemote calls the handler for an event from the other process of this relay or from the fleet.
 func (m *StateMachine) dispatchRemote(event Event) {
 	switch e := event.(type) {
 	case SiblingProcessesChanged:
@@ -192,29 +192,29 @@
 	}
 }
 
-// checkReady says that the relay is ready once discovery has told the list; beside a parent, once the balancer knows
-// enough as well.
+// checkReady marks the relay as ready once discovery has sent the endpoint list. While there is a parent process, the
+// balancer must be ready as well.
 func (m *StateMachine) checkReady() {
 	if m.endpoints.received && !m.drain.ready && (!m.siblings.hasParent || m.balancer().IsReady(m.now)) {
 		m.becomeReady()
 	}
 }
 
-// scheduleWake has TimerFired come at that time, unless it comes sooner anyway.
+// scheduleWake requests a TimerFired event at the given time, in Unix milliseconds, unless an earlier one is already due.
 func (m *StateMachine) scheduleWake(at float64) {
 	if m.timers.wakeAt(at) {
 		m.effects.setTimer(at)
 	}
 }
 
-// takeEffects returns what was collected, and takes the buffer of the call before for what comes next.
+// takeEffects returns the collected effects, and reuses the buffer of the previous call for the next event.
 func (m *StateMachine) takeEffects() []Effect {
-	m.effects, m.returned = m.returned, m.effects
+	m.effects, m.lastEffects = m.lastEffects, m.effects
 	m.effects.clear()
-	return m.returned.list
+	return m.lastEffects.list
 }
 
-// log writes a line to the log, with attributes as pairs of name and value.
+// log adds an effect that writes a log line, with attributes as alternating names and values.
 func (m *StateMachine) log(message string, args ...any) {
 	m.effects.add(&Log{Message: message, Args: args})
 }
