--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -12,47 +12,47 @@
 	"valeshift/internal/settings"
 )
 
-// Environment variables that the platform sets.
+// Environment variables set by the platform.
 const (
-	configPathVariable = "RELAY_CONFIG" // the path of the configuration, a JSON file
+	configPathVariable = "RELAY_CONFIG" // path of the configuration, a JSON file
 	nameVariable       = "RELAY_NAME"
 	listenVariable     = "RELAY_LISTEN"
 	discoveryVariable  = "RELAY_DISCOVERY"
-	adminVariable      = "RELAY_OPS"
-	socketFDVariable   = "RELAY_SOCKET_FD" // the clients' listening socket, where the platform holds it
-	sharedDirVariable  = "TMPDIR"
+	adminVariable      = "RELAY_OPS"       // address of the admin API
+	socketFDVariable   = "RELAY_SOCKET_FD" // descriptor of the listening socket for clients, if the platform holds it
+	sharedDirVariable  = "TMPDIR"          // folder shared by the relay's processes
 )
 
-const firstInheritedFD = 3 // behind standard input, output and error
+const firstInheritedFD = 3 // first descriptor after standard input, output and error
 
-// Config is what a relay is started with.
+// Config is the configuration of a relay.
 type Config struct {
 	Name         string
-	Listen       string // address:port for clients
-	Discovery    string // address:port that tells the endpoint list
-	AdminAddress string // address:port of the admin API; empty: none
-	Seed         uint64 // of the balancer's random draws
-
-	SocketFD  int    // descriptor of the clients' socket where the platform holds it; else 0
-	SharedDir string // the folder that the relay's processes share then
-
-	Cores      float64 // of the machine that the relay may use; 0: not said
-	MemoryMB   float64 // that it may use; 0: not limited
-	MaxSockets int     // descriptors that it may use; 0: not limited
-
-	MaxReportAgeMillis  float64          // that a backend's load report may have as it arrives; 0: not known
-	Clock               func() time.Time // the machine's
-	ReservedDescriptors int              // needed for the disk and for other relays
-	InitialEndpoints    *EndpointUpdate  // never nil
+	Listen       string // address:port on which clients are accepted
+	Discovery    string // address:port of discovery, which serves the endpoint list
+	AdminAddress string // address:port of the admin API; empty: no admin API
+	Seed         uint64 // seed of the balancer's random numbers
+
+	SocketFD  int    // descriptor of the listening socket for clients, if the platform holds it; otherwise 0
+	SharedDir string // folder shared by the relay's processes; set along with SocketFD
+
+	Cores      float64 // processor cores that the relay may use; 0: unspecified
+	MemoryMB   float64 // memory that the relay may use, in MB; 0: no limit
+	MaxSockets int     // file descriptors that the relay may use; 0: no limit
+
+	MaxReportAgeMillis  float64          // greatest age of a backend's load report on arrival; 0: unknown
+	Clock               func() time.Time // returns the machine's time
+	ReservedDescriptors int              // file descriptors needed for the disk and for other relays
+	InitialEndpoints    *EndpointUpdate  // endpoint list known at the start; never nil
 	Settings            map[string]string
 
-	// Set at the start of a process beside another of the same relay:
+	// Set when the process starts beside another process of the same relay:
 
 	HasParent bool
-	Handoff   *Handoff // nil where there is no parent, or its handoff can't be used
+	Handoff   *Handoff // nil if there is no parent or its handoff is unusable
 }
 
-// configFile is the form of the configuration.
+// configFile is the JSON format of the configuration file.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -64,12 +64,12 @@
 		MemoryMB float64 `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Known    json.RawMessage `json:"known"` // as discovery tells the list
+	Known    json.RawMessage `json:"known"` // endpoint list in discovery's format
 	Settings json.RawMessage `json:"settings"`
 }
 
-// LoadConfig reads the file that RELAY_CONFIG names. What the environment says goes before the file. Its errors begin
-// with the field or variable that is missing or wrong.
+// LoadConfig reads the configuration file named by RELAY_CONFIG. Environment variables take precedence over the file. Its
+// errors begin with the field or variable that is missing or invalid.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	file, err := readConfigFile(getenv(configPathVariable))
 	if err != nil {
@@ -106,8 +106,8 @@
 	return config, nil
 }
 
-// ReloadConfig reads the file again. The file's discovery goes before the environment's then, which is that of the start
-// and may be gone.
+// ReloadConfig reads the configuration file again. This time the file's discovery address takes precedence over the
+// environment's, which dates from the start of the process and may no longer exist.
 func ReloadConfig(getenv func(string) string) (*Config, error) {
 	return LoadConfig(func(name string) string {
 		if name == discoveryVariable {
@@ -210,7 +210,7 @@
 	return nil
 }
 
-// parseInitialEndpoints reads the list that is known at the start, which is complete whatever it says.
+// parseInitialEndpoints parses the endpoint list known at the start. It is taken as complete even if it doesn't say so.
 func (c *Config) parseInitialEndpoints(text []byte) error {
 	if len(text) == 0 {
 		c.InitialEndpoints = &EndpointUpdate{Complete: true}
--- a/internal/relay/counters.go
+++ b/internal/relay/counters.go
@@ -2,51 +2,52 @@
 
 import "log/slog"
 
-// Counters is what the relay has counted since its start. The state machine alone counts; no decision goes by them.
+// Counters counts what has happened since the relay's start. Only the state machine updates them, and no decision depends
+// on them.
 type Counters struct {
-	// What came in.
-	Accepted         uint64 // clients' connections
-	Pings            uint64
-	Requests         uint64 // first lines of clients
-	Reestablished    uint64 // requests that named the backend of an earlier session
-	SessionsReceived uint64 // from the parent process
-	AcceptPauses     uint64
-	ClientChunks     uint64 // of data in established sessions
-	Reloads          uint64
-	FailedReloads    uint64
-	RequestErrors    [len(requestErrorNames)]uint64 // by RequestError
+	// Incoming events.
+	Accepted         uint64                         // client connections accepted
+	Pings            uint64                         // pings from clients
+	Requests         uint64                         // valid requests from clients
+	Reestablished    uint64                         // requests that name the backend of an earlier session
+	SessionsReceived uint64                         // sessions received from the parent process
+	AcceptPauses     uint64                         // times that accepting clients was paused
+	ClientChunks     uint64                         // chunks of client data in established sessions
+	Reloads          uint64                         // successful configuration reloads
+	FailedReloads    uint64                         // rejected configuration reloads
+	RequestErrors    [len(requestErrorNames)]uint64 // request errors of clients, by RequestError
 
-	// What was sent.
-	Attempts     uint64
-	RequestsSent uint64 // to backends
-	Polls        uint64 // of backends' load
-	Watches      uint64 // of the endpoint list
-	BackendLines uint64 // passed to clients in established sessions
+	// Outgoing requests and data.
+	Attempts     uint64 // attempts started
+	RequestsSent uint64 // requests sent to backends
+	Polls        uint64 // load polls of backends
+	Watches      uint64 // watches of the endpoint list started
+	BackendLines uint64 // backend lines forwarded to clients in established sessions
 
-	// How clients were answered.
-	Succeeded uint64 // UP
-	Rejected  uint64 // BUSY
-	Failed    uint64 // ERR
-	Abandoned uint64 // the client left first
-	Migrated  uint64 // MOVE
+	// Outcomes for clients.
+	Succeeded uint64 // clients answered UP
+	Rejected  uint64 // clients answered BUSY
+	Failed    uint64 // clients answered ERR
+	Abandoned uint64 // clients that disconnected before their answers
+	Migrated  uint64 // clients sent MOVE
 
-	// Records at other relays.
-	RejectionsReplicated   uint64 // rejections that other relays have a reservation of
-	RejectionsUnreplicated uint64 // those that they should have one of, and don't
+	// Records held by other relays.
+	RejectionsReplicated   uint64 // rejections whose reservation other relays hold
+	RejectionsUnreplicated uint64 // rejections whose reservation could not be replicated
 	AttemptsMarked         uint64 // requests sent with an attempt marker
-	AttemptsUnmarked       uint64 // those sent without one
-	RepeatsDetected        uint64 // retries of clients whose earlier attempt had a marker
-	AffinityHits           uint64 // clients of whom others knew where they were established
+	AttemptsUnmarked       uint64 // requests sent without an attempt marker although one was needed
+	RepeatsDetected        uint64 // client retries whose earlier attempt had a marker
+	AffinityHits           uint64 // clients whose backend was found in an affinity record
 
-	EndReasons [len(endReasonNames)]uint64 // by EndReason
+	EndReasons [len(endReasonNames)]uint64 // ended attempts and sessions, by EndReason
 
-	// Gauges of connections.
-	OpenConns    int
-	Established  int // sessions
-	MaxOpenConns int // the most at a time
+	// Gauges.
+	OpenConns    int // connections that are open or being dialed
+	Established  int // established sessions
+	MaxOpenConns int // highest value of OpenConns so far
 }
 
-// Log logs all counters as one record. Those of reasons and request errors are left out where they are 0.
+// Log logs all counters as one record. End reasons and request errors with a count of 0 are omitted.
 func (c Counters) Log(log *slog.Logger, why string) {
 	endReasons := nonZero[EndReason](c.EndReasons[:])
 	requestErrors := nonZero[RequestError](c.RequestErrors[:])
@@ -87,7 +88,7 @@
 			"most", c.MaxOpenConns))
 }
 
-// nonZero returns the counts that are not 0, as log attributes by their names.
+// nonZero returns the counts other than 0 as log attributes, named after their kinds.
 func nonZero[Kind interface {
 	~uint8
 	String() string
--- a/internal/relay/effects.go
+++ b/internal/relay/effects.go
@@ -1,96 +1,96 @@
 package relay
 
-// Effect is one thing that the relay is to do. StateMachine.Handle returns effects in the order in which they are to be
-// carried out.
+// Effect is an action that the state machine requests. StateMachine.Handle returns effects in the order in which they are
+// to be carried out.
 //
-// Effects are pointers into buffers that are used again, so that data passes without an allocation: they may be read
-// until the next call of Handle. Whoever keeps one longer copies it.
+// Effects are pointers into reused buffers, so that forwarding data does not allocate. They are valid until the next call
+// of Handle, and have to be copied to be kept longer.
 type Effect interface{ isEffect() }
 
-// Effects on connections. Conn is the number of the connection.
+// Effects on connections. Conn is the connection's number.
 type (
-	// Dial connects to a backend: ConnEstablished or ConnClosed follows.
+	// Dial connects to a backend. ConnEstablished or ConnClosed follows.
 	Dial struct {
 		Conn      uint64
-		ForClient uint64 // the client's connection that it is dialed for; 0: none
+		ForClient uint64 // number of the client connection that the backend is dialed for; 0: none
 		Address   string
 	}
 
-	// Write sends the chunks, one behind the other, after all that was written to the connection before.
+	// Write sends the chunks in order, after everything that was written to the connection before.
 	Write struct {
 		Conn   uint64
 		Chunks [][]byte
-		single [1][]byte // backs Chunks where there is one
+		single [1][]byte // backing array of Chunks if there is only one chunk
 	}
 
-	// Close ends the connection once all that was written to it is sent.
+	// Close closes the connection once everything written to it has been sent.
 	Close struct{ Conn uint64 }
 
-	// Reset resets the connection now, or stops it from being dialed.
+	// Reset resets the connection immediately, or cancels its dial.
 	Reset struct{ Conn uint64 }
 
-	// PauseAccept has no further client accepted until ResumeAccept.
+	// PauseAccept stops accepting clients until ResumeAccept.
 	PauseAccept struct{}
 
-	// ResumeAccept has clients accepted again.
+	// ResumeAccept resumes accepting clients.
 	ResumeAccept struct{}
 )
 
 // Effects on the process.
 type (
-	// SetTimer has TimerFired come at that time, in place of any earlier setting. At is in Unix milliseconds.
+	// SetTimer requests a TimerFired event at the time At, in Unix milliseconds. It replaces any earlier setting.
 	SetTimer struct{ At float64 }
 
-	// Log writes a line to the log, with attributes as pairs of name and value.
+	// Log writes a log line, with attributes as alternating names and values.
 	Log struct {
 		Message string
 		Args    []any
 	}
 
-	// AnnounceReady says that the relay is fit to serve from now on.
+	// AnnounceReady announces that the relay is ready to serve.
 	AnnounceReady struct{}
 
-	// Exit ends the process: all is done.
+	// Exit ends the process: the shutdown is complete.
 	Exit struct{}
 )
 
 // Effects on the watch of the endpoint list.
 type (
-	// StartWatch watches the list at the address under the number Watch, in place of any other watch.
+	// StartWatch starts a watch, numbered Watch, of the list at the address. It replaces any other watch.
 	StartWatch struct {
 		Watch   uint64
-		After   uint64 // the version from which on changes are asked for; 0: the whole list
+		After   uint64 // version after which changes are requested; 0: the whole list
 		Address string
 	}
 
-	// StopWatch ends the watch.
+	// StopWatch stops the watch.
 	StopWatch struct{}
 )
 
-// Effects towards the other process of this relay.
+// Effects on the other process of this relay.
 type (
-	// SendHandoff leaves what this process knows to the child.
+	// SendHandoff sends this process's state to the child.
 	SendHandoff struct{ Handoff *Handoff }
 
-	// SendEndpoints tells the sibling the endpoint list.
+	// SendEndpoints sends the endpoint list to the sibling.
 	SendEndpoints struct{ Update *EndpointUpdate }
 
-	// TransferSession asks for a session to be sent to the child: DetachRequested follows when that can be done.
+	// TransferSession requests that a session be sent to the child. DetachRequested follows when that is possible.
 	TransferSession struct {
 		ClientConn  uint64
 		BackendConn uint64
 	}
 
-	// SessionDetached answers DetachRequested: the session is given up until SessionTransferred.
+	// SessionDetached answers DetachRequested: this process gives the session up until SessionTransferred.
 	SessionDetached struct {
 		Conn    uint64
 		Session *TransferredSession
 	}
 
-	// SessionAccepted answers SessionReceived: the session is this process's.
+	// SessionAccepted answers SessionReceived: this process has taken the session over.
 	SessionAccepted struct {
 		Conn        uint64
-		BackendConn uint64 // the number of its backend's connection
+		BackendConn uint64 // number of the connection to the session's backend
 	}
 )
 
@@ -98,21 +98,21 @@
 type ReplicationRequest struct {
 	Operation ReplicationOperation
 	Record    RecordKind
-	Conn      uint64 // that the record or the answer belongs to
-	Key       uint64 // of the client or its group
-	// At is a time: of a reservation, when the client is to come; of an attempt marker, until when it is held; of a
-	// lookup, until when an answer is waited for.
+	Conn      uint64 // number of the connection that the record or the answer belongs to
+	Key       uint64 // key of the client or its group
+	// At is a time in Unix milliseconds: for a reservation, when the client is to retry; for an attempt marker, until
+	// when it is held; for a lookup, until when its answer is awaited.
 	At      float64
-	Backend string // AttemptRecord, AffinityRecord: its name
+	Backend string // name of the backend, in an AttemptRecord or AffinityRecord
 }
 
-// ReplicationOperation is what a ReplicationRequest asks for.
+// ReplicationOperation is the operation of a ReplicationRequest.
 type ReplicationOperation uint8
 
 // The operations.
 const (
-	Replicate ReplicationOperation = iota // hold the record: RecordReplicated follows
-	Lookup                                // find a record: RecordFound follows
+	Replicate ReplicationOperation = iota // hold the record; RecordReplicated follows
+	Lookup                                // find a record; RecordFound follows
 	Release                               // the record is no longer needed
 )
 
@@ -135,8 +135,8 @@
 func (*SessionAccepted) isEffect()    {}
 func (*ReplicationRequest) isEffect() {}
 
-// effectBuffer collects the effects of one event. Effects that come with passed data and with attempts are kept in
-// pools and used again.
+// effectBuffer collects the effects of one event. Frequent effects, those of forwarded data and of attempts, are allocated
+// from pools that are reused.
 type effectBuffer struct {
 	list         []Effect
 	dials        pool[Dial]
@@ -195,7 +195,7 @@
 	b.add(effect)
 }
 
-// clear empties the buffer and keeps its memory.
+// clear empties the buffer but keeps its memory.
 func (b *effectBuffer) clear() {
 	b.list = b.list[:0]
 	b.dials.clear()
@@ -206,7 +206,7 @@
 	b.replications.clear()
 }
 
-// pool hands out values that stay where they are, and hands out the same ones again after clear.
+// pool allocates values whose addresses never change. After clear, it returns the same values again.
 type pool[T any] struct {
 	items []*T
 	used  int
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -1,51 +1,52 @@
 package relay
 
-// Event is one thing that happened to the relay: on a connection, on the watch of the endpoint list, in the process or
-// in the fleet. StateMachine.Handle takes events one at a time.
+// Event is something that happened on a connection, on the watch of the endpoint list, in the process or in the fleet.
+// StateMachine.Handle handles events one at a time.
 //
-// An event of a connection or a watch that is over already is dropped by its number, as no number is given twice.
-// All times are Unix milliseconds by this machine's clock, all durations milliseconds.
+// Connections and watches have numbers that are never reused, so an event of one that has already ended is recognized by
+// its number and dropped. All times are in Unix milliseconds by this machine's clock, and all durations in milliseconds.
 type Event interface{ isEvent() }
 
-// Events of connections. Conn is the number of the connection.
+// Events of connections. Conn is the connection's number.
 type (
-	// ConnAccepted says that a client's connection was accepted.
+	// ConnAccepted reports that a client's connection was accepted.
 	ConnAccepted struct{ Conn uint64 }
 
-	// ConnEstablished says that a connection that was dialed is up.
+	// ConnEstablished reports that a dialed connection is established.
 	ConnEstablished struct{ Conn uint64 }
 
-	// DataReceived brings bytes. Data is read until the effects of the event have been carried out, not later.
+	// DataReceived carries received bytes. Data must stay unchanged until the effects of the event have been carried
+	// out; it is not used after that.
 	DataReceived struct {
 		Conn   uint64
 		Data   []byte
-		Waited float64 // since the last of a client's first bytes came: in the listener's backlog, or for the reader
+		Waited float64 // milliseconds since the last of a client's first bytes arrived, in the backlog or unread; 0 for later data
 	}
 
-	// ConnClosed says that a connection has ended or never came up.
+	// ConnClosed reports that a connection has ended, or could not be established.
 	ConnClosed struct {
 		Conn       uint64
-		Reset      bool // it was reset, or could not be dialed; else the peer ended it in order
-		Unsent     bool // something written to it had not been sent
-		SlowReader bool // it was cut off, as the peer took in too little of what was written
+		Reset      bool // the connection was reset or could not be dialed; false: the peer closed it in order
+		Unsent     bool // some data written to the connection had not been sent
+		SlowReader bool // this side closed the connection because the peer read too slowly
 	}
 
-	// TimerFired says that the time of the last SetTimer has come.
+	// TimerFired reports that the time of the last SetTimer has come.
 	TimerFired struct{}
 )
 
-// Events of the watch of the endpoint list. Watch is the number that StartWatch gave it.
+// Events of the watch of the endpoint list. Watch is the number from StartWatch.
 type (
-	// EndpointsUpdated brings the list or changes of it.
+	// EndpointsUpdated carries the endpoint list or changes to it.
 	EndpointsUpdated struct {
 		Watch  uint64
 		Update *EndpointUpdate
 	}
 
-	// WatchHeartbeat says that discovery sent an empty line: nothing has changed.
+	// WatchHeartbeat reports that discovery sent an empty line: nothing has changed.
 	WatchHeartbeat struct{ Watch uint64 }
 
-	// WatchFailed says that the watch has ended.
+	// WatchFailed reports that the watch has ended.
 	WatchFailed struct {
 		Watch uint64
 		Err   error
@@ -54,104 +55,105 @@
 
 // Events of this process.
 type (
-	// ProcessSuspended says that the process did not run for that long, and goes on now. It comes before whatever
-	// arrived meanwhile.
+	// ProcessSuspended reports that the process was suspended for Millis milliseconds and runs again. It precedes the
+	// events of whatever arrived in that time.
 	ProcessSuspended struct{ Millis float64 }
 
 	// ShutdownRequested asks for a graceful shutdown.
 	ShutdownRequested struct {
-		YieldToChild bool // a child process takes all clients from now on
+		YieldToChild bool // a child process accepts all clients from now on
 	}
 
-	// DrainRequested asks for the relay to be drained without an exit, or to go back to work.
+	// DrainRequested asks for the relay to be drained without exiting (On), or to return to service.
 	DrainRequested struct{ On bool }
 
-	// ConfigReloaded says that the configuration was read again.
+	// ConfigReloaded reports that the configuration was read again.
 	ConfigReloaded struct {
 		DiscoveryAddress string
-		Err              error // why the configuration can't be used; nothing changes then
+		Err              error // why the configuration is invalid, in which case nothing changes; nil if it is valid
 	}
 
-	// ProcessExiting says that the process ends now: every client without an answer gets one.
+	// ProcessExiting reports that the process is about to end: every client without an answer gets one.
 	ProcessExiting struct{}
 )
 
-// Events of the other process of this relay, while the platform replaces the one by the other: the parent is the old
-// process, the child the new one.
+// Events of the other process of this relay during a hot restart, in which the platform replaces the old process, the
+// parent, by a new one, the child.
 type (
-	// SiblingProcessesChanged says which other processes of this relay are alive.
+	// SiblingProcessesChanged reports which other processes of this relay are alive.
 	SiblingProcessesChanged struct {
 		HasParent    bool
 		HasChild     bool
-		WantsHandoff bool // the child is to be sent what this process knows
+		WantsHandoff bool // the child is to be sent a handoff
 	}
 
-	// SiblingEndpointsUpdated brings the endpoint list as the sibling was told it.
+	// SiblingEndpointsUpdated carries the endpoint list that the sibling received.
 	SiblingEndpointsUpdated struct{ Update *EndpointUpdate }
 
-	// DetachRequested says that the established session of the client Conn can be sent to the child now.
-	// SessionDetached answers it where the session is given up.
+	// DetachRequested reports that the established session of the client connection Conn can be sent to the child now.
+	// SessionDetached follows if the session is given up.
 	DetachRequested struct{ Conn uint64 }
 
-	// SessionTransferred says what has become of a detached session.
+	// SessionTransferred reports the outcome of a detached session's transfer.
 	SessionTransferred struct {
 		Conn     uint64
-		Accepted bool // by the child; else the session stays here
+		Accepted bool // the child has accepted the session; false: it stays here
 	}
 
-	// SessionReceived brings an established session from the parent, whose client is to be Conn.
-	// SessionAccepted answers it where the session is taken over.
+	// SessionReceived carries an established session from the parent, whose client's connection becomes Conn.
+	// SessionAccepted follows if the session is taken over.
 	SessionReceived struct {
 		Conn    uint64
 		Session *TransferredSession
 	}
 )
 
-// Events of the fleet, and of what is known from before the start.
+// Events of the fleet, and of state from before the start.
 type (
-	// StateRestored brings what is known from before the start, from this relay's disk or from other relays.
+	// StateRestored carries state from before the start, read from this relay's disk or received from other relays.
 	StateRestored struct{ Snapshot *Snapshot }
 
-	// IncarnationChanged says that another incarnation of this relay may have served until just now.
+	// IncarnationChanged reports that another incarnation of this relay may have served until just now.
 	IncarnationChanged struct{}
 
-	// RecoveryChanged says that the whole fleet lost power and recovers, or that it has recovered.
+	// RecoveryChanged reports that the fleet is recovering from a full outage, or that it has recovered.
 	RecoveryChanged struct {
 		Recovering    bool
-		CapacityShare float64 // of the capacity of backends that are warming up, which this relay may use
+		CapacityShare float64 // share of the warming-up backends' capacity that this relay may use
 	}
 
-	// ClockSkewMeasured says how far this relay's clock is ahead of the one that the fleet goes by.
+	// ClockSkewMeasured reports by how many milliseconds this relay's clock is ahead of the fleet's reference clock.
 	ClockSkewMeasured struct{ AheadMillis float64 }
 
-	// ZoneWeightsChanged says for which zones the coordinators mean sessions; none: the relay finds that itself.
+	// ZoneWeightsChanged carries the zone weights that the coordinators decided; without any, the relay determines the
+	// zones of its sessions itself.
 	ZoneWeightsChanged struct{ Weights []ZoneWeight }
 
-	// RemoteLoadChanged says how much load the other relays have placed that load estimates may not show yet.
+	// RemoteLoadChanged reports how much load the other relays have placed that load estimates may not include yet.
 	RemoteLoadChanged struct {
-		Load float64 // below 0: not known
+		Load float64 // load placed by other relays; below 0: unknown
 	}
 
-	// ReplicationEnabled says that other relays hold records for this one from now on.
+	// ReplicationEnabled reports that other relays hold records for this one from now on.
 	ReplicationEnabled struct {
-		MarkerRetentionMillis float64 // beyond an attempt's hard limit that its marker is held; 0: no markers
-		Affinity              bool    // where clients and groups are established is held as well
+		MarkerRetentionMillis float64 // how long after its hard limit an attempt's marker is held; 0: no markers
+		Affinity              bool    // affinity records, of where clients and groups are established, are held as well
 	}
 
-	// RecordReplicated says what has become of a Replicate request.
+	// RecordReplicated reports the outcome of a Replicate request.
 	RecordReplicated struct {
 		Conn       uint64
 		Replicated bool
 	}
 
-	// RecordFound says what other relays hold on a client: the answer to a Lookup request.
+	// RecordFound carries the answer to a Lookup request: the record that other relays hold for a client.
 	RecordFound struct {
 		Record  RecordKind
 		Conn    uint64
 		Key     uint64
 		Found   bool
-		Backend string  // AttemptRecord, AffinityRecord: its name
-		At      float64 // ReservationRecord: when the client was told to come; AttemptRecord: when the request was sent
+		Backend string  // name of the backend, in an AttemptRecord or AffinityRecord
+		At      float64 // ReservationRecord: when the client was told to retry; AttemptRecord: when the request was sent
 	}
 )
 
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -7,19 +7,20 @@
 	"valeshift/internal/admin"
 )
 
-// answerCounts is how the sessions of one class were answered: by the UP that its client was passed, by BUSY, by any
-// other line. A client that left first counts nowhere, nor does one without a class.
+// answerCounts counts the answers to the clients of one class. A client that left before its answer is not counted, nor is
+// one whose class is unknown.
 type answerCounts struct {
-	served  uint64
-	refused uint64
-	failed  uint64
+	served  uint64 // clients that were forwarded an UP
+	refused uint64 // clients answered BUSY
+	failed  uint64 // clients with any other answer
 }
 
-// metricsPerClass is how many metrics answerCounts is.
+// metricsPerClass is the number of metrics in answerCounts.
 const metricsPerClass = 3
 
-// metricValues appends what is published, in the order of metricNames: the answers of each class, the requests sent to
-// backends, the sessions from their requests to their ends, the endpoints, and those of them that get no new session.
+// metricValues appends the values of the published metrics in the order of metricNames: the answers of each class, the
+// requests sent to backends, the current sessions (from request to end), the endpoints, and the endpoints that get no new
+// sessions.
 func (m *StateMachine) metricValues(values []uint64) []uint64 {
 	for _, counts := range m.queue.answers {
 		values = append(values, counts.served, counts.refused, counts.failed)
@@ -28,7 +29,7 @@
 	return append(values, m.RequestsSent, uint64(m.queue.sessions), uint64(known), uint64(excluded))
 }
 
-// metricNames returns the metrics without their values.
+// metricNames returns the published metrics without their values.
 func (m *StateMachine) metricNames() []admin.Metric {
 	metrics := make([]admin.Metric, metricsPerClass*len(m.queue.answers))
 	for class, index := range m.rules.classes {
@@ -44,17 +45,17 @@
 		admin.Metric{Name: "backends_excluded"})
 }
 
-// isServing reports whether the relay is fit to be sent clients.
+// isServing reports whether the relay is ready for clients and neither draining nor shutting down.
 func (m *StateMachine) isServing() bool {
 	return m.drain.ready && !m.drain.stopping && !m.drain.draining
 }
 
-// metricsBoard is where the admin API reads what was published last, without the driver's lock.
+// metricsBoard holds the metrics that were last published. The admin API reads it without taking the driver's lock.
 type metricsBoard struct {
-	metrics []admin.Metric // names and kinds
-	values  []atomic.Uint64
-	serving atomic.Bool
-	scratch []uint64 // the publisher's own
+	metrics []admin.Metric  // names and kinds of the metrics, without values
+	values  []atomic.Uint64 // last published value of each metric
+	serving atomic.Bool     // isServing, as last published
+	scratch []uint64        // reused by publish
 }
 
 func newMetricsBoard(machine *StateMachine) *metricsBoard {
@@ -62,8 +63,8 @@
 	return &metricsBoard{metrics: metrics, values: make([]atomic.Uint64, len(metrics))}
 }
 
-// publish is called under the driver's lock after each event. What has not changed isn't stored again: a busy relay
-// would pay for that with each line.
+// publish stores the current metrics. It is called after each event, with the driver's lock held. Values that have not
+// changed are not stored again, as a busy relay would pay for that with every line.
 func (b *metricsBoard) publish(machine *StateMachine) {
 	b.scratch = machine.metricValues(b.scratch[:0])
 	for i, value := range b.scratch {
@@ -74,7 +75,7 @@
 	b.serving.Store(machine.isServing())
 }
 
-// published returns the metrics with the values that were published last.
+// published returns the metrics with their last published values.
 func (b *metricsBoard) published() []admin.Metric {
 	metrics := slices.Clone(b.metrics)
 	for i := range metrics {
--- a/internal/relay/status.go
+++ b/internal/relay/status.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// Status is what the fleet is told of how this relay fares.
+// Status is what this relay tells the fleet about its own condition.
 type Status struct {
-	Now                  float64 // Unix milliseconds
-	EndpointsConfirmed   bool    // discovery has told the list in this incarnation
-	Index                uint64  // the list's version
-	Rejected             int     // clients rejected so far
-	RejectedLastSecond   int     // of those; filled in by the fleet
-	Sessions             int
+	Now                  float64 // time of the status, in Unix milliseconds
+	EndpointsConfirmed   bool    // discovery has confirmed the endpoint list in this incarnation
+	Index                uint64  // version of the endpoint list
+	Rejected             int     // clients rejected since the start
+	RejectedLastSecond   int     // clients rejected in the last second; filled in by the fleet
+	Sessions             int     // sessions, from request to end
 	WarmingUp            int     // backends that are warming up
-	Usable               int     // backends that get sessions
-	UnreportedLoad       float64 // that load estimates may not show yet
-	DiscoveryClockOffset float64 // milliseconds that discovery's clock is ahead, to half a second; NaN: not told
+	Usable               int     // backends that can be assigned sessions
+	UnreportedLoad       float64 // load placed on backends that load estimates may not include yet
+	DiscoveryClockOffset float64 // milliseconds that discovery's clock is ahead, to half a second; NaN: unknown
 }
 
-// Status is how the relay fares now. It is called between events.
+// Status returns the relay's current condition. It must not be called while an event is handled.
 func (m *StateMachine) Status(now float64) Status {
 	warmingUp, usable := m.balancer().WarmingUp(now)
 	return Status{
@@ -35,17 +35,17 @@
 	}
 }
 
-// BackendStatus is what is known of one backend: on the sockets, and by the balancer.
+// BackendStatus describes one backend, as the relay's connections show it and as the balancer knows it.
 type BackendStatus struct {
 	Name            string
-	Established     int // sessions on sockets
-	Attempts        int // on sockets
-	Reserved        int // by the balancer: the same as both together
-	ReportAgeMillis float64
-	Ejected         bool
+	Established     int     // established sessions on the relay's connections
+	Attempts        int     // attempts on the relay's connections
+	Reserved        int     // sessions and attempts that the balancer counts; equals Established plus Attempts
+	ReportAgeMillis float64 // time since the last load report
+	Ejected         bool    // the balancer assigns it no new sessions
 }
 
-// BackendStatuses are those of all backends, by name. It is called between events.
+// BackendStatuses returns the status of every backend, sorted by name. It must not be called while an event is handled.
 func (m *StateMachine) BackendStatuses(now float64) []BackendStatus {
 	attempts := map[*backend]int{}
 	for _, conn := range m.conns.byID {
@@ -53,18 +53,18 @@
 			attempts[conn.backend]++
 		}
 	}
-	var all []BackendStatus
+	var statuses []BackendStatus
 	for _, backend := range m.endpoints.byName {
-		known := m.balancer().BackendStatus(backend.id)
-		all = append(all, BackendStatus{
+		status := m.balancer().BackendStatus(backend.id)
+		statuses = append(statuses, BackendStatus{
 			Name:            backend.Name,
 			Established:     len(backend.sessions),
 			Attempts:        attempts[backend],
-			Reserved:        known.Sessions,
-			ReportAgeMillis: now - known.ReportedAt,
-			Ejected:         known.IsAvoided,
+			Reserved:        status.Sessions,
+			ReportAgeMillis: now - status.ReportedAt,
+			Ejected:         status.IsAvoided,
 		})
 	}
-	slices.SortFunc(all, func(a, b BackendStatus) int { return cmp.Compare(a.Name, b.Name) })
-	return all
+	slices.SortFunc(statuses, func(a, b BackendStatus) int { return cmp.Compare(a.Name, b.Name) })
+	return statuses
 }
