--- a/internal/relay/config_golden_test.go
+++ b/internal/relay/config_golden_test.go
@@ -16,7 +16,7 @@
 	return text
 }
 
-// Every field of the platform's file keeps its key.
+// TestGoldenPlatformFileIsRead checks that every field of the platform's configuration file keeps its key.
 func TestGoldenPlatformFileIsRead(t *testing.T) {
 	env := map[string]string{"RELAY_CONFIG": "testdata/golden/platform.json", "RELAY_SOCKET_FD": "7",
 		"TMPDIR": "/shared"}
@@ -24,7 +24,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, &Config{Name: "relay-1", Listen: "127.0.0.1:8000", Discovery: "127.0.0.1:8001",
 		AdminAddress: "127.0.0.1:8002", SocketFD: 7, SharedDir: "/shared", Seed: 0x5eed, Cores: 1.5, MemoryMB: 256, MaxSockets: 300,
-		InitialEndpoints: &EndpointUpdate{Index: 41, Complete: true, Endpoints: goldenEntries(t)},
+		InitialEndpoints: &EndpointUpdate{Index: 41, Complete: true, Endpoints: listEndpoints(t)},
 		Settings: map[string]string{"zone": "2", "fees.probe": "0.002", "categories.count": "1",
 			"categories.0.name": "feed"}}, got)
 	for name, field := range map[string]func(*Config) string{
@@ -44,7 +44,7 @@
 	}
 }
 
-func goldenEntries(t *testing.T) []Endpoint {
+func listEndpoints(t *testing.T) []Endpoint {
 	t.Helper()
 	return []Endpoint{
 		{Name: "b1", Address: "127.0.0.1:9001", Zone: "west", Status: "leaving", Group: 2, Weight: 0.5, StartedAt: 1234},
@@ -53,19 +53,20 @@
 	}
 }
 
-// A list as discovery sends it keeps its keys.
+// TestGoldenListIsRead checks that the endpoint list in discovery's format keeps its keys.
 func TestGoldenListIsRead(t *testing.T) {
 	got, err := parseEndpointUpdate(readGoldenText(t, "list.json"))
 	require.NoError(t, err)
-	assert.Equal(t, &EndpointUpdate{Index: 41, Complete: true, Endpoints: goldenEntries(t)}, got)
+	assert.Equal(t, &EndpointUpdate{Index: 41, Complete: true, Endpoints: listEndpoints(t)}, got)
 }
 
-// A list as one process of the relay passes it to the other is read, and written back as the same bytes.
+// TestGoldenNewsIsReadAndWrittenBack checks that an endpoint list in the format between two processes of the relay is
+// decoded, and encoded to the same bytes.
 func TestGoldenNewsIsReadAndWrittenBack(t *testing.T) {
 	text := readGoldenText(t, "list-news.json")
 	var got EndpointUpdate
 	require.NoError(t, json.Unmarshal(text, &got))
-	assert.Equal(t, EndpointUpdate{Index: 41, Complete: true, Endpoints: goldenEntries(t)}, got)
+	assert.Equal(t, EndpointUpdate{Index: 41, Complete: true, Endpoints: listEndpoints(t)}, got)
 	back, err := json.Marshal(got)
 	require.NoError(t, err)
 	assert.Equal(t, string(text), string(back)+"\n")
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -13,7 +13,7 @@
 	"valeshift/balancer"
 )
 
-// goldenEndpoints is a full endpoint list, as it stands in several of the stored forms.
+// goldenEndpoints returns an endpoint list without zero fields, which several of the golden values contain.
 func goldenEndpoints() *EndpointUpdate {
 	return &EndpointUpdate{Index: 4711, Complete: true, Endpoints: []Endpoint{
 		{Name: "b1", Address: "10.0.0.1:9000", Zone: "hall", Status: "active", Group: 2, Weight: 1.5,
@@ -23,9 +23,9 @@
 	}}
 }
 
-// goldenForms are all forms of this package that are stored, or sent from one process to another, with the values
-// that their golden files hold. The files were written by the program before its fields were renamed.
-var goldenForms = []struct {
+// goldenCases lists every type of this package that is stored or sent from one process to another, with the value that its
+// golden file contains. The files were written by the program before its fields were renamed.
+var goldenCases = []struct {
 	file  string
 	value any
 }{
@@ -74,10 +74,10 @@
 	}},
 }
 
-// TestStoredFormsKeepTheirBytes: every stored or sent form reads from its golden file as the values that were written, and is written as the same
-// bytes. So a field that is renamed in the code keeps its name on disk and between processes.
+// TestStoredFormsKeepTheirBytes checks that every stored or sent type decodes from its golden file to the expected value,
+// and encodes to the same bytes. So a field that is renamed in the code keeps its name on disk and between processes.
 func TestStoredFormsKeepTheirBytes(t *testing.T) {
-	for _, form := range goldenForms {
+	for _, form := range goldenCases {
 		t.Run(form.file, func(t *testing.T) {
 			golden, err := os.ReadFile(filepath.Join("testdata", "golden", form.file))
 			require.NoError(t, err)
@@ -93,37 +93,38 @@
 	}
 }
 
-// TestGoldenValuesAreFull: the golden values leave no stored field at its zero value, so that none can be renamed or left out unseen.
+// TestGoldenValuesAreFull checks that no encoded field of a golden value is zero, so that a renamed or omitted field can't
+// go unnoticed.
 func TestGoldenValuesAreFull(t *testing.T) {
-	for _, form := range goldenForms {
-		requireFull(t, form.file, reflect.ValueOf(form.value))
+	for _, form := range goldenCases {
+		requireNoZeroFields(t, form.file, reflect.ValueOf(form.value))
 	}
 }
 
-func requireFull(t *testing.T, path string, v reflect.Value) {
+func requireNoZeroFields(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	require.False(t, v.IsZero(), "%s is zero", path)
 	switch v.Kind() {
 	case reflect.Pointer:
-		requireFull(t, path, v.Elem())
+		requireNoZeroFields(t, path, v.Elem())
 	case reflect.Slice:
 		for i := range v.Len() {
-			requireFull(t, path, v.Index(i))
+			requireNoZeroFields(t, path, v.Index(i))
 		}
 	case reflect.Map:
 		for _, key := range v.MapKeys() {
-			requireFull(t, path, v.MapIndex(key))
+			requireNoZeroFields(t, path, v.MapIndex(key))
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if field := v.Type().Field(i); field.Tag.Get("json") != "-" {
-				requireFull(t, path+"."+field.Name, v.Field(i))
+				requireNoZeroFields(t, path+"."+field.Name, v.Field(i))
 			}
 		}
 	}
 }
 
-// TestGoldenFilesAreRead: a golden snapshot and a golden handoff also pass the checks that the program makes of what it reads.
+// TestGoldenFilesAreRead checks that the golden snapshot and the golden handoff also pass the program's validation.
 func TestGoldenFilesAreRead(t *testing.T) {
 	text, err := os.ReadFile("testdata/golden/kept.json")
 	require.NoError(t, err)
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -13,7 +13,7 @@
 	"valeshift/internal/settings"
 )
 
-// baseSettings are the settings that tests start from.
+// baseSettings are the settings that the tests start from. They contain an unknown setting, which must be ignored.
 const baseSettings = `{"replicas-of-me": 1, "zone": 0, "localities": ["hall"], "discovery": "automatic",
 	"never-heard-of": {"x": [1]},
 	"categories": [
@@ -25,26 +25,26 @@
 	"limits": {"probes": false, "retry-after": true, "max-retry-after-ms": 900, "most-setup-tries": 3,
 		"connect-timeout-ms": 250, "may-cancel": true}}`
 
-// harness is a state machine whose events and effects are written in words. Clients' connections are 1, 2 ..., those of
-// the relay s1, s2 ...; | stands for CRLF.
+// harness wraps a state machine and writes its events and effects as text. Client connections are named 1, 2 and so on,
+// connections that the relay dials s1, s2 and so on; | stands for CRLF.
 type harness struct {
 	*StateMachine
 	t    *testing.T
 	logs []string
 
-	detached      *TransferredSession // of the last SessionDetached
-	sentEndpoints *EndpointUpdate     // of the last SendEndpoints
+	detached      *TransferredSession // session of the last SessionDetached
+	sentEndpoints *EndpointUpdate     // list of the last SendEndpoints
 }
 
-// newHarness is a relay with these backends, see parseEndpoints, on the settings as change makes them. sockets limits its
-// descriptors; 0: not.
+// newHarness creates a relay with the given backends, written as for parseEndpoints. change modifies the base settings;
+// nil leaves them as they are. sockets limits the relay's descriptors; 0: no limit.
 func newHarness(t *testing.T, change func(text string) string, sockets int, backends ...string) *harness {
 	t.Helper()
 	return newHarnessWith(t, change, &Config{Seed: 5, MaxSockets: sockets, Discovery: "10.1.0.1:85",
 		InitialEndpoints: &EndpointUpdate{Complete: true, Endpoints: parseEndpoints(backends)}})
 }
 
-// newHarnessWith is a relay with this configuration, on the settings as change makes them.
+// newHarnessWith creates a relay with the given configuration and the base settings as modified by change.
 func newHarnessWith(t *testing.T, change func(text string) string, config *Config) *harness {
 	t.Helper()
 	text := baseSettings
@@ -62,12 +62,13 @@
 	return s
 }
 
-// replacing is a change of the settings for newHarness.
+// replacing returns a change for newHarness that replaces a part of the settings.
 func replacing(old, new string) func(string) string {
 	return func(text string) string { return strings.Replace(text, old, new, 1) }
 }
 
-// parseEndpoints reads NAME=STATUS, or NAME=STATUS@SINCE; the address comes of the name's digit.
+// parseEndpoints parses words of the form NAME=STATUS or NAME=STATUS@STARTED_AT. The digits in the name are part of the
+// address.
 func parseEndpoints(words []string) []Endpoint {
 	var list []Endpoint
 	for _, w := range words {
@@ -80,7 +81,7 @@
 	return list
 }
 
-// conn is the number of a connection.
+// conn returns the number of the connection with that name.
 func (s *harness) conn(word string) uint64 {
 	s.t.Helper()
 	n, err := strconv.ParseUint(strings.TrimPrefix(word, "s"), 10, 64)
@@ -91,23 +92,24 @@
 	return n
 }
 
-// handle gives the state machine one event, in words, and returns the effects, less timers and log lines.
+// handle passes one event, written as text, to the state machine and returns the effects as text, without timers and log
+// lines.
 func (s *harness) handle(now float64, event string) string {
 	s.t.Helper()
 	words := strings.SplitN(event, " ", 3)
 	parse := eventParsers[words[0]]
-	require.NotNil(s.t, parse, "no such event: %s", event)
+	require.NotNil(s.t, parse, "unknown event: %s", event)
 	var effects []string
 	for _, effect := range s.Handle(now, parse(s, now, words)) {
 		if described := s.describe(effect); described != "" {
 			effects = append(effects, described)
 		}
 	}
-	require.Zero(s.t, s.illegalTransitions, "%v %s", now, event)
+	require.Zero(s.t, s.illegalTransitions, "illegal transition at %v: %s", now, event)
 	return strings.Join(effects, "; ")
 }
 
-// eventParsers make events of their words: the first, a second, and what is left.
+// eventParsers create an event from its words: the name of the event, a second word, and the rest of the line.
 var eventParsers = map[string]func(s *harness, now float64, words []string) Event{
 	"open": func(s *harness, _ float64, words []string) Event { return ConnAccepted{Conn: s.conn(words[1])} },
 	"up":   func(s *harness, _ float64, words []string) Event { return ConnEstablished{Conn: s.conn(words[1])} },
@@ -186,7 +188,7 @@
 	},
 }
 
-// parseUpdate reads VERSION, whole or delta, and endpoints.
+// parseUpdate parses an update: its version, "whole" or "delta", and endpoints written as for parseEndpoints.
 func (s *harness) parseUpdate(text string) *EndpointUpdate {
 	s.t.Helper()
 	words := strings.Fields(text)
@@ -195,7 +197,7 @@
 	return &EndpointUpdate{Index: index, Complete: words[1] == "whole", Endpoints: parseEndpoints(words[2:])}
 }
 
-// name is the word for a connection: of a client's its number, of the relay's own s and a number.
+// name returns the name of a connection: a number for a client's, or s and a number for one that the relay dialed.
 func (s *harness) name(conn uint64) string {
 	if conn >= firstDialedID {
 		return fmt.Sprint("s", conn-firstDialedID)
@@ -203,7 +205,7 @@
 	return fmt.Sprint(conn)
 }
 
-// describe gives an effect in words, and keeps what tests look at; timers and log lines have none.
+// describe returns an effect as text and records what tests look at. Timers and log lines give an empty text.
 func (s *harness) describe(effect Effect) string {
 	switch f := effect.(type) {
 	case *Dial:
@@ -254,14 +256,14 @@
 	return "release " + conn
 }
 
-// step is one event and the effects that are to follow.
+// step is an event and the effects that must follow.
 type step struct {
 	at    float64
 	event string
 	want  string
 }
 
-// play gives the events one by one, and wants their effects.
+// play handles the events one by one and requires their effects.
 func (s *harness) play(name string, steps ...step) {
 	s.t.Helper()
 	for _, p := range steps {
@@ -269,10 +271,10 @@
 	}
 }
 
-// establishSession has session 1 established on backend b1, over s1.
+// establishSession establishes a session between client connection 1 and backend b1 over connection s1.
 func (s *harness) establishSession() {
 	s.t.Helper()
-	s.play("is established",
+	s.play("establish a session",
 		step{100, "open 1", ""},
 		step{100, "came 1 OPEN a 1f c=feed,t=one,d=2000|", "dial s1 10.0.0.1:9000"},
 		step{101, "up s1", "write s1 OPEN a 1f c=feed,t=one,d=1989|"},
--- a/internal/relay/intake_test.go
+++ b/internal/relay/intake_test.go
@@ -34,16 +34,16 @@
 		})
 	}
 	s := newHarness(t, nil, 0, "b1=active")
-	s.play("slow, in pieces", step{100, "open 1", ""}, step{1000, "came 1 OPEN a 1f c=fe", ""},
+	s.play("request in pieces, sent slowly", step{100, "open 1", ""}, step{1000, "came 1 OPEN a 1f c=fe", ""},
 		step{1599, "came 1 ed,d=2000|", "dial s1 10.0.0.1:9000"},
 		step{1601, "up s1", "write s1 OPEN a 1f c=feed,d=1988|"},
 		step{1603, "came s1 UP r|LOAD 7|", "write 1 UP r|; write 1 LOAD 7|"},
 		step{1604, "came 1 more|", "write s1 more|"},
-		step{1605, "open 2", ""}, step{1606, "came 2 OPEN a 2f c=feed,d=2000|", "write 2 ERR|; end 2"}, // in use
+		step{1605, "open 2", ""}, step{1606, "came 2 OPEN a 2f c=feed,d=2000|", "write 2 ERR|; end 2"}, // the ID is in use
 		step{1607, "end 1", "end 1; end s1"}, step{1608, "open 3", ""},
 		step{1609, "came 3 OPEN a 1f c=feed,d=2000|", "dial s2 10.0.0.1:9000"})
 	s = newHarness(t, nil, 0, "b1=active")
-	s.play("too slow, with pings or none", step{1100, "open 1", ""}, step{1100, "open 2", ""},
+	s.play("request too slow, with and without pings", step{1100, "open 1", ""}, step{1100, "open 2", ""},
 		step{1500, "came 1 OPEN", ""}, step{2500, "came 2 PING|", "write 2 PONG|"}, step{2599, "tick", ""},
 		step{2600, "tick", "write 2 ERR|; end 2"}, step{3100, "came 1  a", ""}, step{3100, "heard 1", ""},
 		step{3799, "tick", ""},
@@ -52,25 +52,25 @@
 	s.play("a request written over two seconds", step{100, "open 1", ""}, step{800, "came 1 OPEN a 1f ", ""},
 		step{1650, "tick", ""}, step{2200, "came 1 c=feed,d=2000|", "dial s1 10.0.0.1:9000"})
 	s = newHarness(t, nil, 0, "b1=active")
-	s.play("more before its answer", step{100, "open 1", ""},
+	s.play("data before the answer", step{100, "open 1", ""},
 		step{100, "came 1 OPEN a 1f c=feed,d=2000|", "dial s1 10.0.0.1:9000"},
 		step{101, "came 1 x", "write 1 ERR|; reset s1; end 1"}, step{102, "came 1 y|", ""})
 	assert.Zero(t, s.queue.sessions)
 	assert.Empty(t, s.queue.byID)
 }
 
-// A client's time runs while its request waits in the listener's backlog.
+// A client's timeout includes the time that its request waits in the listener's backlog.
 func TestRequestThatWaitedToBeAccepted(t *testing.T) {
 	s := newHarness(t, nil, 0, "b1=active")
-	s.play("the backend is told what is left", step{1100, "open 1", ""},
+	s.play("the backend gets the remaining timeout", step{1100, "open 1", ""},
 		step{1100, "waited 1 600 OPEN a 1f c=feed,d=2000|", "dial s1 10.0.0.1:9000"},
 		step{1101, "up s1", "write s1 OPEN a 1f c=feed,d=1389|"})
 	s = newHarness(t, nil, 0, "b1=active")
-	s.play("answered before the time is up", step{2100, "open 1", ""},
+	s.play("answered before the timeout", step{2100, "open 1", ""},
 		step{2100, "waited 1 1900 OPEN a 1f c=feed,d=2000|", "dial s1 10.0.0.1:9000"}, step{2189, "tick", ""},
 		step{2190, "tick", "reset s1; write 1 BUSY 900|; end 1"})
 	s = newHarness(t, nil, 0, "b1=active")
-	s.play("answered at once where the time is up", step{2100, "open 1", ""},
+	s.play("answered at once if the timeout has passed", step{2100, "open 1", ""},
 		step{2100, "waited 1 1990 OPEN a 1f c=feed,d=2000|", "write 1 BUSY 900|; end 1"})
 	s = newHarness(t, nil, 0, "b1=active")
 	s.play("a ping waited, the request did not", step{1100, "open 1", ""}, step{1100, "waited 1 600 PING|", "write 1 PONG|"},
@@ -80,7 +80,7 @@
 
 func TestDescriptorsRunOut(t *testing.T) {
 	s := newHarness(t, nil, spareDescriptors+minAwaiting+2, "b1=active")
-	s.play("told to come again, never broken; silent ones let go first", step{100, "open 1", ""},
+	s.play("clients are told to retry, no session is broken, and silent clients are evicted first", step{100, "open 1", ""},
 		step{100, "came 1 OPEN a 1f c=feed,d=2000|", "dial s1 10.0.0.1:9000"},
 		step{101, "open 2", ""}, step{102, "open 3", ""}, step{102, "open 4", ""}, step{102, "open 5", "pause-accept"},
 		step{103, "came 2 OPEN b 1f c=order,d=2000|", "write 2 BUSY 900|; end 2; resume-accept"},
@@ -93,18 +93,18 @@
 
 func TestReadyBeforePong(t *testing.T) {
 	s := newHarness(t, nil, 0, "b1=active")
-	s.play("by the first list", step{10, "open 1", ""}, step{10, "came 1 PING|", ""}, step{20, "open 2", ""},
+	s.play("ready on the first endpoint list", step{10, "open 1", ""}, step{10, "came 1 PING|", ""}, step{20, "open 2", ""},
 		step{30, "news 1 1 whole b1=active", "write 1 PONG|"}, step{31, "came 1 PING|PING|",
 			"write 1 PONG|; write 1 PONG|"})
 	s = newHarness(t, nil, 0, "b1=active")
-	s.play("or without it", step{10, "open 1", ""}, step{10, "came 1 PING|", ""}, step{1000, "tick",
+	s.play("ready after the timeout without a list", step{10, "open 1", ""}, step{10, "came 1 PING|", ""}, step{1000, "tick",
 		"write 1 PONG|"})
 }
 
-// TestSlowRequestsAreNotEvictedByACrowd: among clients that idle, or stop half way through their requests, one that
-// writes its request slowly is evicted last.
+// TestSlowRequestsAreNotEvictedByACrowd checks that a client that writes its request slowly is evicted last, after clients
+// that idle or stop halfway through their requests.
 func TestSlowRequestsAreNotEvictedByACrowd(t *testing.T) {
-	s := newHarness(t, nil, spareDescriptors+40, "b1=active") // five for those without a request
+	s := newHarness(t, nil, spareDescriptors+40, "b1=active") // leaves five descriptors for clients without a request
 	s.handle(100, "open 1")
 	s.handle(100, "came 1 OPEN a 1f c=fe")
 	s.handle(100, "open 2")
@@ -124,7 +124,8 @@
 	assert.NotZero(t, s.RequestErrors[Evicted])
 	assert.Contains(t, s.handle(2001, "came 1 d=2000|"), "dial s1 10.0.0.1:9000")
 	s.handle(2001, "came 2 ed,d=2000|")
-	assert.Equal(t, uint64(2), s.Attempts, "so is one that paused for longer, as others have begun no head at all")
+	assert.Equal(t, uint64(2), s.Attempts,
+		"a client that paused for longer is kept too, as the others have not begun a request")
 
 	s = newHarness(t, nil, spareDescriptors+40, "b1=active")
 	for n := 1; n <= 5; n++ {
@@ -133,5 +134,5 @@
 	}
 	s.handle(60, "came 1 1")
 	assert.Equal(t, "write 2 BUSY 900|; end 2", s.handle(90, "open 6"),
-		"of those that began, whoever stalls longest")
+		"of the clients that have begun a request, the one silent for longest is evicted")
 }
--- a/internal/relay/metrics_test.go
+++ b/internal/relay/metrics_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// published returns the metrics that are not 0, by name.
+// published returns the names and values of the metrics that are not 0.
 func (s *harness) published() string {
 	var published []string
 	values := s.metricValues(nil)
@@ -22,10 +22,10 @@
 	return strings.Join(published, ", ")
 }
 
-// Every way in which a client's connection can end, by what the client and the backends saw.
+// TestMetricsOfSessions checks the metrics at each stage of a client's connection, and after each way in which it can end.
 func TestMetricsOfSessions(t *testing.T) {
-	const head = "came 1 OPEN a 1f c=feed,t=one,d=2000|"
-	up := []step{{100, "open 1", ""}, {100, head, "dial s1 10.0.0.1:9000"},
+	const request = "came 1 OPEN a 1f c=feed,t=one,d=2000|"
+	up := []step{{100, "open 1", ""}, {100, request, "dial s1 10.0.0.1:9000"},
 		{101, "up s1", "write s1 OPEN a 1f c=feed,t=one,d=1989|"}}
 	established := append(append([]step{}, up...), step{102, "came s1 UP r|", "write 1 UP r|"})
 	for _, c := range []struct {
@@ -68,19 +68,20 @@
 		assert.Equal(t, strings.TrimPrefix(c.want+", "+want, ", "), s.published(), c.name)
 	}
 	s := newHarness(t, nil, 0)
-	s.play("no backend: rejected", step{100, "open 1", ""}, step{100, head, ""})
+	s.play("rejected without a backend", step{100, "open 1", ""}, step{100, request, ""})
 	for now := 150.0; now < 1300; now += 50 {
 		s.handle(now, "tick")
 	}
 	assert.Equal(t, "refused.feed 1", s.published())
 }
 
-// Backends that don't answer and those that drain are excluded; one that has left is not known.
+// TestMetricsOfBackends checks that draining and unresponsive backends count as excluded, and that a backend that has left
+// no longer counts as known.
 func TestMetricsOfBackends(t *testing.T) {
 	s := newHarness(t, replacing(`"probes": false`, `"probes": true`), 0, "b1=active", "b2=active", "b3=leaving")
 	assert.Equal(t, "backends_known 3, backends_excluded 1", s.published())
 	for now := 0.0; now < 3000; now += 50 {
-		s.handle(now, "tick") // no connection for a probe comes up
+		s.handle(now, "tick") // no poll connection is established
 	}
 	assert.Equal(t, "backends_known 3, backends_excluded 3", s.published())
 	s.handle(3000, "heard 1")
@@ -92,28 +93,30 @@
 	two := replacing(`"replicas-of-me": 1`, `"replicas-of-me": 2`)
 	s := newHarness(t, two, 0, "b1=active")
 	s.establishSession()
-	s.play("emptied over the time of a stop, and goes on", step{1000, "drain on", ""}, step{1001, "drain on", ""},
+	s.play("sessions are migrated over the time of a shutdown, and the relay goes on",
+		step{1000, "drain on", ""}, step{1001, "drain on", ""},
 		step{1001, "open 2", ""}, step{1001, "came 2 PING|", "write 2 ERR|"}, step{1002, "end 2", "end 2"},
 		step{1300, "open 3", ""}, step{1300, "came 3 OPEN b 1f c=feed,d=2000|", "dial s2 10.0.0.1:9000"},
 		step{1301, "up s2", "write s2 OPEN b 1f c=feed,d=1989|"}, step{1899, "tick", ""},
 		step{2650, "tick", "write 1 MOVE|; end 1; end s1"}, step{2651, "heard 1", ""})
 	assert.False(t, s.isServing())
-	s.play("what came is served and goes at once", step{3399, "came s2 UP r|",
+	s.play("a session established during the drain is migrated at once", step{3399, "came s2 UP r|",
 		"write 3 UP r|; write 3 MOVE|; end 3; end s2"},
 		step{3400, "tick", ""}, step{9000, "heard 1", ""})
 	assert.Zero(t, s.queue.sessions)
-	s.play("back at once", step{9001, "drain off", ""}, step{9001, "drain off", ""}, step{9002, "open 4", ""},
+	s.play("serving again at once", step{9001, "drain off", ""}, step{9001, "drain off", ""}, step{9002, "open 4", ""},
 		step{9002, "came 4 PING|", "write 4 PONG|"})
 	assert.True(t, s.isServing())
 
 	s = newHarness(t, two, 0, "b1=active", "b2=active")
 	s.establishSession()
-	s.play("off before it has gone: it stays", step{1000, "drain on", ""}, step{1200, "drain off", ""})
+	s.play("a session that was not migrated before the drain was undone stays",
+		step{1000, "drain on", ""}, step{1200, "drain off", ""})
 	for now := 1500.0; now < 9000; now += 500 {
-		s.play("still", step{now, "came 1 x|", "write s1 x|"}, step{now + 1, "came s1 y|", "write 1 y|"})
+		s.play("session stays", step{now, "came 1 x|", "write s1 x|"}, step{now + 1, "came s1 y|", "write 1 y|"})
 		s.handle(now+2, "heard 1")
 	}
-	s.play("but not if its backend goes", step{9100, "drain on", ""}, step{9101, "news 1 2 delta b1=leaving", ""},
+	s.play("it is migrated if its backend drains", step{9100, "drain on", ""}, step{9101, "news 1 2 delta b1=leaving", ""},
 		step{9102, "drain off", ""})
 	s.handle(12200, "tick")
 	assert.Zero(t, s.Established)
@@ -121,7 +124,7 @@
 
 	s = newHarness(t, two, 0, "b1=active")
 	s.establishSession()
-	s.play("a stop goes before both", step{1000, "drain on", ""}, step{1500, "stop", ""}, step{1600,
+	s.play("a shutdown takes precedence over drain on and off", step{1000, "drain on", ""}, step{1500, "stop", ""}, step{1600,
 		"drain off", ""},
 		step{1601, "drain on", ""})
 	assert.True(t, s.drain.stopping)
@@ -131,33 +134,34 @@
 	}
 	assert.True(t, s.drain.exiting)
 	s = newHarness(t, nil, 0, "b1=active")
-	s.play("a reload meanwhile is taken", step{1, "drain on", ""}, step{2, "reload 10.1.0.2:85",
+	s.play("a reload while draining is applied", step{1, "drain on", ""}, step{2, "reload 10.1.0.2:85",
 		"watch 2 after 0 at 10.1.0.2:85"}, step{3, "news 2 1 whole b1=active", ""}, step{4, "drain off", ""})
 	assert.True(t, s.isServing())
 }
 
-// servingAtLog is a log handler that reads the board as the state machine logs, in the middle of effects.
-type servingAtLog struct {
+// servingRecorder is a log handler that records the published serving flag whenever the state machine logs a drain, which
+// is while its effects are carried out.
+type servingRecorder struct {
 	slog.Handler
-	board func() *metricsBoard
-	ready []bool
+	currentBoard func() *metricsBoard
+	observed     []bool
 }
 
-func (h *servingAtLog) Enabled(context.Context, slog.Level) bool { return true }
+func (h *servingRecorder) Enabled(context.Context, slog.Level) bool { return true }
 
-// Handle is called under the driver's lock. The watch's failures are logged, too, as discovery is not there.
-func (h *servingAtLog) Handle(_ context.Context, record slog.Record) error {
+// Handle is called with the driver's lock held. It ignores the watch failures that are logged because there is no discovery.
+func (h *servingRecorder) Handle(_ context.Context, record slog.Record) error {
 	if record.Message == "draining" {
-		h.ready = append(h.ready, h.board().serving.Load())
+		h.observed = append(h.observed, h.currentBoard().serving.Load())
 	}
 	return nil
 }
 
-// A caller who has seen an effect doesn't get metrics from before it.
+// TestMetricsArePublishedBeforeEffects checks that whoever has seen an effect reads metrics that include its event.
 func TestMetricsArePublishedBeforeEffects(t *testing.T) {
 	s, _ := newTestDriver(t)
 	startMachine(t, s)
-	seen := &servingAtLog{board: func() *metricsBoard { return s.metrics }}
+	seen := &servingRecorder{currentBoard: func() *metricsBoard { return s.metrics }}
 	s.mutex.Lock()
 	s.log, s.metrics = slog.New(seen), newMetricsBoard(s.machine)
 	s.machine.becomeReady()
@@ -167,5 +171,5 @@
 	s.handle(DrainRequested{})
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	assert.Equal(t, []bool{false, true}, seen.ready, "as its log line says")
+	assert.Equal(t, []bool{false, true}, seen.observed, "serving flag at the log lines of drain on and off")
 }
--- a/internal/relay/statemachine_test.go
+++ b/internal/relay/statemachine_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestResumeAfterSuspend: after the process was suspended, sessions wait a bounded time for the endpoint updates that came
-// meanwhile; those whose deadline is too near don't.
+// TestResumeAfterSuspend checks that after the process was suspended, sessions wait a bounded time for the endpoint updates
+// that arrived in the meantime, and that sessions whose deadline is too near don't wait.
 func TestResumeAfterSuspend(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -46,9 +46,9 @@
 		require.NotEqual(t, good, text)
 		path := t.TempDir() + "/config.json"
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		told, err := LoadConfig(func(name string) string { return map[string]string{"RELAY_CONFIG": path}[name] })
+		config, err := LoadConfig(func(name string) string { return map[string]string{"RELAY_CONFIG": path}[name] })
 		if err == nil {
-			_, err = New(0, told)
+			_, err = New(0, config)
 		}
 		if c.want == "" {
 			assert.NoError(t, err)
