--- a/internal/relay/attempts.go
+++ b/internal/relay/attempts.go
@@ -1,7 +1,7 @@
 package relay
 
-// This file is the state machine's queue of sessions and their attempts: it asks the balancer, by the dispatcher, and
-// does what it decides.
+// This file takes sessions from their requests to their answers: it asks the balancer, through the dispatcher, where
+// each one goes, and makes the attempts at backends.
 
 import (
 	"valeshift/balancer"
@@ -9,29 +9,29 @@
 	"valeshift/internal/protocol"
 )
 
-// sessionQueue owns the sessions from their requests to their ends, and what the balancer has of them.
+// sessionQueue holds every session from its request to its end, and the dispatcher that puts sessions to the balancer.
 type sessionQueue struct {
 	dispatcher *dispatch.Dispatcher[*session]
-	byID       map[string]*session
-	sessions   int
-	answers    []answerCounts // by class
+	byID       map[string]*session // by the ID in the request
+	sessions   int                 // open sessions; clients without a request don't count
+	answers    []answerCounts      // by class
 }
 
 func (q *sessionQueue) countServed(class int)   { q.answers[class].served++ }
 func (q *sessionQueue) countRejected(class int) { q.answers[class].refused++ }
 func (q *sessionQueue) countFailed(class int)   { q.answers[class].failed++ }
 
-// balancer decides where sessions go.
+// balancer returns the balancer, which decides where sessions go.
 func (m *StateMachine) balancer() dispatch.Balancer { return m.queue.dispatcher.Balancer }
 
-// addSession counts a session from now on, under that id.
+// addSession registers a session under the ID of its request, and counts it as open.
 func (m *StateMachine) addSession(session *session, id string) {
 	session.id = id
 	m.queue.sessions++
 	m.queue.byID[id] = session
 }
 
-// removeSession ends a session: nothing of it is waited for any more.
+// removeSession marks a session as finished, unregisters it and stops its timers. It leaves its connections open.
 func (m *StateMachine) removeSession(session *session) {
 	if session.state != finished && session.state != awaitingRequest {
 		m.queue.sessions--
@@ -43,7 +43,7 @@
 	m.timers.stop(&session.migrationTimer)
 }
 
-// assign has the balancer assign a session that waited for other relays' answers.
+// assign has the balancer assign a session whose lookups at other relays are finished or given up.
 func (m *StateMachine) assign(session *session) {
 	m.timers.stop(&session.stateTimer)
 	session.pendingLookups = 0
@@ -51,7 +51,7 @@
 	m.queue.dispatcher.Assign(m.now, session)
 }
 
-// Execute carries out what the balancer decided on a session; the dispatcher calls it.
+// Execute carries out the balancer's decision on a session. It implements dispatch.Driver.
 func (m *StateMachine) Execute(session *session, decision balancer.Decision) {
 	switch decision.Kind {
 	case balancer.Assign:
@@ -69,7 +69,8 @@
 	}
 }
 
-// sendFinalAnswer gives the final answer of a session that is not established.
+// sendFinalAnswer ends a session that is not established: a client that is still there gets the answer, and its
+// connection is closed.
 func (m *StateMachine) sendFinalAnswer(session *session, answer string) {
 	m.removeSession(session)
 	if session.clientConn != nil {
@@ -78,7 +79,7 @@
 	}
 }
 
-// startAttempt sends a session's request to the backend, whose answer has to come within timeout milliseconds.
+// startAttempt starts an attempt at the backend, which must answer within timeout milliseconds.
 func (m *StateMachine) startAttempt(session *session, backend *backend, timeout float64) {
 	m.Attempts++
 	m.enter(session, attempting)
@@ -86,7 +87,8 @@
 	m.dialForSession(session, backend, m.rules.connectTimeout)
 }
 
-// dialForSession dials the backend, which has to be up within that time.
+// dialForSession dials the backend. The attempt fails if the connection is not up within that many milliseconds, or by
+// the session's deadline if that comes first.
 func (m *StateMachine) dialForSession(session *session, backend *backend, within float64) {
 	conn := m.dial(backend, session)
 	session.backendConn = conn
@@ -95,15 +97,15 @@
 	m.replicateMarker(session)
 }
 
-// sendRequest sends the request now that the backend's connection is up, unless the attempt's marker is to be
-// replicated first.
+// sendRequest sends the request over the backend's connection, which is up, unless the attempt's marker must be
+// replicated first. An attempt whose backend now drains or has restarted ends with nothing sent.
 func (m *StateMachine) sendRequest(session *session) {
-	if m.awaitMarker(session) {
+	if m.deferForMarker(session) {
 		return
 	}
 	conn := session.backendConn
 	conn.isUp = true
-	if session.state == attempting && conn.backend.hasChangedSince(conn) {
+	if session.state == attempting && conn.backend.isDrainingOrRestarted(conn) {
 		m.finishAttempt(session, NotSent)
 		return
 	}
@@ -117,14 +119,14 @@
 	m.timers.set(&conn.deadline, session.deadline)
 }
 
-// hasChangedSince tells whether the backend has begun to drain since the connection was dialed, or is known by now to
-// have restarted: all sessions assigned to it while it was held to be warm would come to it at once.
-func (b *backend) hasChangedSince(conn *connection) bool {
+// isDrainingOrRestarted reports whether the backend has begun to drain since the connection was dialed, or has turned
+// out to have restarted: otherwise all sessions assigned to it while it seemed warm would reach a cold backend at once.
+func (b *backend) isDrainingOrRestarted(conn *connection) bool {
 	return b.condition != balancer.Ready || b.StartedAt > conn.backendStartedAt
 }
 
-// receiveAnswer handles what a backend answers to a request. What follows the answer in one piece is not taken for the
-// next attempt's.
+// receiveAnswer handles data that a backend sends in answer to a request. Data behind the answer is forwarded if the
+// session is established now. Otherwise it is dropped, and never taken as the answer to the next attempt.
 func (m *StateMachine) receiveAnswer(session *session, data []byte) {
 	for conn := session.backendConn; session.backendConn == conn && session.state != established; {
 		line, rest, err := conn.input.Next(data)
@@ -164,9 +166,9 @@
 	}
 }
 
-// finishAttempt ends the attempt that is out, and has the balancer decide what follows.
-func (m *StateMachine) finishAttempt(session *session, why EndReason) {
-	m.EndReasons[why]++
+// finishAttempt ends the attempt in flight, and has the balancer decide what follows.
+func (m *StateMachine) finishAttempt(session *session, reason EndReason) {
+	m.EndReasons[reason]++
 	conn := session.backendConn
 	session.backendConn = nil
 	if conn.isUp {
@@ -178,7 +180,7 @@
 		m.retryReestablish(session)
 		return
 	}
-	if !conn.isUp || why.outcome().IsUnprocessed() {
+	if !conn.isUp || reason.outcome().IsUnprocessed() {
 		m.releaseMarker(session)
 	}
 	m.enter(session, queued)
@@ -186,17 +188,17 @@
 	if clientGone {
 		m.removeSession(session)
 	}
-	m.queue.dispatcher.AttemptFinished(m.now, session, why.outcome(), clientGone)
+	m.queue.dispatcher.AttemptFinished(m.now, session, reason.outcome(), clientGone)
 }
 
-// clientClosed handles that the client has left, whatever its session waits for.
+// clientClosed handles the end of a client's connection, in whatever state its session is.
 func (m *StateMachine) clientClosed(session *session, e ConnClosed) {
-	how, why := gracefully, ClientClosed
+	mode, reason := gracefully, ClientClosed
 	switch {
 	case e.SlowReader:
-		how, why = byReset, SlowReader
+		mode, reason = byReset, SlowReader
 	case e.Reset:
-		how, why = byReset, ClientReset
+		mode, reason = byReset, ClientReset
 	}
 	conn := session.clientConn
 	session.clientConn = nil
@@ -207,7 +209,7 @@
 		}
 		m.stopAwaiting(session, finished)
 	case established:
-		m.endSession(session, why, how)
+		m.endSession(session, reason, mode)
 	case attempting:
 		m.Abandoned++
 		m.balancer().ClientDisconnected(&session.Entry.Session)
@@ -224,7 +226,7 @@
 	case reestablishing:
 		m.Abandoned++
 		if session.backendConn != nil {
-			m.dropConn(session.backendConn, how)
+			m.dropConn(session.backendConn, mode)
 		}
 		m.removeSession(session)
 	}
--- a/internal/relay/closing.go
+++ b/internal/relay/closing.go
@@ -1,8 +1,8 @@
 package relay
 
-// This file closes connections: all that was written goes out first, and a client's connection is then closed for
-// sending alone and read until the client closes, too. A close over unread input would reset the connection, and
-// the reset may overtake the answer. It also closes the listener at the end of the process.
+// This file closes connections. All that was written is sent first. A client's connection is then shut down for sending
+// only, and read until the client closes it as well: closing a socket with unread input resets the connection, and the
+// reset may reach the client before it has read the answer. This file also closes the listener when the process ends.
 
 import (
 	"slices"
@@ -11,23 +11,23 @@
 )
 
 const (
-	flushTimeout  = 2 * time.Second // for a peer to take what was written before the close
-	lingerTimeout = time.Second     // for a client to close after its connection was closed for sending
+	flushTimeout  = 2 * time.Second // for a peer to receive what was written before the close
+	lingerTimeout = time.Second     // for a client to close after its connection was shut down for sending
 
-	maxClosing              = 1024 // closing connections, where descriptors are not limited
-	spareClosingDescriptors = 8    // that closing connections may use beyond those of open ones
+	maxClosing              = 1024 // closing connections at a time; fewer if descriptors are short
+	spareClosingDescriptors = 8    // descriptors for closing connections, beyond the limit for open ones
 
 	// At the end of the process:
-	acceptEndTimeout   = 150 * time.Millisecond // for the accept loop to end, on a shared socket
-	backlogTimeout     = 100 * time.Millisecond // for the backlog to be emptied
-	backlogIdleTimeout = 10 * time.Millisecond  // without a connection from it, after which it is empty
-	finalWriteTimeout  = 200 * time.Millisecond // for the last answers to be taken
-	finalCloseTimeout  = 50 * time.Millisecond  // for the clients to close
-	finalCheckInterval = time.Millisecond
+	acceptEndTimeout   = 150 * time.Millisecond // for the accept loop to end, if processes share the listening socket
+	backlogTimeout     = 100 * time.Millisecond // for accepting what is in the listener's backlog
+	backlogIdleTimeout = 10 * time.Millisecond  // without a new connection, after which the backlog counts as empty
+	finalWriteTimeout  = 200 * time.Millisecond // for clients to receive the last answers
+	finalCloseTimeout  = 50 * time.Millisecond  // for the last sessions to end, and later for clients to close
+	finalCheckInterval = time.Millisecond       // between two checks whether that has happened
 )
 
-// closeOrReset closes or resets a connection, or cancels its dial. The lock is held.
-func (d *driver) closeOrReset(conn uint64, how closeMode) {
+// closeOrReset closes or resets a connection, or cancels its dial. The caller holds d.mutex.
+func (d *driver) closeOrReset(conn uint64, mode closeMode) {
 	if pending := d.dials[conn]; pending != nil {
 		delete(d.dials, conn)
 		pending.cancel()
@@ -36,7 +36,7 @@
 	c := d.sockets[conn]
 	switch {
 	case c == nil:
-	case how == byReset:
+	case mode == byReset:
 		delete(d.sockets, conn)
 		c.nbConn.SetLinger(1, 0)
 		c.nbConn.Close()
@@ -45,13 +45,13 @@
 	}
 }
 
-// close closes a connection once all that was written is sent. The lock is held.
+// close closes a connection once all that was written to it is sent. The caller holds d.mutex.
 func (d *driver) close(c *socket) {
 	c.closing.Store(true)
 	switch {
 	case c.unsent.Load() == 0:
 		d.finishClose(c)
-	case !c.awaitsRelease: // nbio has no deadlines before it polls
+	case !c.awaitsRelease: // nbio sets no deadline on a connection that it does not poll yet
 		c.setFlushDeadline()
 	}
 	if d.sockets[c.conn] == c {
@@ -60,11 +60,12 @@
 	}
 }
 
-// setFlushDeadline gives the peer some time for what is unsent: one that never takes it must not hold a descriptor for
-// ever.
+// setFlushDeadline limits the time that the peer has to receive what is unsent: a peer that never reads must not hold a
+// descriptor forever.
 func (c *socket) setFlushDeadline() { c.nbConn.SetWriteDeadline(time.Now().Add(flushTimeout)) }
 
-// finishClose closes a connection to which all was written. The lock is held.
+// finishClose closes a connection whose data is all sent; a client's is shut down for sending only. The caller holds
+// d.mutex.
 func (d *driver) finishClose(c *socket) {
 	if c.conn < firstDialedID && c.polled && c.shutdownSend() {
 		c.nbConn.SetReadDeadline(time.Now().Add(lingerTimeout))
@@ -73,8 +74,9 @@
 	d.closeNow(c)
 }
 
-// shutdownSend closes the connection for sending, and reports whether that was done. nbio marks a connection as closed
-// under the same lock before it gives up the descriptor, so that the number is not another connection's.
+// shutdownSend shuts the connection down for sending, and reports whether it did. nbio marks a connection as closed
+// under the same lock before it releases the descriptor, so the descriptor's number can't belong to another connection
+// yet.
 func (c *socket) shutdownSend() bool {
 	c.nbConn.Lock()
 	defer c.nbConn.Unlock()
@@ -84,14 +86,14 @@
 	return syscall.Shutdown(c.nbConn.Hash(), syscall.SHUT_WR) == nil
 }
 
-// closeNow closes the connection both ways, and drops what came up to now. The lock is held.
+// closeNow closes the connection in both directions, and discards what has been received. The caller holds d.mutex.
 func (d *driver) closeNow(c *socket) {
 	delete(d.sockets, c.conn)
 	c.discardUnread()
 	c.nbConn.Close()
 }
 
-// discardUnread drops what the peer has sent, up to a bound.
+// discardUnread reads and drops what the peer has sent, up to readBufferBytes.
 func (c *socket) discardUnread() {
 	var buffer [4 << 10]byte
 	for range readBufferBytes / len(buffer) {
@@ -102,7 +104,7 @@
 	}
 }
 
-// removeSocket forgets a connection that nbio has closed. The lock is held.
+// removeSocket removes a connection that nbio has closed. The caller holds d.mutex.
 func (d *driver) removeSocket(c *socket) {
 	if d.sockets[c.conn] == c {
 		delete(d.sockets, c.conn)
@@ -112,8 +114,8 @@
 	}
 }
 
-// evictClosing closes at once the connections that have been closing for longest, where there are too many or so many
-// new connections need their descriptors. The lock is held.
+// evictClosing immediately closes the connections that have been closing for longest, while there are more than
+// maxClosing or their descriptors are needed for newConns new connections. The caller holds d.mutex.
 func (d *driver) evictClosing(newConns int) {
 	for len(d.closing) > 0 {
 		needed := len(d.sockets) + len(d.dials) + newConns
@@ -128,7 +130,7 @@
 	}
 }
 
-// maxOpenSockets returns how many connections may hold a descriptor, closing ones among them.
+// maxOpenSockets returns how many connections may hold a descriptor, including those that are closing.
 func (d *driver) maxOpenSockets() int {
 	if d.machine == nil || d.machine.limits.ownDescriptors > unlimitedSockets {
 		return unlimitedSockets
@@ -136,9 +138,9 @@
 	return d.machine.limits.ownDescriptors + spareClosingDescriptors
 }
 
-// closeListener accepts what is in the backlog, and then no more: the kernel has accepted it, so that it is owed an
-// answer. The state machine is done, and rejects whatever comes from now on. Where a child process has the listener,
-// too, the backlog is left to that.
+// closeListener closes the listener after accepting the connections in its backlog: the kernel has accepted them
+// already, so their clients must get an answer. The state machine is done by now, and rejects every new client. If a
+// child process shares the listener, the backlog is left to the child.
 func (d *driver) closeListener() {
 	d.mutex.Lock()
 	d.accept.ending = true
@@ -147,7 +149,7 @@
 	d.listener.SetDeadline(time.Unix(1, 0))
 	d.mutex.Unlock()
 	if !d.awaitAcceptEnd() {
-		return // a call that blocks has taken what was in the backlog; Close would wait for it
+		return // an accept call that blocks has emptied the backlog; Close would wait for that call
 	}
 	if !yielded {
 		d.acceptBacklog()
@@ -155,10 +157,10 @@
 	d.listener.Close()
 }
 
-// awaitAcceptEnd waits for the accept loop, and reports whether it has ended. Where another process has made a shared
-// socket block in this moment, the loop ends with the process.
+// awaitAcceptEnd waits for the accept loop, and reports whether it has ended. If another process has just switched a
+// shared socket to blocking mode, the loop ends only with this process.
 func (d *driver) awaitAcceptEnd() bool {
-	var timeout <-chan time.Time // none, but on a shared socket
+	var timeout <-chan time.Time // nil, which never fires, unless processes share the socket
 	if d.slot != nil {
 		timeout = time.After(acceptEndTimeout)
 	}
@@ -170,6 +172,7 @@
 	}
 }
 
+// acceptBacklog accepts connections until the backlog is empty or backlogTimeout has passed.
 func (d *driver) acceptBacklog() {
 	deadline := time.Now().Add(backlogTimeout)
 	for time.Now().Before(deadline) {
@@ -180,7 +183,7 @@
 	}
 }
 
-// finish answers whoever has no answer yet, and waits for the last answers to be taken.
+// finish answers the clients that have no answer yet, and waits for clients to receive the last answers.
 func (d *driver) finish() {
 	d.closeListener()
 	d.waitFor(finalCloseTimeout, func() bool { return d.machine.isIdle() })
@@ -189,7 +192,7 @@
 	d.waitFor(finalCloseTimeout, func() bool { return len(d.closing) == 0 })
 }
 
-// waitFor returns once isDone, which is called under the lock, is true, or after the timeout.
+// waitFor waits until isDone returns true, but no longer than the timeout. It calls isDone with d.mutex held.
 func (d *driver) waitFor(timeout time.Duration, isDone func() bool) {
 	deadline := time.Now().Add(timeout)
 	for time.Now().Before(deadline) {
@@ -203,7 +206,8 @@
 	}
 }
 
-// unsentBytes returns how much of what was written to all connections the kernel has not taken. The lock is held.
+// unsentBytes returns how many of the bytes written to connections the kernel has not accepted. The caller holds
+// d.mutex.
 func (d *driver) unsentBytes() int64 {
 	var unsent int64
 	for _, c := range d.sockets {
--- a/internal/relay/established.go
+++ b/internal/relay/established.go
@@ -7,23 +7,22 @@
 	"valeshift/internal/protocol"
 )
 
-// Established sessions: data that is forwarded both ways, backends that fall silent, and clients that are sent elsewhere
-// before their backend or this relay goes away. A session is never migrated to even out load.
+// This file handles established sessions: it forwards data both ways, detects backends that fall silent, and migrates
+// clients before their backend or this relay goes away. No session is migrated to balance load.
 
-// Times are milliseconds.
 const (
-	reestablishTimeout        = 38000.0 // of a session from before the start; it counts as lost two seconds later
-	reestablishInterval       = 500.0
-	reestablishConnectTimeout = 4       // times the timeout for a connect, as the backend may be starting
-	replyTimeout              = 4000.0  // for a reply to a client's line; a client is to be moved within 7 s of silence
-	clientIdleTimeout         = 20000.0 // ten of a client's lines missed
-	announcedEndTimeout       = 500.0   // for the end of a connection after BYE or MOVE; the protocol's bound is a second
-	transferRecheckInterval   = 50.0    // before a session that may be the child's by then is looked at again
+	reestablishTimeout        = 38000.0 // ms to reestablish a session from before the start; it counts as lost 2 s later
+	reestablishInterval       = 500.0   // ms between two tries to reestablish a session
+	reestablishConnectTimeout = 4       // times the connect timeout for such a try, as the backend may still be starting
+	replyTimeout              = 4000.0  // ms for a reply to a client's line; a client must be moved within 7 s of silence
+	clientIdleTimeout         = 20000.0 // ms without data from a client: ten of its lines are missing
+	announcedEndTimeout       = 500.0   // ms for a backend to close after BYE or MOVE; the protocol allows one second
+	transferRecheckInterval   = 50.0    // ms until a migration is tried again, where the session was being handed off
 )
 
 const moveAnswer = "MOVE\r\n"
 
-// reestablish asks the backend that has the session already.
+// reestablish resumes a session at the backend that already has it, which the client's request names.
 func (m *StateMachine) reestablish(session *session) {
 	m.enter(session, reestablishing)
 	session.deadline = m.now + reestablishTimeout
@@ -39,7 +38,8 @@
 	m.dialForSession(session, backend, reestablishConnectTimeout*m.rules.connectTimeout)
 }
 
-// retryReestablish tries again after a while, as the session is lost if its backend isn't found; at the end it fails.
+// retryReestablish tries again after reestablishInterval, as the session is lost unless its backend is found. A session
+// with no time left for that fails.
 func (m *StateMachine) retryReestablish(session *session) {
 	if m.now+reestablishInterval >= session.deadline {
 		m.Execute(session, balancer.Decision{Kind: balancer.Fail})
@@ -49,9 +49,9 @@
 	m.timers.set(&session.stateTimer, m.now+reestablishInterval)
 }
 
-// establish handles that the backend has accepted the session; line is its answer.
+// establish handles a backend's acceptance of a session; line is the backend's answer.
 func (m *StateMachine) establish(session *session, line []byte) {
-	if session.clientConn == nil { // gone, with an attempt that could not be canceled
+	if session.clientConn == nil { // the client left during an attempt that could not be canceled
 		m.finishAttempt(session, ClientReset)
 		return
 	}
@@ -81,7 +81,7 @@
 	}
 }
 
-// addEstablished does what is due for every session that becomes established, here or at the parent.
+// addEstablished sets up a session that has become established, here or earlier at the parent process.
 func (m *StateMachine) addEstablished(session *session) {
 	m.enter(session, established)
 	m.Established++
@@ -93,7 +93,7 @@
 	m.timers.set(&session.clientConn.deadline, m.now+clientIdleTimeout)
 }
 
-// forwardToBackend sends on what the client sent, and has a reply awaited.
+// forwardToBackend forwards a client's data, and expects a reply within replyTimeout.
 func (m *StateMachine) forwardToBackend(session *session, data []byte) {
 	m.ClientChunks++
 	m.write(session.backendConn, data)
@@ -103,7 +103,8 @@
 	}
 }
 
-// forwardToClient sends on whole lines, so that a line of the relay's own always falls between two of them.
+// forwardToClient forwards a backend's data in whole lines, so that a line of the relay itself never splits one of
+// them.
 func (m *StateMachine) forwardToClient(session *session, data []byte) {
 	session.backendConn.backend.lastDataAt = m.now
 	for len(data) > 0 && session.state == established && !session.endAnnounced {
@@ -124,7 +125,7 @@
 	}
 }
 
-// inspectLine handles what a backend's line says to the relay.
+// inspectLine acts on lines of a backend that concern the relay as well: load, and announced ends.
 func (m *StateMachine) inspectLine(session *session, line []byte) {
 	verb, rest := protocol.CutVerb(line)
 	switch string(verb) {
@@ -136,17 +137,18 @@
 		if m.rules.reportsInAnswers {
 			m.recordReport(session.backendConn.backend, rest)
 		}
-		m.announceEnd(session, BackendFinished)
+		m.handleAnnouncedEnd(session, BackendFinished)
 	case verbMove:
-		m.announceEnd(session, BackendMovedClient)
+		m.handleAnnouncedEnd(session, BackendMovedClient)
 	}
 }
 
-// announceEnd handles that the backend says that the session is over. What it sends after that is dropped.
-func (m *StateMachine) announceEnd(session *session, why EndReason) {
-	session.endReason = why
+// handleAnnouncedEnd handles a backend's announcement that the session is over. What the backend sends after it is
+// dropped, and the session ends after announcedEndTimeout if the backend has not closed by then.
+func (m *StateMachine) handleAnnouncedEnd(session *session, reason EndReason) {
+	session.endReason = reason
 	session.endAnnounced = true
-	session.stateTimer.fire = func() { m.endSession(session, why, gracefully) }
+	session.stateTimer.fire = func() { m.endSession(session, reason, gracefully) }
 	m.timers.set(&session.stateTimer, m.now+announcedEndTimeout)
 }
 
@@ -164,26 +166,27 @@
 	}
 }
 
-// endSession ends an established session, on whichever sides are still open.
-func (m *StateMachine) endSession(session *session, why EndReason, how closeMode) {
-	m.EndReasons[why]++
+// endSession ends an established session, and closes those of its connections that are still open.
+func (m *StateMachine) endSession(session *session, reason EndReason, mode closeMode) {
+	m.EndReasons[reason]++
 	m.Established--
-	m.releaseAffinity(session, why)
+	m.releaseAffinity(session, reason)
 	backend := session.backendConn.backend
 	index := slices.Index(backend.sessions, session)
 	backend.sessions = slices.Delete(backend.sessions, index, index+1)
 	m.removeSession(session)
 	if session.clientConn != nil {
-		m.dropConn(session.clientConn, how)
+		m.dropConn(session.clientConn, mode)
 	}
-	m.dropConn(session.backendConn, how)
-	m.queue.dispatcher.AttemptFinished(m.now, session, why.outcome(), true)
+	m.dropConn(session.backendConn, mode)
+	m.queue.dispatcher.AttemptFinished(m.now, session, reason.outcome(), true)
 }
 
-// migrate has the client come again, to be assigned elsewhere. One whose backend has announced the end is only ended.
-func (m *StateMachine) migrate(session *session, why EndReason) {
+// migrate tells the client to connect again, so that it is assigned elsewhere. If the backend has announced the end of
+// the session, the session just ends.
+func (m *StateMachine) migrate(session *session, reason EndReason) {
 	switch {
-	case session.state == handingOff: // what its client is told may be the child's to say
+	case session.state == handingOff: // the child may own the session by now, and with it what the client is told
 		m.timers.set(&session.migrationTimer, m.now+transferRecheckInterval)
 		return
 	case session.endAnnounced:
@@ -192,11 +195,12 @@
 	}
 	m.Migrated++
 	m.write(session.clientConn, []byte(moveAnswer))
-	m.endSession(session, why, gracefully)
+	m.endSession(session, reason, gracefully)
 }
 
-// migrateFromSilent migrates the sessions of a backend that answers neither polls nor lines, where the balancer holds it
-// to be lost. A line that waits for its reply must show it too: a backend may tire of polls.
+// migrateFromSilent migrates the sessions of a backend that answers neither polls nor clients' lines, if the balancer
+// takes it for lost. Unanswered polls alone are not enough, as a backend may stop answering polls and serve on: a
+// client's line must be waiting for a reply, too.
 func (m *StateMachine) migrateFromSilent(backend *backend) {
 	silence := 0.0
 	for _, session := range backend.sessions {
@@ -213,8 +217,8 @@
 	}
 }
 
-// scheduleMigration has a session migrated whose backend drains or is gone, if that is not scheduled yet. It is the
-// nth of the backend's.
+// scheduleMigration schedules the migration of a session whose backend is draining or gone, unless one is scheduled
+// already. nth is the session's position among those of the backend, from 0.
 func (m *StateMachine) scheduleMigration(backend *backend, session *session, nth int) {
 	if backend.condition != balancer.Ready && !session.migrationTimer.isSet() {
 		m.timers.set(&session.migrationTimer, m.now+m.balancer().BackendDrainDelay(nth, len(backend.sessions)))
--- a/internal/relay/reasons.go
+++ b/internal/relay/reasons.go
@@ -2,31 +2,31 @@
 
 import "valeshift/balancer"
 
-// EndReason is how an attempt or an established session ended. Whoever sees the end names it; outcome says what it means
-// to the balancer.
+// EndReason is how an attempt or an established session ended. The code that detects the end sets the reason, and
+// outcome translates it for the balancer.
 type EndReason uint8
 
-// The reasons: first those of an attempt, then those of an established session, then those on the client's side.
+// The reasons: first why attempts end, then why established sessions end, then the ends on the client's side.
 const (
-	NotSent            EndReason = iota // the backend is draining or has restarted by now: nothing was written
-	ConnectFailed                       // refused, never up in time, or broken before the whole request was sent
+	NotSent            EndReason = iota // the backend drains or restarted after it was chosen: nothing was sent
+	ConnectFailed                       // refused, not up in time, or broken before the whole request was sent
 	BackendBusy                         // the backend answered BUSY
 	BackendError                        // the backend answered ERR
-	MalformedAnswer                     // the backend sent a line that is none of the protocol
+	MalformedAnswer                     // the backend sent a line that the protocol does not allow
 	ClosedBeforeAnswer                  // the backend closed without an answer, after the request was sent
-	AttemptTimedOut                     // nothing came in the time given
-	BackendFinished                     // BYE: the session was served to its end
-	BackendMovedClient                  // MOVE: a draining backend sends the client away
+	AttemptTimedOut                     // no answer came within the attempt's timeout
+	BackendFinished                     // the backend sent BYE: it has served the session to its end
+	BackendMovedClient                  // the backend sent MOVE: it drains and sends the client away
 	BackendClosed                       // the backend closed or reset an established session
-	BackendSilent                       // the backend brought nothing back
-	SlowReader                          // a side took in too little of what was written
-	RelayMovedClient                    // this relay sent the client elsewhere
-	ClientClosed                        // the client closed in order
+	BackendSilent                       // the backend did not reply in time
+	SlowReader                          // the client or the backend read too little of what was sent to it
+	RelayMovedClient                    // this relay told the client to connect again
+	ClientClosed                        // the client closed its connection without a reset
 	ClientReset                         // the client reset its connection
-	TransferredToChild                  // the child process has the session
+	TransferredToChild                  // the child process has taken the session over
 )
 
-// endReasonNames are the names under which the counters stand in the log.
+// endReasonNames are the names of the reasons' counters in the log.
 var endReasonNames = [...]string{
 	NotSent:            "not sent",
 	ConnectFailed:      "never up",
@@ -46,10 +46,10 @@
 	TransferredToChild: "handed over",
 }
 
-// String is the name under which the reason is counted.
+// String returns the name of the reason's counter in the log.
 func (e EndReason) String() string { return endReasonNames[e] }
 
-// outcome is the one place where a reason becomes what the balancer goes by.
+// outcome translates the reason into the outcome that the balancer is told. Nothing else does so.
 func (e EndReason) outcome() balancer.AttemptOutcome {
 	switch e {
 	case NotSent:
@@ -70,23 +70,24 @@
 	return balancer.OutcomeConnectionLost
 }
 
-// RequestError is why a client was rejected before it had a session. The balancer hears nothing of it.
+// RequestError is why a client was rejected because of what it sent, or did not send, before its answer. The balancer
+// is not told.
 type RequestError uint8
 
 // The errors.
 const (
-	RequestTimedOut   RequestError = iota // no request came in time
+	RequestTimedOut   RequestError = iota // no whole request arrived in time
 	IncompleteRequest                     // the client left in the middle of its request
-	LineTooLong                           // a line over the bound
-	MalformedRequest                      // no request of the protocol, or a number out of all bounds
-	UnknownName                           // a class or tenant that the settings don't name
-	DuplicateID                           // the id of a session that is open
-	UnexpectedData                        // the client sent on without waiting for its answer
-	TooManyPings                          // the client asks without end whether the relay is there
-	Evicted                               // it had said nothing for longest when descriptors were short
+	LineTooLong                           // a line exceeds the maximum length
+	MalformedRequest                      // not a request of the protocol, or one with a number out of range
+	UnknownName                           // the settings don't define its class or tenant
+	DuplicateID                           // a session with the same ID is open
+	UnexpectedData                        // the client sent more without waiting for its answer
+	TooManyPings                          // the client sent more than maxPings pings before its request
+	Evicted                               // descriptors were short, and this client had been silent for longest
 )
 
-// requestErrorNames are the names under which the counters stand in the log.
+// requestErrorNames are the names of the errors' counters in the log.
 var requestErrorNames = [...]string{
 	RequestTimedOut:   "no head",
 	IncompleteRequest: "half a head",
@@ -99,5 +100,5 @@
 	Evicted:           "pushed out",
 }
 
-// String is the name under which the error is counted.
+// String returns the name of the error's counter in the log.
 func (e RequestError) String() string { return requestErrorNames[e] }
--- a/internal/relay/replication.go
+++ b/internal/relay/replication.go
@@ -1,44 +1,44 @@
 package relay
 
-// What other relays hold for this one. A client that is told to come again while the whole fleet recovers finds its
-// reservation at any relay, though the one that told it is lost. An attempt that may not simply be made again is marked
-// before its request goes out, so that the client's next attempt, at whatever relay, does not run it again. Where a
-// client is established is held as a hint. How records are held is package replication's business.
+// This file has other relays hold records for this one. A client that is told to come again while the whole fleet
+// recovers finds its reservation at any relay, even if the relay that told it is lost. An attempt that is not safe to
+// repeat is marked before its request is sent, so that a retry of the client, at any relay, does not run it again.
+// Where a client is established is held as a hint. Package replication stores and finds the records.
 
-// RecordKind is what a record that other relays hold is about.
+// RecordKind is the kind of a record that other relays hold.
 type RecordKind uint8
 
 // The kinds of records.
 const (
-	ReservationRecord RecordKind = iota // a client was told to come again at a time
-	AttemptRecord                       // an attempt of a client may run at a backend
-	AffinityRecord                      // a client, or its group, is established at a backend: a hint
+	ReservationRecord RecordKind = iota // a client was told to come again at a certain time
+	AttemptRecord                       // an attempt marker: a client's attempt may run, or have run, at a backend
+	AffinityRecord                      // a hint: a client, or its affinity group, is established at a backend
 )
 
-// All in milliseconds.
 const (
-	replicationTimeout = 8.0  // the longest that an answer or a request waits for other relays to hold a record
-	lookupTimeout      = 50.0 // the longest that a retry waits to hear of an earlier attempt
-	lookupTimeShare    = 0.25 // of the time that the retry has left, which that may take
-	minRejectionWait   = 1.0  // that a client is told whose rejection was being replicated
+	replicationTimeout = 8.0  // ms that an answer or a request waits at most for other relays to hold a record
+	lookupTimeout      = 50.0 // ms that a retry waits at most to learn of an earlier attempt
+	lookupTimeShare    = 0.25 // share of a retry's remaining time that it may wait for a lookup
+	minRejectionWait   = 1.0  // ms, the shortest wait that a client is told after its rejection was replicated
 )
 
-// replicationState owns what is replicated at other relays.
+// replicationState is what this relay replicates at other relays.
 type replicationState struct {
-	enabled         bool
-	affinity        bool    // where clients and groups are established, too
-	markerRetention float64 // milliseconds beyond an attempt's hard limit that its marker is held; 0: no markers
-	recovering      bool    // the whole fleet lost power and recovers
+	enabled         bool    // other relays hold records for this one
+	affinity        bool    // among them where clients and groups are established
+	markerRetention float64 // ms that a marker is held beyond its session's deadline; 0: no attempt is marked
+	recovering      bool    // the whole fleet recovers from a full outage
 }
 
-// enableReplication has records held at other relays from now on.
+// enableReplication starts replicating records at other relays.
 func (m *StateMachine) enableReplication(e ReplicationEnabled) {
 	m.replication.enabled = true
 	m.replication.markerRetention = e.MarkerRetentionMillis
 	m.replication.affinity = e.Affinity
 }
 
-// setRecovering says that the whole fleet lost power and recovers, or that it has recovered.
+// setRecovering sets whether the whole fleet recovers from a full outage, such as a loss of power, and which share of
+// the capacity of backends that are warming up this relay may use.
 func (m *StateMachine) setRecovering(on bool, capacityShare float64) {
 	m.balancer().SetRecovering(on, capacityShare)
 	if on != m.replication.recovering {
@@ -47,7 +47,7 @@
 	m.replication.recovering = on
 }
 
-// recordReplicated handles whether others hold a record: the answer or the request that waited for it goes out.
+// recordReplicated handles the result of a replication: the answer or the request that waited for it is sent.
 func (m *StateMachine) recordReplicated(connID uint64, replicated bool) {
 	conn := m.conns.byID[connID]
 	if conn == nil || conn.session == nil {
@@ -63,7 +63,7 @@
 	}
 }
 
-// recordFound handles what other relays hold on a client.
+// recordFound handles the result of a lookup.
 func (m *StateMachine) recordFound(e RecordFound) {
 	if e.Record == ReservationRecord {
 		m.balancer().RestoreReservations(m.now, map[uint64]float64{e.Key: e.At})
@@ -76,10 +76,11 @@
 
 // Reservations.
 
-// replicateRejection has others hold what the client is about to be told; false: it is told at once.
+// replicateRejection has other relays hold the reservation of a client that is about to be rejected, and reports
+// whether the rejection waits for that. If it does not, the caller answers the client at once.
 func (m *StateMachine) replicateRejection(session *session, wait float64) bool {
-	isWorthwhile := m.replication.enabled && m.replication.recovering && session.Key != 0 && wait > 0
-	if !isWorthwhile || session.clientConn == nil || m.now+2*replicationTimeout > session.Deadline {
+	shouldReplicate := m.replication.enabled && m.replication.recovering && session.Key != 0 && wait > 0
+	if !shouldReplicate || session.clientConn == nil || m.now+2*replicationTimeout > session.Deadline {
 		return false
 	}
 	m.queue.dispatcher.Forget(session)
@@ -93,8 +94,8 @@
 	return true
 }
 
-// rejectionReplicated gives the answer that waited. Where others hold the reservation, this relay goes by their word too:
-// else it could be used elsewhere and then here again.
+// rejectionReplicated sends the rejection that waited. If other relays hold the reservation, this relay drops its own
+// copy and looks the reservation up as they do: the client could otherwise use it at another relay and then again here.
 func (m *StateMachine) rejectionReplicated(session *session, replicated bool) {
 	if replicated {
 		m.RejectionsReplicated++
@@ -105,8 +106,8 @@
 	m.sendFinalAnswer(session, formatBusy(max(session.deadline-m.now, minRejectionWait)))
 }
 
-// lookUpReservation seeks what others hold for the client. Nothing waits for it: a session that finds no capacity at once
-// is assigned again later, and goes first by then.
+// lookUpReservation looks up the client's reservation at other relays. The session does not wait for the result: one
+// that finds no capacity at once is queued, and has precedence by the time that it is assigned again.
 func (m *StateMachine) lookUpReservation(session *session) {
 	if m.replication.enabled && m.replication.recovering && session.Key != 0 {
 		m.effects.replicate(ReplicationRequest{Operation: Lookup, Record: ReservationRecord, Key: session.Key})
@@ -115,13 +116,13 @@
 
 // Attempt markers.
 
-// needsMarker tells whether an attempt of the session is marked.
+// needsMarker reports whether the session's attempts must be marked.
 func (m *StateMachine) needsMarker(session *session) bool {
 	return m.replication.markerRetention > 0 && session.Key != 0 && m.rules.nonIdempotent[session.Class]
 }
 
-// replicateMarker has others hold that the attempt that begins may run, while it connects. A session of which an earlier
-// attempt may have run is marked already.
+// replicateMarker has other relays hold a marker for the attempt that begins, while its connection is being set up. A
+// session of which an earlier attempt may have run has a marker already.
 func (m *StateMachine) replicateMarker(session *session) {
 	if session.state != attempting || session.markerConn != 0 || !m.needsMarker(session) {
 		return
@@ -133,8 +134,9 @@
 		At: session.Deadline + m.replication.markerRetention, Backend: conn.backend.Name})
 }
 
-// awaitMarker tells whether the request still waits for the marker. Meanwhile nothing has gone out.
-func (m *StateMachine) awaitMarker(session *session) bool {
+// deferForMarker makes the request wait while its marker is being replicated, until markerDeadline at the latest, and
+// reports whether it waits. Nothing of the request is sent before.
+func (m *StateMachine) deferForMarker(session *session) bool {
 	if session.markerDeadline == 0 {
 		return false
 	}
@@ -150,7 +152,7 @@
 	return true
 }
 
-// markerReplicated sends the request that waited.
+// markerReplicated handles the result of replicating a marker: either way, a request that waited for it is sent.
 func (m *StateMachine) markerReplicated(session *session, replicated bool) {
 	if session.state != attempting || session.markerDeadline == 0 {
 		return
@@ -166,7 +168,7 @@
 	}
 }
 
-// releaseMarker takes the marker back: the client has its answer, or nothing ran.
+// releaseMarker releases the attempt's marker: the client has its answer, or the backend did not process the request.
 func (m *StateMachine) releaseMarker(session *session) {
 	if session.markerConn == 0 {
 		return
@@ -179,7 +181,8 @@
 
 // Affinity.
 
-// affinityKey is the number of the session's group, or of its client, told apart.
+// affinityKey returns the key of the session's affinity record: its group, or the inverted key of a client without a
+// group, so that the two are told apart.
 func affinityKey(session *session) uint64 {
 	if session.AffinityGroup != 0 {
 		return session.AffinityGroup
@@ -187,14 +190,14 @@
 	return ^session.Key
 }
 
-// hasAffinity tells whether others hold where the session is established.
-func (m *StateMachine) hasAffinity(session *session) bool {
+// replicatesAffinity reports whether other relays are to hold where the session is established.
+func (m *StateMachine) replicatesAffinity(session *session) bool {
 	return m.replication.affinity && (session.AffinityGroup != 0 || session.Key != 0)
 }
 
-// replicateAffinity has others hold where the session is established, for when this relay is lost.
+// replicateAffinity has other relays hold where the session is established, in case this relay is lost.
 func (m *StateMachine) replicateAffinity(session *session) {
-	if !m.hasAffinity(session) {
+	if !m.replicatesAffinity(session) {
 		return
 	}
 	conn := session.backendConn
@@ -203,10 +206,10 @@
 		Key: affinityKey(session), Backend: conn.backend.Name})
 }
 
-// releaseAffinity takes that back where the session has come to its end: its client is not to come again. A group may
-// have other sessions there.
-func (m *StateMachine) releaseAffinity(session *session, why EndReason) {
-	hasCompleted := why == ClientClosed || why == BackendFinished
+// releaseAffinity releases the affinity record of a session that was served to its end, as its client is not expected
+// back. The record of a group stays: the group may have other sessions at the backend.
+func (m *StateMachine) releaseAffinity(session *session, reason EndReason) {
+	hasCompleted := reason == ClientClosed || reason == BackendFinished
 	if session.affinityConn != 0 && session.AffinityGroup == 0 && hasCompleted {
 		m.effects.replicate(ReplicationRequest{Operation: Release, Record: AffinityRecord, Conn: session.affinityConn,
 			Key: affinityKey(session)})
@@ -215,14 +218,14 @@
 
 // Lookups before a retry is assigned.
 
-// lookUpAttempts seeks the marker of an earlier attempt, where the client says that there was one, and where the client
-// or its group was established; false: nothing is waited for.
+// lookUpAttempts looks up, for a client that says it retries, the marker of its earlier attempt and the backend at
+// which it or its group was established. It reports whether the session waits for the results.
 func (m *StateMachine) lookUpAttempts(session *session) bool {
 	if !session.request.IsRetry || !m.replication.enabled {
 		return false
 	}
 	wait := 0.0
-	if m.hasAffinity(session) {
+	if m.replicatesAffinity(session) {
 		wait = m.lookUp(session, AffinityRecord, affinityKey(session), wait, replicationTimeout)
 	}
 	if m.needsMarker(session) {
@@ -237,8 +240,8 @@
 	return true
 }
 
-// lookUp seeks one record, and returns how long the session waits: as long as before, or for this one where that is
-// longer.
+// lookUp starts the lookup of one record, and returns how many milliseconds the session waits: for this lookup, or the
+// given wait if that is longer.
 func (m *StateMachine) lookUp(session *session, record RecordKind, key uint64, wait, timeout float64) float64 {
 	wait = max(wait, min(timeout, (session.Deadline-m.now)*lookupTimeShare))
 	session.pendingLookups++
@@ -247,14 +250,14 @@
 	return wait
 }
 
-// finishLookup hands what was found to the balancer, and has the session assigned once there is nothing more to wait for.
+// finishLookup passes what was found to the balancer, and has the session assigned once no lookup is pending.
 func (m *StateMachine) finishLookup(session *session, e RecordFound) {
 	backend := m.endpoints.byName[e.Backend]
 	switch {
 	case !e.Found:
 	case e.Record == AttemptRecord:
 		m.RepeatsDetected++
-		id := uint32(0) // of no known backend: then the failure scope of a session that refers to it isn't known either
+		id := uint32(0) // not a known backend, so that the failure scope of a session that refers to it is unknown, too
 		if backend != nil {
 			id = backend.id
 		}
--- a/internal/relay/session_test.go
+++ b/internal/relay/session_test.go
@@ -9,14 +9,14 @@
 func TestSessionStates(t *testing.T) {
 	for state := created; state <= finished; state++ {
 		assert.NotEmpty(t, state.String())
-		assert.False(t, state.canBecome(state), "%s to itself", state)
-		assert.False(t, state.canBecome(created), "%s back to the start", state)
+		assert.False(t, state.canTransitionTo(state), "%s to itself", state)
+		assert.False(t, state.canTransitionTo(created), "%s back to created", state)
 	}
 	assert.Len(t, sessionTransitions, int(finished)+1)
 	assert.Len(t, sessionStateNames, int(finished)+1)
 }
 
-// TestIllegalTransitionIsCounted: a change that the table doesn't list is counted, and made all the same.
+// TestIllegalTransitionIsCounted: a transition that sessionTransitions doesn't list is counted, and made all the same.
 func TestIllegalTransitionIsCounted(t *testing.T) {
 	s := newHarness(t, nil, 0, "b1=active")
 	broken := &session{state: finished, id: "a"}
--- a/internal/relay/timers.go
+++ b/internal/relay/timers.go
@@ -5,16 +5,16 @@
 	"math"
 )
 
-// timer calls fire once when its time has come. The zero value is a timer that is not set.
+// timer calls fire once, when its time comes. The zero value is a timer that is not set.
 type timer struct {
 	at       float64 // Unix milliseconds
-	position int     // in the heap, from 1; 0: not set
+	position int     // place in the heap, from 1; 0: the timer is not set
 	fire     func()
 }
 
 func (t *timer) isSet() bool { return t.position > 0 }
 
-// timerHeap orders timers by their times, for container/heap.
+// timerHeap orders timers by time. It implements heap.Interface.
 type timerHeap []*timer
 
 // Len implements heap.Interface.
@@ -47,15 +47,15 @@
 	return t
 }
 
-// timerQueue holds all timers that are set, and knows for when the process was asked to wake the state machine.
+// timerQueue holds all timers that are set, and the time at which the state machine has asked to be woken.
 type timerQueue struct {
 	heap   timerHeap
-	setFor float64 // time of the last SetTimer that has not fired; +Inf: none
+	setFor float64 // Unix milliseconds of the last SetTimer, if TimerFired has not come for it; +Inf: none
 }
 
 func newTimerQueue() timerQueue { return timerQueue{setFor: math.Inf(1)} }
 
-// set has the timer fire at that time, Unix milliseconds, in place of any earlier setting.
+// set makes the timer fire at the given time, in Unix milliseconds, and replaces any earlier setting.
 func (q *timerQueue) set(t *timer, at float64) {
 	t.at = at
 	if t.isSet() {
@@ -65,7 +65,7 @@
 	}
 }
 
-// postpone has the timer, where it is set, not fire before that time.
+// postpone makes a timer that is set fire no earlier than the given time, in Unix milliseconds.
 func (q *timerQueue) postpone(t *timer, until float64) {
 	if t.isSet() && t.at < until {
 		q.set(t, until)
@@ -79,7 +79,8 @@
 	}
 }
 
-// wakeAt tells whether the process is to be asked to wake the state machine at that time: it does not do so sooner anyway.
+// wakeAt reports whether a SetTimer is needed for the state machine to be woken by the given time, and records it as
+// issued. None is needed if one for the same or an earlier time has yet to fire.
 func (q *timerQueue) wakeAt(at float64) bool {
 	if at >= q.setFor {
 		return false
@@ -88,10 +89,10 @@
 	return true
 }
 
-// woken says that the time of the last SetTimer has come.
+// woken records that the last SetTimer has fired.
 func (q *timerQueue) woken() { q.setFor = math.Inf(1) }
 
-// next is when the first timer fires; +Inf: there is none.
+// next returns when the first timer fires, in Unix milliseconds; +Inf: none is set.
 func (q *timerQueue) next() float64 {
 	if len(q.heap) == 0 {
 		return math.Inf(1)
@@ -99,7 +100,7 @@
 	return q.heap[0].at
 }
 
-// fireDue calls what is due by now, in the order of its times. What it calls may set and stop timers.
+// fireDue fires all timers that are due, in the order of their times. What they call may set and stop timers.
 func (q *timerQueue) fireDue(now float64) {
 	for q.next() <= now {
 		heap.Pop(&q.heap).(*timer).fire()
--- a/internal/relay/zones.go
+++ b/internal/relay/zones.go
@@ -2,14 +2,14 @@
 
 import "valeshift/balancer"
 
-// ZoneWeight is the share of sessions that the coordinators mean for a zone.
+// ZoneWeight is the share of all sessions that the coordinators assign to a zone.
 type ZoneWeight struct {
 	Zone            string  `json:"Zone"`
 	Share           float64 `json:"Part"`
-	AcceptsOverflow bool    `json:"Open"` // it takes sessions meant for other zones too, where those have no capacity
+	AcceptsOverflow bool    `json:"Open"` // it also takes sessions meant for other zones, if those have no capacity
 }
 
-// setZoneWeights has sessions assigned to zones by these weights; none: as this relay finds.
+// setZoneWeights has sessions assigned to zones by these weights. Without any, they go wherever there is capacity.
 func (m *StateMachine) setZoneWeights(weights []ZoneWeight) {
 	var byNumber []balancer.ZoneWeight
 	for _, w := range weights {
@@ -23,8 +23,8 @@
 	m.log("zone weights changed", "zones", len(weights))
 }
 
-// ZoneObservations is what this relay has seen of each zone since its start, and what its sessions weigh. It is called
-// between events.
+// ZoneObservations returns what this relay has observed of each zone since its start, and the load of its sessions. It
+// must be called between events, not during one.
 func (m *StateMachine) ZoneObservations(now float64) (byZone map[string]balancer.ZoneObservation, demand float64) {
 	all, demand := m.balancer().ZoneObservations(now)
 	byZone = map[string]balancer.ZoneObservation{}
