--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -13,20 +13,21 @@
 )
 
 const (
-	discoveryConnectTimeout = time.Second // a machine that doesn't answer is asked again
+	discoveryConnectTimeout = time.Second // for a connect to discovery, which is then tried again
 
-	// dateTruncationMillis is half of what an HTTP date cuts off, as it has whole seconds.
+	// dateTruncationMillis is half of the second to which HTTP dates are truncated: their mean error.
 	dateTruncationMillis = 500
 )
 
 var errWatchEnded = errors.New("watch: ended")
 
-// discoveryWatch watches the endpoint list at discovery over HTTP, one watch at a time. It passes on what comes as
-// events, in order; it keeps no list, doesn't judge what an entry means, and doesn't decide when to ask again.
+// discoveryWatch watches the endpoint list at discovery over HTTP, one watch at a time, and passes what it receives to
+// the state machine as events, in order. It keeps no list, doesn't interpret entries, and doesn't decide when to ask
+// again.
 type discoveryWatch struct {
 	client *http.Client
 	handle func(Event)
-	stop   context.CancelFunc // ends the watch that is open
+	stop   context.CancelFunc // ends the open watch
 }
 
 func newDiscoveryWatch(handle func(Event)) *discoveryWatch {
@@ -39,8 +40,8 @@
 	}
 }
 
-// start opens a watch in place of the one before. Events of that may still come: they are known by their number, and
-// dropped. The goroutine ends soon after the watch is stopped; the last event is WatchFailed.
+// start opens a watch in place of the previous one. Late events of the previous watch carry its number, by which the
+// state machine drops them. The goroutine ends soon after the watch is stopped; its last event is WatchFailed.
 func (d *discoveryWatch) start(address string, number, after uint64) {
 	d.stop()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -52,8 +53,8 @@
 	}()
 }
 
-// follow passes on the list from the version after, and returns why the watch has ended. Errors begin with "watch" or,
-// where the list itself is wrong, with "list".
+// follow passes on changes after the given version, and returns why the watch has ended. Errors begin with "watch", or
+// with "list" if the list itself is malformed.
 func (d *discoveryWatch) follow(ctx context.Context, address string, number, after uint64) error {
 	url := "http://" + address + "/api/targets?watch=1&after=" + strconv.FormatUint(after, 10)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -96,9 +97,9 @@
 	}
 }
 
-// discoveryClock is discovery's clock, to half a second.
+// discoveryClock estimates discovery's clock from the date of its response, to within half a second.
 type discoveryClock struct {
-	answeredMillis float64 // as it answered, in Unix milliseconds; 0: it didn't tell
+	answeredMillis float64 // discovery's time when it answered, in Unix milliseconds; 0: the response had no date
 	receivedAt     time.Time
 }
 
@@ -111,7 +112,7 @@
 	return clock
 }
 
-// now returns the clock's time in Unix milliseconds; 0 where it is not known.
+// now returns discovery's time in Unix milliseconds; 0 if it is not known.
 func (c discoveryClock) now() float64 {
 	if c.answeredMillis <= 0 {
 		return 0
--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -2,30 +2,30 @@
 
 import "valeshift/balancer"
 
-// All in milliseconds.
+// Times are in milliseconds.
 const (
-	readyTimeout    = 1000.0 // after which the relay serves on the list that it was started with
-	drainGrace      = 500.0  // clients still come for so long after a drain begins
-	maxDrainWait    = 3000.0 // the longest of a hard limit that a drain waits for
-	finalAnswerTime = 400.0  // after that, for what came last; the kill may come 0.3 s later
+	readyTimeout     = 1000.0 // after the start; the relay then serves even if discovery has not sent a list
+	drainGrace       = 500.0  // after the start of a drain, in which new clients still arrive
+	maxHardLimitWait = 3000.0 // most that a drain waits for the longest hard limit of a request
+	finalAnswerTime  = 400.0  // added to that, to answer what arrived last; the process may be killed 0.3 s later
 )
 
-// lifecycle owns whether the relay serves: ready, draining, shutting down, exiting.
+// lifecycle is the state of the relay as a whole: ready, draining, shutting down, exiting.
 type lifecycle struct {
 	ready      bool
-	readyTimer timer // until it counts as ready, whatever it has heard
+	readyTimer timer // until the relay counts as ready even if discovery has not sent a list
 
-	stopping  bool // it shuts down
-	draining  bool // it is drained, but not to exit
-	startedAt float64
-	timer     timer // until the drain is finished
-	exiting   bool  // Exit was asked for
+	stopping  bool    // the relay is shutting down
+	draining  bool    // the relay drains without exiting
+	startedAt float64 // Unix milliseconds at which the drain began
+	timer     timer   // until the drain is finished
+	exiting   bool    // the Exit effect was issued
 }
 
-// isActive tells whether the relay is drained, for an exit or not.
+// isActive reports whether the relay is draining, with or without an exit at the end.
 func (l *lifecycle) isActive() bool { return l.stopping || l.draining }
 
-// becomeReady says that the relay is fit to serve, and answers the pings that came before.
+// becomeReady announces that the relay is ready to serve, and answers the pings that came before.
 func (m *StateMachine) becomeReady() {
 	if m.drain.ready {
 		return
@@ -42,9 +42,10 @@
 	}
 }
 
-// shutDown begins a graceful shutdown: who comes is served, established sessions are migrated once the load balancer
-// sends clients elsewhere, and all is answered before the kill can come. To a child process that is ready all clients
-// are left at once: else some that this one accepts last would be migrated as soon as they are established.
+// shutDown begins a graceful shutdown: clients that still arrive are served, established sessions are migrated once the
+// load balancer in front sends clients elsewhere, and every request is answered before the process can be killed. If a
+// child process is ready, all new clients are left to it at once; otherwise the last clients that this process accepts
+// would be migrated as soon as they are established.
 func (m *StateMachine) shutDown(yieldToChild bool) {
 	if m.drain.stopping {
 		return
@@ -53,11 +54,11 @@
 	m.drain.stopping = true
 	m.drain.draining = false
 	m.startDrain()
-	wake := timer{fire: func() {}} // Handle looks then whether all is done
+	wake := timer{fire: func() {}} // wakes Handle, which exits if nothing is left to do
 	m.timers.set(&wake, m.now+drainGrace)
 }
 
-// setDraining drains the relay as a shutdown does, but without an exit, or takes it back to work. A shutdown has
+// setDraining drains the relay as a shutdown does, but without an exit, or ends such a drain. A shutdown takes
 // precedence.
 func (m *StateMachine) setDraining(on bool) {
 	if m.drain.stopping || m.drain.draining == on {
@@ -78,14 +79,14 @@
 	}
 }
 
-// startDrain has established sessions migrated over the time that the balancer gives, and whatever is left then
-// answered.
+// startDrain schedules the migration of established sessions over the time that the balancer gives, and sets the timer
+// for finishDrain.
 func (m *StateMachine) startDrain() {
 	m.drain.startedAt = m.now
 	all := m.establishedSessions()
 	for i, session := range all {
 		at := m.migrationTime(i, len(all))
-		if session.migrationTimer.isSet() { // its backend drains: no later than scheduled for that
+		if session.migrationTimer.isSet() { // its backend drains: no later than already scheduled
 			at = min(at, session.migrationTimer.at)
 		}
 		m.timers.set(&session.migrationTimer, at)
@@ -97,7 +98,7 @@
 	m.timers.set(&m.drain.timer, m.now+m.maxDrainTime())
 }
 
-// establishedSessions are those, in the order in which their clients came.
+// establishedSessions returns all established sessions, in the order in which their clients connected.
 func (m *StateMachine) establishedSessions() []*session {
 	var all []*session
 	for _, conn := range m.conns.clients() {
@@ -108,17 +109,17 @@
 	return all
 }
 
-// maxDrainTime is how long a drain takes at the most, in milliseconds.
+// maxDrainTime returns the longest time that a drain takes, in milliseconds.
 func (m *StateMachine) maxDrainTime() float64 {
-	return min(m.rules.longestHardLimit, maxDrainWait) + finalAnswerTime
+	return min(m.rules.longestHardLimit, maxHardLimitWait) + finalAnswerTime
 }
 
-// migrationTime is when the nth of so many established sessions is migrated in a drain.
-func (m *StateMachine) migrationTime(nth, of int) float64 {
-	return m.drain.startedAt + drainGrace + m.balancer().ShutdownDrainDelay(nth, of, m.maxDrainTime()-drainGrace)
+// migrationTime returns when the nth of total established sessions is migrated in a drain, in Unix milliseconds.
+func (m *StateMachine) migrationTime(nth, total int) float64 {
+	return m.drain.startedAt + drainGrace + m.balancer().ShutdownDrainDelay(nth, total, m.maxDrainTime()-drainGrace)
 }
 
-// finishDrain answers or migrates whatever is left.
+// finishDrain answers or migrates all clients that are left, and exits if the relay is shutting down.
 func (m *StateMachine) finishDrain() {
 	for _, conn := range m.conns.clients() {
 		m.finishNow(conn)
@@ -128,7 +129,7 @@
 	}
 }
 
-// finishNow brings a client to its end now, whatever its session waits for.
+// finishNow gives a client its final answer now, whatever its session is waiting for.
 func (m *StateMachine) finishNow(conn *connection) {
 	session := conn.session
 	switch session.state {
@@ -142,7 +143,7 @@
 		}
 		m.Execute(session, balancer.Decision{Kind: balancer.Fail})
 	case attempting:
-		session.Deadline = m.now // so that the balancer gives it up
+		session.Deadline = m.now // so that the balancer makes no further attempt
 		m.finishAttempt(session, AttemptTimedOut)
 	case replicating:
 		m.recordReplicated(conn.id, false)
@@ -155,7 +156,8 @@
 	}
 }
 
-// isIdle tells whether nobody waits for anything: there is no session, and no client whose request may be on its way.
+// isIdle reports whether nothing is left to wait for: no session, and no client whose request may be on its way. A
+// client that has only sent pings doesn't count.
 func (m *StateMachine) isIdle() bool {
 	if m.queue.sessions > 0 {
 		return false
@@ -168,14 +170,14 @@
 	return true
 }
 
-// exitWhenDone has the process exit once a shutdown has nothing to wait for.
+// exitWhenDone makes the process exit once a shutdown has nothing left to wait for.
 func (m *StateMachine) exitWhenDone() {
 	if m.drain.stopping && (m.siblings.yielded || m.now >= m.drain.startedAt+drainGrace) && m.isIdle() {
 		m.exit()
 	}
 }
 
-// exit has the process exit, once.
+// exit issues the Exit effect, at most once.
 func (m *StateMachine) exit() {
 	if !m.drain.exiting {
 		m.drain.exiting = true
--- a/internal/relay/drain_test.go
+++ b/internal/relay/drain_test.go
@@ -10,15 +10,15 @@
 func TestGracefulShutdown(t *testing.T) {
 	s := newHarness(t, nil, 0, "b1=active")
 	s.establishSession()
-	// Sessions moved earlier would have nowhere to go until the only relay is back.
-	s.play("the only relay serves to the end of its stop", step{1000, "stop", ""}, step{1100, "open 2", ""},
+	// Sessions that were migrated earlier would have no relay to go to until the only one is back.
+	s.play("the only relay serves until the end of its shutdown", step{1000, "stop", ""}, step{1100, "open 2", ""},
 		step{1100, "came 2 OPEN b 1f c=feed,d=2000|", "dial s2 10.0.0.1:9000"},
 		step{1101, "up s2", "write s2 OPEN b 1f c=feed,d=1989|"}, step{1102, "came s2 UP r|", "write 2 UP r|"},
 		step{3399, "came 1 x|", "write s1 x|"},
 		step{3400, "tick", "write 1 MOVE|; end 1; end s1; write 2 MOVE|; end 2; end s2; exit"})
 	s = newHarness(t, replacing(`"replicas-of-me": 1`, `"replicas-of-me": 2`), 0, "b1=active")
 	s.establishSession()
-	s.play("stop", step{1000, "stop", ""},
+	s.play("shutdown beside another relay", step{1000, "stop", ""},
 		step{1000, "open 2", ""}, step{1001, "came 2 PING|", "write 2 ERR|"},
 		step{1100, "open 3", ""}, step{1100, "came 3 OPEN b 1f c=feed,d=2000|", "dial s2 10.0.0.1:9000"},
 		step{1101, "up s2", "write s2 OPEN b 1f c=feed,d=1989|"},
@@ -33,9 +33,9 @@
 	assert.Zero(t, s.queue.sessions)
 
 	s = newHarness(t, nil, 0, "b1=active")
-	s.play("a request on its way", step{1000, "stop", ""}, step{1400, "open 1", ""}, step{1500, "tick", ""},
+	s.play("shutdown with a request on its way", step{1000, "stop", ""}, step{1400, "open 1", ""}, step{1500, "tick", ""},
 		step{1700, "came 1 OPEN a 1f c=nothing,d=2000|", "write 1 ERR|; end 1; exit"})
 	s = newHarness(t, nil, 0, "b1=active")
-	s.play("nothing in hand", step{1000, "stop", ""}, step{1499, "tick", ""}, step{1500, "tick", "exit"},
+	s.play("shutdown of an idle relay", step{1000, "stop", ""}, step{1499, "tick", ""}, step{1500, "tick", "exit"},
 		step{1501, "stop", ""}, step{9000, "tick", ""}, step{9150, "tick", "stop-watch"})
 }
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -8,58 +8,59 @@
 	"valeshift/balancer"
 )
 
-// backend is a backend as this relay knows it.
+// backend is what this relay knows of one backend, and its sessions and poll connection.
 type backend struct {
 	Endpoint
-	id         uint32 // the balancer's number for it
+	id         uint32 // the balancer's ID for the backend
 	condition  balancer.EndpointState
-	sessions   []*session // established ones
-	lastDataAt float64    // when one of them last brought anything
+	sessions   []*session // established sessions on this backend
+	lastDataAt float64    // Unix milliseconds at which the backend last sent data on a session
 
-	pollConn    *connection // for polls; nil: there is none
-	pollPending bool        // a poll is out
+	pollConn    *connection // connection for load polls; nil if there is none
+	pollPending bool        // a poll has not been answered yet
 }
 
-// newBackend is a backend of which only the name is known.
+// newBackend returns a backend of which only the name is known.
 func newBackend(name string) *backend {
 	return &backend{Endpoint: Endpoint{Name: name}, id: BackendID(name)}
 }
 
-// BackendID is the balancer's number for a backend of that name, unless another has the number already; then it is the
-// next that is free.
+// BackendID returns the balancer's ID for a backend of that name, a hash of the name. If another backend already has
+// that ID, the next free one is used instead.
 func BackendID(name string) uint32 {
 	sum := fnv.New32a()
 	sum.Write([]byte(name))
 	return sum.Sum32()
 }
 
-// endpointSet owns the endpoint list: the backends as discovery told them, by the names and numbers that they have.
+// endpointSet owns the endpoint list: the backends that discovery has reported, by name and by ID.
 type endpointSet struct {
 	byName  map[string]*backend
 	byID    map[uint32]*backend
-	inOrder []*backend     // as they came, so that one seed gives one order of effects
-	zones   map[string]int // numbers by name
+	inOrder []*backend     // in the order of arrival, so that a seed always gives the same order of effects
+	zones   map[string]int // the balancer's zone numbers by zone name
 
-	index      uint64  // the version of the list
-	received   bool    // discovery has told the list
-	confirmed  bool    // or that the one held is still true
-	clockAhead float64 // of this relay's clock, against the one that the fleet goes by; milliseconds
+	index      uint64  // version of the list
+	received   bool    // an update from discovery has been applied
+	confirmed  bool    // discovery has sent the list, or confirmed that the one held is current
+	clockAhead float64 // milliseconds by which this relay's clock is ahead of the fleet's reference clock
 }
 
 func newEndpointSet(zones map[string]int) endpointSet {
 	return endpointSet{byName: map[string]*backend{}, byID: map[uint32]*backend{}, zones: zones}
 }
 
-// confirm says that discovery has told the list, or that the one held is still true.
+// confirm records that discovery has sent the list, or confirmed that the one held is current.
 func (s *endpointSet) confirm() { s.confirmed = true }
 
-// markReceived says that an update of discovery's has been applied.
+// markReceived records that an update from discovery has been applied.
 func (s *endpointSet) markReceived() { s.received = true }
 
-// forgetVersion has the whole list asked for.
+// forgetVersion makes the next watch ask for the whole list.
 func (s *endpointSet) forgetVersion() { s.index = 0 }
 
-// findOrAdd finds the backend, or takes in a new one. Its number comes of its name, so that all relays draw alike.
+// findOrAdd returns the backend of that name, and adds it if it is new. Its ID derives from the name, so that all
+// relays draw the same backend for an affinity group.
 func (s *endpointSet) findOrAdd(name string) *backend {
 	found := s.byName[name]
 	if found != nil {
@@ -75,20 +76,20 @@
 	return added
 }
 
-// remove forgets a backend; compact takes it out of the order.
+// remove deletes a backend from the lookup tables. It stays in inOrder until compact is called.
 func (s *endpointSet) remove(b *backend) {
 	delete(s.byName, b.Name)
 	delete(s.byID, b.id)
 }
 
-// compact takes removed backends out of the order.
+// compact deletes removed backends from inOrder.
 func (s *endpointSet) compact() {
 	if len(s.inOrder) > len(s.byName) {
 		s.inOrder = slices.DeleteFunc(s.inOrder, func(b *backend) bool { return s.byName[b.Name] != b })
 	}
 }
 
-// zoneNumber is the balancer's number for a zone; a new name gets the next.
+// zoneNumber returns the balancer's number for a zone; a new name gets the next number.
 func (s *endpointSet) zoneNumber(name string) int {
 	number, known := s.zones[name]
 	if !known {
@@ -98,7 +99,7 @@
 	return number
 }
 
-// current is the list as it is held.
+// current returns the endpoint list as held now, as a complete update.
 func (s *endpointSet) current() *EndpointUpdate {
 	update := &EndpointUpdate{Index: s.index, Complete: true}
 	for _, b := range s.inOrder {
@@ -109,7 +110,8 @@
 	return update
 }
 
-// localStartTime is when the backend started by this relay's own clock; 0 or less: not known.
+// localStartTime returns when the backend started by this relay's own clock, in Unix milliseconds; 0 or less: not
+// known.
 func (s *endpointSet) localStartTime(e Endpoint) float64 {
 	if e.StartedAt <= 0 {
 		return e.StartedAt
@@ -117,7 +119,7 @@
 	return e.StartedAt + s.clockAhead
 }
 
-// applyEndpoints makes an update the list that the relay goes by.
+// applyEndpoints applies an update to the relay's endpoint list, and its consequences for sessions and polls.
 func (m *StateMachine) applyEndpoints(update *EndpointUpdate) {
 	m.endpoints.index = update.Index
 	m.balancer().BeginEndpointUpdate(update.Complete)
@@ -133,13 +135,13 @@
 		if update.Complete && !named[backend] {
 			backend.condition = balancer.Gone
 		}
-		m.followCondition(backend)
+		m.applyCondition(backend)
 	}
 	m.endpoints.compact()
 }
 
-// applyEndpoint takes one entry of an update; nil: it can't be used, and nothing is known of that backend. What is known
-// of a backend stays where its entry is invalid.
+// applyEndpoint applies one entry of an update and returns its backend. An invalid entry leaves what is known of its
+// backend unchanged; nil is returned if nothing is known of it.
 func (m *StateMachine) applyEndpoint(endpoint Endpoint) *backend {
 	if endpoint.Invalid != "" {
 		m.log("invalid endpoint in the list", "backend", endpoint.Name, "why", endpoint.Invalid)
@@ -160,8 +162,8 @@
 	return backend
 }
 
-// conditionOf is what an entry of the list means for its backend. One that the sibling was told is draining gets
-// nothing new here either.
+// conditionOf returns the balancer state that follows from an entry of the list. A backend that is draining by the
+// sibling's list gets no new sessions from this process either.
 func (m *StateMachine) conditionOf(endpoint Endpoint) balancer.EndpointState {
 	switch {
 	case endpoint.Status == EndpointActive && !m.siblings.drained[endpoint.Name]:
@@ -172,7 +174,7 @@
 	return balancer.Gone
 }
 
-// updateBalancer tells the balancer what is known of the backend.
+// updateBalancer passes what is known of the backend to the balancer.
 func (m *StateMachine) updateBalancer(backend *backend) {
 	m.balancer().UpdateEndpoint(balancer.Endpoint{
 		ID:        backend.id,
@@ -184,11 +186,11 @@
 	})
 }
 
-// followCondition does what follows of a backend's condition: its sessions are migrated, its connection for polls ends,
-// and one that is gone is forgotten, so that a fleet whose names never come again can't fill the memory. A backend with
-// an attempt out stays: under the same name it may come again, and its sessions would be on a backend of which nothing is
-// told.
-func (m *StateMachine) followCondition(backend *backend) {
+// applyCondition acts on a backend's condition. If the backend drains or is gone, its sessions are scheduled for
+// migration. If it is gone, its poll connection is closed too and the backend is removed, so that backends whose names
+// never return don't use up memory. A backend with a pending attempt is kept: its name may return, and the session of
+// that attempt would then be on a removed backend, which no longer gets updates.
+func (m *StateMachine) applyCondition(backend *backend) {
 	for i, session := range backend.sessions {
 		m.scheduleMigration(backend, session, i)
 	}
@@ -203,8 +205,9 @@
 	}
 }
 
-// removeSuperseded takes backends for gone whose address is another's by the update, as by a discovery that lost its
-// versions and so never told their end: the address would get sessions under a name of which nothing is told.
+// removeSuperseded marks backends as gone whose address the update gives to another backend. A discovery that lost its
+// version history never reports that the old ones left, and the address would go on getting sessions under a name for
+// which no updates come.
 func (m *StateMachine) removeSuperseded(named map[*backend]bool) {
 	byAddress := map[string]*backend{}
 	for _, backend := range m.endpoints.inOrder {
@@ -223,7 +226,7 @@
 	}
 }
 
-// setClockAhead corrects start times by how far this relay's clock is ahead of the one that the fleet goes by.
+// setClockAhead corrects backends' start times for how far this relay's clock is ahead of the fleet's reference clock.
 func (m *StateMachine) setClockAhead(aheadMillis float64) {
 	m.balancer().ShiftStartTimes(aheadMillis - m.endpoints.clockAhead)
 	m.log("clock skew", "ahead ms", math.Round(aheadMillis))
--- a/internal/relay/endpointupdate.go
+++ b/internal/relay/endpointupdate.go
@@ -7,34 +7,34 @@
 	"net/netip"
 )
 
-// Endpoint is a backend as the endpoint list has it.
+// Endpoint is one backend's entry in the endpoint list.
 type Endpoint struct {
 	Name      string  `json:"Name"`
 	Address   string  `json:"Address"`
 	Zone      string  `json:"Zone"`
-	Status    string  `json:"Status"` // one of those below, or the endpoint is invalid
+	Status    string  `json:"Status"` // EndpointActive, EndpointLeaving or EndpointLeft; else the endpoint is invalid
 	Group     int     `json:"Group"`
 	Weight    float64 `json:"Weight"`
-	StartedAt float64 `json:"Since"` // in Unix milliseconds
-	Invalid   string  `json:"Bad"`   // why the endpoint can't be used: only its name counts then
+	StartedAt float64 `json:"Since"` // start of the backend in Unix milliseconds
+	Invalid   string  `json:"Bad"`   // why the endpoint can't be used; only its name is meaningful then
 }
 
-// What discovery says of an endpoint.
+// Values of Endpoint.Status.
 const (
 	EndpointActive  = "active"
-	EndpointLeaving = "leaving" // it drains
+	EndpointLeaving = "leaving" // the backend drains
 	EndpointLeft    = "left"
 )
 
-// EndpointUpdate is the endpoint list, or the changes of it.
+// EndpointUpdate is the endpoint list, or changes to it.
 type EndpointUpdate struct {
-	Index         uint64     `json:"Index"` // the list's version
-	Complete      bool       `json:"Whole"` // endpoints that it doesn't have have left
+	Index         uint64     `json:"Index"` // version of the list
+	Complete      bool       `json:"Whole"` // the whole list: backends missing from it have left
 	Endpoints     []Endpoint `json:"Entries"`
-	DiscoveryTime float64    `json:"-"` // discovery's clock in Unix milliseconds; 0: not told
+	DiscoveryTime float64    `json:"-"` // discovery's clock in Unix milliseconds; 0 if not known
 }
 
-// listMessage is the form in which discovery sends the list.
+// listMessage is the JSON form in which discovery sends the list.
 type listMessage struct {
 	Index     *uint64           `json:"index"`
 	Snapshot  *bool             `json:"snapshot"`
@@ -47,7 +47,7 @@
 	Zone    string   `json:"zone"`
 	Status  string   `json:"status"`
 	Group   int      `json:"group"`
-	Weight  *float64 `json:"weight"` // 1 where it is missing
+	Weight  *float64 `json:"weight"` // defaults to 1
 	Since   float64  `json:"since_ms"`
 }
 
@@ -66,8 +66,8 @@
 	return update, nil
 }
 
-// endpoint returns the endpoint, marked where it can't be used: one bad entry must not take the others out, and what was
-// known of it stays.
+// endpoint converts the message. An invalid entry is marked instead of refused, so that it neither invalidates the
+// other entries nor changes what was known of its backend.
 func (m *endpointMessage) endpoint() Endpoint {
 	endpoint := Endpoint{
 		Name:      m.Name,
@@ -85,7 +85,7 @@
 	return endpoint
 }
 
-// validate returns why the endpoint can't be used; empty where it can.
+// validate returns why the endpoint can't be used; empty if it can.
 func (e *Endpoint) validate() string {
 	if e.Name == "" {
 		return "a name expected"
--- a/internal/relay/polling.go
+++ b/internal/relay/polling.go
@@ -2,27 +2,27 @@
 
 import "valeshift/internal/protocol"
 
-// pollTimeoutFactor is how many times the timeout for a connect a poll may take.
+// pollTimeoutFactor times the connect timeout is the timeout of a poll.
 const pollTimeoutFactor = 2
 
-// What polls send: for a load report, and only for a sign of life.
+// Requests that polls send: for a load report, and for a sign of life alone.
 const (
 	reportPoll = "STATS\r\n"
 	plainPoll  = "PING\r\n"
 )
 
-// Poll asks the backend for its load; the dispatcher calls it. Polls of one backend go over one connection that stays
-// open, as each new one is work for the backend.
+// Poll asks the backend for its load; the dispatcher calls it. All polls of a backend share one connection that stays
+// open, as every new connection costs the backend work.
 func (m *StateMachine) Poll(id uint32) {
 	m.Polls++
 	backend := m.endpoints.byID[id]
-	if backend == nil { // gone since the balancer wanted it polled
+	if backend == nil { // removed since the balancer asked for the poll
 		m.balancer().PollFinished(m.now, id, false, nil)
 		return
 	}
 	if backend.pollConn == nil && len(m.conns.byID)+m.limits.maxAwaiting() >= m.limits.ownDescriptors {
-		// Polls are not to take what clients come in by: while the parent has most descriptors, and as many backends join
-		// beside established sessions.
+		// Poll connections must not take the descriptors that new clients need, which are scarce while the parent process
+		// holds most of them, or when many backends join while sessions hold most of them.
 		m.balancer().PollNotSent(id)
 		return
 	}
@@ -36,7 +36,7 @@
 	m.timers.set(&backend.pollConn.deadline, m.now+pollTimeoutFactor*m.rules.connectTimeout)
 }
 
-// sendPoll sends a poll: for a load report, where backends give any.
+// sendPoll sends a poll, which asks for a load report if backends give any.
 func (m *StateMachine) sendPoll(backend *backend) {
 	if len(m.rules.reportFields) > 0 {
 		m.write(backend.pollConn, []byte(reportPoll))
@@ -45,7 +45,7 @@
 	}
 }
 
-// pollConnEstablished sends the poll that waits for its connection.
+// pollConnEstablished sends the poll that was waiting for its connection.
 func (m *StateMachine) pollConnEstablished(conn *connection) {
 	conn.isUp = true
 	if conn.backend.pollPending {
@@ -53,7 +53,7 @@
 	}
 }
 
-// receivePollAnswer handles what a backend answers to a poll.
+// receivePollAnswer handles data on a poll connection: the backend's answers to polls.
 func (m *StateMachine) receivePollAnswer(conn *connection, data []byte) {
 	backend := conn.backend
 	for backend.pollConn == conn {
@@ -71,14 +71,14 @@
 	}
 }
 
-// finishPoll hands the answer to a poll to the balancer.
+// finishPoll passes the answer to a poll to the balancer.
 func (m *StateMachine) finishPoll(backend *backend, ok bool, report []float64) {
 	if !backend.pollPending {
 		return
 	}
 	backend.pollPending = false
 	m.timers.stop(&backend.pollConn.deadline)
-	if m.isShortOfDescriptors() { // in a fleet that grows, polls would hold what clients come by
+	if m.isShortOfDescriptors() { // when many backends join, poll connections would hold the descriptors that clients need
 		conn := backend.pollConn
 		backend.pollConn = nil
 		m.dropConn(conn, gracefully)
@@ -86,7 +86,7 @@
 	m.queue.dispatcher.PollFinished(m.now, backend.id, ok, report)
 }
 
-// failPoll ends the connection for polls; a poll that was out has failed.
+// failPoll resets the poll connection. A poll that was not answered yet counts as failed.
 func (m *StateMachine) failPoll(backend *backend) {
 	conn := backend.pollConn
 	wasPending := backend.pollPending
@@ -99,7 +99,7 @@
 	}
 }
 
-// recordReport hands a load report that came with an answer to the balancer.
+// recordReport passes a load report that came with an answer to the balancer.
 func (m *StateMachine) recordReport(backend *backend, text []byte) {
 	if report := protocol.ParseReport(text, m.rules.reportFields); report != nil {
 		m.balancer().LoadReported(m.now, backend.id, report)
--- a/internal/relay/polling_test.go
+++ b/internal/relay/polling_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestPollsLeaveDescriptorsForClients: where established sessions hold most descriptors, new backends are not polled with
-// the descriptors that further clients need.
+// TestPollsLeaveDescriptorsForClients: when established sessions hold most descriptors, polls of new backends don't
+// take those that further clients need.
 func TestPollsLeaveDescriptorsForClients(t *testing.T) {
 	s := newHarness(t, replacing(`"probes": false`, `"probes": true`), spareDescriptors+12, "b1=active")
 	for i, c := range []string{"1", "2", "3"} {
@@ -32,7 +32,7 @@
 
 func TestPolls(t *testing.T) {
 	s := newHarness(t, replacing(`"probes": false`, `"probes": true`), 0, "b1=active")
-	s.play("one connection serves", step{299, "tick", "dial s1 10.0.0.1:9000"}, step{300, "up s1",
+	s.play("all polls share one connection", step{299, "tick", "dial s1 10.0.0.1:9000"}, step{300, "up s1",
 		"write s1 STATS|"},
 		step{301, "came s1 PONG qps=7,ut", ""}, step{302, "came s1 il=1,x0=0.5|", ""}, step{1500, "tick",
 			"write s1 STATS|"},
@@ -42,8 +42,8 @@
 		step{2403, "came s2 PONG x0=0.4|", ""}, step{2404, "end s2", "end s2"}, step{2500, "heard 1", ""},
 		step{3600, "tick", "dial s3 10.0.0.1:9000"})
 	assert.Equal(t, uint64(5), s.Polls)
-	s.play("and goes with its backend", step{3601, "up s3", "write s3 STATS|"}, step{3602, "news 1 2 whole",
-		"reset s3"})
-	assert.Empty(t, s.endpoints.byName, "nothing is kept of one that is gone")
-	assert.NotPanics(t, func() { s.Poll(7) }, "asked for before that")
+	s.play("the connection closes when the backend leaves", step{3601, "up s3", "write s3 STATS|"},
+		step{3602, "news 1 2 whole", "reset s3"})
+	assert.Empty(t, s.endpoints.byName, "a backend that is gone is removed")
+	assert.NotPanics(t, func() { s.Poll(7) }, "a poll requested before the removal")
 }
--- a/internal/relay/snapshot.go
+++ b/internal/relay/snapshot.go
@@ -11,40 +11,40 @@
 
 const snapshotVersion = 1
 
-// Snapshot is what a relay keeps of what it knows, for its next incarnation and for other relays that ask: the endpoint
-// list as discovery told it, what sessions and backends weigh in general, and which clients it told to come again when.
-// No load is among it, as none is worth anything a second later. Which snapshots are believed is decided elsewhere: a
-// restored one comes as the event StateRestored.
+// Snapshot is the part of a relay's state that is kept for its next incarnation and for other relays that ask: the
+// endpoint list as discovery sent it, estimates of the load of sessions and the capacity of backends, and when clients
+// were told to retry. It has no current loads, as they are worthless a second later. Which snapshots are trusted is
+// decided elsewhere: a restored one arrives as the event StateRestored.
 type Snapshot struct {
 	Version     int                  `json:"Version"`
-	Endpoints   *EndpointUpdate      `json:"List"`     // nil: discovery has told none in this incarnation
-	ConfirmedAt float64              `json:"Told"`     // Unix milliseconds at which discovery last said that the list holds
-	Capacity    float64              `json:"Capacity"` // of a backend, in microseconds of work a second; 0: not known
+	Endpoints   *EndpointUpdate      `json:"List"`     // nil if discovery has confirmed none in this incarnation
+	ConfirmedAt float64              `json:"Told"`     // Unix milliseconds at which discovery last confirmed the list
+	Capacity    float64              `json:"Capacity"` // of a backend, in microseconds of work per second; 0 if not known
 	MeanLoad    float64              `json:"LoadMean"`
 	Classes     map[string]ClassLoad `json:"Categories"`
-	RetryAt     map[uint64]float64   `json:"Back"` // Unix milliseconds by the client's key
+	RetryAt     map[uint64]float64   `json:"Back"` // when each client is to retry, in Unix milliseconds, by its key
 
-	// OwnLoad and EstimatedLoad are of backends that are not warming up: the load of this relay's sessions there, and the
-	// sum of the backends' load estimates. From those, and from how many sessions each relay has, the fleet works out the
-	// capacity of a backend.
+	// OwnLoad is the load of this relay's sessions on backends that are not warming up, EstimatedLoad the sum of those
+	// backends' load estimates. From these, and from the number of sessions of each relay, the fleet computes the capacity
+	// of a backend.
 	OwnLoad       float64 `json:"-"`
 	EstimatedLoad float64 `json:"-"`
 
-	// EndpointsAssumed says that the list comes from nobody who has heard discovery in this incarnation, so that its
-	// backends are assumed to have just started.
+	// EndpointsAssumed says that no relay has confirmed the list with discovery since its start, so that the backends are
+	// assumed to have just started.
 	EndpointsAssumed bool `json:"-"`
 }
 
-// ClassLoad is what sessions of one class weigh.
+// ClassLoad is the estimated load of a session of one class.
 type ClassLoad struct {
 	Load   float64 `json:"Load"`
-	Weight float64 `json:"Weighed"` // how many sessions that stands on
+	Weight float64 `json:"Weighed"` // number of sessions that the estimate is based on
 }
 
-// Encode is the snapshot as it is stored.
+// Encode returns the snapshot in its stored form.
 func (s *Snapshot) Encode() ([]byte, error) { return json.Marshal(s) }
 
-// ParseSnapshot reads a stored snapshot; an error says what can't be used.
+// ParseSnapshot reads a stored snapshot. The error says what is invalid.
 func ParseSnapshot(text []byte) (*Snapshot, error) {
 	s := &Snapshot{}
 	if err := json.Unmarshal(text, s); err != nil {
@@ -54,27 +54,27 @@
 		return nil, fmt.Errorf("parse snapshot: version %d expected, got %d", snapshotVersion, s.Version)
 	}
 	if !isQuantity(s.Capacity) || !isQuantity(s.MeanLoad) || !isQuantity(s.ConfirmedAt) {
-		return nil, errors.New("parse snapshot: a quantity is negative or no number")
+		return nil, errors.New("parse snapshot: a quantity is negative or not a finite number")
 	}
 	for name, class := range s.Classes {
 		if !isQuantity(class.Load) || !isQuantity(class.Weight) {
-			return nil, fmt.Errorf("parse snapshot: category %q: a quantity is negative or no number", name)
+			return nil, fmt.Errorf("parse snapshot: category %q: a quantity is negative or not a finite number", name)
 		}
 	}
 	if s.Endpoints != nil {
 		for _, e := range s.Endpoints.Endpoints {
 			if e.Name == "" || e.Address == "" || !isQuantity(e.StartedAt) || !isQuantity(e.Weight) {
-				return nil, errors.New("parse snapshot: endpoints: an entry without name or address, or with a number that can't be")
+				return nil, errors.New("parse snapshot: endpoints: an entry has no name or address, or an invalid number")
 			}
 		}
 	}
 	return s, nil
 }
 
-// isQuantity tells whether x is a finite number that is not negative.
+// isQuantity reports whether x is a finite number that is not negative.
 func isQuantity(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
 
-// Snapshot is what this relay would keep now. It is called between events.
+// Snapshot returns the snapshot of the current state. It must be called between events.
 func (m *StateMachine) Snapshot() *Snapshot {
 	estimates := m.balancer().Estimates()
 	s := &Snapshot{
@@ -98,19 +98,19 @@
 	return s
 }
 
-// restore goes by a snapshot from before the start. Its list counts only until discovery tells one.
+// restore applies a snapshot from before the start. Its list is used only until discovery sends one.
 func (m *StateMachine) restore(s *Snapshot) {
-	learned := m.restoreEstimates(s)
+	estimatesRestored := m.restoreEstimates(s)
 	m.balancer().RestoreReservations(m.now, s.RetryAt)
-	listed := 0
+	restored := 0
 	if s.Endpoints != nil && !m.endpoints.confirmed && len(s.Endpoints.Endpoints) > 0 {
-		listed = m.restoreEndpoints(s)
+		restored = m.restoreEndpoints(s)
 	}
-	m.log("restored state", "backends", listed, "estimates", learned, "capacity", math.Round(s.Capacity), "reservations",
-		len(s.RetryAt))
+	m.log("restored state", "backends", restored, "estimates", estimatesRestored, "capacity", math.Round(s.Capacity),
+		"reservations", len(s.RetryAt))
 }
 
-// restoreEstimates tells the balancer what sessions and backends weigh, and returns whether it goes by that.
+// restoreEstimates passes the snapshot's load and capacity estimates to the balancer, and reports whether it uses them.
 func (m *StateMachine) restoreEstimates(s *Snapshot) bool {
 	estimates := balancer.Estimates{
 		Capacity:        s.Capacity,
@@ -127,23 +127,23 @@
 	return m.balancer().RestoreEstimates(estimates)
 }
 
-// restoreEndpoints goes by the snapshot's list where it is newer than the one the relay was started with, and returns how
+// restoreEndpoints applies the snapshot's list if it is newer than the one the relay was started with, and returns how
 // many backends it took from it.
 func (m *StateMachine) restoreEndpoints(s *Snapshot) int {
-	listed := 0
+	restored := 0
 	if s.Endpoints.Index > m.endpoints.index {
-		listed = len(s.Endpoints.Endpoints)
-		// The version stays, so that discovery is asked for all that it tells from there on.
+		restored = len(s.Endpoints.Endpoints)
+		// The version is kept, so that discovery is asked for every change since the initial list.
 		m.applyEndpoints(&EndpointUpdate{Index: m.endpoints.index, Complete: true, Endpoints: s.Endpoints.Endpoints})
 	}
 	if s.EndpointsAssumed {
 		m.balancer().AssumeEndpoints(m.now)
 	}
 	if len(m.endpoints.inOrder) > 0 {
-		m.becomeReady() // on the restored list; otherwise it would be a second after the start, without any list
+		m.becomeReady() // with the restored list; without any list it would take a second from the start
 	}
-	if m.watch.id == 0 { // the balancer has just been told a list, and would ask for one late
+	if m.watch.id == 0 { // having just received a list, the balancer would start a watch late
 		m.startWatch()
 	}
-	return listed
+	return restored
 }
--- a/internal/relay/watch.go
+++ b/internal/relay/watch.go
@@ -2,49 +2,50 @@
 
 import "math"
 
-// All in milliseconds.
+// Times are in milliseconds.
 const (
-	// heartbeatTimeout is for the next line of a watch: an empty one comes every 2 s. What a silent watch misses counts
-	// as told 6 s after it fell silent, which leaves time for a call that is refused once or twice.
+	// heartbeatTimeout is the longest wait for the next line of a watch; discovery sends an empty line every 2 s. An
+	// update that a silent watch misses counts as delivered 6 s after the silence began, so this leaves time for a new
+	// call that is refused once or twice.
 	heartbeatTimeout = 2800.0
-	// answerTimeout is for the first line. Discovery works through calls in turn, so that one given up early loses its
-	// place there. With renewInterval it leaves time for a second call within the 4 s in which a discovery that a reload
-	// names has to be heard.
-	answerTimeout = 3300.0
-	renewInterval = 250.0  // before a discovery that a reload names is asked again
-	minClockSkew  = 1500.0 // that is acted on: discovery dates its answers to a second
+	// firstLineTimeout is the longest wait for the first line. Discovery handles calls in turn, so a call that is given
+	// up early loses its place in the queue. Together with renewInterval it leaves time for a second call within the 4 s
+	// in which the relay must hear from a discovery that a reload named.
+	firstLineTimeout = 3300.0
+	renewInterval    = 250.0  // wait before a discovery that a reload named is asked again
+	minClockSkew     = 1500.0 // smallest clock difference that is corrected; discovery dates its answers in whole seconds
 )
 
-// endpointWatch owns the watch of the endpoint list at discovery.
+// endpointWatch is the state of the watch of the endpoint list at discovery.
 type endpointWatch struct {
 	address      string
-	addressIsNew bool  // by a reload: that discovery has not told the list yet
-	renewTimer   timer // until it is asked again
+	addressIsNew bool  // a reload changed the address, and the discovery there has not sent the list yet
+	renewTimer   timer // until discovery is asked again
 
-	id           uint64 // of the watch that is open; 0: none
+	id           uint64 // number of the open watch; 0: none
 	lastID       uint64
-	after        uint64 // the version from which on it was asked
-	answered     bool   // it has brought something
-	silenceTimer timer  // until it counts as failed
+	after        uint64 // version after which the open watch asked for changes; 0: the whole list
+	answered     bool   // the open watch has brought at least one line
+	silenceTimer timer  // until a watch without a new line counts as timed out
 
-	heardAt     float64 // when discovery was heard last
-	clockOffset float64 // milliseconds that discovery's clock was ahead of this relay's, as last told; NaN: never told
+	heardAt     float64 // Unix milliseconds at which discovery last sent a line
+	clockOffset float64 // milliseconds by which discovery's clock was last found ahead of this relay's; NaN: not known
 }
 
 func newEndpointWatch(address string) endpointWatch {
 	return endpointWatch{address: address, clockOffset: math.NaN()}
 }
 
-// Subscribe has the list watched; the dispatcher calls it. A watch that is open needs no other.
+// Subscribe starts a watch of the endpoint list unless one is open. The dispatcher calls it.
 func (m *StateMachine) Subscribe() {
 	if m.watch.id == 0 {
 		m.startWatch()
 	}
 }
 
-// startWatch asks for the changes since the known list, or for the whole list if there is a child process: the child
-// gets the whole list by its first call, and this process must not be notified later, as an operator who drains a
-// backend sees both processes as one relay.
+// startWatch asks for changes since the known version, or for the whole list if there is a child process. The child
+// gets the whole list by its first call, and this process must not learn of a drain later than the child: an operator
+// who drains a backend sees both processes as one relay.
 func (m *StateMachine) startWatch() {
 	m.Watches++
 	m.watch.lastID++
@@ -55,10 +56,10 @@
 		m.watch.after = 0
 	}
 	m.effects.add(&StartWatch{Watch: m.watch.id, After: m.watch.after, Address: m.watch.address})
-	m.timers.set(&m.watch.silenceTimer, m.now+answerTimeout)
+	m.timers.set(&m.watch.silenceTimer, m.now+firstLineTimeout)
 }
 
-// endpointsUpdated handles the list, or changes of it, from the watch.
+// endpointsUpdated handles the list, or changes to it, from the watch.
 func (m *StateMachine) endpointsUpdated(e EndpointsUpdated) {
 	if e.Watch != m.watch.id {
 		return
@@ -66,7 +67,7 @@
 	m.discoveryHeard()
 	if e.Update.DiscoveryTime > 0 {
 		m.watch.clockOffset = e.Update.DiscoveryTime - m.now
-		m.followDiscoveryClock()
+		m.correctClockSkew()
 	}
 	m.endpoints.confirm()
 	if e.Update.Index < m.endpoints.index && (m.watch.after > 0 || !e.Update.Complete) {
@@ -85,18 +86,18 @@
 	}
 }
 
-// followDiscoveryClock corrects backends' start times where this relay's clock differs from discovery's, by which they are
-// told. Else a relay whose clock is ahead takes a backend in slow start for a warm one.
-func (m *StateMachine) followDiscoveryClock() {
+// correctClockSkew corrects backends' start times if this relay's clock differs from discovery's, by which start times
+// are reported. Otherwise a relay whose clock is ahead would treat a backend in slow start as warm.
+func (m *StateMachine) correctClockSkew() {
 	ahead := -m.watch.clockOffset
 	if math.Abs(ahead-m.endpoints.clockAhead) >= minClockSkew {
 		m.setClockAhead(ahead)
 	}
 }
 
-// restartFromOlderVersion asks for the whole list where discovery has gone back to an older version than the one held.
-// It does so at once where this watch began at a later version: a discovery that counts anew may have drained a backend
-// just now.
+// restartFromOlderVersion asks for the whole list when discovery has gone back to an older version than the one held.
+// It asks at once if this watch began at a known version: a discovery that has restarted its version count may have
+// drained a backend just now. Otherwise the watch counts as failed, so that the relay doesn't ask again without end.
 func (m *StateMachine) restartFromOlderVersion(index uint64) {
 	m.endpoints.forgetVersion()
 	if m.watch.after > 0 {
@@ -108,7 +109,8 @@
 	m.watchFailed("version went back")
 }
 
-// watchHeartbeat handles an empty line of the watch: the list from which on it was asked still holds.
+// watchHeartbeat handles an empty line of the watch. If the watch asked for changes after a version, it confirms that
+// the list of that version is current.
 func (m *StateMachine) watchHeartbeat(e WatchHeartbeat) {
 	if e.Watch != m.watch.id {
 		return
@@ -126,15 +128,16 @@
 	}
 }
 
-// discoveryHeard says that the watch has brought something.
+// discoveryHeard records that the watch has brought a line, and restarts its timeout.
 func (m *StateMachine) discoveryHeard() {
 	m.timers.set(&m.watch.silenceTimer, m.now+heartbeatTimeout)
 	m.watch.heardAt = m.now
 	m.watch.answered = true
 }
 
-// watchTimedOut handles that the watch has brought nothing for too long. One that has brought something is opened anew at
-// once, as only that shows what it has missed since; a call that was never answered waits for its turn.
+// watchTimedOut handles a watch that has brought nothing for too long. A watch that was answered before is replaced at
+// once, as only a new call shows what it has missed. A call that was never answered counts as failed and is retried
+// after the usual wait.
 func (m *StateMachine) watchTimedOut() {
 	if m.watch.answered {
 		m.log("watch fell silent")
@@ -145,8 +148,9 @@
 	m.watchFailed("silent")
 }
 
-// watchFailed has the balancer decide when the list is asked for again. Its waits grow beyond the time in which a new
-// discovery counts as having told, and in which the other process of this relay has been told: then it is soon.
+// watchFailed closes the watch and has the balancer schedule the next one. The balancer's backoff can exceed the time
+// in which the relay must hear from a discovery that a reload named, and in which the child process hears of changes;
+// in both cases the watch is restarted after renewInterval.
 func (m *StateMachine) watchFailed(why string) {
 	m.log("watch failed", "why", why)
 	m.watch.id = 0
@@ -157,8 +161,8 @@
 	}
 }
 
-// reloadConfig handles that the configuration was read again. Another discovery is asked for the whole list, as it may
-// count its versions afresh; until that comes, what was known stays.
+// reloadConfig handles a reload of the configuration. A discovery at another address is asked for the whole list, as
+// its version numbers may be unrelated; the known list stays in use until that arrives.
 func (m *StateMachine) reloadConfig(e ConfigReloaded) {
 	if e.Err != nil {
 		m.FailedReloads++
--- a/internal/relay/watch_test.go
+++ b/internal/relay/watch_test.go
@@ -10,29 +10,30 @@
 
 func TestWatch(t *testing.T) {
 	s := newHarness(t, nil, 0, "b1=active")
-	s.play("one that fell silent is opened anew at once", step{2000, "heard 1", ""}, step{4799, "tick", ""},
+	s.play("a watch that fell silent is restarted at once", step{2000, "heard 1", ""}, step{4799, "tick", ""},
 		step{4800, "tick", "watch 2 after 0"}, step{4801, "news 1 9 whole", ""}, step{8099, "tick", ""})
-	s.play("a call that is never answered is made again soon", step{8100, "tick", "stop-watch"},
+	s.play("a call that is never answered is retried soon", step{8100, "tick", "stop-watch"},
 		step{9700, "tick", "watch 3 after 0"})
-	s.play("whatever else ends it", step{9701, "news 3 9 whole b1=active", ""}, step{9702, "failed 1", ""},
+	s.play("other ends of a watch", step{9701, "news 3 9 whole b1=active", ""}, step{9702, "failed 1", ""},
 		step{9703, "failed 3", ""}, step{11300, "tick", "watch 4 after 9"},
-		step{11301, "news 4 8 delta b1=leaving", "watch 5 after 0"}, // at once: it may have told a drain
+		step{11301, "news 4 8 delta b1=leaving", "watch 5 after 0"}, // at once: a backend may have been drained
 		step{11302, "news 5 3 whole b1=active b2=active", ""},
-		step{11303, "news 5 2 delta b1=leaving", "stop-watch"}, // and not at once for ever
+		step{11303, "news 5 2 delta b1=leaving", "stop-watch"}, // not at once again, as that could repeat without end
 		step{12900, "tick", "watch 6 after 0"}, step{12900, "news 6 3 whole b1=active b2=active", ""})
-	assert.Equal(t, uint64(3), s.endpoints.index, "a list that was asked for whole may go back")
+	assert.Equal(t, uint64(3), s.endpoints.index, "a complete list may have an older version")
 	s.endpoints.findOrAdd("b1").Endpoint.Invalid = ""
 	bad := []Endpoint{{Name: "b1", Status: "odd", Invalid: "status"}, {Name: "b2", Status: "left"}}
 	s.Handle(12902, EndpointsUpdated{Watch: 6, Update: &EndpointUpdate{Index: 4, Complete: true, Endpoints: bad}})
-	assert.Equal(t, balancer.Ready, s.endpoints.findOrAdd("b1").condition, "what was known of a bad entry stays")
+	assert.Equal(t, balancer.Ready, s.endpoints.findOrAdd("b1").condition, "an invalid entry changes nothing")
 	assert.Equal(t, balancer.Gone, s.endpoints.findOrAdd("b2").condition)
 }
 
-// TestReload: a reload loses nothing that is known, asks a new discovery again soon, and accepts its lower versions.
+// TestReload: a reload keeps the known list, asks a new discovery again soon if it fails, and accepts its lower
+// versions.
 func TestReload(t *testing.T) {
 	s := newHarness(t, nil, 0, "b1=active")
 	s.establishSession()
-	s.play("to another discovery", step{200, "news 1 7 whole b1=active b2=active", ""},
+	s.play("reload to another discovery", step{200, "news 1 7 whole b1=active b2=active", ""},
 		step{300, "reload-error", ""}, step{301, "reload 10.1.0.1:85", ""},
 		step{302, "reload 10.1.0.2:85", "watch 2 after 0 at 10.1.0.2:85"},
 		step{303, "news 1 8 delta b1=leaving", ""},
@@ -45,11 +46,12 @@
 	assert.Equal(t, []uint64{2, 1}, []uint64{s.Reloads, s.FailedReloads})
 	assert.Equal(t, 1, s.Established)
 	s = newHarness(t, nil, 0, "b1=active")
-	s.play("while the former watch is failing", step{1, "failed 1", ""},
+	s.play("reload while the former watch is failing", step{1, "failed 1", ""},
 		step{2, "reload 10.1.0.2:85", "watch 2 after 0 at 10.1.0.2:85"}, step{3, "heard 2", ""},
 		step{3000, "heard 2", ""}, step{3001, "news 2 1 whole b1=active", ""}, step{6500, "heard 2", ""})
 	s = newHarness(t, nil, 0, "b1=active")
-	s.play("many in a row, one in a stop", step{1, "reload 10.1.0.2:85", "watch 2 after 0 at 10.1.0.2:85"},
+	s.play("several reloads in a row, one during a shutdown",
+		step{1, "reload 10.1.0.2:85", "watch 2 after 0 at 10.1.0.2:85"},
 		step{2, "reload 10.1.0.3:85", "watch 3 after 0 at 10.1.0.3:85"}, step{3, "failed 2", ""},
 		step{4, "stop", ""},
 		step{5, "reload 10.1.0.1:85", "watch 4 after 0"}, step{6, "news 4 1 delta b1=leaving", ""},
@@ -57,19 +59,19 @@
 	assert.Equal(t, balancer.Draining, s.endpoints.findOrAdd("b1").condition)
 }
 
-// TestStartTimesByDiscoveryClock: a relay whose clock differs from discovery's takes a backend's slow start for what
-// discovery tells, whether that comes with a list that is dated or not.
+// TestStartTimesByDiscoveryClock: a relay whose clock differs from discovery's corrects backends' start times by it, so
+// that a backend in slow start is recognized. It can't if discovery sends no date.
 func TestStartTimesByDiscoveryClock(t *testing.T) {
-	const now = 100000.0 // by discovery's clock, a second after the start; the slow start lasts 9 s
+	const now = 100000.0 // by discovery's clock, a second after the backend's start; slow start lasts 9 s
 	for _, c := range []struct {
 		name    string
-		ahead   float64 // of this relay's clock
+		ahead   float64 // milliseconds by which this relay's clock is ahead
 		dated   bool
 		warming int
 	}{
 		{"the same clock", 0, true, 1},
 		{"ahead, dated", 30000, true, 1},
-		{"ahead, not dated", 30000, false, 0}, // nothing tells this relay
+		{"ahead, not dated", 30000, false, 0}, // this relay can't know the difference
 		{"behind, dated", -30000, true, 1},
 		{"as far as dates are off", 1400, true, 1},
 	} {
@@ -83,7 +85,7 @@
 			warming, usable := s.balancer().WarmingUp(now + c.ahead)
 			assert.Equal(t, []int{c.warming, 1}, []int{warming, usable})
 			warming, _ = s.balancer().WarmingUp(now + c.ahead + 8500)
-			assert.Zero(t, warming, "the slow start has ended")
+			assert.Zero(t, warming, "slow start has ended")
 		})
 	}
 }
