--- a/internal/relay/handoff.go
+++ b/internal/relay/handoff.go
@@ -1,7 +1,7 @@
 package relay
 
-// This file is the state machine's side of a hot restart: what a parent process leaves to its child, and what each does
-// while both are there.
+// This file is the state machine's side of a hot restart: what a parent process hands to its child, and what each of
+// them does while both are running.
 
 import (
 	"encoding/json"
@@ -12,45 +12,46 @@
 	"valeshift/balancer"
 )
 
-// Times are milliseconds.
+// Times are in milliseconds.
 const (
 	handoffVersion    = 1
-	maxHandoffAge     = 10000.0 // above which a handoff says nothing of now
-	childReadyTimeout = 2500.0  // for the child to become ready; the platform gives six seconds from its start
+	maxHandoffAge     = 10000.0 // oldest handoff that is used, and the furthest ahead that its time may be
+	childReadyTimeout = 2500.0  // for the child to become ready; the platform allows 6 s from its start
 )
 
-// processHandoff owns what is known of the other process of this relay, while the platform replaces the one by the
-// other. Which of them serves is the platform's to decide.
+// processHandoff is what is known of the other process of this relay while the platform replaces one by the other. The
+// platform decides which of them serves.
 type processHandoff struct {
 	hasParent bool
 	hasChild  bool
-	yielded   bool            // to the child: no client is accepted any more
-	handoff   *Handoff        // from the parent; nil: none
-	drained   map[string]bool // backends that the sibling was told are to get nothing new
+	yielded   bool            // all new clients are left to the child; this process accepts none
+	handoff   *Handoff        // handoff of the parent; nil if there is none
+	drained   map[string]bool // backends that get no new sessions by the endpoint list of the sibling
 }
 
-// yield says whether the child takes all clients from now on.
+// yield sets whether the child takes all new clients from now on.
 func (h *processHandoff) yield(on bool) { h.yielded = on }
 
-// forgetDrained says that discovery has told this process all there is: what the sibling was told counts no more.
+// forgetDrained drops the drains that only the sibling was told of. It is called once discovery has sent the whole list
+// to this process.
 func (h *processHandoff) forgetDrained() { h.drained = nil }
 
-// hasSibling tells whether there is another process of this relay.
+// hasSibling reports whether there is another process of this relay.
 func (h *processHandoff) hasSibling() bool { return h.hasParent || h.hasChild }
 
-// Handoff is what the parent process sends to the child. Unknown fields are ignored, so that the same version may gain
-// some; a change of their meaning is another version.
+// Handoff is the state that the parent process sends to the child. Unknown fields are ignored, so fields may be added
+// within a version; a change of a field's meaning needs a new version.
 type Handoff struct {
 	Version      int               `json:"Version"`
 	CreatedAt    float64           `json:"At"` // Unix milliseconds
 	Endpoints    *EndpointUpdate   `json:"List"`
 	Balancer     balancer.Snapshot `json:"Module"`
-	BackendNames []string          `json:"Names"` // of the balancer's backends, in its order
-	Descriptors  int               `json:"Files"` // that the parent keeps to, what it needs besides connections included
-	Sessions     int               `json:"Links"` // that the parent keeps to
+	BackendNames []string          `json:"Names"` // names of the backends in Balancer, in the same order
+	Descriptors  int               `json:"Files"` // descriptors that the parent limits itself to, not only for connections
+	Sessions     int               `json:"Links"` // sessions that the parent limits itself to
 }
 
-// ParseHandoff reads a handoff; an error says why it can't be used. now is in Unix milliseconds.
+// ParseHandoff reads a handoff. The error says why it can't be used. now is in Unix milliseconds.
 func ParseHandoff(text []byte, now float64) (*Handoff, error) {
 	h := &Handoff{}
 	if err := json.Unmarshal(text, h); err != nil {
@@ -60,7 +61,7 @@
 	case h.Version != handoffVersion:
 		return nil, fmt.Errorf("parse handoff: version %d expected, got %d", handoffVersion, h.Version)
 	case !(h.CreatedAt <= now+maxHandoffAge && h.CreatedAt >= now-maxHandoffAge):
-		return nil, fmt.Errorf("parse handoff: of %.0f ms ago, %v at the most", now-h.CreatedAt, maxHandoffAge)
+		return nil, fmt.Errorf("parse handoff: created %.0f ms ago, more than %v ms off", now-h.CreatedAt, maxHandoffAge)
 	case h.Endpoints == nil || len(h.BackendNames) != len(h.Balancer.Backends) || h.Descriptors < 0 || h.Sessions < 0:
 		return nil, errors.New("parse handoff: a field is missing or wrong")
 	}
@@ -68,7 +69,7 @@
 	return h, nil
 }
 
-// buildHandoff is what this process knows now.
+// buildHandoff returns the handoff of this process's current state.
 func (m *StateMachine) buildHandoff() *Handoff {
 	h := &Handoff{
 		Version:     handoffVersion,
@@ -89,8 +90,9 @@
 	return h
 }
 
-// loadInitialEndpoints goes by the list of the configuration, or the parent's where that is newer, and by what the parent
-// has learned. It is one list only: a second would be discovery's to the balancer, which then asks for none.
+// loadInitialEndpoints applies the list of the configuration, or the parent's if that is at least as new, and the state
+// in the parent's handoff. Only one list is applied: the balancer would take a second one for discovery's, and not ask
+// for it.
 func (m *StateMachine) loadInitialEndpoints(configured *EndpointUpdate) {
 	handoff := m.siblings.handoff
 	if handoff != nil && handoff.Endpoints.Index >= configured.Index {
@@ -105,30 +107,30 @@
 	}
 }
 
-// applyHandoff has the balancer go on from what the parent's has learned.
+// applyHandoff restores the state of the parent's balancer in this process's.
 func (m *StateMachine) applyHandoff(h *Handoff) error {
-	learned := h.Balancer
-	learned.Backends = nil
+	restored := h.Balancer
+	restored.Backends = nil
 	for i, state := range h.Balancer.Backends {
 		if backend := m.endpoints.byName[h.BackendNames[i]]; backend != nil {
 			state.ID = backend.id
-			learned.Backends = append(learned.Backends, state)
+			restored.Backends = append(restored.Backends, state)
 		}
 	}
-	if err := m.balancer().Restore(m.now, &learned); err != nil {
+	if err := m.balancer().Restore(m.now, &restored); err != nil {
 		return err
 	}
 	m.log("restored the handoff of the parent process", "age ms", math.Round(m.now-h.CreatedAt), "backends",
-		len(learned.Backends))
+		len(restored.Backends))
 	return nil
 }
 
-// updateSiblings handles which other processes of this relay are alive.
+// updateSiblings handles a change of which other processes of this relay are alive.
 func (m *StateMachine) updateSiblings(e SiblingProcessesChanged) {
 	if e.HasChild != m.siblings.hasChild {
 		m.log("child process", "alive", e.HasChild)
 		m.siblings.hasChild = e.HasChild
-		m.balancer().SetDraining(e.HasChild) // the child has the budgets from here on
+		m.balancer().SetDraining(e.HasChild) // the child uses the slow-start and retry budgets from here on
 		if e.HasChild {
 			m.Subscribe()
 		}
@@ -139,29 +141,29 @@
 	}
 	m.shareLimits()
 	if !e.HasParent && !e.HasChild && len(m.siblings.drained) > 0 {
-		m.startWatch() // what the sibling was told holds until discovery tells this process
+		m.startWatch() // the sibling's drains are kept until discovery sends the whole list to this process
 	}
 	if e.HasChild && e.WantsHandoff {
 		m.effects.add(&SendHandoff{Handoff: m.buildHandoff()})
 	}
 }
 
-// applySiblingEndpoints goes by the list that the sibling was told, as far as it is stricter than this process's: backends
-// that are to get nothing new, or have restarted. Discovery may notify one of the two later, and an operator who drains
-// a backend sees both processes as one relay.
+// applySiblingEndpoints applies the sibling's endpoint list where it is stricter than this process's: backends that are
+// to get no new sessions, or have restarted. Discovery may notify one of the two processes later, but an operator who
+// drains a backend sees both as one relay.
 func (m *StateMachine) applySiblingEndpoints(update *EndpointUpdate) {
 	if !m.siblings.hasSibling() {
 		return
 	}
-	told := map[string]Endpoint{}
+	siblingEndpoints := map[string]Endpoint{}
 	for _, endpoint := range update.Endpoints {
-		told[endpoint.Name] = endpoint
+		siblingEndpoints[endpoint.Name] = endpoint
 	}
 	wasDrained := m.siblings.drained
 	m.siblings.drained = map[string]bool{}
 	var changed []Endpoint
 	for _, backend := range m.endpoints.inOrder {
-		endpoint, isListed := told[backend.Name]
+		endpoint, isListed := siblingEndpoints[backend.Name]
 		isDrained := !isListed || endpoint.Status != EndpointActive
 		if isDrained {
 			m.siblings.drained[backend.Name] = true
@@ -178,8 +180,9 @@
 	}
 }
 
-// TransferredSession is an established session on its way from the parent process to the child. The two may be of
-// different versions of the program, so that all is by name, and the child refuses what it doesn't know.
+// TransferredSession is an established session on its way from the parent process to the child. The two may run
+// different versions of the program, so everything is referred to by name, and the child refuses names that it doesn't
+// know.
 type TransferredSession struct {
 	Version         int     `json:"Version"`
 	ID              string  `json:"ID"`
@@ -190,20 +193,21 @@
 	Backend         string  `json:"Backend"`
 	Load            float64 `json:"Load"`
 	LoadMeasured    bool    `json:"Measured"`
-	PartialLine     []byte  `json:"Tail"`   // of a line whose end the backend has not sent yet
-	AwaitsReply     bool    `json:"Waits"`  // a line of the client's waits for its reply
-	LeavesInMillis  float64 `json:"Leaves"` // until it is migrated, as its backend drains; -1: it stays
-	Descriptors     int     `json:"Files"`  // that the parent keeps to from now on
-	Sessions        int     `json:"Links"`  // that the parent keeps to from now on
-	ConfirmsRelease bool    `json:"Frees"`  // the parent says when it has let go of its own descriptors
+	PartialLine     []byte  `json:"Tail"`   // start of a line whose end the backend has not sent yet
+	AwaitsReply     bool    `json:"Waits"`  // a line of the client is waiting for its reply
+	LeavesInMillis  float64 `json:"Leaves"` // milliseconds until it is migrated, as its backend drains; -1: it stays
+	Descriptors     int     `json:"Files"`  // descriptors that the parent limits itself to from now on
+	Sessions        int     `json:"Links"`  // sessions that the parent limits itself to from now on
+	ConfirmsRelease bool    `json:"Frees"`  // the parent confirms when it has closed its own descriptors
 }
 
-// requestTransfer has the sockets send the session to the child when they can.
+// requestTransfer asks the driver to send the session to the child when its sockets allow it.
 func (m *StateMachine) requestTransfer(session *session) {
 	m.effects.add(&TransferSession{ClientConn: session.clientConn.id, BackendConn: session.backendConn.id})
 }
 
-// detach gives a session up while it is on its way: nothing that happens to it counts until finishTransfer.
+// detach hands an established session to the driver for its transfer. Until finishTransfer, nothing that happens to it
+// is acted on.
 func (m *StateMachine) detach(connID uint64) {
 	conn := m.conns.byID[connID]
 	if conn == nil || conn.session.state != established || conn.session.endAnnounced {
@@ -213,7 +217,7 @@
 	m.effects.add(&SessionDetached{Conn: connID, Session: m.describeSession(conn.session)})
 }
 
-// describeSession is what the child is to know of a session.
+// describeSession returns what the child needs to know of a session.
 func (m *StateMachine) describeSession(session *session) *TransferredSession {
 	backend := session.backendConn.backend
 	remaining := m.queue.sessions + m.intake.awaitingCount - 1
@@ -239,7 +243,7 @@
 	return t
 }
 
-// finishTransfer handles that the child has the session, or that it stays here.
+// finishTransfer handles the result of a transfer: the child has the session, or it stays here.
 func (m *StateMachine) finishTransfer(connID uint64, accepted bool) {
 	conn := m.conns.byID[connID]
 	if conn == nil || conn.session.state != handingOff {
@@ -248,21 +252,21 @@
 	session := conn.session
 	m.enter(session, established)
 	if accepted {
-		m.endSession(session, TransferredToChild, gracefully) // the sockets have none of it any more
+		m.endSession(session, TransferredToChild, gracefully) // the driver no longer has its sockets
 	} else if session.brokeInTransfer {
 		m.endSession(session, BackendClosed, byReset)
 	}
 }
 
-// receiveSession takes over an established session of the parent, with its part of the limits. One that is not known here
-// as it is to the parent is refused: SessionAccepted does not follow then.
+// receiveSession takes over an established session of the parent, together with its share of the limits. A session that
+// refers to something not known here is refused; SessionAccepted does not follow then.
 func (m *StateMachine) receiveSession(connID uint64, t *TransferredSession) {
 	if m.drain.stopping || !m.canReceive(t) {
 		m.log("refused a session of the parent process", "version", t.Version, "class", t.Class,
 			"backend", t.Backend)
 		return
 	}
-	if !m.takeLimitsOver(t) {
+	if !m.takeOverLimits(t) {
 		m.log("no capacity for a session of the parent process", "sessions", m.queue.sessions)
 		return
 	}
@@ -283,7 +287,7 @@
 	m.effects.add(&SessionAccepted{Conn: connID, BackendConn: session.backendConn.id})
 }
 
-// canReceive tells whether what a session of the parent refers to is known here.
+// canReceive reports whether a session of the parent is valid, and everything that it refers to is known here.
 func (m *StateMachine) canReceive(t *TransferredSession) bool {
 	_, knownClass := m.rules.classes[t.Class]
 	_, knownTenant := m.rules.tenant(t.Tenant)
@@ -295,10 +299,11 @@
 		t.ID != "" && m.queue.byID[t.ID] == nil
 }
 
-// takeLimitsOver goes by what the parent needs from now on, and tells whether the session has room here. What the parent
-// had at first would keep clients of this process from being accepted while the parent waits for its last attempts. A
-// session that would leave no room for clients stays, and is migrated by the parent.
-func (m *StateMachine) takeLimitsOver(t *TransferredSession) bool {
+// takeOverLimits lowers the parent's share of the limits to what the parent needs without the session, and reports
+// whether the session fits into this process's share. If the parent kept its initial share, this process could not
+// accept clients while the parent waits for its last attempts. A session that would leave no room for new clients is
+// refused: it stays at the parent, which migrates it.
+func (m *StateMachine) takeOverLimits(t *TransferredSession) bool {
 	handoff := m.siblings.handoff
 	if handoff == nil {
 		return true
@@ -316,7 +321,7 @@
 	return false
 }
 
-// resumeTimers goes on with what a received session waited for.
+// resumeTimers sets the timers that a received session had at the parent.
 func (m *StateMachine) resumeTimers(session *session, t *TransferredSession) {
 	if t.AwaitsReply {
 		m.timers.set(&session.stateTimer, m.now+replyTimeout)
--- a/internal/relay/handoff_test.go
+++ b/internal/relay/handoff_test.go
@@ -14,52 +14,52 @@
 	"valeshift/balancer"
 )
 
-// newChildHarness is a child process; its handoff passes through its stored form.
-func newChildHarness(t *testing.T, left *Handoff, sockets int) *harness {
-	if left != nil {
-		text, err := json.Marshal(left)
+// newChildHarness returns a child process. Its handoff is encoded and parsed first.
+func newChildHarness(t *testing.T, handoff *Handoff, sockets int) *harness {
+	if handoff != nil {
+		text, err := json.Marshal(handoff)
 		require.NoError(t, err)
-		left, err = ParseHandoff(text, left.CreatedAt+50)
+		handoff, err = ParseHandoff(text, handoff.CreatedAt+50)
 		require.NoError(t, err)
 	}
 	return newHarnessWith(t, replacing(`"probes": false`, `"probes": true`), &Config{
 		Seed:             6,
 		MaxSockets:       sockets,
 		HasParent:        true,
-		Handoff:          left,
+		Handoff:          handoff,
 		Discovery:        "10.1.0.1:85",
 		InitialEndpoints: &EndpointUpdate{Complete: true, Endpoints: parseEndpoints([]string{"b9=active"})},
 	})
 }
 
 func TestChildProcess(t *testing.T) {
-	old := newHarness(t, replacing(`"probes": false`, `"probes": true`), 0, "b1=active")
-	old.play("the parent", step{10, "news 1 4 whole b1=active b2=leaving", ""}, step{299, "tick",
+	parent := newHarness(t, replacing(`"probes": false`, `"probes": true`), 0, "b1=active")
+	parent.play("the parent", step{10, "news 1 4 whole b1=active b2=leaving", ""}, step{299, "tick",
 		"dial s1 10.0.0.1:9000"},
 		step{300, "up s1", "write s1 STATS|"}, step{301, "came s1 PONG x0=0.5|", ""},
 		step{400, "sibling child", "send-handoff"}, step{401, "sibling child", "send-handoff"})
-	s := newChildHarness(t, old.siblings.handoff, 0)
+	s := newChildHarness(t, parent.siblings.handoff, 0)
 	assert.Contains(t, strings.Join(s.logs, " "), "restored the handoff of the parent process")
 	assert.Equal(t, balancer.Draining, s.endpoints.byName["b2"].condition, "a drain that the parent was notified of")
-	assert.Nil(t, s.endpoints.byName["b9"], "the parent's list is the newer")
-	s.play("fit with the parent's fields as soon as the list is heard", step{1, "tick", ""})
+	assert.Nil(t, s.endpoints.byName["b9"], "the parent's list is newer")
+	s.play("with a handoff: not ready before discovery sends the list", step{1, "tick", ""})
 	assert.False(t, s.isServing())
-	s.play("not before", step{100, "news 1 5 whole b1=active b2=leaving", "resume-accept"})
+	s.play("with a handoff: ready once it does", step{100, "news 1 5 whole b1=active b2=leaving", "resume-accept"})
 	assert.True(t, s.isServing())
 
 	s = newChildHarness(t, nil, 0)
-	assert.True(t, s.intake.acceptPaused, "nobody is accepted")
-	s.play("without a record: after the first polls", step{10, "news 1 5 whole b1=active", ""},
+	assert.True(t, s.intake.acceptPaused, "no client is accepted")
+	s.play("without a handoff: not ready before the first polls", step{10, "news 1 5 whole b1=active", ""},
 		step{308, "tick", "dial s1 10.0.0.1:9000"}, step{310, "up s1", "write s1 STATS|"})
 	assert.False(t, s.isServing())
-	s.play("told", step{312, "came s1 PONG x0=0.5|", "resume-accept"})
+	s.play("without a handoff: ready once they are answered", step{312, "came s1 PONG x0=0.5|", "resume-accept"})
 	assert.True(t, s.isServing())
 
 	s = newChildHarness(t, nil, 0)
-	s.play("nothing answers: within the platform's time all the same", step{10, "news 1 5 whole", ""},
+	s.play("no poll is answered: ready within the platform's time all the same", step{10, "news 1 5 whole", ""},
 		step{childReadyTimeout - 1, "heard 1", ""}, step{childReadyTimeout, "tick", "resume-accept"})
 	assert.True(t, s.isServing())
-	bad := *old.siblings.handoff
+	bad := *parent.siblings.handoff
 	bad.Balancer.ConcurrencyLimit = -1
 	s = newHarnessWith(t, nil, &Config{
 		HasParent:        true,
@@ -99,17 +99,18 @@
 	}
 }
 
-// TestParentAsksForTheWholeList: a parent without a watch asks for the list when the child appears, and soon again where
-// that fails. The child is notified by its own watch, and an operator who drains a backend sees both as one relay.
+// TestParentAsksForTheWholeList: a parent without a watch starts one when the child appears, and soon again if that
+// fails. Otherwise it would learn of a drain later than the child, which has its own watch, and an operator who drains
+// a backend sees both as one relay.
 func TestParentAsksForTheWholeList(t *testing.T) {
 	s := newHarness(t, nil, 0, "b1=active")
-	s.play("fails", step{1, "failed 1", ""}, step{10, "sibling child", "watch 2 after 0; send-handoff"},
+	s.play("the new watch fails", step{1, "failed 1", ""}, step{10, "sibling child", "watch 2 after 0; send-handoff"},
 		step{11, "failed 2", ""}, step{261, "tick", "watch 3 after 0"},
 		step{262, "sibling child", "send-handoff"})
 }
 
-// TestSiblingEndpoints: what one of two processes was told counts at the other where it is stricter, until discovery has
-// told all of it to the process that remains.
+// TestSiblingEndpoints: the endpoint list of one process counts at the other where it is stricter, until discovery has
+// sent the whole list to the process that remains.
 func TestSiblingEndpoints(t *testing.T) {
 	for _, other := range []string{"child", "parent"} {
 		s := newHarness(t, nil, 0, "b1=active", "b2=active", "b3=active", "b4=active")
@@ -121,41 +122,41 @@
 			return all
 		}
 		s.handle(1, "sibling-endpoints b1=leaving")
-		assert.Equal(t, "true@0 true@0 true@0 true@0 ", conditions(), "from nobody")
+		assert.Equal(t, "true@0 true@0 true@0 true@0 ", conditions(), "ignored without a sibling")
 		s.handle(2, "sibling "+other)
 		s.handle(10, "news 1 4 whole b1=active b2=active b3=active b4=active")
 		require.NotNil(t, s.sentEndpoints)
 		assert.Len(t, s.sentEndpoints.Endpoints, 4)
 		s.handle(20, "sibling-endpoints b1=leaving b3=active@15 b4=active")
 		want := "false@0 false@0 true@15 true@0 "
-		assert.Equal(t, want, conditions(), "b2 is not there any more, b3 has restarted")
+		assert.Equal(t, want, conditions(), "b1 drains, b2 is missing, b3 has restarted")
 		s.handle(30, "news 1 5 whole b1=active b2=active b3=active@15 b4=active")
-		assert.Equal(t, want, conditions(), "told late")
-		s.play("alone, it asks for all", step{40, "sibling none", "watch 2 after 0"})
+		assert.Equal(t, want, conditions(), "an update that still lacks the drains")
+		s.play("asks for the whole list once it is alone", step{40, "sibling none", "watch 2 after 0"})
 		assert.Equal(t, want, conditions())
 		s.handle(50, "news 2 5 whole b1=active b2=leaving b3=active@15 b4=active")
-		assert.Equal(t, "true@0 false@0 true@15 true@0 ", conditions(), "by its own watch")
+		assert.Equal(t, "true@0 false@0 true@15 true@0 ", conditions(), "by its own watch alone")
 
 		s.handle(60, "sibling "+other)
 		s.handle(61, "sibling-endpoints b1=leaving b2=leaving b3=active@15 b4=active")
 		s.handle(62, "sibling-endpoints b1=active b2=leaving b3=active@15 b4=active")
-		assert.Equal(t, "true@0 false@0 true@15 true@0 ", conditions(), "taken back")
+		assert.Equal(t, "true@0 false@0 true@15 true@0 ", conditions(), "the sibling's drain of b1 is taken back")
 	}
 }
 
-// TestParentProcess: a parent yields all new clients to a child that is ready, and serves those that it has accepted to
-// their ends.
+// TestParentProcess: a parent leaves all new clients to a child that is ready, and serves those that it has accepted
+// until their sessions are transferred, migrated or ended.
 func TestParentProcess(t *testing.T) {
 	s := newHarness(t, nil, 0, "b1=active")
 	s.establishSession()
-	s.play("stops for the child", step{200, "sibling child", "send-handoff"}, step{300, "open 2", ""},
+	s.play("shuts down for the child", step{200, "sibling child", "send-handoff"}, step{300, "open 2", ""},
 		step{1000, "stop yield", "transfer 1; pause-accept"}, step{1000, "detach 1", "detached 1"}, step{1001, "open 3",
-			""}, // it was being accepted
-		step{1002, "came 3 PING|", "write 3 PONG|"}, // for the relay as a whole
+			""}, // this client was being accepted
+		step{1002, "came 3 PING|", "write 3 PONG|"}, // a ping is about the relay as a whole
 		step{1003, "came 2 OPEN b 1f c=feed,d=2000|", "dial s2 10.0.0.1:9000"},
 		step{1004, "up s2", "write s2 OPEN b 1f c=feed,d=1989|"},
 		step{1005, "came s2 UP r|", "write 2 UP r|; transfer 2"}, step{1005, "detach 2", "detached 2"},
-		step{1600, "tick", ""}, // not to be moved while it may be the other's
+		step{1600, "tick", ""}, // not migrated while it may be the child's
 		step{1601, "transferred 1", "end 1; end s1"}, step{1602, "transferred 1", ""},
 		// It does not wait for clients that have only sent pings.
 		step{1610, "transferred 2", "end 2; end s2; exit"})
@@ -163,7 +164,7 @@
 
 	s = newHarness(t, nil, 0, "b1=active")
 	s.establishSession()
-	s.play("what can't be passed is moved", step{200, "sibling child", "send-handoff"},
+	s.play("a session that can't be transferred is migrated", step{200, "sibling child", "send-handoff"},
 		step{1000, "stop yield", "transfer 1; pause-accept"}, step{1001, "detach 1", "detached 1"},
 		step{1002, "transferred 1 not", ""}, step{1003, "came 1 x|", "write s1 x|"})
 	for now := 1010.0; now < 1000+s.maxDrainTime() && !s.drain.exiting; now += 10 {
@@ -172,64 +173,67 @@
 	assert.Equal(t, uint64(1), s.Migrated)
 	s = newHarness(t, nil, 0, "b1=active")
 	s.establishSession()
-	s.play("or ended, as it has broken meanwhile", step{200, "sibling child", "send-handoff"},
+	s.play("a session whose connection closed during the transfer is ended", step{200, "sibling child", "send-handoff"},
 		step{1000, "stop yield", "transfer 1; pause-accept"}, step{1001, "detach 1", "detached 1"}, step{1002, "reset s1",
 			"end s1"},
 		step{1003, "transferred 1 not", "reset 1; exit"})
 	s = newHarness(t, nil, 0, "b1=active")
 	s.establishSession()
-	s.play("nothing that is about to end", step{200, "came s1 BYE|", "write 1 BYE|"}, step{201, "detach 1", ""},
+	s.play("a session that is about to end is not transferred",
+		step{200, "came s1 BYE|", "write 1 BYE|"}, step{201, "detach 1", ""},
 		step{202, "detach 7", ""})
 
 	s = newHarness(t, nil, 0, "b1=active")
 	s.establishSession()
-	s.play("the child dies first: all as before", step{200, "sibling child", "send-handoff"}, step{300,
+	s.play("the child dies first: an ordinary shutdown", step{200, "sibling child", "send-handoff"}, step{300,
 		"sibling none", ""},
 		step{1000, "stop", ""}, step{1400, "open 2", ""}, step{1401, "came 2 OPEN b 1f c=feed,d=2000|",
 			"dial s2 10.0.0.1:9000"})
 }
 
-// TestLimitsOfTwoProcesses: both processes together keep to the limits of one relay.
+// TestLimitsOfTwoProcesses: parent and child together keep to the limits of one relay.
 func TestLimitsOfTwoProcesses(t *testing.T) {
 	const sockets = 200
-	for _, held := range []int{0, 10, 30, 50} {
-		old := newHarness(t, replacing(`"may-cancel": true`, `"may-cancel": true, "most-held": 60`), sockets, "b1=active")
-		old.handle(1, "news 1 4 whole b1=active")
-		for i := 1; i <= held; i++ {
-			old.handle(2, "open "+string(rune('0'+i/10))+string(rune('0'+i%10)))
-			old.handle(2,
+	for _, sessions := range []int{0, 10, 30, 50} {
+		parent := newHarness(t, replacing(`"may-cancel": true`, `"may-cancel": true, "most-held": 60`), sockets, "b1=active")
+		parent.handle(1, "news 1 4 whole b1=active")
+		for i := 1; i <= sessions; i++ {
+			parent.handle(2, "open "+string(rune('0'+i/10))+string(rune('0'+i%10)))
+			parent.handle(2,
 				"came "+string(rune('0'+i/10))+string(rune('0'+i%10))+" OPEN i"+string(rune('0'+i))+" 1f c=feed,d=2000|")
 		}
-		whole, files := old.limits.ownDescriptors, len(old.conns.byID)
-		old.handle(3, "sibling child")
-		assert.LessOrEqual(t, files, old.limits.ownDescriptors, "with %d sessions", held)
+		unsharedDescriptors, openConns := parent.limits.ownDescriptors, len(parent.conns.byID)
+		parent.handle(3, "sibling child")
+		assert.LessOrEqual(t, openConns, parent.limits.ownDescriptors, "with %d sessions", sessions)
 		s := newHarnessWith(t, replacing(`"may-cancel": true`, `"may-cancel": true, "most-held": 60`), &Config{
 			HasParent:        true,
-			Handoff:          old.siblings.handoff,
+			Handoff:          parent.siblings.handoff,
 			MaxSockets:       sockets,
 			Discovery:        "10.1.0.1:85",
 			InitialEndpoints: &EndpointUpdate{},
 		})
 		reserved := s.limits.reserved + s.limits.siblingReserve()
-		assert.LessOrEqual(t, old.limits.ownDescriptors+s.limits.ownDescriptors+reserved, sockets, "with %d sessions", held)
-		assert.LessOrEqual(t, old.limits.ownSessions+s.limits.ownSessions, 60, "with %d sessions", held)
-		assert.GreaterOrEqual(t, s.limits.sessionDescriptors, descriptorsPerSession, "with %d sessions", held)
+		assert.LessOrEqual(t, parent.limits.ownDescriptors+s.limits.ownDescriptors+reserved, sockets, "with %d sessions",
+			sessions)
+		assert.LessOrEqual(t, parent.limits.ownSessions+s.limits.ownSessions, 60, "with %d sessions", sessions)
+		assert.GreaterOrEqual(t, s.limits.sessionDescriptors, descriptorsPerSession, "with %d sessions", sessions)
 		s.handle(10, "sibling none")
-		assert.Equal(t, whole, s.limits.ownDescriptors, "the parent is gone")
-		old.handle(10, "sibling none")
-		assert.Equal(t, whole, old.limits.ownDescriptors, "the child is gone")
+		assert.Equal(t, unsharedDescriptors, s.limits.ownDescriptors, "the parent is gone")
+		parent.handle(10, "sibling none")
+		assert.Equal(t, unsharedDescriptors, parent.limits.ownDescriptors, "the child is gone")
 	}
-	old := newHarness(t, nil, 0, "b1=active")
-	old.handle(3, "sibling child")
-	assert.Equal(t, math.MaxInt, old.limits.ownDescriptors, "no limit stays none")
+	parent := newHarness(t, nil, 0, "b1=active")
+	parent.handle(3, "sibling child")
+	assert.Equal(t, math.MaxInt, parent.limits.ownDescriptors, "without a limit there is none to share")
 }
 
-// TestSessionTransfer: a session goes on at the child as it was at the parent: the part of a line that has come, the reply
-// that is awaited, its backend's drain, its load.
+// TestSessionTransfer: a session continues at the child as it was at the parent, with its partial line, the reply that
+// it waits for, the drain of its backend and its load.
 func TestSessionTransfer(t *testing.T) {
-	old := newHarness(t, nil, 0, "b1=active")
-	old.establishSession()
-	old.play("half a line, and one that waits", step{103, "came s1 LOAD 700|half a", "write 1 LOAD 700|"},
+	parent := newHarness(t, nil, 0, "b1=active")
+	parent.establishSession()
+	parent.play("a partial line, and one that waits for its reply",
+		step{103, "came s1 LOAD 700|half a", "write 1 LOAD 700|"},
 		step{104, "came 1 ask|", "write s1 ask|"}, step{105, "detach 1", "detached 1"})
 	for _, c := range []struct {
 		name  string
@@ -243,11 +247,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newHarness(t, nil, 0, "b1=active")
-			s.detached = old.detached
+			s.detached = parent.detached
 			s.play(c.name, step{1, "heard 1", ""}, step{105, "receive 7", "accepted 7 s1"})
-			links := s.queue.dispatcher.Balancer.BackendStatus(s.endpoints.byName["b1"].id).Sessions
-			assert.Equal(t, []int{1, 1, 1}, []int{links, s.Established, s.queue.sessions}, c.name)
-			assert.Equal(t, "in_flight 1, backends_known 1", s.published(), "served by the other process")
+			backendSessions := s.queue.dispatcher.Balancer.BackendStatus(s.endpoints.byName["b1"].id).Sessions
+			assert.Equal(t, []int{1, 1, 1}, []int{backendSessions, s.Established, s.queue.sessions}, c.name)
+			assert.Equal(t, "in_flight 1, backends_known 1", s.published(), "in flight here, but not counted as a request")
 			s.handle(3000, "heard 1")
 			s.now = 105
 			s.play(c.name, c.steps...)
@@ -255,58 +259,60 @@
 			assert.Empty(t, s.queue.byID, c.name)
 		})
 	}
-	for name, spoil := range map[string]func(*TransferredSession){
+	for name, corrupt := range map[string]func(*TransferredSession){
 		"version": func(p *TransferredSession) { p.Version = 9 }, "category": func(p *TransferredSession) { p.Class = "x" },
 		"party": func(p *TransferredSession) { p.Tenant = "x" }, "backend": func(p *TransferredSession) { p.Backend = "b7" },
 		"load": func(p *TransferredSession) { p.Load = math.NaN() }, "id": func(p *TransferredSession) { p.ID = "" },
 	} {
-		bad := *old.detached
-		spoil(&bad)
+		bad := *parent.detached
+		corrupt(&bad)
 		s := newHarness(t, nil, 0, "b1=active")
 		s.detached = &bad
 		s.play(name, step{105, "receive 7", ""})
 		assert.Empty(t, s.conns.byID, name)
 	}
-	old = newHarness(t, nil, 0, "b1=active")
-	old.establishSession()
-	old.play("a drain goes along", step{200, "open 2", ""}, step{200, "came 2 OPEN b 1f c=feed,t=one,d=2000|",
-		"dial s2 10.0.0.1:9000"}, step{201, "up s2", "write s2 OPEN b 1f c=feed,t=one,d=1989|"},
-		step{202, "came s2 UP r|", "write 2 UP r|"},
+	parent = newHarness(t, nil, 0, "b1=active")
+	parent.establishSession()
+	parent.play("the drain of its backend is transferred too", step{200, "open 2", ""},
+		step{200, "came 2 OPEN b 1f c=feed,t=one,d=2000|", "dial s2 10.0.0.1:9000"},
+		step{201, "up s2", "write s2 OPEN b 1f c=feed,t=one,d=1989|"}, step{202, "came s2 UP r|", "write 2 UP r|"},
 		step{300, "news 1 2 delta b1=leaving", "write 1 MOVE|; end 1; end s1"}, step{400, "detach 2", "detached 2"})
 	s := newHarness(t, nil, 0, "b1=leaving")
-	s.detached = old.detached
-	s.play("by the time it was given", step{400, "receive 7", "accepted 7 s1"}, step{1799, "heard 1", ""},
+	s.detached = parent.detached
+	s.play("the child migrates it at the time that the parent had scheduled",
+		step{400, "receive 7", "accepted 7 s1"}, step{1799, "heard 1", ""},
 		step{1801, "tick", "write 7 MOVE|; end 7; end s1"})
 }
 
-// TestChildKeepsAccepting: a child with few descriptors leaves some for clients. Polls or received sessions once took them
-// all, and clients waited to be accepted until the parent was gone (two of 2,000 random experiments).
+// TestChildKeepsAccepting: a child with few descriptors keeps some for new clients. Polls or received sessions used to
+// take them all, so that clients were not accepted until the parent was gone (in 2 of 2,000 random experiments).
 func TestChildKeepsAccepting(t *testing.T) {
-	for sockets, most := range map[int]int{110: 0, 130: 1, 160: 30} {
-		requireChildAccepts(t, sockets, most)
+	for sockets, minTransferred := range map[int]int{110: 0, 130: 1, 160: 30} {
+		requireChildAccepts(t, sockets, minTransferred)
 	}
 }
 
-func requireChildAccepts(t *testing.T, sockets, most int) {
+func requireChildAccepts(t *testing.T, sockets, minTransferred int) {
 	t.Helper()
 	names := []string{"b1=active", "b2=active", "b3=active", "b4=active", "b5=active", "b6=active", "b7=active",
 		"b8=active", "b9=active"}
 	probing := replacing(`"probes": false`, `"probes": true`)
-	old := newHarnessWith(t, probing, &Config{Seed: 5, MaxSockets: sockets, Discovery: "10.1.0.1:85",
+	parent := newHarnessWith(t, probing, &Config{Seed: 5, MaxSockets: sockets, Discovery: "10.1.0.1:85",
 		InitialEndpoints: &EndpointUpdate{Index: 1, Complete: true, Endpoints: parseEndpoints(names)}})
 	for i := 1; i <= 30; i++ {
 		id := strings.Repeat("i", i)
-		old.handle(2, "open "+strconv.Itoa(i))
-		if said := old.handle(2,
-			"came "+strconv.Itoa(i)+" OPEN "+id+" 1f c=feed,t=one,d=2000|"); strings.HasPrefix(said, "dial") {
-			conn := strings.Fields(said)[1]
-			old.handle(3, "up "+conn)
-			old.handle(4, "came "+conn+" UP r|")
+		parent.handle(2, "open "+strconv.Itoa(i))
+		if effects := parent.handle(2,
+			"came "+strconv.Itoa(i)+" OPEN "+id+" 1f c=feed,t=one,d=2000|"); strings.HasPrefix(effects, "dial") {
+			conn := strings.Fields(effects)[1]
+			parent.handle(3, "up "+conn)
+			parent.handle(4, "came "+conn+" UP r|")
 		}
 	}
-	require.Greater(t, old.Established, 20)
-	old.handle(100, "sibling child")
-	s := newHarnessWith(t, probing, &Config{Seed: 6, MaxSockets: sockets, HasParent: true, Handoff: old.siblings.handoff,
+	require.Greater(t, parent.Established, 20)
+	parent.handle(100, "sibling child")
+	s := newHarnessWith(t, probing, &Config{Seed: 6, MaxSockets: sockets, HasParent: true,
+		Handoff:          parent.siblings.handoff,
 		Discovery:        "10.1.0.1:85",
 		InitialEndpoints: &EndpointUpdate{}})
 	s.handle(10, "news 1 5 whole "+strings.Join(names, " "))
@@ -314,29 +320,31 @@
 		s.handle(now, "tick")
 	}
 	assert.False(t, s.intake.acceptPaused, "%d connections of %d", len(s.conns.byID), s.limits.ownDescriptors)
-	assert.Less(t, s.Polls, uint64(200), "no spinning")
-	old.handle(2600, "stop yield")
-	handed := 0
+	assert.Less(t, s.Polls, uint64(200), "polls are not repeated in a busy loop")
+	parent.handle(2600, "stop yield")
+	transferred := 0
 	for i := 1; i <= 30; i++ {
-		old.detached = nil
-		old.handle(2601, "detach "+strconv.Itoa(i))
-		if s.detached = old.detached; s.detached == nil {
+		parent.detached = nil
+		parent.handle(2601, "detach "+strconv.Itoa(i))
+		if s.detached = parent.detached; s.detached == nil {
 			continue
 		}
 		if s.handle(2601, "receive "+strconv.Itoa(1000+i)) != "" {
-			handed++
-			old.handle(2602, "transferred "+strconv.Itoa(i))
+			transferred++
+			parent.handle(2602, "transferred "+strconv.Itoa(i))
 		} else {
-			old.handle(2602, "transferred "+strconv.Itoa(i)+" not")
+			parent.handle(2602, "transferred "+strconv.Itoa(i)+" not")
 		}
-		if most > 0 {
-			assert.LessOrEqual(t, len(old.conns.byID)+old.limits.siblingReserve()+len(s.conns.byID)+s.limits.reserved, sockets, i)
+		if minTransferred > 0 {
+			assert.LessOrEqual(t, len(parent.conns.byID)+parent.limits.siblingReserve()+len(s.conns.byID)+s.limits.reserved,
+				sockets, i)
 		}
 	}
-	assert.LessOrEqual(t, handed, 30)
-	assert.GreaterOrEqual(t, handed, most, "%d descriptors", sockets)
-	assert.False(t, s.intake.acceptPaused, "%d connections of %d after %d", len(s.conns.byID), s.limits.ownDescriptors, handed)
+	assert.LessOrEqual(t, transferred, 30)
+	assert.GreaterOrEqual(t, transferred, minTransferred, "%d descriptors", sockets)
+	assert.False(t, s.intake.acceptPaused, "%d connections of %d after %d", len(s.conns.byID),
+		s.limits.ownDescriptors, transferred)
 	s.handle(2700, "open 1")
 	s.handle(2701, "came 1 OPEN z 1f c=feed,t=one,d=2000|")
-	assert.Equal(t, uint64(1), s.Requests, "whoever comes is heard")
+	assert.Equal(t, uint64(1), s.Requests, "a new client is served")
 }
--- a/internal/relay/siblings.go
+++ b/internal/relay/siblings.go
@@ -1,7 +1,7 @@
 package relay
 
-// This file is the driver's side of a hot restart: the listening socket that two processes share, what the parent
-// leaves to its child, and which of them are alive. transfer.go sends sessions from the one to the other.
+// This file is the driver's side of a hot restart: the listening socket that two processes share, the handoff of the
+// parent to its child, and which of them are alive. transfer.go sends sessions from the parent to the child.
 
 import (
 	"encoding/json"
@@ -12,11 +12,11 @@
 	"valeshift/internal/hotrestart"
 )
 
-const handoffTimeout = 800 * time.Millisecond // for the parent's handoff at the start
+const handoffTimeout = 800 * time.Millisecond // longest wait for the parent's handoff at the start
 
-// openListener opens the clients' listening socket, or inherits that of the platform. Another process of this relay may
-// serve on that already: the configuration then says so, and has its handoff where that can be read. The relay starts
-// without it otherwise.
+// openListener opens the listening socket for clients, or inherits the platform's. Another process of this relay may be
+// serving on an inherited socket: the configuration then gets HasParent, and the parent's handoff. If the handoff can't
+// be read, the relay starts without it.
 func (d *driver) openListener(config *Config) error {
 	if config.SocketFD == 0 {
 		listener, err := net.Listen("tcp", config.Listen)
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// receiveHandoff waits for what the parent process leaves, where there is one.
+// receiveHandoff waits for the handoff of the parent process, if there is a parent.
 func (d *driver) receiveHandoff(config *Config) {
 	parent, _ := d.slot.Siblings()
 	config.HasParent = parent.Number > 0
@@ -59,8 +59,8 @@
 	}
 }
 
-// startReceivingSessions receives sessions from parent processes, where there can be any. The function that it returns
-// ends that, and waits for it.
+// startReceivingSessions begins to receive sessions from parent processes, if there can be any. The function that it
+// returns stops that and waits for its end.
 func (d *driver) startReceivingSessions() (stop func()) {
 	if d.slot == nil {
 		return func() {}
@@ -73,8 +73,8 @@
 	return receiver.Close
 }
 
-// checkSiblings finds out which other processes of this relay are alive, tells the state machine what has changed, and
-// passes on what they have sent. It returns the child.
+// checkSiblings finds out which other processes of this relay are alive, tells the state machine about changes, and
+// passes on the endpoint list that they have sent. It returns the child process.
 func (d *driver) checkSiblings() (child hotrestart.Process) {
 	parent, child := d.slot.Siblings()
 	isNewChild := child.Number > 0 && !child.Ready && child.Number != d.siblings.handoffChild
@@ -94,7 +94,7 @@
 	return child
 }
 
-// receiveEndpoints takes the latest endpoint list that another process has sent. Without one, or where it can't be
+// receiveEndpoints passes on the latest endpoint list that another process has sent. If there is none, or it can't be
 // read, nothing changes.
 func (d *driver) receiveEndpoints() {
 	record, err := d.slot.ReceiveMessage()
@@ -107,7 +107,7 @@
 	}
 }
 
-// sendRecord sends a value as JSON to the process of that number.
+// sendRecord sends a value as JSON to the process with the given slot number.
 func (d *driver) sendRecord(send func(number int, record []byte) error, number int, value any) {
 	record, err := json.Marshal(value)
 	if err == nil {
--- a/internal/relay/suspend.go
+++ b/internal/relay/suspend.go
@@ -2,60 +2,60 @@
 
 import "math"
 
-// This file handles that the process did not run for a while (SIGSTOP, a paused machine) and goes on: what came meanwhile
-// waits in its sockets, and most of its deadlines are over.
+// This file handles suspensions: the process did not run for a while (SIGSTOP, a paused machine) and resumes. Data that
+// arrived meanwhile is waiting in its sockets, and most of its deadlines have passed.
 
-// All in milliseconds.
+// Times are in milliseconds.
 const (
-	suspendThreshold = 1000.0 // that a timer is late by where this process was suspended
-	resumeReadTime   = 150.0  // for what came meanwhile to be read
+	minTimerLateness = 1000.0 // lateness of a timer from which the process counts as suspended
+	resumeReadTime   = 150.0  // after a suspension, to read the data that arrived meanwhile
 
-	livenessInterval = 150.0 // between two looks whether the process was suspended
-	// livenessGap is between two of them where it was: a drain that came meanwhile has to be applied within 500 ms, of
-	// which a relay may be held up for 150.
-	livenessGap = 300.0
+	livenessInterval = 150.0 // longest time between two observations
+	// minSuspensionGap is the gap between two observations from which the process counts as suspended. A drain that
+	// arrived meanwhile has to be applied within 500 ms, of which a relay may be held up for 150 ms.
+	minSuspensionGap = 300.0
 )
 
-// suspensionDetector finds that the process was suspended by the time that passes between two observations. The driver
-// makes one with each event, and at least every livenessInterval.
+// suspensionDetector detects a suspension of the process by the time between two observations. The driver makes an
+// observation with each event, and at least every livenessInterval.
 type suspensionDetector struct {
 	isOn       bool
 	observedAt float64 // Unix milliseconds
 }
 
-// start begins to observe.
+// start begins the observation.
 func (s *suspensionDetector) start(now float64) {
 	s.isOn = true
 	s.observedAt = now
 }
 
-// stop ends that: nobody observes regularly any more.
+// stop ends the observation, as the driver no longer makes it at regular intervals.
 func (s *suspensionDetector) stop() { s.isOn = false }
 
-// observe returns for how many milliseconds the process was suspended until now; 0: it was not.
+// observe returns for how many milliseconds the process was suspended until now; 0 if it was not.
 func (s *suspensionDetector) observe(now float64) float64 {
 	gap := now - s.observedAt
 	s.observedAt = now
-	if !s.isOn || gap < livenessGap {
+	if !s.isOn || gap < minSuspensionGap {
 		return 0
 	}
 	return gap
 }
 
-// suspendedFor returns for how long the process was suspended until the event, as the driver has found or as a timer is
-// late; 0: it was not.
+// suspendedFor returns for how many milliseconds the process was suspended until the event, as found by the driver or
+// by the lateness of a timer; 0 if it was not.
 func (m *StateMachine) suspendedFor(now float64, event Event) float64 {
 	if e, isSuspended := event.(ProcessSuspended); isSuspended {
 		return e.Millis
 	}
-	if late := now - m.timers.next(); late > suspendThreshold {
+	if late := now - m.timers.next(); late > minTimerLateness {
 		return late
 	}
 	return 0
 }
 
-// resumeAfterSuspend has what came meanwhile read first: sessions wait for what the watch has, and no peer counts as silent
-// before its bytes have been read. Final answers are not put off.
+// resumeAfterSuspend lets the data that arrived during a suspension be read first: sessions wait for pending endpoint
+// updates, and no peer counts as silent before its data has been read. Final answers are not postponed.
 func (m *StateMachine) resumeAfterSuspend(now, suspended float64) {
 	m.log("process was suspended", "ms", math.Round(suspended))
 	until := now + resumeReadTime
@@ -71,7 +71,7 @@
 	}
 }
 
-// postponeSession puts off what ends the session or its attempt because a peer is silent.
+// postponeSession postpones the timers that end the session or its attempt because a peer is silent.
 func (m *StateMachine) postponeSession(session *session, until float64) {
 	switch session.state {
 	case awaitingRequest:
--- a/internal/relay/suspend_test.go
+++ b/internal/relay/suspend_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestSuspensionDetector: the process was suspended where too much time passes between two observations.
+// TestSuspensionDetector: the process counts as suspended if too much time passes between two observations.
 func TestSuspensionDetector(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestDeadlinesAfterSuspension: what came while the process was suspended is read before a deadline that passed meanwhile
-// is judged; a final answer is not put off.
+// TestDeadlinesAfterSuspension: data that arrived while the process was suspended is read before a deadline that passed
+// meanwhile is acted on; a final answer is not postponed.
 func TestDeadlinesAfterSuspension(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/internal/relay/transfer.go
+++ b/internal/relay/transfer.go
@@ -1,6 +1,7 @@
 package relay
 
-// This file is the driver's side of transferring established sessions to a child process.
+// This file is the driver's side of transferring established sessions to a child process: it moves their sockets. Which
+// session is transferred, and what its bytes mean, is up to the state machine.
 
 import (
 	"encoding/json"
@@ -16,35 +17,33 @@
 	"valeshift/internal/hotrestart"
 )
 
-// This file moves the sockets of established sessions from the parent process to the child. Which session goes, and what
-// its bytes mean, is the state machine's business.
-
-// maxEpollDescriptor bounds the search for the poller's own descriptor, which was opened at the start.
+// maxEpollDescriptor bounds the search for the descriptor of the poller's epoll set, which is low as the set was opened
+// at the start.
 const maxEpollDescriptor = 64
 
 // transferChannel is the channel to the child process.
 type transferChannel struct {
-	mutex   sync.Mutex // held while a session is sent: one at a time
+	mutex   sync.Mutex // held while a session is sent, so that one is sent at a time
 	channel *hotrestart.Channel
 	closed  bool
-	pending sync.WaitGroup // transfers that were asked for
-	epoll   int            // the poller's own descriptor; 0: not found yet
+	pending sync.WaitGroup // transfers that were requested and are not finished
+	epollFD int            // descriptor of the poller's epoll set; 0: not found yet
 }
 
 // sessionSockets are the sockets of one session: the client's, then the backend's.
 type sessionSockets [hotrestart.FilesPerSession]*socket
 
-// transferDescriptors are duplicates of their descriptors, to be sent; -1: none.
+// transferDescriptors are duplicates of the sockets' descriptors, to be sent to the child; -1: none.
 type transferDescriptors [hotrestart.FilesPerSession]int
 
-// transferSession sends one session to the child, and tells the state machine whether it is there. The reads of both
-// sockets are locked from before the state machine gives the session up until that is known, so that this process reads
-// no bytes that belong to the other.
+// transferSession sends one session to the child, and tells the state machine whether the child has accepted it. The
+// read locks of both sockets are held from before the state machine gives the session up until the result is known, so
+// that this process reads no bytes that belong to the child.
 func (d *driver) transferSession(clientConn, backendConn uint64) {
-	p := &d.transfers
-	defer p.pending.Done()
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
+	toChild := &d.transfers
+	defer toChild.pending.Done()
+	toChild.mutex.Lock()
+	defer toChild.mutex.Unlock()
 	d.mutex.Lock()
 	both, child := sessionSockets{d.sockets[clientConn], d.sockets[backendConn]}, d.siblings.handoffChild
 	d.mutex.Unlock()
@@ -67,22 +66,22 @@
 	}
 }
 
-// openTransferChannel opens the channel to the child where there is none, and reports whether it is open.
+// openTransferChannel opens the channel to the child if there is none, and reports whether it is open.
 func (d *driver) openTransferChannel(child int) bool {
-	p := &d.transfers
-	if p.channel == nil && !p.closed {
+	toChild := &d.transfers
+	if toChild.channel == nil && !toChild.closed {
 		var err error
-		if p.channel, err = d.slot.OpenChannel(child); err != nil {
+		if toChild.channel, err = d.slot.OpenChannel(child); err != nil {
 			d.log.Warn("can't open a channel to the child process", "err", err)
-			p.closed = true
+			toChild.closed = true
 		}
 	}
-	return !p.closed
+	return !toChild.closed
 }
 
-// detachSession has the state machine give the session up, and takes its sockets out of the poller, with descriptors of
-// their own to be sent; nil: the session stays. All is done under the relay's lock, so that no descriptor's number can
-// come to another connection meanwhile.
+// detachSession makes the state machine give the session up, removes its sockets from the poller, and returns the
+// session with duplicates of their descriptors, to be sent. It returns nil if the session stays. All of this is done
+// under the driver's lock, so that no descriptor number can be reused for another connection meanwhile.
 func (d *driver) detachSession(clientConn uint64, both sessionSockets) (*TransferredSession, transferDescriptors) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -111,8 +110,8 @@
 
 var errConnectionClosed = errors.New("connection is closed")
 
-// duplicate takes the sockets out of the poller and duplicates their descriptors. What it has duplicated before an error
-// is the caller's to close.
+// duplicate removes the sockets from the poller and duplicates their descriptors. After an error, the caller must close
+// the descriptors that it returns.
 func (d *driver) duplicate(both sessionSockets) (transferDescriptors, error) {
 	descriptors := transferDescriptors{-1, -1}
 	for i, c := range both {
@@ -139,25 +138,25 @@
 	}
 }
 
-// sendSession sends a detached session, closes the descriptors, and reports whether the child has accepted it. After an
-// error other than the child's refusal the channel is not used again.
+// sendSession sends a detached session, closes the duplicated descriptors, and reports whether the child has accepted
+// the session. After any error but the child's refusal the channel is closed for good.
 func (d *driver) sendSession(session *TransferredSession, descriptors transferDescriptors) bool {
-	p := &d.transfers
+	toChild := &d.transfers
 	text, err := json.Marshal(session)
 	accepted := false
 	if err == nil {
-		accepted, err = p.channel.SendSession(text, descriptors)
+		accepted, err = toChild.channel.SendSession(text, descriptors)
 	}
 	descriptors.close()
 	if err != nil && !errors.Is(err, hotrestart.ErrRejected) {
 		d.log.Warn("can't transfer a session", "err", err)
-		p.channel.Close()
-		p.closed = true
+		toChild.channel.Close()
+		toChild.closed = true
 	}
 	return accepted
 }
 
-// settleTransfer forgets the sockets of a session that the child has, or goes on with those of one that stays.
+// settleTransfer removes the sockets of a session that the child has accepted, or resumes polling those of one that stays.
 func (d *driver) settleTransfer(both sessionSockets, accepted bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -171,8 +170,8 @@
 	}
 }
 
-// releaseTransferred closes this process's descriptors of a session that the child has, and tells the child so. The
-// child's own descriptors keep the connections up.
+// releaseTransferred closes this process's descriptors of a session that the child has accepted, and tells the child
+// so. The child's own descriptors keep the connections open.
 func (d *driver) releaseTransferred(both sessionSockets) {
 	for _, c := range both {
 		c.nbConn.Close()
@@ -182,38 +181,40 @@
 	}
 }
 
-// isClosed reports whether nbio has closed the connection; its lock orders that before.
+// isClosed reports whether nbio has closed the connection. ExecuteLen takes the connection's lock, which orders a close
+// by nbio before the check.
 func isClosed(nbConn *nbio.Conn) bool {
 	nbConn.ExecuteLen()
 	closed, _ := nbConn.IsClosed()
 	return closed
 }
 
-// resumePolling has the poller read the connection as before.
+// resumePolling adds the connection to the poller again.
 func (d *driver) resumePolling(c *socket) {
 	if !isClosed(c.nbConn) {
 		d.engine.AddConn(c.nbConn)
 	}
 }
 
-// stopPolling takes a descriptor out of the poller's epoll set. nbio 1.6.8 leaves that to the kernel, which does so only
-// once no process holds the connection; and it doesn't export its set, which is found as the one that has the descriptor.
+// stopPolling removes a descriptor from the poller's epoll set. nbio 1.6.8 leaves that to the kernel, which does it
+// only once no process holds the connection. nbio doesn't export the set either, so it is found by trying descriptors:
+// only the set that has the connection can remove it.
 func (d *driver) stopPolling(descriptor int) error {
-	p := &d.transfers
-	if p.epoll > 0 {
-		return syscall.EpollCtl(p.epoll, syscall.EPOLL_CTL_DEL, descriptor, nil)
+	toChild := &d.transfers
+	if toChild.epollFD > 0 {
+		return syscall.EpollCtl(toChild.epollFD, syscall.EPOLL_CTL_DEL, descriptor, nil)
 	}
 	for set := 3; set < maxEpollDescriptor; set++ {
 		if set != descriptor && syscall.EpollCtl(set, syscall.EPOLL_CTL_DEL, descriptor, nil) == nil {
-			p.epoll = set
+			toChild.epollFD = set
 			return nil
 		}
 	}
 	return syscall.ENOENT
 }
 
-// receiveSession takes over a session that the parent sends, and reports whether it did. Where the parent confirms that it
-// has let go of its descriptors, nothing is read or written before the returned function is called.
+// receiveSession takes over a session that the parent sends, and reports whether it did. If the parent confirms the
+// release of its descriptors, nothing is read or written until the returned function is called.
 func (d *driver) receiveSession(text []byte, files [hotrestart.FilesPerSession]*os.File) (accepted bool, released func()) {
 	session := &TransferredSession{}
 	if json.Unmarshal(text, session) != nil {
@@ -252,7 +253,7 @@
 	}
 }
 
-// openTransferred makes connections of the descriptors that came with a session.
+// openTransferred opens connections on the descriptors that came with a session.
 func openTransferred(files [hotrestart.FilesPerSession]*os.File) (all [hotrestart.FilesPerSession]*nbio.Conn, err error) {
 	for i, file := range files {
 		conn, err := net.FileConn(file)
@@ -269,8 +270,8 @@
 	return all, nil
 }
 
-// startPolling begins to read the sockets of a received session, and writes what is to be written by now. The lock is
-// held.
+// startPolling starts polling the sockets of a received session, and writes the data whose writing was deferred. The
+// lock is held.
 func (d *driver) startPolling(both sessionSockets) {
 	for _, c := range both {
 		c.awaitsRelease = false
--- a/internal/relay/transfer_test.go
+++ b/internal/relay/transfer_test.go
@@ -12,8 +12,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The poller's epoll set keeps what this process has closed for as long as another process holds it, and reports its end
-// for whatever has the number next: sessions were seen to end without a word while a process was replaced.
+// TestReceivedSessionWaitsForItsRelease: a child neither writes to nor closes a received connection before the parent
+// has released it. An epoll set keeps a closed descriptor for as long as another process holds the connection, and
+// reports the connection's end for whichever connection has the descriptor number by then: sessions ended without a
+// MOVE while a process was replaced.
 func TestReceivedSessionWaitsForItsRelease(t *testing.T) {
 	d, _ := newTestDriver(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,7 +30,7 @@
 	writeAndClose(d, []byte("MO"), []byte("VE"))
 	peer.SetDeadline(time.Now().Add(50 * time.Millisecond))
 	_, err = peer.Read(make([]byte, 1))
-	assert.ErrorIs(t, err, os.ErrDeadlineExceeded, "nothing is written, nothing closed")
+	assert.ErrorIs(t, err, os.ErrDeadlineExceeded, "nothing is written or closed before the release")
 	d.mutex.Lock()
 	d.startPolling([2]*socket{c, {conn: 2}})
 	d.mutex.Unlock()
