--- a/balancer/assignment.go
+++ b/balancer/assignment.go
@@ -6,37 +6,38 @@
 )
 
 const (
-	loadLimit         = 0.80 // load at which a backend is full for a session of mean priority
-	priorityLoadRange = 0.08 // how far the priority of a session moves that limit at most
-	maxPriorityLog    = 1.0  // doublings of the mean priority that move it that far
-	blindLoadMargin   = 0.15 // lowers it where candidates are polled: others assign meanwhile unseen
-	calmLoadLimit     = 0.45 // below this load no backend is skipped for being busier than the mean
-	crowdedFactor     = 1.5  // multiple of the mean load that replaces the limits if loads are not absolute
+	loadLimit            = 0.80 // load at which a backend is full for a session of mean priority
+	priorityLoadRange    = 0.08 // most by which the priority of a session raises or lowers loadLimit
+	maxPriorityDoublings = 1.0  // doublings (or halvings) of the mean priority that move loadLimit that far
+	unseenLoadMargin     = 0.15 // subtracted from loadLimit if sessions poll candidates: other relays assign unseen
+	lightLoadLimit       = 0.45 // load below which no backend is skipped for being busier than the mean
+	relativeLoadLimit    = 1.5  // multiple of the mean load that replaces all limits if loads are not absolute
 
-	localZoneLoad       = 0.40 // backends of the local zone come first up to this load, if crossing zones costs
-	localZoneLoadPerFee = 4.0  // and up to so much more, for a fee of one
+	localZoneLoad       = 0.40 // load up to which local backends are preferred where crossing zones has a fee
+	localZoneLoadPerFee = 4.0  // load added to localZoneLoad for each unit of the cross-zone fee
 
-	queueRetryDelay = 50.0 // until a queued session is decided on again
-	maxQueueShare   = 0.5  // share of the time to its deadline that a session may be queued
+	queueRetryDelay = 50.0 // milliseconds after which a queued session is decided on again
+	maxQueueShare   = 0.5  // share of the time from arrival to deadline that a session may be queued
 )
 
-// Assign decides where the session goes: to a backend, into the queue, or nowhere. The caller calls it for a
-// new session, and again for one that is queued, after Decision.Wait or when a poll was answered.
+// Assign decides whether the session is assigned to a backend, queued, rejected or failed. The caller calls
+// it for a new session, and again for a queued one, after Decision.Wait or when a poll was answered.
 //
-// A retry is decided here too: AttemptFinished calls Assign for a session whose attempt failed. On the way to
-// a backend these are checked, in this order:
+// Retries are decided here too: AttemptFinished calls Assign for a session whose attempt failed. A session
+// passes these checks, in this order, before it is assigned:
 //   - the attempt policy (canRetry): attempts left; time left until the deadline; for a retry, the retry
-//     budget; if an attempt may have been executed, that the request is idempotent, or by its key and still
-//     within the deduplication window;
-//   - the pause, if the endpoint list may be out of date;
-//   - concurrency (allowAttempt): the limit of attempts in flight, unless the session awaits polls;
-//   - the polls of its candidates, where not the whole fleet is polled regularly;
-//   - for each backend (selection): that it is ready, within the deduplication scope, allowed by the zone
-//     weights, warm or drawn in slow start, and has room. The backend of the last attempt comes last.
+//     budget; if an attempt may have been executed, that the request is idempotent, or idempotent by key and
+//     still within the deduplication window;
+//   - the pause, which is set while the endpoint list may be out of date;
+//   - the limit of attempts in flight (allowAttempt), unless the session already waits for polls;
+//   - the polls of its candidates, if only a part of the fleet is polled regularly;
+//   - for each backend (selection): it is ready, within the deduplication scope, allowed by the zone weights,
+//     either warm or the one drawn for the session in slow start, and has room. The backend of the last
+//     attempt is tried only if no other has room.
 //
-// A session that fails the first check is given up: rejected or failed. One held up by a later check is
-// queued; for lack of a backend or of concurrency only for a part of its time, and not at all if all backends
-// are full.
+// A session that fails the first check is rejected or failed. One that is stopped by a later check is queued.
+// If it is stopped for lack of a backend or by the limit of attempts in flight, it is queued for at most
+// maxQueueShare of its time, and not at all if all backends are full.
 func (b *Balancer) Assign(now float64, session *Session) Decision {
 	if !session.state.known {
 		b.admitSession(now, session)
@@ -74,7 +75,7 @@
 
 func queueFor(wait float64) Decision { return Decision{Kind: Queue, Wait: wait} }
 
-// admitSession prepares a session that has just arrived.
+// admitSession initializes the state of a session that has just arrived.
 func (b *Balancer) admitSession(now float64, session *Session) {
 	session.state.known = true
 	session.state.arrivedAt = now
@@ -84,72 +85,73 @@
 	b.estimateSessionLoad(session)
 	b.poller.activeShare, _ = b.pollingPlan()
 	if b.poller.activeShare < 1 && b.fleet.capacity == 0 {
-		// Otherwise a relay's first session, often its only one, finds no budget for slow starts.
+		// The slow-start budget follows from the capacity estimate. Without an estimate, a relay's first
+		// session, often its only one, would find no budget.
 		b.refreshWeights(now)
 	}
 	session.warming.backend = b.drawWarmingBackend(now, session)
 }
 
-// readmitSession draws again for a session that is queued while the fleet recovers: all backends are in slow
-// start then, so it waits for one of them.
+// readmitSession repeats the draw of a backend in slow start for a session that is queued while the fleet
+// recovers. All backends are in slow start then, so the session can only go to one of them.
 func (b *Balancer) readmitSession(now float64, session *Session) {
-	if session.LoadHint <= 0 { // its estimate may be from before any load was known
+	if session.LoadHint <= 0 { // the estimate may have been made before any load was known
 		b.estimateSessionLoad(session)
 	}
 	session.warming.backend = b.drawWarmingBackend(now, session)
 }
 
-// returnSlowStartGrant returns the slow-start budget that the session can't use, as the backend drawn for it
-// is full. The next draw uses another hash.
+// returnSlowStartGrant gives back the slow-start budget that was granted to the session, because the backend
+// drawn for it is full. The session gets a new hash, so that its next draw may yield another backend.
 func (b *Balancer) returnSlowStartGrant(session *Session) {
 	b.slowStart.requestedAt -= session.warming.usedBudget
 	session.warming.backend = noBackend
 	session.hash = b.rng.Uint64()
 }
 
-// selection is the choice of a backend for one session.
+// selection holds what the choice of a backend for one session depends on.
 type selection struct {
 	balancer *Balancer
 	session  *Session
 	now      float64
 	avoided  int // backend of the session's last attempt, or noBackend
 
-	targetZone   int     // zone drawn for the session by the zone weights, or -1
-	firstZone    int     // zone whose backends come first
-	firstLimit   float64 // load up to which they come first
-	calmLimit    float64 // load up to which no backend is skipped, whatever its zone
-	limit        float64 // load at which a backend is full for the session
-	sessionShare float64 // share of a warm backend's capacity that the session needs; 0 while it is unknown
+	targetZone         int     // zone drawn for the session by the zone weights, or -1
+	preferredZone      int     // zone whose backends are tried first
+	preferredZoneLimit float64 // load up to which backends of preferredZone are tried first
+	lightLimit         float64 // load up to which backends of any zone are tried before busier ones
+	limit              float64 // load at which a backend is full for the session
+	sessionShare       float64 // share of a warm backend's capacity that the session needs; 0: unknown
 }
 
-// newSelection computes the limits on backends' loads for the session.
+// newSelection computes the zone and the load limits that apply to the session.
 func (b *Balancer) newSelection(session *Session, now float64) selection {
 	s := selection{
-		balancer:     b,
-		session:      session,
-		now:          now,
-		avoided:      session.attempt.backend,
-		targetZone:   b.targetZone(session),
-		firstZone:    b.settings.localZone,
-		firstLimit:   localZoneLoad + localZoneLoadPerFee*b.settings.crossZoneFee,
-		calmLimit:    max(calmLoadLimit, b.fleet.meanLoad),
-		sessionShare: session.load / cmp.Or(b.fleet.capacity, math.Inf(1)),
+		balancer:           b,
+		session:            session,
+		now:                now,
+		avoided:            session.attempt.backend,
+		targetZone:         b.targetZone(session),
+		preferredZone:      b.settings.localZone,
+		preferredZoneLimit: localZoneLoad + localZoneLoadPerFee*b.settings.crossZoneFee,
+		lightLimit:         max(lightLoadLimit, b.fleet.meanLoad),
+		sessionShare:       session.load / cmp.Or(b.fleet.capacity, math.Inf(1)),
 	}
-	priority := min(max(math.Log2(b.quotas.relativePriority(session)), -maxPriorityLog), maxPriorityLog)
-	s.limit = loadLimit - blindLoadMargin*(1-b.poller.activeShare) + priorityLoadRange*priority
-	if s.targetZone >= 0 { // how full a zone gets is decided for all relays
-		s.firstZone = s.targetZone
-		s.firstLimit = s.limit
+	priority := min(max(math.Log2(b.quotas.relativePriority(session)), -maxPriorityDoublings), maxPriorityDoublings)
+	s.limit = loadLimit - unseenLoadMargin*(1-b.poller.activeShare) + priorityLoadRange*priority
+	if s.targetZone >= 0 { // the zone weights, the same at all relays, already decide how full a zone gets
+		s.preferredZone = s.targetZone
+		s.preferredZoneLimit = s.limit
 	}
 	if !b.poller.reports.hasAbsoluteLoad {
-		s.limit = crowdedFactor * max(b.fleet.meanLoad, negligibleLoad)
-		s.firstLimit = s.limit
-		s.calmLimit = s.limit
+		s.limit = relativeLoadLimit * max(b.fleet.meanLoad, negligibleLoad)
+		s.preferredZoneLimit = s.limit
+		s.lightLimit = s.limit
 	}
 	return s
 }
 
-// isOpen reports whether the backend may have the session, if it has room.
+// isOpen reports whether the session may be assigned to the backend, room aside.
 func (s *selection) isOpen(backend int) bool {
 	b := s.balancer
 	if b.states[backend] != Ready || backend == s.avoided {
@@ -164,8 +166,8 @@
 	return mayWarm || b.slowStart.capacityShare(backend, s.now) >= 1
 }
 
-// fits reports whether the backend may have the session and stays under the limit with it.
-func (s *selection) fits(backend int, limit float64) bool {
+// hasRoomUnder reports whether the session may be assigned to the backend and leaves its load under the limit.
+func (s *selection) hasRoomUnder(backend int, limit float64) bool {
 	if !s.isOpen(backend) {
 		return false
 	}
@@ -174,19 +176,20 @@
 	return b.effectiveLoad(backend, s.now)+added < min(limit, s.limit)
 }
 
-// hasRoomAt reports whether a backend named beforehand, which may be noBackend, is in use and fits.
+// hasRoomAt reports whether a backend chosen without the round robin, or noBackend, has buckets and room for
+// the session.
 func (s *selection) hasRoomAt(backend int) bool {
-	return backend >= 0 && s.balancer.roundRobin.bucketCounts[backend] > 0 && s.fits(backend, s.limit)
+	return backend >= 0 && s.balancer.roundRobin.bucketCounts[backend] > 0 && s.hasRoomUnder(backend, s.limit)
 }
 
-// chooseBackend returns the backend for the session's next attempt, or noBackend; full reports that there are
-// backends but all are full, so that waiting does not help.
+// chooseBackend returns the backend for the session's next attempt, or noBackend. With full, the session is
+// not worth queuing: its possible backends have no room, or all zones are closed.
 func (b *Balancer) chooseBackend(session *Session, now float64) (backend int, full bool) {
 	s := b.newSelection(session, now)
 	if s.hasRoomAt(session.warming.backend) {
 		return session.warming.backend, false
 	}
-	// A returning session goes to its or its group's backend, if that has room, before round robin picks one.
+	// A returning session goes to the backend where it or its group was before, if that has room.
 	preferred := session.preferred
 	if preferred.isSet && session.attempt.number == 0 && s.hasRoomAt(preferred.index) {
 		return preferred.index, false
@@ -204,22 +207,23 @@
 	return noBackend, full
 }
 
-// pickRoundRobin walks the table of buckets up to four times, accepting more backends each time.
+// pickRoundRobin searches the backends up to four times, and accepts more of them each time: those of the
+// preferred zone, those with a light load, all that have room, and last the backend of the last attempt.
 func (b *Balancer) pickRoundRobin(s *selection) int {
-	// Where nothing is paid for crossing zones and none is decided on, the local zone does not come first.
+	// Without a fee for crossing zones and without a target zone, no zone is preferred.
 	if b.settings.crossZoneFee > 0 || s.targetZone >= 0 {
-		inFirstZone := func(backend int) bool {
-			return b.zones[backend] == s.firstZone && s.fits(backend, s.firstLimit)
+		inPreferredZone := func(backend int) bool {
+			return b.zones[backend] == s.preferredZone && s.hasRoomUnder(backend, s.preferredZoneLimit)
 		}
-		if backend := b.pickBackend(s.session, inFirstZone); backend >= 0 {
+		if backend := b.pickBackend(s.session, inPreferredZone); backend >= 0 {
 			return backend
 		}
 	}
-	isCalm := func(backend int) bool { return s.fits(backend, s.calmLimit) }
-	if backend := b.pickBackend(s.session, isCalm); backend >= 0 {
+	isLightlyLoaded := func(backend int) bool { return s.hasRoomUnder(backend, s.lightLimit) }
+	if backend := b.pickBackend(s.session, isLightlyLoaded); backend >= 0 {
 		return backend
 	}
-	hasRoom := func(backend int) bool { return s.fits(backend, s.limit) }
+	hasRoom := func(backend int) bool { return s.hasRoomUnder(backend, s.limit) }
 	if backend := b.pickBackend(s.session, hasRoom); backend >= 0 {
 		return backend
 	}
@@ -227,29 +231,30 @@
 	return b.pickBackend(s.session, hasRoom)
 }
 
-// pickBackend picks the next bucket whose backend is accepted. Where affinity groups or keys decide, it draws
-// with the same chances from the hash instead: all relays draw alike, so the work that a group shares is done
-// once, and a session that moves to another relay finds its backend.
+// pickBackend returns the backend of the next bucket that is accepted. If sessions are placed by affinity
+// group or key, it draws by a hash instead, with chances in proportion to the bucket counts. Every relay gets
+// the same result for the same group or key, so the work that a group shares is done at one backend, and a
+// session that moves to another relay gets its backend again.
 func (b *Balancer) pickBackend(session *Session, accepts func(backend int) bool) int {
 	if !b.settings.usesAffinityGroups && !b.settings.sessionsOutliveRelay {
 		return b.roundRobin.pick(accepts)
 	}
-	picked, least := noBackend, math.Inf(1)
+	picked, minDraw := noBackend, math.Inf(1)
 	hash := b.affinityHash(session)
 	for backend, count := range b.roundRobin.bucketCounts {
 		if count == 0 || !accepts(backend) {
 			continue
 		}
-		if draw := exponentialDraw(hash, b.ids[backend]) / float64(count); draw < least {
+		if draw := exponentialDraw(hash, b.ids[backend]) / float64(count); draw < minDraw {
 			picked = backend
-			least = draw
+			minDraw = draw
 		}
 	}
 	return picked
 }
 
-// affinityHash returns what the session's draws depend on: its group or key where that decides, else its own
-// hash.
+// affinityHash returns the hash that the session's draws use: that of its affinity group or its key, if
+// sessions are placed by those, else the random one of the session.
 func (b *Balancer) affinityHash(session *Session) uint64 {
 	if b.settings.usesAffinityGroups && session.AffinityGroup != 0 {
 		return session.AffinityGroup
--- a/balancer/attempt_outcome.go
+++ b/balancer/attempt_outcome.go
@@ -2,13 +2,14 @@
 
 import "math"
 
-// AttemptFinished records the outcome of an attempt, or of the session that it established, and decides what
-// follows: another attempt, the queue, or the client's answer. With last the session is over, whatever the
-// outcome, as it is if it was established or its client has left: then there is NoDecision.
+// AttemptFinished records the outcome of an attempt, or of the session that it established, and returns what
+// follows. That is NoDecision if the session is over: last is set, it was established, or its client has
+// left.
 //
-// Otherwise it calls Assign again, which decides on a retry by the attempts and time left, the retry budget,
-// idempotency and the deduplication window, and concurrency. The first attempt whose outcome does not prove
-// that the request was not executed (AttemptOutcome.IsUnprocessed) is the one that may have been executed.
+// Otherwise AttemptFinished calls Assign again, which decides on a retry by the attempts and time left, the
+// retry budget, idempotency and the deduplication window, and the limit of attempts in flight. The first
+// attempt whose outcome does not prove that the request was not executed (AttemptOutcome.IsUnprocessed) is
+// recorded as the one that may have been executed.
 func (b *Balancer) AttemptFinished(now float64, session *Session, outcome AttemptOutcome,
 	last bool) Decision {
 	if !session.state.reserved {
@@ -32,7 +33,7 @@
 	return b.Assign(now, session)
 }
 
-// applyOutcome updates the backend's health and the concurrency limit by the outcome.
+// applyOutcome updates the backend's health and the concurrency limit according to the outcome.
 func (b *Balancer) applyOutcome(now float64, session *Session, outcome AttemptOutcome) {
 	backend := session.attempt.backend
 	wasSilent := b.outliers.consecutiveFailures[backend] > 0
@@ -40,14 +41,16 @@
 	case outcome == OutcomeConnectionLost && session.state.established && wasSilent:
 		b.outliers.sessionsLost[backend] = true
 	case session.state.established && session.isShed(now, outcome):
-		// Sessions shed by a full backend all come to the next one, at every relay, and may go round.
+		// The sessions shed by a full backend may overload the next backend too, and so on, as every relay
+		// assigns its part of them again at the same time.
 		b.attempts.reduceConcurrency(now, shedConcurrencyFactor)
 	case outcome == OutcomeUnreachable:
 		b.recordFailure(backend)
-	case outcome == OutcomeSucceeded && !session.state.established: // an answer that ends the session
+	case outcome == OutcomeSucceeded && !session.state.established: // the answer also ended the session
 		b.recordEstablished(now, session)
 	case outcome == OutcomeTimedOut:
-		// A slow shared store times out everywhere: only the backend's own poll tells, so it is due at once.
+		// With a slow shared store attempts time out at all backends, so a timeout does not show that this one
+		// is unhealthy. A poll of it does, and is made due at once.
 		b.poller.polls.latestAt[backend] = math.Inf(-1)
 		b.updateTracking(backend)
 	}
@@ -57,7 +60,8 @@
 func (b *Balancer) countAttempt(now float64, session *Session, outcome AttemptOutcome) {
 	backend := session.attempt.backend
 	isLate := outcome == OutcomeFailed || outcome == OutcomeTimedOut
-	// A silent backend says nothing of the store: a zone that is cut off must not be taken for a wave.
+	// Attempts on a backend that does not answer polls show nothing about a shared store. They do not reduce
+	// the limit, so that an unreachable zone is not mistaken for a burst.
 	if isLate && b.outliers.consecutiveFailures[backend] == 0 {
 		b.attempts.recordOutcome(session, now, false)
 	}
@@ -65,7 +69,7 @@
 	b.observeAttempt(backend, isLate || outcome == OutcomeUnreachable || outcome == OutcomeConnectionLost)
 }
 
-// SessionEstablished records that the attempt was accepted and the session goes on.
+// SessionEstablished records that the backend accepted the attempt and the session continues.
 func (b *Balancer) SessionEstablished(now float64, session *Session) {
 	if !session.state.reserved || session.state.established {
 		return // reported twice, or too late
@@ -76,7 +80,7 @@
 	b.recordEstablished(now, session)
 }
 
-// recordEstablished records that an attempt was answered without error.
+// recordEstablished records that the backend answered an attempt without error.
 func (b *Balancer) recordEstablished(now float64, session *Session) {
 	b.attempts.countEstablished(now)
 	b.outliers.consecutiveFailures[session.attempt.backend] = 0
@@ -85,8 +89,8 @@
 	b.attempts.recordOutcome(session, now, now-session.attempt.startedAt <= timelyShare*objective)
 }
 
-// giveUp ends the session without another attempt. The client is told to repeat its request only if that is
-// safe.
+// giveUp returns the decision that ends the session: Reject if the client may safely repeat its request, else
+// Fail.
 func (b *Balancer) giveUp(session *Session, now float64) Decision {
 	if !b.attempts.canBeRepeated(session, now) {
 		return Decision{Kind: Fail}
--- a/balancer/attempt_policy.go
+++ b/balancer/attempt_policy.go
@@ -3,32 +3,32 @@
 import "math"
 
 const (
-	maxConcurrentAttempts = 64.0     // of all relays together
-	lateAttemptFactor     = 0.5      // share of the concurrency limit left by a late or failed attempt
-	shedConcurrencyFactor = 1.0 / 16 // share of it left by a shed session
+	maxConcurrentAttempts = 64.0     // highest concurrency limit, summed over all relays
+	lateAttemptFactor     = 0.5      // factor on the concurrency limit after a late or failed attempt
+	shedConcurrencyFactor = 1.0 / 16 // factor on the concurrency limit after a shed session
 	timelyShare           = 0.5      // share of the latency objective within which an attempt is timely
-	establishedDecay      = 10000.0  // time in which the count of sessions fades to 1/e
+	establishedDecay      = 10000.0  // milliseconds in which the count of established sessions decays to 1/e
 )
 
-// AttemptPolicy bounds attempts: how many a session has, whether one may follow another that may have been
-// executed, and how many are in flight at once.
+// AttemptPolicy limits the attempts of a session, decides whether one may follow another that may have been
+// executed, and limits the attempts in flight at once.
 type AttemptPolicy struct {
 	classes       []Class
-	maxAttempts   int
-	maxRetryAfter float64 // longest Retry-After that clients honour; 0: none is sent
-	relays        float64
+	maxAttempts   int          // most attempts of one session, the first included
+	maxRetryAfter float64      // longest Retry-After that clients honour, in milliseconds; 0: none is sent
+	relays        float64      // number of relays
 	budget        *RetryBudget // nil: retries are not bounded
 	draining      bool         // another process of this relay owns the retry and slow-start budgets
 
-	established      float64 // fading count of established sessions
-	establishedSpan  float64 // time over which they were counted, fading alike
-	establishedAsOf  float64 // when both were last updated
-	inFlight         int
-	concurrencyLimit float64 // of attempts in flight; below 1, the chance of a single one
-	limitReducedAt   float64 // when the limit was last cut
+	established      float64 // count of established sessions, which decays with establishedDecay
+	establishedSpan  float64 // milliseconds over which they were counted, with the same decay
+	establishedAsOf  float64 // when established and establishedSpan were last updated
+	inFlight         int     // number of attempts in flight
+	concurrencyLimit float64 // highest number of attempts in flight; below 1: the probability that one is allowed
+	limitReducedAt   float64 // when concurrencyLimit was last reduced
 }
 
-// NewAttemptPolicy returns a policy with nothing in flight. The longest Retry-After is in milliseconds (0:
+// NewAttemptPolicy returns a policy without attempts in flight. The longest Retry-After is in milliseconds (0:
 // none is sent); a nil budget does not bound retries.
 func NewAttemptPolicy(classes []Class, maxAttempts int, maxRetryAfter float64, relays int,
 	budget *RetryBudget) *AttemptPolicy {
@@ -42,7 +42,7 @@
 	}
 }
 
-// canRetry reports whether the session may have another attempt, or its first.
+// canRetry reports whether the session may have another attempt, the first included.
 func (p *AttemptPolicy) canRetry(session *Session, now float64) bool {
 	if session.attempt.number >= p.maxAttempts || now >= session.Deadline {
 		return false
@@ -61,14 +61,14 @@
 	}
 }
 
-// withinBudget reports whether the retry budget allows a retry. A process that drains has left the budget to
-// its successor.
+// withinBudget reports whether the retry budget allows a retry. In a draining process it does not, as the
+// budget has passed to the process that took over.
 func (p *AttemptPolicy) withinBudget(now float64) bool {
 	return p.budget.allowsRetry(now) && !(p.draining && p.budget != nil)
 }
 
-// canBeRepeated reports whether a client may be told to repeat a request that is given up: it was not
-// executed, or a repeat does no harm.
+// canBeRepeated reports whether a client may be told to repeat a request that is given up, because it was not
+// executed or a second execution does no harm.
 func (p *AttemptPolicy) canBeRepeated(session *Session, now float64) bool {
 	class := &p.classes[session.Class]
 	if !session.executed.isPossible || class.Idempotency == Idempotent {
@@ -78,41 +78,41 @@
 		now+p.maxRetryAfter < session.executed.at+class.DeduplicationWindow
 }
 
-// allowAttempt reports whether one more attempt may be in flight. A limit below one is the chance of a single
-// attempt, as one attempt from each of hundreds of relays is a wave.
+// allowAttempt reports whether one more attempt may be in flight. A limit below one is the probability that a
+// single attempt is allowed, as one attempt from each of hundreds of relays is already a burst.
 func (b *Balancer) allowAttempt() bool {
 	p := b.attempts
 	return p.inFlight < int(p.concurrencyLimit) || (p.inFlight == 0 && b.rng.Float64() < p.concurrencyLimit)
 }
 
 // recordOutcome raises the concurrency limit after a timely attempt and halves it after a late or failed one,
-// unless that began before the last cut. So a wave on a shared store is slowed down before the store works
-// for sessions that are given up. All relays start with the same limit.
+// unless that attempt began before the last reduction. This slows down a burst of attempts on a shared store,
+// before the store is kept busy by sessions that are given up. All relays start with the same limit.
 func (p *AttemptPolicy) recordOutcome(session *Session, now float64, timely bool) {
 	if timely {
-		widened := p.concurrencyLimit + min(1/p.concurrencyLimit, p.concurrencyLimit)
-		p.concurrencyLimit = min(widened, max(maxConcurrentAttempts/p.relays, 1))
+		raised := p.concurrencyLimit + min(1/p.concurrencyLimit, p.concurrencyLimit)
+		p.concurrencyLimit = min(raised, max(maxConcurrentAttempts/p.relays, 1))
 	} else if session.attempt.startedAt > p.limitReducedAt {
 		p.reduceConcurrency(now, lateAttemptFactor)
 	}
 }
 
-// reduceConcurrency cuts the concurrency limit to that share, at the least to one attempt over all relays.
+// reduceConcurrency multiplies the concurrency limit by the factor, down to one attempt over all relays.
 func (p *AttemptPolicy) reduceConcurrency(now, factor float64) {
 	p.concurrencyLimit = max(p.concurrencyLimit*factor, 1/p.relays)
 	p.limitReducedAt = now
 }
 
-// countEstablished adds a session to the rate at which sessions are established.
+// countEstablished counts an established session for the rate at which sessions are established.
 func (p *AttemptPolicy) countEstablished(now float64) {
-	fade := math.Exp((p.establishedAsOf - now) / establishedDecay)
-	p.established = p.established*fade + 1
-	p.establishedSpan = p.establishedSpan*fade + now - p.establishedAsOf
+	decay := math.Exp((p.establishedAsOf - now) / establishedDecay)
+	p.established = p.established*decay + 1
+	p.establishedSpan = p.establishedSpan*decay + now - p.establishedAsOf
 	p.establishedAsOf = now
 }
 
-// isInDeduplicationScope reports whether the backend drops a repeat of what the session may have had
-// executed.
+// isInDeduplicationScope reports whether the backend may get the session's request although it may have been
+// executed: the request is idempotent, or the backend recognises it as a repeat.
 func (b *Balancer) isInDeduplicationScope(session *Session, backend int) bool {
 	class := &b.attempts.classes[session.Class]
 	if !session.executed.isPossible || class.Idempotency == Idempotent {
--- a/balancer/drain.go
+++ b/balancer/drain.go
@@ -8,7 +8,9 @@
 // BackendDrainDelay returns after how many milliseconds the nth of so many sessions, from 0, is to leave a
 // backend that drains. They leave one after the other, over drainSpread: the clients of a whole backend, if
 // they returned within one report interval, would be assigned by a single late report.
-func (b *Balancer) BackendDrainDelay(nth, of int) float64 { return b.pace(nth, of, drainSpread) }
+func (b *Balancer) BackendDrainDelay(nth, total int) float64 {
+	return b.drainDelay(nth, total, drainSpread)
+}
 
 // ShutdownDrainDelay returns after how many milliseconds the nth of so many sessions, from 0, is to leave this
 // relay, which shuts down within so many milliseconds. Sessions leave one after the other,
@@ -16,24 +18,24 @@
 //   - over all of it, up to drainSpread, if another process of this relay takes the sessions over at once;
 //   - all at its end, if this is the only relay, as nobody else takes them;
 //   - as from a backend that drains, if no time is left.
-func (b *Balancer) ShutdownDrainDelay(nth, of int, within float64) float64 {
-	if within <= 0 {
-		return b.BackendDrainDelay(nth, of)
+func (b *Balancer) ShutdownDrainDelay(nth, total int, timeLeft float64) float64 {
+	if timeLeft <= 0 {
+		return b.BackendDrainDelay(nth, total)
 	}
-	spread := min(within, shutdownDrainSpread)
+	spread := min(timeLeft, shutdownDrainSpread)
 	if b.attempts.draining {
-		spread = min(within, drainSpread)
+		spread = min(timeLeft, drainSpread)
 	} else if b.quotas.relays < 2 {
-		return within
+		return timeLeft
 	}
-	return max(within-spread, 0) + b.pace(nth, of, spread)
+	return max(timeLeft-spread, 0) + b.drainDelay(nth, total, spread)
 }
 
-// pace returns the time of the nth of so many sessions that leave within the spread. Where there are other
+// drainDelay returns the time of the nth of so many sessions that leave within the spread. Where there are other
 // relays it has jitter, since with one session each all relays would move theirs at the same moment.
-func (b *Balancer) pace(nth, of int, spread float64) float64 {
+func (b *Balancer) drainDelay(nth, total int, spread float64) float64 {
 	jitter := b.rng.Float64() * (1 - 1/b.quotas.relays)
-	return spread * (float64(nth) + jitter) / float64(of)
+	return spread * (float64(nth) + jitter) / float64(total)
 }
 
 // SetDraining sets whether another process of this relay has taken over. A draining process assigns nothing
--- a/balancer/retry_budget.go
+++ b/balancer/retry_budget.go
@@ -32,7 +32,7 @@
 // comes counts with the latest slot, which is the longer for it.
 func (b *RetryBudget) advance(now float64) {
 	number := math.Floor(now / b.slotLength)
-	for steps := 0; b.currentSlot < number && steps <= budgetSlots; steps++ {
+	for emptied := 0; b.currentSlot < number && emptied <= budgetSlots; emptied++ {
 		b.currentSlot = max(b.currentSlot+1, number-budgetSlots)
 		slot := slotIndex(b.currentSlot)
 		b.sessions[slot] = 0
--- a/balancer/round_robin.go
+++ b/balancer/round_robin.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// goldenSection shifts the buckets of successive backends, so that they do not clump.
-const goldenSection = 0.6180339887
+// goldenRatioConjugate shifts the buckets of successive backends, so that they do not clump.
+const goldenRatioConjugate = 0.6180339887
 
 // RoundRobin is the table of buckets and the walk over it: each backend has as many buckets as its weight,
 // and successive sessions take successive buckets.
@@ -57,7 +57,7 @@
 func (t *RoundRobin) rebuild(now float64) {
 	t.table = t.table[:0]
 	for backend, count := range t.bucketCounts {
-		_, phase := math.Modf(float64(backend+1) * goldenSection)
+		_, phase := math.Modf(float64(backend+1) * goldenRatioConjugate)
 		for k := range count {
 			position := (float64(k) + phase) / float64(count)
 			t.table = append(t.table, bucket{position: position, backend: backend})
@@ -72,20 +72,20 @@
 // sortTable orders the table by position, then backend. Positions are spread evenly over 0 to 1, so the
 // buckets are dealt into as many bins as there are buckets, and only neighbours are left to be compared.
 func (t *RoundRobin) sortTable() {
-	t.dealIntoBins()
+	t.sortIntoBins()
 	for i := 1; i < len(t.table); i++ {
-		moved := t.table[i]
-		at := i
-		for at > 0 && moved.isBefore(t.table[at-1]) {
-			t.table[at] = t.table[at-1]
-			at--
+		current := t.table[i]
+		insertAt := i
+		for insertAt > 0 && current.isBefore(t.table[insertAt-1]) {
+			t.table[insertAt] = t.table[insertAt-1]
+			insertAt--
 		}
-		t.table[at] = moved
+		t.table[insertAt] = current
 	}
 }
 
-// dealIntoBins orders the table by bins of equal width, and leaves the order within a bin as it is.
-func (t *RoundRobin) dealIntoBins() {
+// sortIntoBins orders the table by bins of equal width, and leaves the order within a bin as it is.
+func (t *RoundRobin) sortIntoBins() {
 	n := len(t.table)
 	bin := func(b bucket) int { return min(int(b.position*float64(n)), n-1) }
 
--- a/balancer/zones.go
+++ b/balancer/zones.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// maxZones is how many zones are observed.
+// maxZones is the number of zones that are observed: those with a number below it.
 const maxZones = 256
 
-// ZoneObservation is what this relay has seen of a zone: attempts and polls since its start, and the load and
-// capacity of its backends now, in what one warm backend bears.
+// ZoneObservation is what this relay has observed of a zone: counts of attempts and polls since the relay
+// started, and the present load and capacity of the zone's backends, in units of one warm backend's capacity.
 type ZoneObservation struct {
 	Attempts        float64 `json:"Tries"`
 	FailedAttempts  float64 `json:"Failed"`
@@ -16,27 +16,27 @@
 	Capacity        float64 `json:"Room"`
 }
 
-// ZoneWeight is a zone that a share of the sessions is meant for.
+// ZoneWeight is the share of all sessions that a zone is to get.
 type ZoneWeight struct {
 	Zone            int     `json:"Zone"`
 	Weight          float64 `json:"Part"` // share of all sessions, from 0 to 1
-	AcceptsOverflow bool    `json:"Open"` // the zone takes sessions meant for others that find no room there
+	AcceptsOverflow bool    `json:"Open"` // the zone takes sessions that have another target zone and find no room there
 }
 
-// zoneRouting is what is decided on zones and what was seen of them.
+// zoneRouting holds the zone weights in force and the observations of each zone.
 type zoneRouting struct {
-	weights      []ZoneWeight      // empty while no decision is in force
-	observations []ZoneObservation // by number of the zone
+	weights      []ZoneWeight      // empty: no weights are in force
+	observations []ZoneObservation // by zone number
 }
 
-// SetZoneWeights has sessions meant for zones by those weights from now on; none: wherever there is room. The
-// weights are decided elsewhere, for all relays. The paper's buckets (section IV-B) know servers of one
-// place; the departure, while there are weights, is that each session draws a zone first and takes its turn
-// among that zone's backends.
+// SetZoneWeights sets the zone weights for the sessions that follow. With none, a session goes wherever there
+// is room. The weights are decided elsewhere, for all relays. This departs from the paper, whose buckets
+// (section IV-B) know no zones: while there are weights, each session draws a target zone first, and then a
+// backend among that zone's buckets.
 func (b *Balancer) SetZoneWeights(weights []ZoneWeight) { b.zoneRouting.weights = weights }
 
-// allClosed reports whether no zone is to have anything: an operators' order, as no decision by itself
-// goes so far.
+// allClosed reports whether no zone may get any session. Only an operator order closes all zones; the
+// automatic decision never does.
 func (r *zoneRouting) allClosed() bool {
 	for _, zone := range r.weights {
 		if zone.AcceptsOverflow || zone.Weight > 0 {
@@ -46,28 +46,29 @@
 	return len(r.weights) > 0
 }
 
-// targetZone is the zone that the session is meant for, or -1. Sessions of a group or key that decides draw
-// alike.
+// targetZone draws the session's target zone by the zone weights; -1: it has none. Sessions with the same
+// affinityHash get the same zone.
 func (b *Balancer) targetZone(session *Session) int {
 	if len(b.zoneRouting.weights) == 0 {
 		return -1
 	}
-	total := 0.0 // 1, but for what nobody has room for: that takes its chance with the rest
+	// Less than 1 if no zone has room for a part of the sessions; that part is spread in proportion to the weights.
+	totalWeight := 0.0
 	for _, zone := range b.zoneRouting.weights {
-		total += zone.Weight
+		totalWeight += zone.Weight
 	}
-	left := total * (1 - math.Exp(-exponentialDraw(b.affinityHash(session), 0)))
+	remaining := totalWeight * (1 - math.Exp(-exponentialDraw(b.affinityHash(session), 0)))
 	for _, zone := range b.zoneRouting.weights {
-		left -= zone.Weight
-		if left < 0 {
+		remaining -= zone.Weight
+		if remaining < 0 {
 			return zone.Zone
 		}
 	}
 	return -1
 }
 
-// zoneAllows reports whether the backend may have a session that is meant for the zone. One in a zone that
-// nobody has decided on may have any.
+// zoneAllows reports whether the zone weights allow a session with that target zone on the backend. A zone
+// without a weight takes any session.
 func (b *Balancer) zoneAllows(backend, targetZone int) bool {
 	for _, zone := range b.zoneRouting.weights {
 		if zone.Zone == b.zones[backend] {
@@ -77,7 +78,7 @@
 	return true
 }
 
-// observeAttempt counts the end of an attempt for its zone.
+// observeAttempt counts a finished attempt for the backend's zone.
 func (b *Balancer) observeAttempt(backend int, failed bool) {
 	zone := b.zoneRouting.observation(b.zones[backend])
 	if zone == nil {
@@ -89,7 +90,7 @@
 	}
 }
 
-// observePoll counts the end of a poll for its zone.
+// observePoll counts a finished poll for the backend's zone.
 func (b *Balancer) observePoll(backend int, answered bool) {
 	zone := b.zoneRouting.observation(b.zones[backend])
 	if zone == nil {
@@ -101,7 +102,7 @@
 	}
 }
 
-// observation returns the zone's counts, or nil for a number that is not observed.
+// observation returns the zone's observation, or nil if the zone's number is out of range.
 func (r *zoneRouting) observation(zone int) *ZoneObservation {
 	if !isObservedZone(zone) {
 		return nil
@@ -119,8 +120,8 @@
 	return zones
 }
 
-// ZoneObservations returns what was seen of each zone, by its number, and the load of this relay's own
-// sessions in what one warm backend bears (0: not known).
+// ZoneObservations returns the observation of each zone, by zone number, and as demand the load of this
+// relay's own sessions in units of one warm backend's capacity (0: the capacity is unknown).
 func (b *Balancer) ZoneObservations(now float64) (zones []ZoneObservation, demand float64) {
 	zones = append(zones, b.zoneRouting.observations...)
 	for backend, state := range b.states {
