--- a/balancer/action.go
+++ b/balancer/action.go
@@ -1,14 +1,14 @@
 package balancer
 
-// ActionKind is what an Action asks of the caller.
+// ActionKind is what an Action tells the caller to do.
 type ActionKind uint8
 
 const (
-	// ActionWait: nothing is due before Wait.
+	// ActionWait: nothing is due until Wait has passed.
 	ActionWait ActionKind = iota
 	// ActionPoll: send a load poll to Backend.
 	ActionPoll
-	// ActionSubscribe: watch the endpoint list anew.
+	// ActionSubscribe: open a new watch of the endpoint list.
 	ActionSubscribe
 )
 
@@ -20,6 +20,6 @@
 // Action is what is due now, or how long to wait for it.
 type Action struct {
 	Kind    ActionKind
-	Backend uint32  // ID, for ActionPoll
-	Wait    float64 // milliseconds, for ActionWait
+	Backend uint32  // for ActionPoll: ID of the backend
+	Wait    float64 // for ActionWait: milliseconds until NextAction is to be called again
 }
--- a/balancer/drain.go
+++ b/balancer/drain.go
@@ -1,23 +1,24 @@
 package balancer
 
 const (
-	drainSpread         = 3000.0 // over which the sessions of a draining backend leave it
-	shutdownDrainSpread = 1500.0 // over which all sessions leave, at the end of a shutdown
+	drainSpread         = 3000.0 // milliseconds over which the sessions of a draining backend leave it
+	shutdownDrainSpread = 1500.0 // milliseconds at the end of a shutdown over which all sessions leave the relay
 )
 
-// BackendDrainDelay returns after how many milliseconds the nth of so many sessions, from 0, is to leave a
-// backend that drains. They leave one after the other, over drainSpread: the clients of a whole backend, if
-// they returned within one report interval, would be assigned by a single late report.
+// BackendDrainDelay returns the milliseconds after which the nth session, from 0, of total sessions is to leave
+// a draining backend. They leave one after the other over drainSpread. If all clients of a backend returned
+// within one report interval, they would all be assigned by the same outdated load reports.
 func (b *Balancer) BackendDrainDelay(nth, total int) float64 {
 	return b.drainDelay(nth, total, drainSpread)
 }
 
-// ShutdownDrainDelay returns after how many milliseconds the nth of so many sessions, from 0, is to leave this
-// relay, which shuts down within so many milliseconds. Sessions leave one after the other,
-//   - over the end of that time, as a relay that was stopped before may not be back yet;
-//   - over all of it, up to drainSpread, if another process of this relay takes the sessions over at once;
-//   - all at its end, if this is the only relay, as nobody else takes them;
-//   - as from a backend that drains, if no time is left.
+// ShutdownDrainDelay returns the milliseconds after which the nth session, from 0, of total sessions is to
+// leave this relay, which shuts down within timeLeft milliseconds. Sessions leave one after the other:
+//   - in general over the last shutdownDrainSpread, as a relay that was stopped before this one may not be back
+//     until then;
+//   - over the last drainSpread, if another process of this relay takes the sessions over at once;
+//   - all at the end, if this is the only relay, as no other can take them;
+//   - as from a draining backend, if no time is left.
 func (b *Balancer) ShutdownDrainDelay(nth, total int, timeLeft float64) float64 {
 	if timeLeft <= 0 {
 		return b.BackendDrainDelay(nth, total)
@@ -31,14 +32,15 @@
 	return max(timeLeft-spread, 0) + b.drainDelay(nth, total, spread)
 }
 
-// drainDelay returns the time of the nth of so many sessions that leave within the spread. Where there are other
-// relays it has jitter, since with one session each all relays would move theirs at the same moment.
+// drainDelay returns the milliseconds after which the nth of total sessions leaves, if they leave evenly over
+// the spread. If there are other relays it adds jitter, as relays with one session each would otherwise all
+// move theirs at the same moment.
 func (b *Balancer) drainDelay(nth, total int, spread float64) float64 {
 	jitter := b.rng.Float64() * (1 - 1/b.quotas.relays)
 	return spread * (float64(nth) + jitter) / float64(total)
 }
 
-// SetDraining sets whether another process of this relay has taken over. A draining process assigns nothing
-// to backends in slow start and begins no retries where there is a retry budget, so that the two processes do
-// not spend each budget twice.
+// SetDraining sets whether another process of this relay has taken over. A draining process assigns no
+// sessions to backends in slow start, and starts no retries if there is a retry budget, because the two
+// processes would otherwise spend each budget twice.
 func (b *Balancer) SetDraining(draining bool) { b.attempts.draining = draining }
--- a/balancer/draw.go
+++ b/balancer/draw.go
@@ -2,8 +2,10 @@
 
 import "math"
 
-// exponentialDraw is an exponentially distributed draw that depends on nothing but the hash and the backend's
-// ID, so that all relays draw alike. The least of several draws, each divided by its weight, picks by weight.
+// exponentialDraw returns an exponentially distributed pseudo-random number that depends only on the hash and
+// the backend's ID, so that all relays get the same. If each backend's draw is divided by its weight, the
+// probability that a backend has the smallest result is in proportion to its weight. The bits are mixed as in
+// SplitMix64.
 func exponentialDraw(hash uint64, id uint32) float64 {
 	x := hash ^ uint64(id)*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/balancer/retry_budget.go
+++ b/balancer/retry_budget.go
@@ -2,23 +2,23 @@
 
 import "math"
 
-// budgetSlots is how many slots a budget's window has.
+// budgetSlots is the number of slots that the window of a RetryBudget is divided into.
 const budgetSlots = 64
 
-// RetryBudget counts sessions and retries over a sliding window, in a fixed number of slots. Its answers are
-// on the safe side by one slot at either edge: retries are counted a slot longer than the window, sessions a
-// slot shorter. A nil RetryBudget allows every retry.
+// RetryBudget limits retries in proportion to the sessions in a sliding window, which it counts in a fixed
+// number of slots. It errs on the side of too few retries, as retries are counted for one slot more than the
+// window and sessions for one slot less. A nil RetryBudget allows every retry.
 type RetryBudget struct {
-	freeRetries       float64
-	retriesPerSession float64
-	slotLength        float64
-	currentSlot       float64 // number of the latest slot, from time 0; -Inf before the first
-	sessions          [budgetSlots + 1]float64
-	retries           [budgetSlots + 1]float64
+	freeRetries       float64                  // retries in a window that are allowed without any session
+	retriesPerSession float64                  // further retries allowed for each session in the window
+	slotLength        float64                  // length of a slot, in milliseconds
+	currentSlot       float64                  // number of the latest slot, counted from time 0; -Inf: none yet
+	sessions          [budgetSlots + 1]float64 // sessions in each slot, in the order of slotIndex
+	retries           [budgetSlots + 1]float64 // retries in each slot, in the order of slotIndex
 }
 
-// NewRetryBudget returns a budget of so many free retries in a window of that many milliseconds, and so many
-// more for each session in it.
+// NewRetryBudget returns a budget that allows freeRetries in each window, given in milliseconds, and
+// retriesPerSession more for each session in the window.
 func NewRetryBudget(freeRetries, retriesPerSession, window float64) *RetryBudget {
 	return &RetryBudget{
 		freeRetries:       freeRetries,
@@ -28,8 +28,8 @@
 	}
 }
 
-// advance empties the slots whose time is over. The clock may stand still, or go back a little: then what
-// comes counts with the latest slot, which is the longer for it.
+// advance moves on to the current slot and clears the slots that have left the window. If the clock stands
+// still or goes back a little, the latest slot stays the current one, and so covers more than its length.
 func (b *RetryBudget) advance(now float64) {
 	number := math.Floor(now / b.slotLength)
 	for emptied := 0; b.currentSlot < number && emptied <= budgetSlots; emptied++ {
@@ -40,13 +40,13 @@
 	}
 }
 
-// slotIndex is where the slot of that number stands.
+// slotIndex returns the array index of the slot with that number.
 func slotIndex(number float64) int {
 	const count = budgetSlots + 1
 	return (int(math.Mod(number, count)) + count) % count
 }
 
-// recordSession counts a session that has come.
+// recordSession counts a session that has arrived.
 func (b *RetryBudget) recordSession(now float64) {
 	if b == nil {
 		return
@@ -55,7 +55,7 @@
 	b.sessions[slotIndex(b.currentSlot)]++
 }
 
-// recordRetry counts a retry that goes out.
+// recordRetry counts a retry that is started.
 func (b *RetryBudget) recordRetry(now float64) {
 	if b == nil {
 		return
@@ -64,7 +64,7 @@
 	b.retries[slotIndex(b.currentSlot)]++
 }
 
-// assumeSpent counts all that is free as spent.
+// assumeSpent counts all free retries as spent.
 func (b *RetryBudget) assumeSpent(now float64) {
 	if b == nil {
 		return
@@ -73,7 +73,7 @@
 	b.retries[slotIndex(b.currentSlot)] += b.freeRetries
 }
 
-// allowsRetry reports whether one more retry keeps to the budget.
+// allowsRetry reports whether the budget allows one more retry.
 func (b *RetryBudget) allowsRetry(now float64) bool {
 	if b == nil {
 		return true
@@ -90,6 +90,6 @@
 	return retries+1 <= b.freeRetries+b.retriesPerSession*sessions
 }
 
-// AssumeRetriesSpent counts the free retries as spent, as the last incarnation of this relay may have spent
-// them just before its end. So the budget holds in a window that covers both.
+// AssumeRetriesSpent counts the free retries as spent, because the previous incarnation of this relay may have
+// spent them just before its end. The budget then also holds in a window that covers both incarnations.
 func (b *Balancer) AssumeRetriesSpent(now float64) { b.attempts.budget.assumeSpent(now) }
--- a/balancer/round_robin.go
+++ b/balancer/round_robin.go
@@ -6,35 +6,36 @@
 	"slices"
 )
 
-// goldenRatioConjugate shifts the buckets of successive backends, so that they do not clump.
+// goldenRatioConjugate is the shift between the buckets of successive backends, as a share of the distance
+// between two buckets of one backend. Multiples of it are spread evenly, so the buckets do not clump.
 const goldenRatioConjugate = 0.6180339887
 
-// RoundRobin is the table of buckets and the walk over it: each backend has as many buckets as its weight,
-// and successive sessions take successive buckets.
+// RoundRobin is the weighted round robin over the backends: a table in which each backend has as many buckets
+// as its weight, and from which successive sessions take successive buckets.
 type RoundRobin struct {
 	rng          *rand.Rand
-	bucketCounts []int // by backend
-	table        []bucket
-	position     int     // index of the next bucket
-	builtAt      float64 // -Inf: the table is rebuilt for the next session
-	stale        bool    // loads have changed since
+	bucketCounts []int    // number of buckets, by backend
+	table        []bucket // all buckets, in order
+	position     int      // index of the next bucket
+	builtAt      float64  // when the table was built; -Inf: it is rebuilt for the next session
+	stale        bool     // loads have changed since the table was built
 
-	sortBins   []int // scratch space of sortTable
-	sortBuffer []bucket
+	sortBins   []int    // scratch space of sortTable: the end of each bin
+	sortBuffer []bucket // scratch space of sortTable
 }
 
-// bucket is one turn of a backend. Buckets are walked in the order of their position, from 0 to 1.
+// bucket is one turn of a backend. Buckets are ordered by their position, from 0 to 1.
 type bucket struct {
 	position float64
 	backend  int
 }
 
-// NewRoundRobin returns a RoundRobin without a table. All random draws of the Balancer come from rng.
+// NewRoundRobin returns a RoundRobin with an empty table. The Balancer takes all its random numbers from rng.
 func NewRoundRobin(rng *rand.Rand) *RoundRobin {
 	return &RoundRobin{rng: rng, builtAt: math.Inf(-1), stale: true}
 }
 
-// pick walks on to the first bucket whose backend is accepted and returns that backend, or noBackend.
+// pick advances to the next bucket whose backend is accepted and returns that backend, or noBackend.
 func (t *RoundRobin) pick(accepts func(backend int) bool) int {
 	for range t.table {
 		backend := t.table[t.position].backend
@@ -46,14 +47,15 @@
 	return noBackend
 }
 
-// invalidate has the table rebuilt for the next session.
+// invalidate marks the table to be rebuilt for the next session.
 func (t *RoundRobin) invalidate() {
 	t.stale = true
 	t.builtAt = math.Inf(-1)
 }
 
-// rebuild makes the table anew from the bucket counts. Each backend's buckets are spread evenly, shifted by
-// the golden section so that several backends' do not clump; the walk begins at a random place.
+// rebuild rebuilds the table from the bucket counts. Each backend's buckets are spread evenly over the table,
+// shifted by goldenRatioConjugate so that those of several backends do not clump. The table is then used from a
+// random bucket on.
 func (t *RoundRobin) rebuild(now float64) {
 	t.table = t.table[:0]
 	for backend, count := range t.bucketCounts {
@@ -69,8 +71,8 @@
 	t.stale = false
 }
 
-// sortTable orders the table by position, then backend. Positions are spread evenly over 0 to 1, so the
-// buckets are dealt into as many bins as there are buckets, and only neighbours are left to be compared.
+// sortTable sorts the table by position, then backend. As positions are spread evenly from 0 to 1, a bin sort
+// with as many bins as buckets leaves little to do for the insertion sort that follows.
 func (t *RoundRobin) sortTable() {
 	t.sortIntoBins()
 	for i := 1; i < len(t.table); i++ {
@@ -84,7 +86,7 @@
 	}
 }
 
-// sortIntoBins orders the table by bins of equal width, and leaves the order within a bin as it is.
+// sortIntoBins sorts the table by bins of equal width, and keeps the order of buckets within a bin.
 func (t *RoundRobin) sortIntoBins() {
 	n := len(t.table)
 	bin := func(b bucket) int { return min(int(b.position*float64(n)), n-1) }
@@ -107,7 +109,7 @@
 	t.table, t.sortBuffer = t.sortBuffer, t.table
 }
 
-// isBefore reports whether the bucket is walked before the other.
+// isBefore reports whether the bucket precedes the other in the table.
 func (b bucket) isBefore(other bucket) bool {
 	if b.position != other.position {
 		return b.position < other.position
--- a/balancer/session.go
+++ b/balancer/session.go
@@ -5,18 +5,18 @@
 // Session is one client's connection, from its arrival until its end. The caller fills the exported fields
 // before the first Assign; the Balancer owns the others.
 type Session struct {
-	Class         int
-	Tenant        int
-	Key           uint64  // of the client, hashed; 0: none
-	AffinityGroup uint64  // hashed; 0: none
+	Class         int     // index of its class in the settings
+	Tenant        int     // index of its tenant in the settings
+	Key           uint64  // hash of the client's key; 0: none
+	AffinityGroup uint64  // hash of the affinity group; 0: none
 	Deadline      float64 // when the client's final answer is due
-	LoadHint      float64 // expected load; 0: unknown
+	LoadHint      float64 // expected load, in microseconds of work a second; 0: unknown
 
-	load     float64 // on its backend, measured or estimated
-	measured bool
+	load     float64 // load on its backend, measured or estimated
+	measured bool    // a load has been measured, or hinted by the client
 
-	hash      uint64          // random; used where neither group nor key decides
-	preferred optionalBackend // where it or its group was before
+	hash      uint64          // random; the draws use it if neither affinity group nor key places the session
+	preferred optionalBackend // backend where it or its group was before
 
 	state    sessionState
 	attempt  latestAttempt
@@ -25,78 +25,78 @@
 	warming  slowStartGrant
 }
 
-// optionalBackend is the index of a backend, if it is set. Its zero value is none, as the caller makes sessions
-// and can't set noBackend.
+// optionalBackend is the index of a backend, if one is set. Its zero value is unset: sessions are created by
+// the caller, who can't set noBackend.
 type optionalBackend struct {
 	index int
 	isSet bool
 }
 
-// sessionState is how far a session has come.
+// sessionState is the progress of a session.
 type sessionState struct {
-	known       bool    // Assign has seen it, or it was established elsewhere
-	arrivedAt   float64 // here
+	known       bool    // Assign was called for it, or it was established elsewhere
+	arrivedAt   float64 // when it arrived at this relay
 	reserved    bool    // an attempt is in flight or the session is established: it counts on its backend
-	established bool
-	clientGone  bool
+	established bool    // its backend accepted an attempt
+	clientGone  bool    // its client has disconnected
 }
 
 // latestAttempt is the latest attempt of a session.
 type latestAttempt struct {
-	backend   int
-	number    int // from 1; 0: there was none
-	startedAt float64
+	backend   int     // its backend, or noBackend
+	number    int     // number of the attempt, from 1; 0: there was none
+	startedAt float64 // when the attempt started
 }
 
 // executedAttempt is the attempt of a session that may have been executed, if there is one.
 type executedAttempt struct {
-	isPossible bool
-	at         float64
-	zone       int // -1: unknown
-	cell       int // -1: unknown
+	isPossible bool    // there is such an attempt
+	at         float64 // when the attempt started
+	zone       int     // zone of its backend; -1: unknown
+	cell       int     // partition cell of its backend; -1: unknown
 }
 
 // candidatePolls are the polls that the next assignment of a session waits for.
 type candidatePolls struct {
-	candidates   []int   // backends polled for it
-	awaitedUntil float64 // when it stops waiting for their answers; 0: none are polled
+	candidates   []int   // backends polled for the session
+	awaitedUntil float64 // when the session stops waiting for the answers; 0: it does not wait
 }
 
-// slowStartGrant is the backend in slow start that a session may go to.
+// slowStartGrant is the permission of a session to go to one backend in slow start.
 type slowStartGrant struct {
-	backend      int     // drawn for it, or noBackend
-	onlyIfFull   bool    // it may go there only if all warm backends are full
-	onlyIfLoaded bool    // it may go there only if the backend reports load
-	usedBudget   float64 // of slow starts, by this draw, as milliseconds
+	backend      int     // backend drawn for the session, or noBackend
+	onlyIfFull   bool    // granted only if all warm backends are full
+	onlyIfLoaded bool    // granted only if the backend reports load
+	usedBudget   float64 // slow-start budget that the draw used, in milliseconds of saved time
 }
 
-// Load returns what the session puts on its backend, and whether that was measured.
+// Load returns the session's load on its backend, and whether it was measured.
 func (s *Session) Load() (load float64, measured bool) { return s.load, s.measured }
 
-// assignment is the latest attempt as load on its backend.
+// assignment returns the latest attempt as an entry of the load assigned to its backend.
 func (s *Session) assignment() assignment {
 	return assignment{at: s.attempt.startedAt, load: s.load}
 }
 
-// Class is what the settings say of one kind of session.
+// Class holds the settings of one class of sessions.
 type Class struct {
-	LatencyObjective    float64 // for the time until the session is established
-	DeduplicationWindow float64 // for which backends recognise a repeated idempotency key
-	PriorityWeight      float64 // gain of a served session, relative to other classes
-	Idempotency         Idempotency
-	Scope               DeduplicationScope
+	LatencyObjective    float64            // milliseconds within which a session is to be established
+	DeduplicationWindow float64            // milliseconds for which backends recognise a repeated idempotency key
+	PriorityWeight      float64            // gain of a served session, relative to other classes
+	Idempotency         Idempotency        // whether a request may be executed twice
+	Scope               DeduplicationScope // backends that recognise a repeat
 }
 
-// Idempotency says what a second execution of a session's request would do.
+// Idempotency says whether a session's request may be executed a second time.
 type Idempotency uint8
 
 const (
 	// Idempotent requests may be executed again.
 	Idempotent Idempotency = iota
-	// IdempotentByKey requests carry a key by which backends of the class's scope drop a repeat within its
-	// window.
+	// IdempotentByKey requests carry a key by which the backends in the class's Scope drop a repeat within its
+	// DeduplicationWindow.
 	IdempotentByKey
-	// NonIdempotent requests are never executed twice.
+	// NonIdempotent requests must not be executed twice.
 	NonIdempotent
 )
 
@@ -105,10 +105,10 @@
 // String returns the name for logs and tests.
 func (i Idempotency) String() string { return enumName(idempotencyNames[:], uint8(i)) }
 
-// DeduplicationScope names the backends that recognise a repeat of an IdempotentByKey request.
+// DeduplicationScope says which backends recognise a repeat of an IdempotentByKey request.
 type DeduplicationScope uint8
 
-// The scopes, widest first: all backends, those of the same zone, those of the same partition cell.
+// The scopes from wide to narrow: all backends, those of the same zone, those of the same partition cell.
 const (
 	ScopeAll DeduplicationScope = iota
 	ScopeZone
@@ -120,11 +120,11 @@
 // String returns the name for logs and tests.
 func (s DeduplicationScope) String() string { return enumName(scopeNames[:], uint8(s)) }
 
-// AttemptOutcome is how an attempt, or the session that it established, ended.
+// AttemptOutcome is the way in which an attempt, or the session that it established, ended.
 type AttemptOutcome uint8
 
 const (
-	// OutcomeSucceeded: the backend answered, or the established session ended in good order.
+	// OutcomeSucceeded: the backend answered, or the established session ended normally.
 	OutcomeSucceeded AttemptOutcome = iota
 	// OutcomeFailed: the backend answered with an error.
 	OutcomeFailed
@@ -136,7 +136,7 @@
 	OutcomeUnreachable
 	// OutcomeConnectionLost: the connection to the backend broke.
 	OutcomeConnectionLost
-	// OutcomeCanceled: the client or the relay ended it.
+	// OutcomeCanceled: the client or the relay ended the attempt or session.
 	OutcomeCanceled
 	// OutcomeNotSent: the request was not sent.
 	OutcomeNotSent
@@ -153,19 +153,19 @@
 	return o == OutcomeRejected || o == OutcomeUnreachable || o == OutcomeNotSent
 }
 
-// DecisionKind is what a Decision asks of the caller.
+// DecisionKind is what a Decision tells the caller to do.
 type DecisionKind uint8
 
 const (
-	// NoDecision: nothing more is to be done.
+	// NoDecision: nothing, the session is over.
 	NoDecision DecisionKind = iota
-	// Assign: begin an attempt at Backend.
+	// Assign: start an attempt at Backend.
 	Assign
-	// Queue: ask again after Wait, or when a poll was answered.
+	// Queue: call Balancer.Assign again after Wait, or when a poll was answered.
 	Queue
-	// Reject: the client is told that trying again, after Wait, is harmless.
+	// Reject: tell the client that it may safely repeat its request, after Wait.
 	Reject
-	// Fail: the client is told of an error, as its request may have been executed.
+	// Fail: answer the client with an error, as its request may have been executed.
 	Fail
 )
 
@@ -177,13 +177,13 @@
 // Decision says what to do with a session.
 type Decision struct {
 	Kind    DecisionKind
-	Backend uint32  // ID, for Assign
+	Backend uint32  // for Assign: ID of the backend
 	Timeout float64 // for Assign: milliseconds after which the attempt is given up
 	Attempt int     // for Assign: number of the session's attempt, from 0
-	Wait    float64 // milliseconds: for Queue until the next Assign, for Reject as Retry-After (0: none)
+	Wait    float64 // milliseconds, for Queue until the next Assign, for Reject as Retry-After (0: none)
 }
 
-// enumName names a value of a small enumeration.
+// enumName returns the name of an enumeration's value.
 func enumName(names []string, value uint8) string {
 	if int(value) < len(names) {
 		return names[value]
