--- a/balancer/assignment.go
+++ b/balancer/assignment.go
@@ -151,7 +151,7 @@
 	return s
 }
 
-// isOpen reports whether the session may be assigned to the backend, room aside.
+// isOpen reports whether the session may be assigned to the backend if it has room, which is not checked here.
 func (s *selection) isOpen(backend int) bool {
 	b := s.balancer
 	if b.states[backend] != Ready || backend == s.avoided {
@@ -176,14 +176,14 @@
 	return b.effectiveLoad(backend, s.now)+added < min(limit, s.limit)
 }
 
-// hasRoomAt reports whether a backend chosen without the round robin, or noBackend, has buckets and room for
-// the session.
+// hasRoomAt reports whether a backend that was chosen without the round robin has buckets and room for the
+// session. It is false for noBackend.
 func (s *selection) hasRoomAt(backend int) bool {
 	return backend >= 0 && s.balancer.roundRobin.bucketCounts[backend] > 0 && s.hasRoomUnder(backend, s.limit)
 }
 
-// chooseBackend returns the backend for the session's next attempt, or noBackend. With full, the session is
-// not worth queuing: its possible backends have no room, or all zones are closed.
+// chooseBackend returns the backend for the session's next attempt, or noBackend. With noBackend, full reports
+// that queuing the session would not help: its possible backends have no room, or all zones are closed.
 func (b *Balancer) chooseBackend(session *Session, now float64) (backend int, full bool) {
 	s := b.newSelection(session, now)
 	if s.hasRoomAt(session.warming.backend) {
--- a/balancer/attempt_outcome_test.go
+++ b/balancer/attempt_outcome_test.go
@@ -6,16 +6,17 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// After a last outcome, a second outcome, or the end of an established session, nothing is left to decide.
+// There is NoDecision after an outcome that is marked as the last, after a second outcome of the same attempt,
+// and after the end of an established session. Nothing stays counted.
 func TestNoDecisionAfterTheEnd(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		open, last bool
-	}{{"last", false, true}, {"stood", true, false}, {"stood and last", true, true}} {
+		name              string
+		established, last bool
+	}{{"last", false, true}, {"established", true, false}, {"established and last", true, true}} {
 		b := testFleet{Loads: []float64{0.3, 0.3}}.build(t)
 		session := newSession(start)
 		b.Assign(start, session)
-		if c.open {
+		if c.established {
 			b.SessionEstablished(start+20, session)
 			b.SessionEstablished(start+20, session)
 		}
@@ -24,24 +25,25 @@
 		b.SessionEstablished(start+70, session)
 		assert.Zero(t, b.attempts.inFlight, c.name)
 		assert.Zero(t, b.usage.counts[0]+b.usage.counts[1], c.name)
-		assert.Zero(t, b.poller.unreported.byBackend[0]+b.poller.unreported.byBackend[1], "a session that is over weighs on nothing")
+		assert.Zero(t, b.poller.unreported.byBackend[0]+b.poller.unreported.byBackend[1], "unreported load after the session's end")
 	}
 }
 
-// Sessions shed by one full backend go on to the next. One that is shed soon after it was established cuts
-// the concurrency limit far; one that lasted, or broke on a silent backend, does not.
+// Sessions shed by a full backend may overload the next one. A session that is lost soon after it was
+// established cuts the concurrency limit from 64 to 4; one that lasted, or whose backend does not answer
+// polls, does not.
 func TestShedSessionsReduceConcurrency(t *testing.T) {
 	for _, c := range []struct {
-		after  float64
-		silent int
-		want   float64
+		endsAfter float64
+		failures  int
+		want      float64
 	}{{600, 0, 4}, {20000, 0, 64}, {600, 1, 64}} {
 		b := testFleet{Loads: []float64{0.3, 0.3}}.build(t)
 		session := newSession(start)
 		b.Assign(start, session)
 		b.SessionEstablished(start+20, session)
-		b.outliers.consecutiveFailures[session.attempt.backend] = c.silent
-		b.AttemptFinished(start+c.after, session, OutcomeConnectionLost, true)
+		b.outliers.consecutiveFailures[session.attempt.backend] = c.failures
+		b.AttemptFinished(start+c.endsAfter, session, OutcomeConnectionLost, true)
 		assert.InDelta(t, c.want, b.attempts.concurrencyLimit, 0.1)
 	}
 }
--- a/balancer/attempt_policy_test.go
+++ b/balancer/attempt_policy_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each kind of idempotency after each kind of outcome: another attempt, a rejection or an error.
+// Whether a session gets another attempt, a rejection or an error depends on the idempotency of its request, on
+// the outcome of the attempt, and on the attempts and time left.
 func TestRetryByIdempotency(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -27,8 +28,8 @@
 		{"idempotent by key inside its window", IdempotentByKey, ScopeAll, OutcomeTimedOut, 100, 1, Assign},
 		{"idempotent by key past its window", IdempotentByKey, ScopeAll, OutcomeTimedOut, 900, 1, Fail},
 		{"idempotent by key out of attempts inside its window", IdempotentByKey, ScopeAll, OutcomeFailed, 100, 3, Reject},
-		{"idempotent by key out of attempts, group not all", IdempotentByKey, ScopeZone, OutcomeFailed, 100, 3, Fail},
-		{"past the hard limit", Idempotent, ScopeAll, OutcomeTimedOut, 2000, 1, Reject},
+		{"idempotent by key out of attempts, scope not all", IdempotentByKey, ScopeZone, OutcomeFailed, 100, 3, Fail},
+		{"past the deadline", Idempotent, ScopeAll, OutcomeTimedOut, 2000, 1, Reject},
 	} {
 		b := testFleet{Idempotency: c.idempotency, Scope: c.scope, DeduplicationWindow: 800, MaxRetryAfter: 200,
 			Loads: []float64{0.3, 0.3, 0.3, 0.3}}.build(t)
@@ -53,8 +54,8 @@
 	}
 }
 
-// A wave on an overrun store is slowed down: late and failed attempts lower the number in flight, and other
-// sessions are queued.
+// A burst of attempts on an overloaded shared store is slowed down: late and failed attempts reduce the
+// concurrency limit, and other sessions are queued.
 func TestLateAttemptsReduceConcurrency(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -92,7 +93,8 @@
 	}
 }
 
-// One attempt from each of hundreds of relays is a wave, too.
+// One attempt from each of hundreds of relays is already a burst, so the concurrency limit can go below 1: it is
+// then the probability that an attempt is allowed.
 func TestConcurrencyOfManyRelaysIsAChance(t *testing.T) {
 	b := testFleet{Loads: []float64{0.3}, Relays: 220}.build(t)
 	for i := range 8 {
--- a/balancer/benchmark_test.go
+++ b/balancer/benchmark_test.go
@@ -10,7 +10,8 @@
 	}
 }
 
-// Assigning a session and ending it, with all loads known: 2000 sessions a second.
+// Measures assigning, establishing and ending a session, with all loads known. The reference rate is 2000 sessions
+// a second.
 func BenchmarkAssign(b *testing.B) {
 	forFleetSizes(b, func(b *testing.B, backends int) {
 		balancer, now := newPolledFleet(backends)
@@ -26,7 +27,7 @@
 	})
 }
 
-// NextAction is called after every event, a forwarded line among them.
+// Measures NextAction, which is called after every event, forwarded lines included.
 func BenchmarkNextAction(b *testing.B) {
 	forFleetSizes(b, func(b *testing.B, backends int) {
 		balancer, now := newPolledFleet(backends)
@@ -38,7 +39,7 @@
 	})
 }
 
-// The same by a scan of the fleet, for comparison in one run.
+// Measures the same with a scan of all backends, for comparison within one run.
 func BenchmarkNextActionByFullScan(b *testing.B) {
 	forFleetSizes(b, func(b *testing.B, backends int) {
 		balancer, now := newPolledFleet(backends)
@@ -49,7 +50,7 @@
 	})
 }
 
-// One rebuild of the table of buckets.
+// Measures one rebuild of the table of buckets.
 func BenchmarkRefreshWeights(b *testing.B) {
 	forFleetSizes(b, func(b *testing.B, backends int) {
 		balancer, now := newPolledFleet(backends)
--- a/balancer/drain_test.go
+++ b/balancer/drain_test.go
@@ -6,14 +6,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Sessions leave one after the other, so that clients do not all return within one report.
+// Sessions leave one after the other, so that their clients do not all return within one report interval.
 func TestDrainDelayIsPaced(t *testing.T) {
 	assert.Equal(t, 4000.0, testFleet{}.build(t).ShutdownDrainDelay(5, 10, 4000), "the only relay stops")
 	b := testFleet{Loads: []float64{0.1, 0.1}, Relays: 2}.build(t)
 	for _, c := range []struct {
-		name             string
-		delay            float64
-		soonest, slowest float64
+		name              string
+		delay             float64
+		shortest, longest float64
 	}{
 		{"first of a backend", b.BackendDrainDelay(0, 30), 0, drainSpread / 30},
 		{"middle of a backend", b.BackendDrainDelay(15, 30), drainSpread / 2, drainSpread * 16 / 30},
@@ -24,24 +24,25 @@
 		{"shutdown without time", b.ShutdownDrainDelay(15, 30, 0), drainSpread / 2, drainSpread * 16 / 30},
 		{"shutdown beyond its time", b.ShutdownDrainDelay(15, 30, -50), drainSpread / 2, drainSpread * 16 / 30},
 	} {
-		assert.GreaterOrEqual(t, c.delay, c.soonest, c.name)
-		assert.LessOrEqual(t, c.delay, c.slowest, c.name)
+		assert.GreaterOrEqual(t, c.delay, c.shortest, c.name)
+		assert.LessOrEqual(t, c.delay, c.longest, c.name)
 	}
 }
 
-// With one session each, eighty relays do not have all of them return at one moment.
+// Eighty relays with one session each spread them over the drain, as each adds jitter to the delay.
 func TestDrainDelayOfManyRelaysIsSpread(t *testing.T) {
-	var at [4]int
+	var sessionsByQuarter [4]int
 	for seed := range int64(80) {
 		b := testFleet{Loads: []float64{0.1, 0.1}, Relays: 80, Seed: seed}.build(t)
-		at[int(b.BackendDrainDelay(0, 1)*float64(len(at))/drainSpread)]++
+		sessionsByQuarter[int(b.BackendDrainDelay(0, 1)*float64(len(sessionsByQuarter))/drainSpread)]++
 	}
-	for quarter, n := range at {
+	for quarter, n := range sessionsByQuarter {
 		assert.InDelta(t, 20, n, 12, "quarter %d of the time", quarter)
 	}
 }
 
-// A shutdown with another process to take the sessions uses all its time, not just the end.
+// If another process takes the sessions over, they leave over the whole time of the shutdown, not only at its
+// end.
 func TestDrainDelayWithSuccessor(t *testing.T) {
 	b := testFleet{Loads: []float64{0.1}}.build(t)
 	assert.Equal(t, 2400.0, b.ShutdownDrainDelay(0, 4, 2400))
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// testFleet is a balancer with backends 1..n listed ready in zones 0, 1, 0, 1 ..., and loads as given.
+// testFleet describes a balancer with ready backends 1 to n, in zones 0, 1, 0, 1 ..., one for each load.
 type testFleet struct {
 	Idempotency         Idempotency
 	Scope               DeduplicationScope
@@ -14,7 +14,7 @@
 	MaxRetryAfter       float64
 	MustWatch           bool
 	Loads               []float64
-	LastStartedAt       float64 // when the last backend started, 0: long ago
+	LastStartedAt       float64 // when the last backend started; 0: long ago
 	CrossZoneFee        float64
 	UsesAffinityGroups  bool
 	Relays              int
@@ -22,23 +22,23 @@
 	Seed                int64
 }
 
-// start is when most tests begin, milliseconds.
+// start is the time at which most tests begin, in milliseconds.
 const start = 100000.0
 
 func (f testFleet) build(t *testing.T) *Balancer {
 	t.Helper()
 	rng := rand.New(rand.NewSource(f.Seed))
 	relays := max(f.Relays, 1)
-	cheap := Class{
+	lowPriority := Class{
 		LatencyObjective:    300,
 		DeduplicationWindow: f.DeduplicationWindow,
 		PriorityWeight:      1,
 		Idempotency:         f.Idempotency,
 		Scope:               f.Scope,
 	}
-	dear := cheap
-	dear.PriorityWeight = 5
-	classes := []Class{cheap, dear}
+	highPriority := lowPriority
+	highPriority.PriorityWeight = 5
+	classes := []Class{lowPriority, highPriority}
 	b := New(Config{
 		Endpoints:  NewEndpointSet(f.MustWatch, 10000),
 		RoundRobin: NewRoundRobin(rng),
@@ -77,10 +77,10 @@
 	return b
 }
 
-// newSession returns a session that arrives at that time and can wait for two seconds.
+// newSession returns a session that arrives at the given time, with a deadline two seconds later.
 func newSession(now float64) *Session { return &Session{Deadline: now + 2000} }
 
-// assignWithPolls assigns a session, with every polled backend answering at once.
+// assignWithPolls assigns a session; every backend that is polled answers at once, with its load.
 func assignWithPolls(b *Balancer, now float64, session *Session, loads []float64) Decision {
 	decision := b.Assign(now, session)
 	for action := b.NextAction(now); action.Kind == ActionPoll; action = b.NextAction(now) {
@@ -92,8 +92,8 @@
 	return decision
 }
 
-// newRecoveringRelay is one of so many relays that have just started, with a fleet of backends in slow start
-// and a class for each weight.
+// newRecoveringRelay returns the balancer of one of several relays that have just started, with all backends in
+// slow start and a class for each priority weight.
 func newRecoveringRelay(relays, backends int, now float64, weights ...float64) *Balancer {
 	var classes []Class
 	for _, weight := range weights {
@@ -121,7 +121,7 @@
 	return b
 }
 
-// newEstimates are those of a relay that has seen many sessions.
+// newEstimates returns the estimates of a relay that has measured many sessions.
 func newEstimates(classes int) Estimates {
 	estimates := Estimates{
 		Capacity:        4e6,
@@ -136,20 +136,20 @@
 	return estimates
 }
 
-// assignSessions assigns so many sessions, one a step, and counts those that got a backend.
-func assignSessions(b *Balancer, from float64, sessions int, step float64) (sent int) {
+// assignSessions assigns sessions at intervals of step and returns how many got a backend.
+func assignSessions(b *Balancer, from float64, sessions int, step float64) (assigned int) {
 	for i := range sessions {
 		now := from + float64(i)*step
 		session := &Session{Deadline: now + 1000}
 		if b.Assign(now, session).Kind == Assign {
-			sent++
+			assigned++
 			b.SessionEstablished(now, session)
 		}
 	}
-	return sent
+	return assigned
 }
 
-// newFleetOf is a balancer with so many ready backends whose loads are not known.
+// newFleetOf returns a balancer with ready backends whose loads are unknown.
 func newFleetOf(backends, relays int, fee float64, seed int64) *Balancer {
 	rng := rand.New(rand.NewSource(seed))
 	classes := []Class{{LatencyObjective: 300, PriorityWeight: 1}}
@@ -168,14 +168,14 @@
 		Quotas:   NewQuotas(classes, nil, 1, relays),
 	})
 	b.BeginEndpointUpdate(true)
-	for s := range backends {
-		b.UpdateEndpoint(Endpoint{ID: uint32(s), State: Ready, Weight: 1})
+	for id := range backends {
+		b.UpdateEndpoint(Endpoint{ID: uint32(id), State: Ready, Weight: 1})
 	}
 	b.EndEndpointUpdate(0)
 	return b
 }
 
-// newPolledFleet returns a balancer whose backends have all reported their loads, and the time then.
+// newPolledFleet returns a balancer whose backends have all reported their loads, and the time after that.
 func newPolledFleet(backends int) (*Balancer, float64) {
 	b := newFleetOf(backends, 2, 0, 1)
 	now := 1.0
--- a/balancer/round_robin_test.go
+++ b/balancer/round_robin_test.go
@@ -12,25 +12,25 @@
 		b := testFleet{Loads: []float64{0.1, 0.3, 0.3}, Seed: seed}.build(t)
 		b.refreshWeights(start)
 		starts[b.roundRobin.position] = true
-		seen := map[int]int{}
+		counts := map[int]int{}
 		run, longest := 0, 0
-		for i, k := range b.roundRobin.table {
-			seen[k.backend]++
-			if run++; i > 0 && b.roundRobin.table[i-1].backend != k.backend {
+		for i, entry := range b.roundRobin.table {
+			counts[entry.backend]++
+			if run++; i > 0 && b.roundRobin.table[i-1].backend != entry.backend {
 				run = 1
 			}
 			longest = max(longest, run)
 		}
-		for s, n := range b.roundRobin.bucketCounts {
-			assert.Equal(t, n, seen[s])
+		for index, count := range b.roundRobin.bucketCounts {
+			assert.Equal(t, count, counts[index])
 		}
-		assert.LessOrEqual(t, longest, 2, "one backend's buckets stand apart")
+		assert.LessOrEqual(t, longest, 2, "most buckets of one backend in a row")
 	}
 	assert.Greater(t, len(starts), 5)
 }
 
 func TestSameSeedGivesSameAssignments(t *testing.T) {
-	walk := func(seed int64) (ids []uint32) {
+	assignedIDs := func(seed int64) (ids []uint32) {
 		b := testFleet{Loads: []float64{0.2, 0.3, 0.4, 0.5}, Seed: seed}.build(t)
 		for i := range 40 {
 			now := start + float64(i)*300
@@ -39,6 +39,6 @@
 		}
 		return ids
 	}
-	assert.Equal(t, walk(5), walk(5))
-	assert.NotEqual(t, walk(5), walk(6))
+	assert.Equal(t, assignedIDs(5), assignedIDs(5))
+	assert.NotEqual(t, assignedIDs(5), assignedIDs(6))
 }
--- a/balancer/session_events_test.go
+++ b/balancer/session_events_test.go
@@ -6,16 +6,16 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// An attempt of the client at another relay that may have been executed counts as the session's own: a
-// non-idempotent request is neither executed again nor its client told to repeat it; one that is idempotent
-// by key goes where, and as long as, a repeat is dropped.
+// An attempt of the client at another relay that may have been executed counts as the session's own. A
+// non-idempotent request is not executed again, and its client is not told to repeat it. One that is idempotent
+// by key goes only to backends in the deduplication scope, within the deduplication window.
 func TestRecordEarlierAttempt(t *testing.T) {
 	for _, c := range []struct {
 		idempotency Idempotency
 		scope       DeduplicationScope
 		id          uint32
 		ago         float64
-		verdict     DecisionKind
+		want        DecisionKind
 	}{
 		{Idempotent, ScopeAll, 1, 100, Assign},
 		{NonIdempotent, ScopeAll, 1, 100, Fail},
@@ -23,21 +23,21 @@
 		{IdempotentByKey, ScopeAll, 1, 100, Assign},
 		{IdempotentByKey, ScopeAll, 99, 100, Assign},
 		{IdempotentByKey, ScopeZone, 1, 100, Assign},
-		{IdempotentByKey, ScopeZone, 99, 100, Fail}, // whose zone is not known
-		{IdempotentByKey, ScopeAll, 1, 1e6, Fail},   // longer than repeats are remembered
+		{IdempotentByKey, ScopeZone, 99, 100, Fail}, // the zone of backend 99 is unknown
+		{IdempotentByKey, ScopeAll, 1, 1e6, Fail},   // after the deduplication window
 	} {
 		b := testFleet{Loads: []float64{0.1, 0.1, 0.1, 0.1}, Seed: 3}.build(t)
 		class := &b.attempts.classes[0]
 		class.Idempotency, class.Scope, class.DeduplicationWindow = c.idempotency, c.scope, 5000
 		session := newSession(start)
 		b.RecordEarlierAttempt(session, c.id, start-c.ago)
-		a := b.Assign(start, session)
-		for now := start; a.Kind == Queue && now < session.Deadline+100; now += 50 {
-			a = b.Assign(now, session)
+		decision := b.Assign(start, session)
+		for now := start; decision.Kind == Queue && now < session.Deadline+100; now += 50 {
+			decision = b.Assign(now, session)
 		}
-		assert.Equal(t, c.verdict, a.Kind, "%+v", c)
-		if c.scope == ScopeZone && a.Kind == Assign {
-			assert.Equal(t, uint32(1), a.Backend%2, "%+v", c)
+		assert.Equal(t, c.want, decision.Kind, "%+v", c)
+		if c.scope == ScopeZone && decision.Kind == Assign {
+			assert.Equal(t, uint32(1), decision.Backend%2, "%+v", c)
 		}
 	}
 }
--- a/balancer/session_load_test.go
+++ b/balancer/session_load_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A heavy session shed by one backend does not overload the next, as its load is known.
+// The load of a session that was shed is remembered by its key, so that it does not overload the next backend.
 func TestLoadOfShedSessionIsRemembered(t *testing.T) {
 	b := testFleet{Loads: []float64{0.3, 0.3}, Relays: 1}.build(t)
 	session := &Session{Key: 7, Deadline: start + 2000}
@@ -17,13 +17,13 @@
 	b.LoadMeasured(session, 90000)
 	b.LoadMeasured(session, math.NaN())
 	b.AttemptFinished(start+100, session, OutcomeConnectionLost, true)
-	again := &Session{Key: 7, Deadline: start + 3000}
-	b.Assign(start+1000, again)
-	assert.Equal(t, 90000.0, again.load)
+	returning := &Session{Key: 7, Deadline: start + 3000}
+	b.Assign(start+1000, returning)
+	assert.Equal(t, 90000.0, returning.load)
 }
 
-// A relay that has just started and has measured its first session goes on assigning, without waiting for the
-// next refresh.
+// A relay that has just started continues to assign after it has measured its first session, because the
+// weights are refreshed at once. With the capacity estimated before, all backends would seem full.
 func TestYoungRelayLearnsSessionLoad(t *testing.T) {
 	b := testFleet{Loads: []float64{0.1, 0.1, 0.1, 0.1}}.build(t)
 	now := start
--- a/balancer/weights_test.go
+++ b/balancer/weights_test.go
@@ -13,10 +13,10 @@
 		want       int
 	}{
 		{"at the mean", 0.5, 0.5, 10},
-		{"idle draws twice the mean", 0, 0.5, 20},
+		{"idle gets twice as many as at the mean", 0, 0.5, 20},
 		{"twice the mean", 1, 0.5, 7},
-		{"far above the mean is held at the fewest", 50, 0.5, 2},
-		{"a mean near zero tells nothing", 0.02, 0.001, 10},
+		{"far above the mean gets the minimum", 50, 0.5, 2},
+		{"a negligible mean gives all the same", 0.02, 0.001, 10},
 	} {
 		assert.Equal(t, c.want, bucketCount(c.load, c.mean), c.name)
 	}
--- a/balancer/zones_test.go
+++ b/balancer/zones_test.go
@@ -7,49 +7,49 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Sessions draw their zone by the weights; a closed zone gets none, one that accepts overflow those that find
-// no room, and without weights all backends are alike.
+// Sessions draw their target zone by the zone weights. A zone of weight 0 that accepts no overflow gets none, one
+// that accepts overflow gets sessions that find no room in their zone, and without weights zones don't matter.
 func TestZoneWeights(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		parts []ZoneWeight
-		loads []float64 // of backends in zones 0, 1, 0, 1 ...
-		want  [2]float64
+		name       string
+		weights    []ZoneWeight
+		loads      []float64 // of backends in zones 0, 1, 0, 1 ...
+		wantShares [2]float64
 	}{
-		{"all near", []ZoneWeight{{0, 1, true}, {1, 0, true}}, []float64{0.1, 0.1, 0.1, 0.1}, [2]float64{1, 0}},
-		{"near as long as there is room", []ZoneWeight{{0, 1, true}, {1, 0, true}}, []float64{0.7, 0.1, 0.7, 0.1},
+		{"all to zone 0", []ZoneWeight{{0, 1, true}, {1, 0, true}}, []float64{0.1, 0.1, 0.1, 0.1}, [2]float64{1, 0}},
+		{"zone 0 as long as it has room", []ZoneWeight{{0, 1, true}, {1, 0, true}}, []float64{0.7, 0.1, 0.7, 0.1},
 			[2]float64{1, 0}},
-		{"full, and the other is open", []ZoneWeight{{0, 1, true}, {1, 0, true}}, []float64{1.5, 0.1, 1.5, 0.1},
+		{"zone 0 full, zone 1 accepts overflow", []ZoneWeight{{0, 1, true}, {1, 0, true}}, []float64{1.5, 0.1, 1.5, 0.1},
 			[2]float64{0, 1}},
-		{"full, and the other is closed", []ZoneWeight{{0, 1, true}, {1, 0, false}}, []float64{1.5, 0.1, 1.5, 0.1},
+		{"zone 0 full, zone 1 closed", []ZoneWeight{{0, 1, true}, {1, 0, false}}, []float64{1.5, 0.1, 1.5, 0.1},
 			[2]float64{0, 0}},
-		{"emptied", []ZoneWeight{{0, 0, false}, {1, 1, true}}, []float64{0.1, 0.1, 0.1, 0.1}, [2]float64{0, 1}},
+		{"zone 0 closed", []ZoneWeight{{0, 0, false}, {1, 1, true}}, []float64{0.1, 0.1, 0.1, 0.1}, [2]float64{0, 1}},
 		{"a share", []ZoneWeight{{0, 0.3, false}, {1, 0.7, true}}, []float64{0.1, 0.1, 0.1, 0.1},
 			[2]float64{0.3, 0.7}},
-		{"a share, and some left", []ZoneWeight{{0, 0.3, false}, {1, 0.3, true}}, []float64{0.1, 0.1, 0.1, 0.1},
+		{"weights below 1 in total", []ZoneWeight{{0, 0.3, false}, {1, 0.3, true}}, []float64{0.1, 0.1, 0.1, 0.1},
 			[2]float64{0.5, 0.5}},
-		{"a zone that nobody decided on", []ZoneWeight{{1, 0, false}}, []float64{0.1, 0.1, 0.1, 0.1},
+		{"a zone without a weight", []ZoneWeight{{1, 0, false}}, []float64{0.1, 0.1, 0.1, 0.1},
 			[2]float64{1, 0}},
-		{"none", nil, []float64{0.1, 0.1, 0.1, 0.1}, [2]float64{0.5, 0.5}},
+		{"no weights", nil, []float64{0.1, 0.1, 0.1, 0.1}, [2]float64{0.5, 0.5}},
 	} {
 		b := testFleet{Loads: c.loads, Seed: 3}.build(t)
-		b.SetZoneWeights(c.parts)
-		var got [2]float64
+		b.SetZoneWeights(c.weights)
+		var shares [2]float64
 		const sessions = 2000
 		for range sessions {
 			session := newSession(start)
 			session.LoadHint = 1
 			if a := b.Assign(start, session); a.Kind == Assign {
-				got[(a.Backend-1)%2] += 1.0 / sessions
+				shares[(a.Backend-1)%2] += 1.0 / sessions
 				b.SessionEstablished(start, session)
 				b.AttemptFinished(start, session, OutcomeSucceeded, true)
 			}
 		}
-		assert.InDeltaSlice(t, c.want[:], got[:], 0.05, c.name)
+		assert.InDeltaSlice(t, c.wantShares[:], shares[:], 0.05, c.name)
 	}
 }
 
-// Attempts and polls are counted by zone and result; load and capacity are those of its backends.
+// Attempts and polls are counted by zone and result; a zone's load and capacity are the sums of its backends.
 func TestZoneObservations(t *testing.T) {
 	b := testFleet{Loads: []float64{0.1, 0.3, 0.1, 0.3}, Seed: 3}.build(t)
 	b.SetZoneWeights([]ZoneWeight{{1, 1, true}})
@@ -62,16 +62,16 @@
 		}
 		b.PollFinished(start, uint32(i+1), i != 2, []float64{0, 0.2})
 	}
-	all, demand := b.ZoneObservations(start)
-	assert.Equal(t, []float64{0, 0, 2, 1}, []float64{all[0].Attempts, all[0].FailedAttempts, all[0].Polls, all[0].UnansweredPolls})
-	assert.Equal(t, []float64{4, 2, 2, 0}, []float64{all[1].Attempts, all[1].FailedAttempts, all[1].Polls, all[1].UnansweredPolls})
-	assert.Positive(t, all[1].Load)
-	assert.Equal(t, 2.0, all[1].Capacity)
+	zones, demand := b.ZoneObservations(start)
+	assert.Equal(t, []float64{0, 0, 2, 1}, []float64{zones[0].Attempts, zones[0].FailedAttempts, zones[0].Polls, zones[0].UnansweredPolls})
+	assert.Equal(t, []float64{4, 2, 2, 0}, []float64{zones[1].Attempts, zones[1].FailedAttempts, zones[1].Polls, zones[1].UnansweredPolls})
+	assert.Positive(t, zones[1].Load)
+	assert.Equal(t, 2.0, zones[1].Capacity)
 	assert.False(t, math.IsNaN(demand) || demand < 0)
 }
 
-// Where operators have closed every zone, a session is rejected at once, and accepted as soon as one is open
-// again.
+// While operators have closed every zone, sessions are rejected at once; they are assigned again as soon as one
+// zone is open.
 func TestAllZonesClosed(t *testing.T) {
 	b := testFleet{Loads: []float64{0.1, 0.1}, Seed: 3}.build(t)
 	b.SetZoneWeights([]ZoneWeight{{0, 0, false}, {1, 0, false}})
