--- a/balancer/endpoint_set.go
+++ b/balancer/endpoint_set.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// EndpointState is what the endpoint list says of a backend.
+// EndpointState is the state of a backend according to the endpoint list.
 type EndpointState uint8
 
 const (
-	// Gone backends are not on the list any more.
+	// Gone backends are no longer on the list.
 	Gone EndpointState = iota
-	// Ready backends take sessions.
+	// Ready backends accept sessions.
 	Ready
-	// Draining backends keep their sessions for a while and take no new ones.
+	// Draining backends keep their sessions for a while and accept no new ones.
 	Draining
 )
 
@@ -25,11 +25,11 @@
 	Zone      int
 	State     EndpointState
 	Cell      int     // partition cell
-	StartedAt float64 // 0: before anybody watched
+	StartedAt float64 // time at which the backend started; 0: before discovery observed it
 	Weight    float64 // relative capacity
 }
 
-// EndpointSet is what the endpoint list has said. Each backend has a small dense index, under which this and
+// EndpointSet holds the backends of the endpoint list. Each backend has a small dense index, under which this and
 // the other parts of the Balancer keep their state.
 type EndpointSet struct {
 	watch  endpointWatch
@@ -41,21 +41,21 @@
 	zones         []int
 	cells         []int
 	weights       []float64    // relative capacity
-	startedAt     []float64    // 0: before anybody watched
+	startedAt     []float64    // time at which each backend started; 0: before discovery observed it
 	assumedStarts map[int]bool // backends from a cached list whose start time is not confirmed
 
-	listReceived    bool    // an update has ended
-	initialBackends float64 // ready backends in the first list
+	listReceived    bool    // whether an update has been applied
+	initialBackends float64 // number of ready backends in the first list
 }
 
-// endpointUpdate is the state of the update of the list that is being applied.
+// endpointUpdate is the state of the list update that is being applied.
 type endpointUpdate struct {
-	mentioned []bool // since BeginEndpointUpdate, by backend
-	isFull    bool   // backends that are not mentioned are gone
+	mentioned []bool // whether each backend was mentioned since BeginEndpointUpdate
+	isFull    bool   // whether backends that are not mentioned are gone
 }
 
-// NewEndpointSet returns an empty set. Where the list must be watched, a watch that is silent for
-// watchTimeout milliseconds counts as dead.
+// NewEndpointSet returns an empty set. If the list must be watched, a watch that is silent for watchTimeout
+// milliseconds counts as broken.
 func NewEndpointSet(mustWatch bool, watchTimeout float64) *EndpointSet {
 	if !mustWatch {
 		watchTimeout = math.Inf(1)
@@ -81,7 +81,7 @@
 	e.update.mentioned = append(e.update.mentioned, false)
 }
 
-// BeginEndpointUpdate begins an update of the list. A full update mentions every backend there is.
+// BeginEndpointUpdate begins an update of the list. A full update mentions every backend on the list.
 func (b *Balancer) BeginEndpointUpdate(full bool) {
 	b.update.isFull = full
 	clear(b.update.mentioned)
@@ -141,8 +141,8 @@
 	}
 }
 
-// addBackend returns an index for the ID: that of a backend that is gone and has no session left, or a new
-// one.
+// addBackend assigns an index to the ID and returns it: the index of a backend that is gone and has no sessions
+// left, or a new one.
 func (b *Balancer) addBackend(id uint32) int {
 	backend := b.findFreeIndex()
 	if backend == noBackend {
@@ -163,7 +163,7 @@
 	return backend
 }
 
-// findFreeIndex returns the index of a backend that is gone and has no session left, or noBackend.
+// findFreeIndex returns the index of a backend that is gone and has no sessions left, or noBackend.
 func (b *Balancer) findFreeIndex() int {
 	for backend, state := range b.states {
 		if state == Gone && b.usage.counts[backend] == 0 {
@@ -173,7 +173,7 @@
 	return noBackend
 }
 
-// growParts makes room for one more backend in every part.
+// growParts makes room for one more backend in every part of the Balancer.
 func (b *Balancer) growParts() {
 	b.EndpointSet.grow()
 	b.outliers.grow()
@@ -186,9 +186,9 @@
 
 // BackendStatus is what a Balancer knows of a backend.
 type BackendStatus struct {
-	Sessions   int     // of this relay, those being established included
-	ReportedAt float64 // when it last reported its load; -Inf: never
-	IsAvoided  bool    // no new session is assigned to it, as it is not ready or does not answer
+	Sessions   int     // number of this relay's sessions on it, including those being established
+	ReportedAt float64 // time of its latest load report; -Inf: never
+	IsAvoided  bool    // whether it gets no new sessions, as it is not ready or does not answer
 }
 
 // BackendStatus returns what is known of the backend.
--- a/balancer/estimates.go
+++ b/balancer/estimates.go
@@ -2,30 +2,30 @@
 
 import "math"
 
-// maxEstimateGrowth bounds the capacity that one incarnation hands on, as a multiple of the one it was
-// started with.
+// maxEstimateGrowth limits the capacity that one incarnation passes on, as a multiple of the capacity that it
+// was started with.
 const maxEstimateGrowth = 1.25
 
-// Estimates is what a relay knows of backends and sessions in general, not of any one: a hint to a relay that
-// has just come back.
+// Estimates holds what a relay has learnt about backends and sessions in general, not about any single one. It
+// is a hint for a relay that has just restarted.
 type Estimates struct {
-	Capacity        float64   `json:"Capacity"` // of a backend, in session load; 0: unknown
+	Capacity        float64   `json:"Capacity"` // capacity of a backend, in session load; 0: unknown
 	MeanSessionLoad float64   `json:"LoadMean"`
 	ClassLoads      []float64 `json:"Loads"`   // mean session load, by class
-	ClassSamples    []float64 `json:"Weighed"` // sessions that those rest on
+	ClassSamples    []float64 `json:"Weighed"` // number of sessions behind each class's mean
 
-	OwnLoad      float64 `json:"Own"`     // of this relay on warm backends, as far as reports include it
-	ReportedLoad float64 `json:"Figures"` // of those backends, summed
+	OwnLoad      float64 `json:"Own"`     // load of this relay's sessions on warm backends, as far as reports include it
+	ReportedLoad float64 `json:"Figures"` // sum of the loads that those backends report
 }
 
-// Estimates returns what this relay has learnt, for its next incarnation and for others. With too few
-// sessions for an estimate of its own, or while the fleet recovers, it hands on the capacity it was started
-// with, and later at most a quarter more. In the first seconds reports include few of the sessions assigned,
-// so estimates are too high; without the bound they would grow from one incarnation to the next while power
-// is lost over and over.
+// Estimates returns what this relay has learnt, for its next incarnation and for other relays. With too few
+// sessions for an estimate of its own, or while the fleet recovers, it passes on the capacity that it was started
+// with, and later at most a quarter more. In the first seconds reports include few of the assigned sessions, so
+// estimates are too high. Without the limit they would grow from one incarnation to the next during repeated
+// power losses.
 func (b *Balancer) Estimates() Estimates {
 	estimates := Estimates{
-		Capacity:        b.capacityToHandOn(),
+		Capacity:        b.capacityForEstimates(),
 		MeanSessionLoad: b.quotas.meanSessionLoad,
 		ClassLoads:      append([]float64{}, b.quotas.classLoads...),
 		ClassSamples:    append([]float64{}, b.quotas.classSamples...),
@@ -41,24 +41,24 @@
 	return estimates
 }
 
-// capacityToHandOn returns the capacity of a backend for Estimates.
-func (b *Balancer) capacityToHandOn() float64 {
-	told := b.admission.Capacity()
+// capacityForEstimates returns the capacity of a backend for Estimates.
+func (b *Balancer) capacityForEstimates() float64 {
+	restored := b.admission.Capacity()
 	samples := b.quotas.loadSamples
 	switch {
 	case samples < confidentSessions:
-		return told
-	case told > 0 && (samples < 2*confidentSessions || b.admission.ShouldRedraw()):
-		return told
-	case told > 0:
-		return min(b.fleet.capacity, maxEstimateGrowth*told)
+		return restored
+	case restored > 0 && (samples < 2*confidentSessions || b.admission.ShouldRedraw()):
+		return restored
+	case restored > 0:
+		return min(b.fleet.capacity, maxEstimateGrowth*restored)
 	default:
 		return b.fleet.capacity
 	}
 }
 
-// RestoreEstimates uses what was learnt before this start, here or at another relay, and reports whether it
-// did: what this incarnation has learnt itself takes precedence, and invalid estimates are refused.
+// RestoreEstimates applies estimates made before this start, by this relay or another, and reports whether it
+// did. What this incarnation has learnt itself takes precedence, and invalid estimates are refused.
 func (b *Balancer) RestoreEstimates(estimates Estimates) bool {
 	quotas := b.quotas
 	if quotas.loadSamples >= confidentSessions || !estimates.areValid(len(quotas.classes)) {
@@ -75,9 +75,9 @@
 	return true
 }
 
-// areValid reports whether the estimates can be true, for that many classes.
+// areValid reports whether the estimates have plausible values for the given number of classes.
 func (e *Estimates) areValid(classes int) bool {
-	if !isPositive(e.Capacity) || !isPositive(e.MeanSessionLoad) {
+	if !isFinitePositive(e.Capacity) || !isFinitePositive(e.MeanSessionLoad) {
 		return false
 	}
 	if len(e.ClassLoads) != classes || len(e.ClassSamples) != classes {
@@ -92,5 +92,5 @@
 	return true
 }
 
-// isPositive reports whether the figure is a finite number above 0.
-func isPositive(figure float64) bool { return figure > 0 && !math.IsInf(figure, 1) }
+// isFinitePositive reports whether the value is a finite number above 0.
+func isFinitePositive(value float64) bool { return value > 0 && !math.IsInf(value, 1) }
--- a/balancer/load_accounting.go
+++ b/balancer/load_accounting.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// assignment is a session that this relay assigned to a backend.
+// assignment is a session that this relay assigned to a backend, as counted in unreportedLoads.
 type assignment struct {
 	at   float64
 	load float64
 }
 
-// backendUsage is what this relay's sessions put on each backend.
+// backendUsage holds the number and load of this relay's sessions on each backend.
 type backendUsage struct {
-	loads  []float64 // sum of their loads, by backend
+	loads  []float64 // sum of the sessions' loads, by backend
 	counts []int     // number of sessions, by backend
 }
 
@@ -29,7 +29,7 @@
 	}
 }
 
-// release undoes reserve. The backend's next report does not include the session any more, either.
+// release undoes reserve. If no report includes the session yet, none will, so it leaves the unreported load too.
 func (b *Balancer) release(session *Session) {
 	b.poller.unreported.remove(session.attempt.backend, session.assignment())
 	b.usage.counts[session.attempt.backend]--
@@ -39,30 +39,31 @@
 	}
 }
 
-// changeLoad replaces the session's load on its backend, also where no report includes the session yet: else the excess
-// would pass for load that is reported, and the backend for a larger one.
+// changeLoad replaces the session's load on its backend, and in the unreported load if no report includes the
+// session yet. Otherwise the difference would count as reported load, and the backend's capacity would be
+// estimated too high.
 func (b *Balancer) changeLoad(session *Session, load float64) {
 	b.poller.unreported.change(session.attempt.backend, session.assignment(), load)
 	b.usage.loads[session.attempt.backend] += load - session.load
 	session.load = load
 }
 
-// UnreportedLoad returns the session load that this relay has assigned and that backends' reports may not
-// include yet.
+// UnreportedLoad returns the load of the sessions that this relay has assigned and that the backends' reports
+// may not include yet.
 func (b *Balancer) UnreportedLoad() float64 { return b.poller.unreported.total }
 
-// SetRemoteLoad sets the unreported load of all other relays together, as they announce it; below 0: unknown.
+// SetRemoteLoad sets the total unreported load that the other relays announce; below 0: unknown.
 func (b *Balancer) SetRemoteLoad(load float64) { b.poller.unreported.remote = load }
 
-// unknownRemoteLoad stands for the unreported load of other relays that have not announced it.
+// unknownRemoteLoad is the value of unreportedLoads.remote until the other relays have announced theirs.
 const unknownRemoteLoad = -1
 
-// unreportedLoads are the loads of sessions assigned by relays that backends' reports may not include yet.
+// unreportedLoads holds the loads of assigned sessions that the backends' reports may not include yet.
 type unreportedLoads struct {
-	assignments [][]assignment // of this relay, by backend
-	byBackend   []float64      // sum of their loads
-	total       float64        // sum over all backends
-	remote      float64        // of all other relays together; below 0: unknown
+	assignments [][]assignment // this relay's assignments, by backend
+	byBackend   []float64      // sum of the loads of this relay's assignments, by backend
+	total       float64        // sum of byBackend
+	remote      float64        // unreported load of all other relays together; below 0: unknown
 }
 
 // grow adds a backend.
@@ -78,14 +79,14 @@
 	u.assignments[backend] = u.assignments[backend][:0]
 }
 
-// add adds load that the backend's report does not include yet.
+// add adds an assignment that the backend's report does not include yet.
 func (u *unreportedLoads) add(backend int, added assignment) {
 	u.assignments[backend] = append(u.assignments[backend], added)
 	u.byBackend[backend] += added.load
 	u.total += added.load
 }
 
-// remove removes the assignment, if a report does not include it yet.
+// remove removes the assignment if no report includes it yet.
 func (u *unreportedLoads) remove(backend int, removed assignment) {
 	i := slices.Index(u.assignments[backend], removed)
 	if i < 0 {
@@ -96,7 +97,7 @@
 	u.assignments[backend] = slices.Delete(u.assignments[backend], i, i+1)
 }
 
-// change replaces the load of the assignment, if a report does not include it yet.
+// change replaces the load of the assignment if no report includes it yet.
 func (u *unreportedLoads) change(backend int, changed assignment, load float64) {
 	i := slices.Index(u.assignments[backend], changed)
 	if i < 0 {
@@ -107,7 +108,7 @@
 	u.total += load - changed.load
 }
 
-// dropReported removes the assignments made before that time, which the latest report includes.
+// dropReported removes the backend's assignments from before the given time, as its latest report includes them.
 func (u *unreportedLoads) dropReported(backend int, before float64) {
 	u.total -= u.byBackend[backend]
 	u.byBackend[backend] = 0
--- a/balancer/load_memory.go
+++ b/balancer/load_memory.go
@@ -1,9 +1,11 @@
 package balancer
 
-// endedLoadRetention is how many milliseconds a load is remembered, twice that at the most.
+// endedLoadRetention is for how many milliseconds a load is kept at least. It is kept at most twice as long, while
+// others are stored.
 const endedLoadRetention = 60000.0
 
-// loadMemory keeps loads by key. It has two halves, the older dropped whole, so that it stays bounded.
+// loadMemory keeps session loads by client key for a limited time. It has two generations, of which the older is
+// dropped as a whole, so that its size stays bounded.
 type loadMemory struct {
 	recent    map[uint64]float64
 	older     map[uint64]float64
@@ -27,7 +29,7 @@
 	return load, found
 }
 
-// newest returns at most count loads by key, the recent ones first.
+// newest returns up to count loads by key. Those of the recent generation take precedence.
 func (m *loadMemory) newest(count int) map[uint64]float64 {
 	loads := map[uint64]float64{}
 	for _, half := range []map[uint64]float64{m.recent, m.older} {
--- a/balancer/load_poller.go
+++ b/balancer/load_poller.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// LoadPoller polls backends for their load and keeps what they report. A poll is a health check too.
+// LoadPoller schedules polls of the backends' load and keeps their reports. A poll is a health check too.
 type LoadPoller struct {
 	enabled     bool
-	cost        float64 // of one poll, as a share of a session's gain
-	activeShare float64 // of the fleet, polled regularly; if below 1, sessions have candidates polled
+	cost        float64 // cost of one poll, as a share of a session's gain
+	activeShare float64 // share of the fleet that is polled regularly; below 1, candidates are polled for each session
 
 	polls          pollTimes
 	requests       pollRequests
@@ -15,21 +15,21 @@
 	candidateDraws []float64 // scratch space of drawCandidates
 }
 
-// pollTimes says when backends were polled, by backend.
+// pollTimes holds the times of polls, by backend.
 type pollTimes struct {
-	sentAt         []float64 // of the poll in flight; NaN: none
-	latestAt       []float64 // -Inf: never, or due at once
-	selectionDraws []float64 // from 0 to 1: backends below the active share are polled regularly
+	sentAt         []float64 // time at which the poll in flight was sent; NaN: none is in flight
+	latestAt       []float64 // time of the latest poll; -Inf: never polled, or due at once
+	selectionDraws []float64 // random numbers from 0 to 1: backends below the active share are polled regularly
 }
 
-// pollRequests are the polls that sessions wait for and that are not sent yet.
+// pollRequests holds the polls that sessions wait for and that are not sent yet.
 type pollRequests struct {
-	isQueued []bool // by backend
-	queue    []int
+	isQueued []bool // whether each backend is in the queue
+	queue    []int  // backends to be polled, the next one last
 }
 
-// NewLoadPoller returns a poller without backends. Cost is that of one poll, as a share of a session's gain;
-// fields are the names of the reports' fields.
+// NewLoadPoller returns a poller without backends. Cost is the cost of one poll, as a share of a session's gain;
+// fields are the names of the fields in a load report.
 func NewLoadPoller(enabled bool, cost float64, fields []string) *LoadPoller {
 	return &LoadPoller{
 		enabled:    enabled,
@@ -53,7 +53,8 @@
 	t.selectionDraws = append(t.selectionDraws, 0)
 }
 
-// requestPoll has the backend polled for a session, unless a poll is due or in flight or its report is new.
+// requestPoll queues a poll of the backend for a session, unless one is queued or in flight or the backend's
+// latest report is newer than pollInterval.
 func (p *LoadPoller) requestPoll(backend int, now float64) {
 	if p.isAwaited(backend) || !(now >= p.reports.receivedAt[backend]+pollInterval) {
 		return
@@ -79,12 +80,12 @@
 	return backend
 }
 
-// isAwaited reports whether a poll of the backend is due or in flight.
+// isAwaited reports whether a poll of the backend is queued or in flight.
 func (p *LoadPoller) isAwaited(backend int) bool {
 	return p.requests.isQueued[backend] || !math.IsNaN(p.polls.sentAt[backend])
 }
 
-// PollFinished records the end of a poll: its report, or that it failed.
+// PollFinished records the end of a poll: the backend's report, or that the poll failed.
 func (b *Balancer) PollFinished(now float64, id uint32, ok bool, report []float64) {
 	backend, known := b.indexByID[id]
 	if !known {
@@ -100,8 +101,8 @@
 	b.LoadReported(now, id, report)
 }
 
-// PollNotSent records that a poll which was due was not sent. That says nothing of the backend, and the poll
-// is due again later.
+// PollNotSent records that the caller did not send a poll that was due. It does not count as a failure of the
+// backend, and the poll is due again later.
 func (b *Balancer) PollNotSent(id uint32) {
 	if backend, known := b.indexByID[id]; known {
 		b.poller.polls.sentAt[backend] = math.NaN()
@@ -109,11 +110,11 @@
 	}
 }
 
-// forgetLoad drops what the backend has reported.
+// forgetLoad drops the backend's latest report and the assignments that it may not include yet.
 func (b *Balancer) forgetLoad(backend int) {
 	b.poller.unreported.clear(backend)
 	b.poller.reports.clear(backend)
 }
 
-// SetMaxReportAge sets how many milliseconds old a report may be.
+// SetMaxReportAge sets how many milliseconds old the load in a report may be when the report arrives.
 func (b *Balancer) SetMaxReportAge(age float64) { b.poller.reports.maxAge = age }
--- a/balancer/load_polling.go
+++ b/balancer/load_polling.go
@@ -3,21 +3,21 @@
 import "slices"
 
 const (
-	pollInterval         = 1000.0 // shortest time between two polls of a healthy backend
-	maxPollInterval      = 4000.0 // longest; the requirement is five seconds, with the answer's way
-	failedPollInterval   = 300.0  // time between polls of a backend that did not answer
+	pollInterval         = 1000.0 // shortest time between two polls of a healthy backend, in milliseconds
+	maxPollInterval      = 4000.0 // longest time between them, in milliseconds; with the answer's delay, five seconds are allowed
+	failedPollInterval   = 300.0  // time between two polls of a backend that did not answer, in milliseconds
 	pollSpread           = 0.2    // share of the interval over which the polls of backends are spread
-	pollCostShare        = 0.012  // cost of polls for one session, as a share of its gain
-	candidatesPerSession = 5      // backends that are polled for a session, at the most
-	pollWaitShare        = 0.1    // share of its latency objective that a session waits for their answers
+	pollCostShare        = 0.012  // highest cost of the polls for one session, as a share of the session's gain
+	candidatesPerSession = 5      // highest number of backends that are polled for one session
+	pollWaitShare        = 0.1    // share of its latency objective that a session waits for answers to its polls
 
-	assumedSessionInterval  = 2000.0 // time between two sessions of a backend, until arrivals tell
-	remoteZonePenaltyPerFee = 20.0   // lowers the chance of a candidate in another zone
-	readyShare              = 0.75   // share of the backends whose reports make a relay ready to take over
+	assumedSessionInterval  = 2000.0 // milliseconds between two sessions of a backend, assumed until sessions arrive
+	remoteZonePenaltyPerFee = 20.0   // increase of the draw of a candidate in another zone, per unit of the cross-zone fee
+	readyShare              = 0.75   // share of the healthy backends whose reports make a relay ready to take over
 )
 
-// pollingPlan returns the share of the fleet that can be polled regularly for what polls may cost a session,
-// and the interval.
+// pollingPlan returns the share of the fleet that can be polled regularly without the polls costing more than
+// pollCostShare for each session, and the interval between two polls of a backend.
 func (b *Balancer) pollingPlan() (share, interval float64) {
 	backends := max(float64(len(b.ids)), 1)
 	rate := (b.attempts.established + 1) /
@@ -26,9 +26,10 @@
 	return min(max(2-interval/maxPollInterval, 0), 1), min(interval, maxPollInterval)
 }
 
-// awaitPolls has the session's candidates polled and reports whether that is done. It is used where polling
-// the whole fleet regularly would cost more than a session may. If all candidates are full no others are
-// polled: the sessions of a full fleet would fill its last gaps, and all loads were too high.
+// awaitPolls has the session's candidates polled and reports whether the wait for their answers is over. It is
+// used where polling the whole fleet regularly would cost too much for each session. If all candidates are full,
+// no others are polled: otherwise the sessions of a full fleet would use up its last free capacity, and the load
+// of every backend would become too high.
 func (b *Balancer) awaitPolls(now float64, session *Session) bool {
 	b.poller.activeShare, _ = b.pollingPlan()
 	if !b.poller.enabled || b.poller.activeShare >= 1 {
@@ -53,7 +54,8 @@
 	}
 }
 
-// drawCandidates draws as many warm backends as a session's polls may cost, by the least draws of its hash.
+// drawCandidates draws the warm backends to be polled for a session: those with the lowest draws by its hash, as
+// many as the cost of polls allows.
 func (b *Balancer) drawCandidates(now float64, session *Session) {
 	hash := b.affinityHash(session)
 	zone := b.targetZone(session)
@@ -91,12 +93,13 @@
 	return b.outliers.consecutiveFailures[backend] == 0 || now >= b.poller.polls.latestAt[backend]+maxPollInterval
 }
 
-// NextAction returns the poll or watch that is due, or how long to wait; ask again until it is ActionWait.
+// NextAction returns the poll or watch that is due, or how long to wait. The caller calls it until it returns
+// ActionWait.
 func (b *Balancer) NextAction(now float64) Action {
 	untilWatch := b.watch.nextAt - now
 	if untilWatch <= 0 {
-		// A watch may have died without notice, so a silent one is renewed.
-		b.watch.nextAt = now + b.watchSilence()
+		// A broken watch may go unnoticed, so one that has been silent for too long is renewed.
+		b.watch.nextAt = now + b.watchRenewalInterval()
 		return Action{Kind: ActionSubscribe}
 	}
 	if backend := b.poller.requests.next(); backend >= 0 {
@@ -116,8 +119,8 @@
 	return Action{Wait: search.wait}
 }
 
-// scheduleFirstPolls schedules the first polls of new backends at random times, so that not all relays poll
-// all backends at one moment; yet soon, as a young relay knows no loads.
+// scheduleFirstPolls schedules the first polls of new backends at random times, so that relays do not all poll
+// all backends at the same moment. The times are soon, as a relay that has just started knows no loads.
 func (b *Balancer) scheduleFirstPolls(now, share, interval float64) {
 	for i := 0; i < len(b.tracker.neverPolled); {
 		backend := b.tracker.neverPolled[i]
@@ -130,7 +133,7 @@
 	}
 }
 
-// nextPollAt is when a backend that was polled is polled again.
+// nextPollAt returns the time at which a backend that was polled before is polled again.
 func (b *Balancer) nextPollAt(backend int, interval float64) float64 {
 	if b.outliers.consecutiveFailures[backend] > 0 {
 		return b.poller.polls.latestAt[backend] + failedPollInterval
@@ -139,7 +142,7 @@
 	return polls.latestAt[backend] + interval*(1-pollSpread/2+pollSpread*polls.selectionDraws[backend])
 }
 
-// startPoll records that the backend is polled now and returns the action.
+// startPoll records that the backend is polled now and returns the action to poll it.
 func (b *Balancer) startPoll(now float64, backend int) Action {
 	b.poller.polls.latestAt[backend] = now
 	b.poller.polls.sentAt[backend] = now
@@ -147,9 +150,9 @@
 	return Action{Kind: ActionPoll, Backend: b.ids[backend]}
 }
 
-// IsReady reports whether enough is known to take over from another process of the same relay: reports of
-// most backends. Where candidates are polled for each session, or nothing can be polled, there is nothing to
-// wait for.
+// IsReady reports whether this process knows enough to take over from another process of the same relay: most
+// healthy backends have reported their load. Where candidates are polled for each session, or backends can't be
+// polled, there is nothing to wait for.
 func (b *Balancer) IsReady(now float64) bool {
 	if share, _ := b.pollingPlan(); !b.poller.enabled || share < 1 {
 		return true
--- a/balancer/outliers.go
+++ b/balancer/outliers.go
@@ -3,26 +3,26 @@
 import "math"
 
 const (
-	maxFailures          = 1       // in a row, of a backend that counts as healthy
-	outlierPenalty       = 0.8     // share of the rest to 1 that a shed session or a timeout adds
-	outlierForgiveness   = 0.5     // share of the evidence that a session which lasted removes
-	outlierDecay         = 20000.0 // time in which evidence fades to 1/e
-	outlierDecayInterval = 100.0   // shortest time between two updates of the fading
-	shedWindow           = 5000.0  // a session that breaks within it was shed by a full backend
-	unresponsiveAfter    = 1000.0  // silence of the sessions of a backend that does not answer polls either
+	maxFailures          = 1       // highest number of consecutive failures of a healthy backend
+	outlierPenalty       = 0.8     // share of the evidence missing to 1 that a shed session or a timeout adds
+	outlierRecovery      = 0.5     // share of the evidence that a session which lasted removes
+	outlierDecay         = 20000.0 // milliseconds in which evidence decays to 1/e
+	outlierDecayInterval = 100.0   // shortest time between two updates of the decay, in milliseconds
+	shedWindow           = 5000.0  // a session that breaks within so many milliseconds was shed by a full backend
+	unresponsiveAfter    = 1000.0  // milliseconds of silence on all sessions after which an ejected backend is gone
 )
 
-// OutlierDetector knows which backends answer, and how far sessions contradict what a backend reports. The
-// zero value has no backends.
+// OutlierDetector tracks which backends answer, and how far the outcomes of sessions contradict a backend's load
+// reports. The zero value has no backends.
 type OutlierDetector struct {
 	consecutiveFailures []int
-	sessionsLost        []bool // a session broke while the backend was silent: it may have restarted
+	sessionsLost        []bool // whether a session broke while the backend was silent: it may have restarted
 
-	// Evidence, from 0 to 1, is how far attempts and sessions speak against a backend's own reports.
-	awaitsReport []bool // sessions ended badly there: the next report tells whether it was full
+	// Evidence, from 0 to 1, is how far attempts and sessions contradict a backend's own reports.
+	awaitsReport []bool // whether sessions ended badly at the backend; its next report tells whether it was full
 	evidence     []float64
 	meanEvidence float64
-	decayedAt    float64 // when the evidence and its mean were last faded
+	decayedAt    float64 // time of the latest decay of the evidence and its mean
 }
 
 // grow adds a backend.
@@ -35,7 +35,7 @@
 	d.evidence = append(d.evidence, 0)
 }
 
-// reset clears the backend's state, as its index is used for another.
+// reset clears the state kept under the index, which is reused for another backend.
 func (d *OutlierDetector) reset(backend int) {
 	d.meanEvidence -= d.evidence[backend] / float64(len(d.evidence))
 	d.consecutiveFailures[backend] = 0
@@ -44,14 +44,14 @@
 	d.evidence[backend] = 0
 }
 
-// isHealthy reports whether the backend answers. Two failures in a row eject it: one lost poll or one stall
-// is not a death.
+// isHealthy reports whether the backend answers. Two consecutive failures eject it; one lost poll or one stall
+// does not mean that it is down.
 func (d *OutlierDetector) isHealthy(backend int) bool {
 	return d.consecutiveFailures[backend] <= maxFailures
 }
 
-// addEvidence adds a share of what is left to 1 to the evidence against the backend; a negative share takes
-// back that part of the evidence.
+// addEvidence raises the evidence against the backend by the given share of what is missing to 1. A negative
+// share removes that share of the evidence.
 func (d *OutlierDetector) addEvidence(backend int, now, share float64) {
 	d.decay(now)
 	before := d.evidence[backend]
@@ -59,9 +59,9 @@
 	d.meanEvidence += (d.evidence[backend] - before) / float64(len(d.evidence))
 }
 
-// score is the evidence against a backend beyond the fleet's mean: where attempts fail everywhere, as with a
-// slow shared store, they say nothing of one backend. It fades, so that a backend without sessions is tried
-// again with growing chances.
+// score returns the evidence against a backend beyond the fleet's mean: where attempts fail everywhere, as with
+// a slow shared store, they don't show that one backend is at fault. It decays, so that a backend without
+// sessions is tried again with growing probability.
 func (d *OutlierDetector) score(backend int, now float64) float64 {
 	if d.meanEvidence == 0 {
 		return 0
@@ -69,7 +69,8 @@
 	return max(d.evidence[backend]-d.meanEvidence, 0) * math.Exp((d.decayedAt-now)/outlierDecay)
 }
 
-// decay fades all evidence. As all fades alike, it need not be done at each call.
+// decay applies the decay to all evidence. All of it decays at the same rate, so it need not be updated at each
+// call.
 func (d *OutlierDetector) decay(now float64) {
 	if now < d.decayedAt+outlierDecayInterval {
 		return
@@ -82,13 +83,14 @@
 	d.decayedAt = now
 }
 
-// isShed reports whether the outcome is that of a session whose backend was too full for it.
+// isShed reports whether the outcome shows that the backend shed the session because it was full.
 func (s *Session) isShed(now float64, outcome AttemptOutcome) bool {
 	return outcome == OutcomeConnectionLost && now < s.attempt.startedAt+shedWindow
 }
 
-// collectEvidence uses the end of an attempt or session as evidence on its backend's reports. A bad end
-// counts only if the next report claims capacity; a session that lasted counts for the backend at once.
+// collectEvidence uses the outcome of an attempt or session as evidence on its backend's reports. A shed session
+// or a timeout counts against the backend only if its next report says that it is not full. A session that
+// lasted counts in its favour at once.
 func (b *Balancer) collectEvidence(now float64, session *Session, outcome AttemptOutcome) {
 	if session.isShed(now, outcome) || outcome == OutcomeTimedOut {
 		b.outliers.awaitsReport[session.attempt.backend] = true
@@ -96,13 +98,13 @@
 	}
 	lasted := now >= session.attempt.startedAt+shedWindow
 	if session.state.established && outcome != OutcomeConnectionLost && lasted {
-		b.outliers.addEvidence(session.attempt.backend, now, -outlierForgiveness)
+		b.outliers.addEvidence(session.attempt.backend, now, -outlierRecovery)
 	}
 }
 
-// judgeReport compares an awaited report with the bad end before it. A backend that reports that it is full
-// was not at fault: many relays assigned sessions to it by outdated reports.
-func (b *Balancer) judgeReport(backend int, now, load float64) {
+// resolveAwaitedReport uses the first report after a shed session or a timeout as evidence. A backend that
+// reports that it is full was not at fault: many relays assigned sessions to it by outdated reports.
+func (b *Balancer) resolveAwaitedReport(backend int, now, load float64) {
 	if !b.outliers.awaitsReport[backend] {
 		return
 	}
@@ -112,15 +114,15 @@
 	}
 }
 
-// recordFailure counts a poll or connection that the backend did not answer.
+// recordFailure counts a poll or a connection attempt that the backend did not answer.
 func (b *Balancer) recordFailure(backend int) {
 	b.outliers.consecutiveFailures[backend]++
 	b.roundRobin.invalidate()
 	b.updateTracking(backend)
 }
 
-// recordAnswer records that the backend answered a poll. After a silence in which sessions broke it has
-// restarted.
+// recordAnswer records that the backend answered a poll. If sessions broke while it was silent, it has restarted
+// and begins a slow start.
 func (b *Balancer) recordAnswer(backend int, now float64) {
 	if b.outliers.sessionsLost[backend] {
 		b.outliers.sessionsLost[backend] = false
@@ -133,9 +135,10 @@
 	b.updateTracking(backend)
 }
 
-// IsUnresponsive reports whether a backend that has sent nothing for so many milliseconds, on any session, is
-// gone. Its sessions are better moved than kept until it is back or off the endpoint list.
-func (b *Balancer) IsUnresponsive(id uint32, quiet float64) bool {
+// IsUnresponsive reports whether a backend that has sent nothing on any session for the given number of
+// milliseconds counts as gone. Its sessions are then better moved than kept until it is back or removed from the
+// endpoint list.
+func (b *Balancer) IsUnresponsive(id uint32, silence float64) bool {
 	backend, known := b.indexByID[id]
-	return known && quiet >= unresponsiveAfter && !b.outliers.isHealthy(backend)
+	return known && silence >= unresponsiveAfter && !b.outliers.isHealthy(backend)
 }
--- a/balancer/poll_queue.go
+++ b/balancer/poll_queue.go
@@ -1,10 +1,11 @@
 package balancer
 
-// pollQueue keeps backends in a binary heap by when a poll is due at the shortest interval.
+// pollQueue is a binary heap of backends, ordered by the time at which their next poll is due at the shortest
+// interval.
 type pollQueue struct {
 	heap     []int
-	position []int     // of a backend in the heap, from 1; 0: not in it
-	dueAt    []float64 // by backend
+	position []int     // position of each backend in the heap, from 1; 0: not in it
+	dueAt    []float64 // time at which each backend's next poll is due
 }
 
 // grow makes room for n backends.
@@ -15,7 +16,7 @@
 	}
 }
 
-// set adds the backend, or moves it to its new place.
+// set adds the backend, or moves it to the position for its new time.
 func (q *pollQueue) set(backend int, dueAt float64) {
 	q.dueAt[backend] = dueAt
 	if q.position[backend] == 0 {
@@ -25,7 +26,7 @@
 	q.siftDown(q.siftUp(q.position[backend] - 1))
 }
 
-// remove removes the backend, if it is there.
+// remove removes the backend if it is in the queue.
 func (q *pollQueue) remove(backend int) {
 	at := q.position[backend] - 1
 	if at < 0 {
@@ -48,7 +49,7 @@
 
 func (q *pollQueue) less(i, j int) bool { return q.dueAt[q.heap[i]] < q.dueAt[q.heap[j]] }
 
-// siftUp moves the entry towards the root and returns its new place.
+// siftUp moves the entry towards the root and returns its new position.
 func (q *pollQueue) siftUp(i int) int {
 	for i > 0 && q.less(i, (i-1)/2) {
 		q.swap(i, (i-1)/2)
@@ -75,27 +76,27 @@
 	}
 }
 
-// pollSearch is one search for the backend that is to be polled now: the first in order of index, or how long
-// to wait.
+// pollSearch is one search for the backend to be polled now, which is the one of lowest index that is due. If none
+// is due, it finds how long to wait.
 type pollSearch struct {
 	now      float64
-	interval float64 // between two polls of a healthy backend
-	share    float64 // of the fleet that is polled
-	backend  int     // result, or noBackend
-	wait     float64 // result: until the next poll is due
+	interval float64 // milliseconds between two polls of a healthy backend
+	share    float64 // share of the fleet that is polled regularly
+	backend  int     // result: the backend to be polled, or noBackend
+	wait     float64 // result: milliseconds until the next poll is due
 }
 
-// pollRounding is what a heap's time may be off by rounding, in milliseconds.
-const pollRounding = 0.01
+// dueAtTolerance is how far a time in the heap may be off by rounding, in milliseconds.
+const dueAtTolerance = 0.01
 
-// searchQueue searches the part of a heap below an entry. A backend is due later than the heap says by extra
-// at the least.
+// searchQueue searches the part of a heap from an entry downwards. Each backend is due later than its time in
+// the heap by at least extra milliseconds.
 func (b *Balancer) searchQueue(queue *pollQueue, entry int, extra float64, search *pollSearch) {
 	if entry >= len(queue.heap) {
 		return
 	}
 	backend := queue.heap[entry]
-	if queue.dueAt[backend]+extra-pollRounding > search.now+max(search.wait, 0) {
+	if queue.dueAt[backend]+extra-dueAtTolerance > search.now+max(search.wait, 0) {
 		return
 	}
 	if b.poller.polls.selectionDraws[backend] < search.share {
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -3,30 +3,31 @@
 import "math"
 
 const (
-	savedSlowStartSpans  = 1.0 // overload spans for which unused budget is saved
-	observedPaceFactor   = 3.0 // widens the budget of a backend whose report includes what all relays assigned
-	minRelativeSlowStart = 0.1 // least load of a session in the budget, as a share of the mean session's
+	savedSlowStartSpans    = 1.0 // number of overload spans for which unused budget is saved
+	observedBudgetFactor   = 3.0 // factor on the budget of a backend whose report includes what all relays assigned
+	minRelativeSessionLoad = 0.1 // least load that a session counts with in the budget, as a share of the mean
 
-	youngRelaySessions = 4   // sessions of a relay until it can tell a wave of them from a trickle
-	idleWarmingLoad    = 0.1 // a backend in slow start that reports less may have been sent sessions since
+	newRelaySessions = 4   // number of a relay's first sessions that can't show whether a wave has begun
+	idleWarmingLoad  = 0.1 // reported load below which sessions sent to a backend in slow start may not show yet
 )
 
-// SlowStart bounds what a backend that has just started is sent, and how much of its capacity it has.
+// SlowStart limits how much load the relay sends to backends that have just started, and computes the share of
+// their capacity that they have.
 type SlowStart struct {
 	SlowStartConfig
 	relays float64
 
-	startedAt   []float64 // when the backend's slow start began; -Inf: never
-	requestedAt float64   // when a session last drew on the budget
-	draws       int       // of sessions, so far
+	startedAt   []float64 // time at which each backend's slow start began; -Inf: never
+	requestedAt float64   // time at which a session last drew on the budget, less the time that it left unused
+	draws       int       // number of sessions that have drawn on the budget
 }
 
-// SlowStartConfig is what the settings say of backends that have just started.
+// SlowStartConfig holds the settings for backends that have just started.
 type SlowStartConfig struct {
 	InitialCapacity  float64 // share of its capacity that a backend starts with
-	Duration         float64 // milliseconds until it has its full capacity; 0: there is no slow start
-	OverloadMultiple float64 // multiple of its present capacity at which it fails ...
-	OverloadSpan     float64 // ... if that much arrives within so many milliseconds
+	Duration         float64 // milliseconds from the start until a backend has its full capacity; 0: no slow start
+	OverloadMultiple float64 // a backend fails if this multiple of its present capacity arrives within OverloadSpan
+	OverloadSpan     float64 // milliseconds over which the arriving load is compared with OverloadMultiple
 	Relays           int     // number of relays that share the budget
 }
 
@@ -38,7 +39,7 @@
 // grow adds a backend.
 func (s *SlowStart) grow() { s.startedAt = append(s.startedAt, math.Inf(-1)) }
 
-// capacityShare is the share of its capacity that the backend has; 1 once it is warm.
+// capacityShare returns the share of its full capacity that the backend has now; 1 once it is warm.
 func (s *SlowStart) capacityShare(backend int, now float64) float64 {
 	if s.Duration <= 0 {
 		return 1
@@ -47,8 +48,8 @@
 	return min(1, s.InitialCapacity+(1-s.InitialCapacity)*elapsed/s.Duration)
 }
 
-// recordRestart begins a slow start, as the backend restarted under the same ID. Earlier reports say nothing
-// of it.
+// recordRestart begins a slow start of a backend that restarted under the same ID. Its earlier load reports and
+// failures are dropped, as they say nothing of the restarted backend.
 func (b *Balancer) recordRestart(backend int, startedAt float64) {
 	b.forgetLoad(backend)
 	b.startedAt[backend] = startedAt
@@ -56,21 +57,22 @@
 	b.startSlowStart(backend, startedAt)
 }
 
-// warmingDraw is a backend drawn among those in slow start that may have a session.
+// warmingDraw is the result of drawing one of the backends in slow start that may take a session.
 type warmingDraw struct {
-	backend       int     // or noBackend
-	count         float64 // of backends that it was drawn among
-	capacityShare float64 // sum of theirs
+	backend       int     // index of the drawn backend, or noBackend
+	count         float64 // number of backends that it was drawn from
+	capacityShare float64 // sum of the capacity shares of those backends, widened where their load is observed
 }
 
 // drawWarmingBackend returns the backend in slow start that the session may go to, or noBackend.
 //
-// The budget of slow starts is spent by chance. Counting sessions would not do: of hundreds of relays each
-// may have a session at the same moment. The chance of a session, due, grows with
-//   - the time since the last session here, of which little is saved up,
-//   - this relay's share of what fills these backends over their slow start (slowStartPace).
+// The slow-start budget is spent at random. Counting sessions at each relay would not limit them: each of
+// hundreds of relays may have a session at the same moment. A session gets a backend with a probability equal to
+// the number of sessions of its load that the budget allows (budgeted). That number grows with
+//   - the time since the last session at this relay, of which little is saved up,
+//   - this relay's share of the rate that fills these backends over their slow start (slowStartBudgetRate).
 //
-// A session of more than the mean load has less of a chance, as it uses more of the budget.
+// It is lower for a session of more than the mean load, which uses more of the budget.
 func (b *Balancer) drawWarmingBackend(now float64, session *Session) int {
 	s := b.slowStart
 	s.draws++
@@ -80,31 +82,33 @@
 	savedTime := b.admission.SavedTimeLimit(s.OverloadSpan, savedSlowStartSpans*s.OverloadSpan)
 	elapsed := min(now-s.requestedAt, savedTime)
 	offered := elapsed * b.admission.OfferedShare(class.PriorityWeight, session.Key, now)
-	relativeLoad := max(session.load/b.quotas.meanSessionLoad, minRelativeSlowStart)
-	due := drawn.capacityShare * b.slowStartPace(drawn.count) * offered / relativeLoad
-	s.requestedAt = now - b.admission.UnusedTime(elapsed, offered, due)
+	relativeLoad := max(session.load/b.quotas.meanSessionLoad, minRelativeSessionLoad)
+	budgeted := drawn.capacityShare * b.slowStartBudgetRate(drawn.count) * offered / relativeLoad
+	s.requestedAt = now - b.admission.UnusedTime(elapsed, offered, budgeted)
 
-	chance := b.rng.Float64()
-	if b.attempts.draining || drawn.backend == noBackend || !(chance < due) {
+	random := b.rng.Float64()
+	if b.attempts.draining || drawn.backend == noBackend || !(random < budgeted) {
 		return noBackend
 	}
-	// Beyond an even share of the sessions, a backend in slow start has one only if no warm backend has room,
-	// and only while its reports show what all relays sent it. Without that, relays with few sessions would
-	// leave such backends idle while they reject clients.
-	withinEvenShare := chance < drawn.count/float64(b.tracker.usable)
+	// Beyond an even share of the sessions, a backend in slow start is assigned one only if no warm backend has
+	// room, and only while its reports include what all relays sent it. Without this exception, relays with few
+	// sessions would leave such backends idle while they reject clients.
+	withinEvenShare := random < drawn.count/float64(b.tracker.usable)
 	if !withinEvenShare && !b.isLoadObserved(drawn.backend, now) {
 		return noBackend
 	}
 	session.warming.onlyIfFull = !withinEvenShare
-	// A young relay does not know whether its sessions begin a wave, to which all relays would spend what they have
-	// saved before any report shows it. Where its budget is wider than usual, it asks for a report of load.
-	withinUsualBudget := chance*observedPaceFactor < due || !b.isLoadObserved(drawn.backend, now)
-	session.warming.onlyIfLoaded = !withinUsualBudget && s.draws <= youngRelaySessions
-	session.warming.usedBudget = offered / due
+	// A relay that has just started can't tell whether its first sessions begin a wave. In a wave, all relays would
+	// spend their saved budget before any report shows it. So where such a session needs more than the usual budget,
+	// it may go to the backend only if that has reported load.
+	withinUsualBudget := random*observedBudgetFactor < budgeted || !b.isLoadObserved(drawn.backend, now)
+	session.warming.onlyIfLoaded = !withinUsualBudget && s.draws <= newRelaySessions
+	session.warming.usedBudget = offered / budgeted
 	return drawn.backend
 }
 
-// drawAmongWarming draws a backend in slow start, each with a chance by the capacity that it has now.
+// drawAmongWarming draws one of the backends in slow start, each with a probability proportional to the capacity
+// that it has now.
 func (b *Balancer) drawAmongWarming(now float64, session *Session) warmingDraw {
 	drawn := warmingDraw{backend: noBackend}
 	hash := b.affinityHash(session)
@@ -115,8 +119,8 @@
 			continue
 		}
 		share := b.slowStart.capacityShare(backend, now)
-		if b.isLoadObserved(backend, now) { // its reports bound what it is sent, so its budget may be wider
-			share *= 1 + (observedPaceFactor-1)*(1-b.poller.activeShare)
+		if b.isLoadObserved(backend, now) { // its reports limit what it is sent, so its budget may be wider
+			share *= 1 + (observedBudgetFactor-1)*(1-b.poller.activeShare)
 		}
 		drawn.count++
 		drawn.capacityShare += share
@@ -133,18 +137,19 @@
 	return b.poller.reports.loads[backend] >= idleWarmingLoad // false where none is known
 }
 
-// slowStartPace is this relay's budget, in sessions of the mean load a millisecond, for the whole capacity of
-// one backend, while that many backends warm up.
-func (b *Balancer) slowStartPace(warming float64) float64 {
+// slowStartBudgetRate returns this relay's budget for the full capacity of one backend while the given number of
+// backends warm up. It is in sessions of the mean load per millisecond.
+func (b *Balancer) slowStartBudgetRate(warming float64) float64 {
 	s := b.slowStart
 	sessions := max(b.fleet.capacity/b.quotas.meanSessionLoad, 1)
-	usual := s.OverloadMultiple / 2 * sessions / s.Duration / s.relays
-	return b.admission.SlowStartBudget(sessions, s.OverloadMultiple, s.InitialCapacity, s.OverloadSpan, usual,
+	usualRate := s.OverloadMultiple / 2 * sessions / s.Duration / s.relays
+	return b.admission.SlowStartBudget(sessions, s.OverloadMultiple, s.InitialCapacity, s.OverloadSpan, usualRate,
 		warming, float64(b.tracker.usable))
 }
 
-// isLoadObserved reports whether the report of a backend in slow start includes what all relays sent it, and
-// is new as candidates are polled for each session.
+// isLoadObserved reports whether the report of a backend in slow start includes what all relays sent it. That
+// takes candidates that are polled for each session, so that the report is new, and a backend that started
+// longer ago than the overload span and the greatest age of a report.
 func (b *Balancer) isLoadObserved(backend int, now float64) bool {
 	s := b.slowStart
 	return b.poller.activeShare < 1 && now >= s.startedAt[backend]+s.OverloadSpan+b.poller.reports.maxAge
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -147,6 +147,6 @@
 	t.Logf("granted %v, of those with a report of load %v", granted, asked)
 	for i := range sessions {
 		assert.Less(t, asked[i], granted[i], "within the usual budget none is asked for, session %d", i)
-		assert.Equal(t, i < youngRelaySessions, asked[i] > 0, "session %d", i)
+		assert.Equal(t, i < newRelaySessions, asked[i] > 0, "session %d", i)
 	}
 }
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -7,47 +7,47 @@
 	"slices"
 )
 
-// Snapshot is what one process of a relay leaves to the next: what it has learnt, none of the sessions it
-// has. All times are milliseconds on the relay's clock; -1 stands for a value that is not there.
+// Snapshot is the state that one process of a relay passes to the next: what it has learnt, without its sessions.
+// All times are milliseconds on the relay's clock; -1 stands for a missing value.
 //
-// It is stored as one flat object, so its parts are embedded; their order is the order of the stored fields.
+// It is stored as one flat object, so its parts are embedded. Their order is the order of the stored fields.
 type Snapshot struct {
 	TakenAt  float64           `json:"At"`
 	Backends []BackendSnapshot `json:"Servers"`
 	SessionLoadSnapshot
-	EstimatedCapacity float64 `json:"Guessed"` // of a backend, by the relay's own sessions
-	ListedBackends    float64 `json:"Listed"`  // ready backends of the first endpoint list
+	EstimatedCapacity float64 `json:"Guessed"` // capacity of a backend, estimated from the relay's own sessions
+	ListedBackends    float64 `json:"Listed"`  // number of ready backends in the first endpoint list
 	AttemptSnapshot
-	SlowStartRequestedAt float64 `json:"Asked"` // when a session last drew on that budget
+	SlowStartRequestedAt float64 `json:"Asked"` // time at which a session last drew on the slow-start budget
 	RetryBudgetSnapshot
 	EndedSessionLoads map[uint64]float64 `json:"Ended"` // by client key
 }
 
-// SessionLoadSnapshot is what was learnt of the load of sessions.
+// SessionLoadSnapshot holds what was learnt about the load of sessions.
 type SessionLoadSnapshot struct {
 	ClassLoads      []float64 `json:"Loads"`   // mean session load, by class
-	ClassSamples    []float64 `json:"Weighed"` // sessions that those rest on
+	ClassSamples    []float64 `json:"Weighed"` // number of sessions behind each class's mean
 	MeanSessionLoad float64   `json:"LoadMean"`
-	LoadSamples     float64   `json:"Known"` // sessions that the mean rests on
+	LoadSamples     float64   `json:"Known"` // number of sessions behind the overall mean
 }
 
 // AttemptSnapshot is the state of the attempt policy.
 type AttemptSnapshot struct {
-	EstablishedSessions  float64 `json:"Stood"` // fading count
-	EstablishedSpan      float64 `json:"Over"`  // time over which it was counted, fading alike
+	EstablishedSessions  float64 `json:"Stood"` // number of established sessions, decaying over time
+	EstablishedSpan      float64 `json:"Over"`  // milliseconds over which they were counted, decaying at the same rate
 	EstablishedAsOf      float64 `json:"AsOf"`
-	ConcurrencyLimit     float64 `json:"Width"` // of attempts in flight
+	ConcurrencyLimit     float64 `json:"Width"` // highest number of attempts in flight
 	ConcurrencyReducedAt float64 `json:"CutAt"`
 }
 
 // RetryBudgetSnapshot is the state of the retry budget.
 type RetryBudgetSnapshot struct {
 	BudgetSlot     float64   `json:"Slot"`  // number of the budget's latest slot
-	BudgetSessions []float64 `json:"Taken"` // by slot; none: there is no budget
-	BudgetRetries  []float64 `json:"More"`
+	BudgetSessions []float64 `json:"Taken"` // number of sessions by slot; empty: there is no retry budget
+	BudgetRetries  []float64 `json:"More"`  // number of retries by slot
 }
 
-// BackendSnapshot is what was learnt of one backend.
+// BackendSnapshot holds what was learnt about one backend.
 type BackendSnapshot struct {
 	ID                  uint32               `json:"ID"`
 	StartedAt           float64              `json:"Started"`
@@ -56,7 +56,7 @@
 	PolledAt            float64              `json:"AskedAt"`
 	SlowStartAt         float64              `json:"WarmFrom"`
 	ConsecutiveFailures int                  `json:"Failed"`
-	SessionsLost        bool                 `json:"Lost"` // while the backend was silent
+	SessionsLost        bool                 `json:"Lost"` // whether a session broke while the backend was silent
 	OutlierEvidence     float64              `json:"Against"`
 	RecentAssignments   []AssignmentSnapshot `json:"Placed"`
 }
@@ -67,7 +67,7 @@
 	Load float64 `json:"Load"`
 }
 
-// missing stands for a value that is not there, as JSON knows no NaN and no infinity.
+// missing stands for a missing value, as JSON has neither NaN nor infinity.
 const missing = -1
 
 func encodeMissing(value float64) float64 {
@@ -77,14 +77,14 @@
 	return value
 }
 
-func decodeMissing(value, otherwise float64) float64 {
+func decodeMissing(value, fallback float64) float64 {
 	if value == missing {
-		return otherwise
+		return fallback
 	}
 	return value
 }
 
-// Snapshot returns what was learnt until now.
+// Snapshot returns what this process has learnt until now.
 func (b *Balancer) Snapshot(now float64) Snapshot {
 	b.outliers.decay(now)
 	snapshot := Snapshot{
@@ -154,8 +154,8 @@
 	return snapshot
 }
 
-// Restore uses what another process of this relay has learnt, for those backends that have not restarted
-// since. An invalid snapshot is refused whole, with an error that says why.
+// Restore applies what another process of this relay has learnt, except about backends that have restarted since.
+// An invalid snapshot is refused as a whole, with an error that gives the reason.
 func (b *Balancer) Restore(now float64, snapshot *Snapshot) error {
 	if err := snapshot.validate(len(b.attempts.classes)); err != nil {
 		return fmt.Errorf("restore snapshot: %w", err)
@@ -169,8 +169,8 @@
 	b.initialBackends = snapshot.ListedBackends
 	b.attempts.restore(now, &snapshot.AttemptSnapshot)
 	b.attempts.budget.restore(&snapshot.RetryBudgetSnapshot)
-	// What the other process has saved up for slow starts it has not handed out since, and neither is it
-	// given twice.
+	// The slow-start budget that the other process had saved up by the time of the snapshot is dropped: that process
+	// has not spent it since, and it must not be spent twice.
 	b.slowStart.requestedAt = max(min(snapshot.SlowStartRequestedAt, now), snapshot.TakenAt)
 	for i := range snapshot.Backends {
 		b.restoreBackend(&snapshot.Backends[i])
@@ -231,7 +231,7 @@
 	d.evidence[backend] = snapshot.OutlierEvidence
 }
 
-// validate returns an error if the snapshot can't be true for a relay with that many classes.
+// validate returns an error if the snapshot has impossible values for a relay with the given number of classes.
 func (s *Snapshot) validate(classes int) error {
 	if err := s.RetryBudgetSnapshot.validate(); err != nil {
 		return err
@@ -240,11 +240,11 @@
 		return fmt.Errorf("%d classes expected, got loads of %d and samples of %d", classes,
 			len(s.ClassLoads), len(s.ClassSamples))
 	}
-	single := areAmounts(s.MeanSessionLoad, s.LoadSamples, s.EstimatedCapacity, s.ListedBackends,
+	scalarsValid := areFiniteNonNegative(s.MeanSessionLoad, s.LoadSamples, s.EstimatedCapacity, s.ListedBackends,
 		s.EstablishedSessions, s.EstablishedSpan, s.EstablishedAsOf, s.ConcurrencyLimit,
 		s.ConcurrencyReducedAt, s.SlowStartRequestedAt, s.TakenAt)
-	if !single || !areAmounts(s.ClassLoads...) || !areAmounts(s.ClassSamples...) {
-		return errors.New("a figure is no number or negative")
+	if !scalarsValid || !areFiniteNonNegative(s.ClassLoads...) || !areFiniteNonNegative(s.ClassSamples...) {
+		return errors.New("a value is negative, infinite or not a number")
 	}
 	for i := range s.Backends {
 		if err := s.Backends[i].validate(); err != nil {
@@ -252,8 +252,8 @@
 		}
 	}
 	for key, load := range s.EndedSessionLoads {
-		if !areAmounts(load) {
-			return fmt.Errorf("load of the ended session %x is no number or negative", key)
+		if !areFiniteNonNegative(load) {
+			return fmt.Errorf("load of the ended session %x is negative, infinite or not a number", key)
 		}
 	}
 	return nil
@@ -262,37 +262,37 @@
 func (s *RetryBudgetSnapshot) validate() error {
 	slots := len(s.BudgetSessions)
 	if slots != len(s.BudgetRetries) || (slots != 0 && slots != budgetSlots+1) {
-		return fmt.Errorf("%d slots of the retry budget or none expected, got %d and %d", budgetSlots+1,
+		return fmt.Errorf("%d slots of the retry budget or none expected, got %d for sessions and %d for retries", budgetSlots+1,
 			slots, len(s.BudgetRetries))
 	}
-	if !areAmounts(s.BudgetSessions...) || !areAmounts(s.BudgetRetries...) ||
-		!areAmounts(decodeMissing(s.BudgetSlot, 0)) {
-		return errors.New("a figure of the retry budget's slots is no number or negative")
+	if !areFiniteNonNegative(s.BudgetSessions...) || !areFiniteNonNegative(s.BudgetRetries...) ||
+		!areFiniteNonNegative(decodeMissing(s.BudgetSlot, 0)) {
+		return errors.New("a value of the retry budget is negative, infinite or not a number")
 	}
 	return nil
 }
 
 func (s *BackendSnapshot) validate() error {
-	times := areAmounts(s.StartedAt, decodeMissing(s.ReportedAt, 0), decodeMissing(s.PolledAt, 0),
+	timesValid := areFiniteNonNegative(s.StartedAt, decodeMissing(s.ReportedAt, 0), decodeMissing(s.PolledAt, 0),
 		decodeMissing(s.SlowStartAt, 0))
-	if !times || !areAmounts(decodeMissing(s.Load, 0), s.OutlierEvidence) {
-		return errors.New("a figure is no number or negative")
+	if !timesValid || !areFiniteNonNegative(decodeMissing(s.Load, 0), s.OutlierEvidence) {
+		return errors.New("a value is negative, infinite or not a number")
 	}
 	if s.OutlierEvidence > 1 || s.ConsecutiveFailures < 0 {
-		return errors.New("a figure is out of range")
+		return errors.New("outlier evidence above 1 or a negative number of failures")
 	}
 	for _, a := range s.RecentAssignments {
-		if !areAmounts(a.At, a.Load) {
-			return errors.New("an assignment's figure is no number or negative")
+		if !areFiniteNonNegative(a.At, a.Load) {
+			return errors.New("time or load of an assignment is negative, infinite or not a number")
 		}
 	}
 	return nil
 }
 
-// areAmounts reports whether all figures are finite and not negative.
-func areAmounts(figures ...float64) bool {
-	for _, figure := range figures {
-		if math.IsNaN(figure) || math.IsInf(figure, 0) || figure < 0 {
+// areFiniteNonNegative reports whether all values are finite and not negative.
+func areFiniteNonNegative(values ...float64) bool {
+	for _, value := range values {
+		if math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
 			return false
 		}
 	}
--- a/balancer/start_times.go
+++ b/balancer/start_times.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// AssumeEndpoints marks the backends of the latest update as read from a cached list. Whether one has
-// restarted since is not known, so each is treated as just started, until confirmStart: a backend in slow
-// start must not be taken for a warm one.
+// AssumeEndpoints marks the backends of the latest update as read from a cached list. As it is not known which of
+// them have restarted since, each is treated as just started until confirmStart: a backend in slow start must
+// not be taken for a warm one.
 func (b *Balancer) AssumeEndpoints(now float64) {
 	if b.assumedStarts == nil {
 		b.assumedStarts = map[int]bool{}
@@ -18,7 +18,7 @@
 	}
 }
 
-// confirmStart replaces an assumed start time by the one that discovery tells.
+// confirmStart replaces an assumed start time with the one from discovery.
 func (b *Balancer) confirmStart(backend int, startedAt float64) {
 	if !b.assumedStarts[backend] {
 		return
@@ -32,16 +32,16 @@
 	b.updateTracking(backend)
 }
 
-// ShiftStartTimes adds that many milliseconds to all start times that discovery told, as the clocks differ.
-// Restarts that this relay saw itself are on its own clock and stay.
-func (b *Balancer) ShiftStartTimes(by float64) {
+// ShiftStartTimes adds the offset, in milliseconds, to all start times from discovery, whose clock differs from
+// this relay's. The times of restarts that this relay observed itself are on its own clock and stay unchanged.
+func (b *Balancer) ShiftStartTimes(offset float64) {
 	for backend, startedAt := range b.startedAt {
 		if startedAt == 0 || b.assumedStarts[backend] {
 			continue
 		}
-		b.startedAt[backend] = startedAt + by
+		b.startedAt[backend] = startedAt + offset
 		observed := b.slowStart.startedAt[backend]
-		if !(observed > startedAt) { // else it was seen to have restarted since
+		if !(observed > startedAt) { // otherwise this relay has observed a later restart
 			observed = math.Inf(-1)
 		}
 		b.startSlowStart(backend, max(observed, b.startedAt[backend]))
--- a/balancer/tracker.go
+++ b/balancer/tracker.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// backendTracker keeps what would else need a look at every backend: which is to be polled next, which warm
-// up, how many can be used. It decides nothing. Each change of a backend's state that it rests on is followed
-// by updateTracking.
+// backendTracker indexes the backends by state, so that finding the next backend to poll, the backends in slow
+// start and the number of usable ones does not take a scan of all backends. It makes no decisions. Every change
+// of a backend's state, health or polls must be followed by updateTracking.
 type backendTracker struct {
-	healthyQueue  pollQueue // backends that answered their last poll
-	failedQueue   pollQueue // backends that did not
+	healthyQueue  pollQueue // backends without failures since their last answer
+	failedQueue   pollQueue // backends that have not answered since their last failure
 	neverPolled   []int     // backends to be polled for the first time, in order of index
-	isNeverPolled []bool    // by backend
-	warming       []int     // backends in slow start, in order of index; some may be warm by now
+	isNeverPolled []bool    // whether each backend is in neverPolled
+	warming       []int     // backends in slow start, in order of index; may include some that are warm by now
 
-	usable   int // number of ready and healthy backends
-	isUsable []bool
-	listed   int // number of backends that are not gone
-	isListed []bool
+	usable   int    // number of ready and healthy backends
+	isUsable []bool // whether each backend is counted in usable
+	listed   int    // number of backends that are not gone
+	isListed []bool // whether each backend is counted in listed
 }
 
 // grow makes room for n backends.
@@ -36,8 +36,8 @@
 func (b *Balancer) updateTracking(backend int) {
 	t := &b.tracker
 	isReady := b.states[backend] == Ready
-	countIf(isReady && b.outliers.isHealthy(backend), &t.isUsable[backend], &t.usable)
-	countIf(b.states[backend] != Gone, &t.isListed[backend], &t.listed)
+	updateCount(isReady && b.outliers.isHealthy(backend), &t.isUsable[backend], &t.usable)
+	updateCount(b.states[backend] != Gone, &t.isListed[backend], &t.listed)
 
 	canPoll := isReady && math.IsNaN(b.poller.polls.sentAt[backend])
 	isFirst := canPoll && math.IsInf(b.poller.polls.latestAt[backend], -1)
@@ -55,8 +55,8 @@
 	}
 }
 
-// countIf keeps a count of the backends that have a property.
-func countIf(has bool, had *bool, count *int) {
+// updateCount updates the count of backends that have a property, if one has gained or lost it.
+func updateCount(has bool, had *bool, count *int) {
 	if has == *had {
 		return
 	}
@@ -68,7 +68,7 @@
 	}
 }
 
-// setNeverPolled adds the backend to neverPolled, or takes it out.
+// setNeverPolled adds the backend to neverPolled or removes it.
 func (t *backendTracker) setNeverPolled(backend int, isNever bool) {
 	if isNever == t.isNeverPolled[backend] {
 		return
@@ -83,13 +83,13 @@
 	}
 }
 
-// Counts returns how many backends the endpoint list has, draining ones included, and how many of them no new
-// session is assigned to now, as they drain or don't answer.
+// Counts returns the number of backends on the endpoint list, including draining ones, and the number of those
+// that get no new sessions now, as they are draining or don't answer.
 func (b *Balancer) Counts() (listed, avoided int) {
 	return b.tracker.listed, b.tracker.listed - b.tracker.usable
 }
 
-// startSlowStart records that the backend started at the given time.
+// startSlowStart begins the backend's slow start as of the given time.
 func (b *Balancer) startSlowStart(backend int, startedAt float64) {
 	b.slowStart.startedAt[backend] = startedAt
 	if i, found := slices.BinarySearch(b.tracker.warming, backend); !found {
@@ -97,7 +97,7 @@
 	}
 }
 
-// warmingBackends returns the backends that warm up, in order. The slice is good until the next call.
+// warmingBackends returns the backends in slow start, in order of index. The slice is valid until the next call.
 func (b *Balancer) warmingBackends(now float64) []int {
 	b.tracker.warming = slices.DeleteFunc(b.tracker.warming, func(backend int) bool {
 		return b.slowStart.capacityShare(backend, now) >= 1
@@ -105,7 +105,7 @@
 	return b.tracker.warming
 }
 
-// WarmingUp counts the backends that sessions are assigned to, and those of them that warm up.
+// WarmingUp returns how many of the usable backends are warming up, and the number of usable backends.
 func (b *Balancer) WarmingUp(now float64) (warming, usable int) {
 	for _, backend := range b.warmingBackends(now) {
 		if b.states[backend] == Ready && b.outliers.isHealthy(backend) {
--- a/balancer/tracker_test.go
+++ b/balancer/tracker_test.go
@@ -13,7 +13,7 @@
 func nextActionByFullScan(b *Balancer, now float64) Action {
 	d := Action{Wait: b.watch.nextAt - now}
 	if d.Wait <= 0 {
-		b.watch.nextAt = now + b.watchSilence()
+		b.watch.nextAt = now + b.watchRenewalInterval()
 		return Action{Kind: ActionSubscribe}
 	}
 	p := b.poller
