--- a/balancer/endpoint_set_test.go
+++ b/balancer/endpoint_set_test.go
@@ -7,11 +7,11 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A backend that drains, is gone, or is missing in a full update gets no sessions.
+// A backend that is draining, gone or missing from a full update gets no sessions.
 func TestDrainingBackendsGetNoSessions(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		tell func(b *Balancer)
+		name   string
+		update func(b *Balancer)
 	}{
 		{"draining", func(b *Balancer) {
 			b.BeginEndpointUpdate(false)
@@ -21,11 +21,11 @@
 			b.BeginEndpointUpdate(false)
 			b.UpdateEndpoint(Endpoint{ID: 1, State: Gone, Weight: 1})
 		}},
-		{"left out", func(b *Balancer) {
+		{"missing from a full update", func(b *Balancer) {
 			b.BeginEndpointUpdate(true)
 			b.UpdateEndpoint(Endpoint{ID: 2, Zone: 1, State: Ready, Cell: 1, Weight: 1})
 		}},
-		{"never listed", func(b *Balancer) {
+		{"gone, beside one that was never listed", func(b *Balancer) {
 			b.BeginEndpointUpdate(false)
 			b.UpdateEndpoint(Endpoint{ID: 9, State: Gone, Weight: 1})
 			b.UpdateEndpoint(Endpoint{ID: 1, State: Gone, Weight: 1})
@@ -33,7 +33,7 @@
 	} {
 		b := testFleet{Loads: []float64{0.1, 0.4}}.build(t)
 		b.refreshWeights(start)
-		c.tell(b)
+		c.update(b)
 		b.EndEndpointUpdate(start)
 		for range 30 {
 			a := b.Assign(start, newSession(start))
@@ -42,6 +42,8 @@
 	}
 }
 
+// A later start time in the list means a restart: the backend's earlier reports are dropped and its slow start
+// begins.
 func TestRestartBeginsSlowStart(t *testing.T) {
 	b := testFleet{Loads: []float64{0.4, 0.4}}.build(t)
 	b.BeginEndpointUpdate(false)
--- a/balancer/endpoint_watch_test.go
+++ b/balancer/endpoint_watch_test.go
@@ -6,19 +6,20 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// The list is watched at the start, again soon after a failure, and again when the watch has been silent too long.
 func TestWatchIsRenewed(t *testing.T) {
 	b := testFleet{MustWatch: true, Loads: []float64{0.3}}.build(t)
-	assert.Equal(t, ActionSubscribe, b.NextAction(start).Kind, "the cached list is no subscription")
+	assert.Equal(t, ActionSubscribe, b.NextAction(start).Kind, "the cached list did not come from a watch")
 	assert.NotEqual(t, ActionSubscribe, b.NextAction(start).Kind)
 	b.WatchFailed(start + 50)
-	assert.Equal(t, ActionSubscribe, b.NextAction(start+350).Kind, "a failed call is made again soon")
+	assert.Equal(t, ActionSubscribe, b.NextAction(start+350).Kind, "a failed call is retried soon")
 	b.BeginEndpointUpdate(false)
 	b.EndEndpointUpdate(start + 400)
 	assert.NotEqual(t, ActionSubscribe, b.NextAction(start+5000).Kind)
-	assert.Equal(t, ActionSubscribe, b.NextAction(start+10000).Kind, "silence is counted")
+	assert.Equal(t, ActionSubscribe, b.NextAction(start+10000).Kind, "a silent watch is renewed")
 }
 
-// Hundreds of relays do not overload a discovery of fixed capacity.
+// The watches of hundreds of relays are spread, so that they do not overload a discovery service of fixed capacity.
 func TestWatchesOfManyRelaysAreSpread(t *testing.T) {
 	soon, again := 0, 0
 	for seed := range int64(220) {
@@ -32,19 +33,19 @@
 		}
 		for range 9 {
 			b.WatchFailed(start + 6000)
-			assert.Less(t, b.watch.nextAt-start-6000, 4*10000.0, "from then on it counts as told")
+			assert.Less(t, b.watch.nextAt-start-6000, 4*10000.0, "the backoff ends before the relay counts as notified of a change")
 		}
 		b.BeginEndpointUpdate(false)
 		b.EndEndpointUpdate(start + 6000)
-		assert.NotEqual(t, ActionSubscribe, b.NextAction(start+60000).Kind, "its silence is counted by the number of relays")
+		assert.NotEqual(t, ActionSubscribe, b.NextAction(start+60000).Kind, "the renewal interval grows with the number of relays")
 	}
 	assert.Less(t, soon, 60)
 	assert.Less(t, again, 60)
 }
 
-// A relay counts as notified of a change 6 s after discovery had it and could be reached. A call that began
-// just before can take 3.5 s until it is given up, so the retry has to come within 2 s, however many have
-// failed.
+// A relay counts as notified of a change 6 s after discovery has the change and can be reached. A call that began
+// just before may take 3.5 s until it is given up, so the retry must follow within 2 s, after any number of
+// failures.
 func TestListBackoffIsBounded(t *testing.T) {
 	for _, relays := range []int{1, 3, 30, 300} {
 		for seed := range int64(20) {
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The files under testdata/golden were written by the program before its fields were renamed. Other processes
-// and older versions write and read the same bytes, so that a renamed field must not change them.
+// The files under testdata/golden were written before the fields of these types were renamed. Other processes and
+// older versions read and write the same bytes, so renaming a field must not change them.
 
 func goldenSnapshot() *Snapshot {
 	return &Snapshot{
@@ -83,10 +83,11 @@
 	}
 }
 
+// Each type is read from its golden file and written back byte for byte.
 func TestGoldenForms(t *testing.T) {
 	for _, c := range []struct {
-		file        string
-		want, empty any
+		file          string
+		want, decoded any
 	}{
 		{"snapshot.json", goldenSnapshot(), &Snapshot{}},
 		{"estimates.json", goldenEstimates(), &Estimates{}},
@@ -99,8 +100,8 @@
 			require.NoError(t, err)
 			decoder := json.NewDecoder(bytes.NewReader(stored))
 			decoder.DisallowUnknownFields()
-			require.NoError(t, decoder.Decode(c.empty))
-			assert.Equal(t, c.want, c.empty, "read")
+			require.NoError(t, decoder.Decode(c.decoded))
+			assert.Equal(t, c.want, c.decoded, "read")
 			text, err := json.Marshal(c.want)
 			require.NoError(t, err)
 			assert.Equal(t, string(stored), string(text)+"\n", "written")
--- a/balancer/load_accounting_test.go
+++ b/balancer/load_accounting_test.go
@@ -6,23 +6,23 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// What other relays announce replaces a guess from the few sessions of this relay, which came to one backend
-// by chance; the age of reports bounds what they may not include. A backend in slow start stays with the
-// guess.
+// The load that other relays announce replaces an estimate from the few sessions of this relay, which went to one
+// backend by chance. The age of reports limits which assignments they may not include. For a backend in slow
+// start the estimate is kept.
 func TestRemoteLoadAndReportAge(t *testing.T) {
 	for _, c := range []struct {
 		name         string
-		remoteLoad   float64 // load, below 0: not known
-		maxReportAge float64 // 0: nobody says
-		startedAt    float64 // when the backend started
-		want         float64 // load estimate of a backend that two sessions of this relay's have just gone to
+		remoteLoad   float64 // unreported load of the other relays; below 0: unknown
+		maxReportAge float64 // highest age of a report in milliseconds; 0: the default
+		startedAt    float64 // time at which the backend started
+		want         float64 // load estimate of a backend that this relay has just assigned two sessions to
 	}{
-		{"a guess", -1, 0, 0, 0.2 + 0.02*(1+0.5*3/(1+3.0/64))},
-		{"none placed any", 0, 0, 0, 0.2 + 0.02},
-		{"as much as this one", 4e4 * 2, 0, 0, 0.2 + 0.02 + 0.5*0.02/4},
-		{"far more than can be: the guess, evenly", 1e12, 0, 0, 0.2 + 0.02 + 0.5*3/(1+3.0/64)*0.02/4},
-		{"in slow start: the guess, of the share that it bears", 0, 0, 2e5, 0.2 + 0.1*(1+0.5*3/(1+3.0/64))},
-		{"reports are young", -1, 250, 0, 0.2},
+		{"remote load unknown: estimated", -1, 0, 0, 0.2 + 0.02*(1+0.5*3/(1+3.0/64))},
+		{"other relays assigned none", 0, 0, 0, 0.2 + 0.02},
+		{"other relays assigned as much as this one", 4e4 * 2, 0, 0, 0.2 + 0.02 + 0.5*0.02/4},
+		{"far more than is possible: the estimate, spread evenly", 1e12, 0, 0, 0.2 + 0.02 + 0.5*3/(1+3.0/64)*0.02/4},
+		{"in slow start: the estimate, by its present capacity", 0, 0, 2e5, 0.2 + 0.1*(1+0.5*3/(1+3.0/64))},
+		{"reports are recent", -1, 250, 0, 0.2},
 	} {
 		b := newRecoveringRelay(4, 4, 0, 1)
 		b.UpdateEndpoint(Endpoint{ID: 1, State: Ready, StartedAt: c.startedAt, Weight: 1})
@@ -45,15 +45,15 @@
 	}
 }
 
-// A session counts with its measured load as long as no report includes it: the excess over what was expected would pass
-// for load that backends report, which makes each look larger.
+// A session that no report includes yet counts with its measured load. Otherwise the excess over its expected load would
+// count as reported load, and the capacity of backends would be estimated too high.
 func TestMeasuredLoadIsUnreportedToo(t *testing.T) {
 	const measured = 5e4
 	now := 2e5
 	b := newRecoveringRelay(1, 4, 0, 1)
 	sessions := make([]*Session, 4)
 	for i := range sessions {
-		sessions[i] = &Session{load: 1} // nothing is known of sessions yet
+		sessions[i] = &Session{load: 1} // 1 is the expected load while none has been measured
 		b.startAttempt(now, sessions[i], i)
 		b.LoadMeasured(sessions[i], measured)
 	}
@@ -63,10 +63,10 @@
 		b.LoadReported(now+300, id+1, []float64{0.02})
 	}
 	b.refreshCapacity(b.sumFleet(now + 300))
-	assert.Zero(t, b.fleet.capacityBySessions, "no report includes any of them")
+	assert.Zero(t, b.fleet.capacityBySessions, "no report includes any of the sessions")
 
 	b.LoadMeasured(sessions[0], 2*measured)
-	assert.InDelta(t, 5*measured, b.UnreportedLoad(), 1e-6, "as a session's load changes")
+	assert.InDelta(t, 5*measured, b.UnreportedLoad(), 1e-6, "after the load of one session has changed")
 	for _, session := range sessions {
 		b.release(session)
 	}
--- a/balancer/load_polling.go
+++ b/balancer/load_polling.go
@@ -4,7 +4,7 @@
 
 const (
 	pollInterval         = 1000.0 // shortest time between two polls of a healthy backend, in milliseconds
-	maxPollInterval      = 4000.0 // longest time between them, in milliseconds; with the answer's delay, five seconds are allowed
+	maxPollInterval      = 4000.0 // longest time between them, in milliseconds; at most five seconds with the answer's delay
 	failedPollInterval   = 300.0  // time between two polls of a backend that did not answer, in milliseconds
 	pollSpread           = 0.2    // share of the interval over which the polls of backends are spread
 	pollCostShare        = 0.012  // highest cost of the polls for one session, as a share of the session's gain
--- a/balancer/load_polling_test.go
+++ b/balancer/load_polling_test.go
@@ -8,48 +8,48 @@
 	"github.com/stretchr/testify/require"
 )
 
-// With hundreds of relays the fleet is not polled regularly: a session has a few backends polled when it
-// arrives and goes to one that answered.
+// With hundreds of relays the fleet is not polled regularly. Instead, a few backends are polled when a session
+// arrives, and it is assigned to one that answered.
 func TestCandidatesArePolledForEachSession(t *testing.T) {
 	for seed := range int64(10) {
 		b := testFleet{Loads: make([]float64, 60), Relays: 220, Seed: seed}.build(t)
-		now, session, asked := start+20000, newSession(start+20000), []uint32(nil)
+		now, session, polled := start+20000, newSession(start+20000), []uint32(nil)
 		require.Equal(t, Queue, b.Assign(now, session).Kind)
-		for d := b.NextAction(now); d.Kind == ActionPoll; d = b.NextAction(now) {
-			asked = append(asked, d.Backend)
+		for action := b.NextAction(now); action.Kind == ActionPoll; action = b.NextAction(now) {
+			polled = append(polled, action.Backend)
 		}
-		require.Len(t, asked, candidatesPerSession)
-		assert.Equal(t, Queue, b.Assign(now+1, session).Kind, "answers are waited for")
-		b.PollFinished(now+2, asked[2], true, []float64{0, 0.3})
+		require.Len(t, polled, candidatesPerSession)
+		assert.Equal(t, Queue, b.Assign(now+1, session).Kind, "the session waits for answers")
+		b.PollFinished(now+2, polled[2], true, []float64{0, 0.3})
 		a := b.Assign(now+40, session)
-		assert.Equal(t, Assign, a.Kind, "but not for long")
-		assert.Equal(t, asked[2], a.Backend, "silent backends are not used")
+		assert.Equal(t, Assign, a.Kind, "it stops waiting after a share of its latency objective")
+		assert.Equal(t, polled[2], a.Backend, "candidates that have not answered are not used")
 		b.SessionEstablished(now+40, session)
 		full := newSession(now)
 		require.Equal(t, Queue, b.Assign(now, full).Kind)
-		for d := b.NextAction(now); d.Kind == ActionPoll; d = b.NextAction(now) {
-			b.PollFinished(now, d.Backend, true, []float64{0, 0.9})
+		for action := b.NextAction(now); action.Kind == ActionPoll; action = b.NextAction(now) {
+			b.PollFinished(now, action.Backend, true, []float64{0, 0.9})
 		}
-		b.PollFinished(now+2, asked[2], true, []float64{0, 0.9})
-		assert.Equal(t, Reject, b.Assign(now+40, full).Kind, "no asking on until the last gap is filled")
+		b.PollFinished(now+2, polled[2], true, []float64{0, 0.9})
+		assert.Equal(t, Reject, b.Assign(now+40, full).Kind, "if all candidates are full, no others are polled")
 	}
 }
 
-// A fleet that answers no polls is not polled ever faster by relays that know no loads.
+// Relays that know no loads do not poll ever faster while the fleet answers no polls.
 func TestSilentFleetIsNotHammered(t *testing.T) {
 	for _, relays := range []int{1, 30, 220} {
 		b := testFleet{Loads: make([]float64, 20), Relays: relays}.build(t)
 		for s := range b.ids {
 			b.forgetLoad(s)
 		}
-		asked := 0
+		polls := 0
 		for now := start; now < start+10000; now += 10 {
-			for d := b.NextAction(now); d.Kind == ActionPoll; d = b.NextAction(now) {
-				asked++
-				b.PollFinished(now, d.Backend, false, nil)
+			for action := b.NextAction(now); action.Kind == ActionPoll; action = b.NextAction(now) {
+				polls++
+				b.PollFinished(now, action.Backend, false, nil)
 			}
 		}
-		assert.LessOrEqual(t, asked, 20*35, relays)
+		assert.LessOrEqual(t, polls, 20*35, relays)
 	}
 }
 
@@ -68,20 +68,20 @@
 	assert.Len(t, last, 2)
 }
 
-// Beside a process that serves, another takes over once most backends have reported their loads.
+// A new process takes over from the serving one once most backends have reported their loads to it.
 func TestIsReady(t *testing.T) {
 	nan := math.NaN()
 	for _, c := range []struct {
 		name  string
 		loads []float64
-		down  int
+		down  int // ID of the first of two backends that don't answer; 0: all answer
 		want  bool
 	}{
-		{"no load", []float64{nan, nan, nan, nan}, 0, false},
-		{"half of them", []float64{0.1, 0.1, nan, nan}, 0, false},
-		{"most", []float64{0.1, 0.1, 0.1, nan}, 0, true},
-		{"one that doesn't answer is not waited for", []float64{0.1, 0.1, nan, nan}, 3, true},
-		{"no backend", nil, 0, false},
+		{"no backend has reported", []float64{nan, nan, nan, nan}, 0, false},
+		{"half of them have reported", []float64{0.1, 0.1, nan, nan}, 0, false},
+		{"most have reported", []float64{0.1, 0.1, 0.1, nan}, 0, true},
+		{"backends that don't answer are not waited for", []float64{0.1, 0.1, nan, nan}, 3, true},
+		{"there is no backend", nil, 0, false},
 	} {
 		b := testFleet{Loads: c.loads}.build(t)
 		if c.down > 0 {
@@ -91,8 +91,8 @@
 			b.PollFinished(start, uint32(c.down+1), false, nil)
 		}
 		assert.Equal(t, c.want, b.IsReady(start+10), c.name)
-		assert.False(t, b.IsReady(start+10000), "%s: reports grow old", c.name)
+		assert.False(t, b.IsReady(start+10000), "%s: its reports are too old by now", c.name)
 	}
 	b := testFleet{Loads: []float64{nan, nan, nan, nan}, Relays: 5000}.build(t)
-	assert.True(t, b.IsReady(start+10), "asked for sessions only")
+	assert.True(t, b.IsReady(start+10), "backends are polled for sessions only, so there is nothing to wait for")
 }
--- a/balancer/load_reports_test.go
+++ b/balancer/load_reports_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// A report that is invalid or of an unknown backend changes no load to an invalid value.
 func TestInvalidReportsAreIgnored(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -15,7 +16,7 @@
 	}{
 		{"good", []float64{1, 0.9}, 0.9},
 		{"not a number", []float64{1, math.NaN()}, 0.5},
-		{"endless", []float64{1, math.Inf(1)}, 0.5},
+		{"infinite", []float64{1, math.Inf(1)}, 0.5},
 		{"negative", []float64{1, -3}, 0.5},
 		{"absent", nil, 0.5},
 	} {
@@ -31,6 +32,8 @@
 	}
 }
 
+// The load is read from the preferred field, and divided by the backend's weight unless it is a share of a
+// capacity.
 func TestLoadFields(t *testing.T) {
 	for _, c := range []struct {
 		fields []string
--- a/balancer/outliers_test.go
+++ b/balancer/outliers_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A silence in which sessions broke was a restart, which begins a slow start; one that sessions survived was
-// a network cut.
+// If sessions broke while a backend was silent, it has restarted, which begins a slow start. If they survived, only
+// the network was interrupted.
 func TestSlowStartAfterSilence(t *testing.T) {
 	for _, broke := range []bool{true, false} {
 		b := testFleet{Loads: []float64{0.4}}.build(t)
@@ -23,11 +23,11 @@
 	}
 }
 
-// Two failures in a row eject a backend, one does not, and an answer brings it back.
+// Two consecutive failures eject a backend, one does not, and an answer makes it healthy again.
 func TestTwoFailuresEject(t *testing.T) {
 	b := testFleet{Loads: []float64{0.4, 0.4}}.build(t)
 	b.PollFinished(start, 1, false, nil)
-	assert.True(t, b.outliers.isHealthy(0), "one lost poll is not a death")
+	assert.True(t, b.outliers.isHealthy(0), "one lost poll does not eject the backend")
 	b.PollFinished(start+300, 1, false, nil)
 	for range 20 {
 		assert.Equal(t, uint32(2), b.Assign(start+400, newSession(start+400)).Backend)
@@ -36,7 +36,7 @@
 	assert.True(t, b.outliers.isHealthy(0))
 }
 
-// With a slow shared store attempts time out everywhere, and eject no backend.
+// Timeouts alone eject no backend: with a slow shared store, attempts time out everywhere.
 func TestTimeoutsEjectNobody(t *testing.T) {
 	b := testFleet{Loads: []float64{0.4, 0.4, 0.4}}.build(t)
 	for i := range 20 {
@@ -45,16 +45,16 @@
 		b.Assign(now, session)
 		b.AttemptFinished(now+50, session, OutcomeTimedOut, true)
 	}
-	for s := range b.ids {
-		assert.True(t, b.outliers.isHealthy(s))
+	for backend := range b.ids {
+		assert.True(t, b.outliers.isHealthy(backend))
 	}
 }
 
-// endSession is how a test ends a session that was assigned at that time.
+// endSession ends a session that was assigned at the given time.
 type endSession func(session *Session, at float64)
 
-// shareOfFirstBackend assigns a hundred sessions over two seconds, with fresh reports by which the first
-// backend has the least load, and returns the share of them that it got.
+// shareOfFirstBackend assigns a hundred sessions over two seconds, while fresh reports give the first backend the
+// least load, and returns the share of the sessions that this backend got.
 func shareOfFirstBackend(b *Balancer, from float64, end endSession) (share float64) {
 	const sessions = 100
 	loads := []float64{0.1, 0.5, 0.5, 0.5}
@@ -76,8 +76,8 @@
 	return share
 }
 
-// A backend's reports are believed as far as sessions bear them out: one that reports little load and sheds
-// sessions or does not answer gets ever fewer, and all again once time has passed.
+// A backend that reports little load, but sheds sessions or does not answer, gets fewer and fewer sessions. After
+// some time without evidence against it, it gets its full share again.
 func TestOutlierGetsFewerSessions(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -99,22 +99,23 @@
 					endWell(session, at)
 					return
 				}
-				b.attempts.concurrencyLimit = maxConcurrentAttempts // the store is not what is looked at
+				b.attempts.concurrencyLimit = maxConcurrentAttempts // keeps the concurrency limit out of this test
 				if c.established {
 					b.SessionEstablished(at+10, session)
 				}
 				b.AttemptFinished(at+20, session, c.outcome, true)
 			}
 			before := shareOfFirstBackend(b, start, endWell)
-			assert.Greater(t, before, 0.3, "while it is believed")
+			assert.Greater(t, before, 0.3, "without evidence against it")
 			assert.Less(t, shareOfFirstBackend(b, start+3000, endBadly), before/3)
 			assert.Greater(t, shareOfFirstBackend(b, start+60000, endWell), before*0.7,
-				"later it is tried again, and bears out its reports")
+				"later it is tried again, and sessions confirm its reports")
 		})
 	}
 }
 
-// A backend that sheds sessions and then reports that it is full is not at fault; errors may be the client's.
+// A backend that sheds a session and then reports that it is full is not at fault. An error is no evidence either,
+// as the client may have caused it.
 func TestBadEndCountsAfterTheNextReport(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -122,9 +123,9 @@
 		report  float64
 		want    bool
 	}{
-		{"reports that it has room", OutcomeConnectionLost, 0.2, true},
+		{"reports that it is not full", OutcomeConnectionLost, 0.2, true},
 		{"reports that it is full", OutcomeConnectionLost, 0.9, false},
-		{"errs", OutcomeFailed, 0.2, false},
+		{"answers with an error", OutcomeFailed, 0.2, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := testFleet{Loads: []float64{0.1, 0.5, 0.5}}.build(t)
@@ -132,14 +133,15 @@
 			b.SessionResumed(start, session, 1)
 			session.attempt.startedAt = start
 			b.AttemptFinished(start+100, session, c.outcome, true)
-			assert.Zero(t, b.outliers.score(0, start+150), "not before its next report")
+			assert.Zero(t, b.outliers.score(0, start+150), "no evidence before its next report")
 			b.LoadReported(start+200, 1, []float64{0, c.report})
 			assert.Equal(t, c.want, b.outliers.score(0, start+200) > 0)
 		})
 	}
 }
 
-// A session that lasted speaks for its backend; where all backends do alike, none is an outlier.
+// A session that lasted reduces the evidence against its backend. If the evidence against all backends is the same,
+// none is an outlier.
 func TestOutlierScoreFalls(t *testing.T) {
 	b := testFleet{Loads: []float64{0.1, 0.5, 0.5, 0.5}, MaxAttempts: 1, Seed: 2}.build(t)
 	b.outliers.addEvidence(0, start, outlierPenalty)
@@ -149,12 +151,12 @@
 	now := start + shedWindow
 	before := b.outliers.score(0, now)
 	b.AttemptFinished(now, session, OutcomeSucceeded, true)
-	assert.Less(t, b.outliers.score(0, now), 0.6*before, "a session that lasted speaks for it")
+	assert.Less(t, b.outliers.score(0, now), 0.6*before, "a session that lasted reduces the score")
 	for backend := range b.ids {
 		b.outliers.addEvidence(backend, now, outlierPenalty)
 		b.outliers.addEvidence(backend, now, outlierPenalty)
 	}
 	for backend := range b.ids {
-		assert.Less(t, b.outliers.score(backend, now), 0.05, "all alike")
+		assert.Less(t, b.outliers.score(backend, now), 0.05, "the evidence against all backends is the same")
 	}
 }
--- a/balancer/slow_start_fleet_test.go
+++ b/balancer/slow_start_fleet_test.go
@@ -9,6 +9,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// The settings and lengths of the simulation; times are in milliseconds.
 const (
 	simulatedInitialCapacity  = 0.2
 	simulatedDuration         = 20000.0
@@ -23,14 +24,14 @@
 	burstLength      = 3000.0
 )
 
-// simulatedBackend bears sessions, and reports its load late.
+// simulatedBackend holds sessions and reports its load with a delay.
 type simulatedBackend struct {
 	slowStart  bool
-	load       float64 // sessions of the mean load
-	reportedAt float64 // time of the last report
-	latestLoad float64 // of that
-	formerLoad float64
-	assignedAt []float64 // when sessions came to it during its slow start
+	load       float64   // load of its sessions, as a multiple of the mean session load
+	reportedAt float64   // time of the latest report
+	latestLoad float64   // load in the latest report
+	formerLoad float64   // load in the report before
+	assignedAt []float64 // times at which sessions were assigned to it during its slow start
 }
 
 func (s *simulatedBackend) capacityShare(now float64) float64 {
@@ -40,15 +41,15 @@
 	return min(1, simulatedInitialCapacity+(1-simulatedInitialCapacity)*(now-start)/simulatedDuration)
 }
 
-func (s *simulatedBackend) report(now, bears float64) {
+func (s *simulatedBackend) report(now, sessionsPerBackend float64) {
 	if now >= s.reportedAt+reportPeriod {
 		s.formerLoad = s.latestLoad
-		s.latestLoad = s.load / (bears * s.capacityShare(now))
+		s.latestLoad = s.load / (sessionsPerBackend * s.capacityShare(now))
 		s.reportedAt = now
 	}
 }
 
-// visibleLoad is the load that a poll is answered with.
+// visibleLoad returns the load in the answer to a poll.
 func (s *simulatedBackend) visibleLoad(now float64) float64 {
 	if now >= s.reportedAt+reportDelay {
 		return s.latestLoad
@@ -56,53 +57,53 @@
 	return s.formerLoad
 }
 
-// usage counts a session that arrives now and returns the share of the backend's capacity within the overload
-// span that is used.
-func (s *simulatedBackend) usage(now, bears float64) float64 {
+// recordArrival records a session that is assigned now and returns how much of what the backend can take within the
+// overload span is used.
+func (s *simulatedBackend) recordArrival(now, sessionsPerBackend float64) float64 {
 	s.assignedAt = append(s.assignedAt, now)
-	within := 0.0
+	recent := 0.0
 	for _, at := range s.assignedAt {
 		if at > now-simulatedOverloadSpan {
-			within++
+			recent++
 		}
 	}
-	n := simulatedOverloadMultiple * s.capacityShare(now) * bears * simulatedOverloadSpan / simulatedDuration
-	return within / (n + 2*math.Sqrt(n) + 2)
+	n := simulatedOverloadMultiple * s.capacityShare(now) * sessionsPerBackend * simulatedOverloadSpan / simulatedDuration
+	return recent / (n + 2*math.Sqrt(n) + 2)
 }
 
 type simulatedSession struct {
 	session  *Session
 	balancer *Balancer
-	backend  *simulatedBackend // nil: it waits
-	weight   float64
-	until    float64
+	backend  *simulatedBackend // nil: the session is queued
+	weight   float64           // load, as a multiple of the mean session load
+	until    float64           // time at which the session ends
 }
 
-// slowStartFleet plays balancers that know nothing of each other, on backends of which some are in slow
+// slowStartFleet simulates balancers that know nothing of each other and share backends, some of which are in slow
 // start.
 type slowStartFleet struct {
 	balancers          int
-	sessionsPerBackend float64 // sessions of the mean load that a warm backend bears
-	warmLoad           float64 // of the warm backends at the beginning, of 1
-	quiet              float64 // times the usual rate of new sessions, up to the burst
-	burst              float64 // and in it
-	burstFrom          float64 // after the start
+	sessionsPerBackend float64 // capacity of a warm backend, in sessions of the mean load
+	warmLoad           float64 // load of the warm backends at the beginning, from 0 to 1
+	quietRateFactor    float64 // factor on the usual rate of new sessions before the burst
+	burstRateFactor    float64 // factor on the usual rate of new sessions during the burst
+	burstDelay         float64 // milliseconds from the start to the burst
 	unevenClients      bool    // half of the sessions come to a tenth of the balancers
 	seed               int64
 
 	rng         *rand.Rand
 	backends    []*simulatedBackend
-	all         []*Balancer
+	relays      []*Balancer
 	sessions    []*simulatedSession
-	arrivalsDue float64 // part of a session that is due
-	worstUsage  float64 // usage of a backend in slow start
+	arrivalsDue float64 // number of sessions that are due to arrive, with a fraction
+	worstUsage  float64 // highest usage of a backend in slow start so far
 }
 
 const (
-	warmBackends   = 7
-	warmingCount   = 3
-	ratePerBearing = 0.32 // new sessions a second, for each that a backend bears
-	waveRate       = 2.0  // the same, above which they are clients whose connections broke
+	warmBackends          = 7
+	warmingCount          = 3
+	arrivalRatePerSession = 0.32 // new sessions a second, per session that a warm backend can hold
+	waveRate              = 2.0  // the rate in the same unit above which the clients count as returning ones
 )
 
 func (f *slowStartFleet) build() {
@@ -115,7 +116,7 @@
 		f.backends = append(f.backends, &simulatedBackend{slowStart: true})
 	}
 	for i := range f.balancers {
-		f.all = append(f.all, f.newBalancer(f.seed*1000+int64(i)))
+		f.relays = append(f.relays, f.newBalancer(f.seed*1000+int64(i)))
 	}
 }
 
@@ -148,8 +149,8 @@
 	return b
 }
 
-// play returns the highest usage of a backend in slow start within any span.
-func (f *slowStartFleet) play() float64 {
+// run runs the simulation and returns the highest usage of a backend in slow start within any overload span.
+func (f *slowStartFleet) run() float64 {
 	f.build()
 	for now := start; now < start+simulationLength; now += simulationStep {
 		f.answerPolls(now)
@@ -175,7 +176,7 @@
 	for _, s := range f.backends {
 		s.report(now, f.sessionsPerBackend)
 	}
-	for _, b := range f.all {
+	for _, b := range f.relays {
 		for action := b.NextAction(now); action.Kind == ActionPoll; action = b.NextAction(now) {
 			b.PollFinished(now, action.Backend, true, []float64{f.backends[action.Backend-1].visibleLoad(now)})
 		}
@@ -183,12 +184,12 @@
 }
 
 func (f *slowStartFleet) arrivals(now float64) {
-	rate := ratePerBearing * f.sessionsPerBackend
-	switch since := now - start - f.burstFrom; {
-	case since < 0:
-		rate *= f.quiet
-	case since < burstLength:
-		rate *= f.burst
+	rate := arrivalRatePerSession * f.sessionsPerBackend
+	switch sinceBurst := now - start - f.burstDelay; {
+	case sinceBurst < 0:
+		rate *= f.quietRateFactor
+	case sinceBurst < burstLength:
+		rate *= f.burstRateFactor
 	}
 	for f.arrivalsDue += rate * simulationStep / 1000; f.arrivalsDue >= 1; f.arrivalsDue-- {
 		among := f.balancers
@@ -196,11 +197,11 @@
 			among = max(f.balancers/10, 1)
 		}
 		session := newSession(now)
-		f.sessions = append(f.sessions, &simulatedSession{session: session, balancer: f.all[f.rng.Intn(among)]})
+		f.sessions = append(f.sessions, &simulatedSession{session: session, balancer: f.relays[f.rng.Intn(among)]})
 	}
 }
 
-// assign asks where the session goes, and tells whether it is still to be looked after.
+// assign asks the session's balancer for a decision and reports whether the session is assigned or queued.
 func (f *slowStartFleet) assign(now float64, simulated *simulatedSession) bool {
 	decision := simulated.balancer.Assign(now, simulated.session)
 	if decision.Kind != Assign {
@@ -210,7 +211,7 @@
 	simulated.weight = math.Exp(f.rng.NormFloat64()*0.8 - 0.32)
 	simulated.until = now + meanSessionLife*f.rng.ExpFloat64()
 	if simulated.backend.slowStart && simulated.backend.capacityShare(now) < 1 {
-		f.worstUsage = max(f.worstUsage, simulated.backend.usage(now, f.sessionsPerBackend))
+		f.worstUsage = max(f.worstUsage, simulated.backend.recordArrival(now, f.sessionsPerBackend))
 	}
 	simulated.backend.load += simulated.weight
 	simulated.balancer.SessionEstablished(now, simulated.session)
@@ -218,37 +219,38 @@
 	return true
 }
 
-// slowStartLoad is what comes to the fleet.
+// slowStartLoad describes the sessions that arrive at a slowStartFleet.
 type slowStartLoad struct {
-	name                              string
-	warmLoad, quiet, burst, burstFrom float64
-	unevenClients                     bool
+	name                                                   string
+	warmLoad, quietRateFactor, burstRateFactor, burstDelay float64
+	unevenClients                                          bool
 }
 
-// fleet returns a fleet that the load comes to.
-func (l slowStartLoad) fleet(balancers int, bears float64, seed int64) *slowStartFleet {
+// fleet returns a fleet that gets this load.
+func (l slowStartLoad) fleet(balancers int, capacity float64, seed int64) *slowStartFleet {
 	return &slowStartFleet{
 		balancers:          balancers,
-		sessionsPerBackend: bears,
+		sessionsPerBackend: capacity,
 		warmLoad:           l.warmLoad,
-		quiet:              l.quiet,
-		burst:              l.burst,
-		burstFrom:          l.burstFrom,
+		quietRateFactor:    l.quietRateFactor,
+		burstRateFactor:    l.burstRateFactor,
+		burstDelay:         l.burstDelay,
 		unevenClients:      l.unevenClients,
 		seed:               seed,
 	}
 }
 
-// worstUsage returns the highest usage of a backend in slow start, over so many seeds.
-func (l slowStartLoad) worstUsage(balancers int, bears float64, seeds int64) (worst float64) {
+// worstUsage returns the highest usage of a backend in slow start over the given number of seeds.
+func (l slowStartLoad) worstUsage(balancers int, sessionsPerBackend float64, seeds int64) (worst float64) {
 	for seed := range seeds {
-		worst = max(worst, l.fleet(balancers, bears, seed).play())
+		worst = max(worst, l.fleet(balancers, sessionsPerBackend, seed).run())
 	}
 	return worst
 }
 
-// What all balancers together assign to a backend in slow start within the overload span stays under N and
-// twice its root and two, however many they are: right after starts, with uneven clients and in a burst.
+// All balancers together assign to a backend in slow start, within the overload span, at most n + 2*sqrt(n) + 2
+// sessions, where n is the number that it can take. This holds for any number of balancers, right after starts, with
+// uneven clients and in a burst.
 func TestColdBudgetHoldsForTheWholeFleet(t *testing.T) {
 	seeds, sizes := int64(10), []int{1, 3, 12, 20, 30, 80}
 	if testing.Short() {
@@ -262,12 +264,12 @@
 		{"warm backends full, uneven clients", 0.9, 1, 4, 500, true},
 	} {
 		if testing.Short() && load.warmLoad < loadLimit {
-			continue // the hardest alone
+			continue // short runs test only the hardest loads
 		}
 		for _, balancers := range sizes {
-			for _, bears := range []float64{25, 200} {
-				worst := load.worstUsage(balancers, bears, seeds)
-				name := fmt.Sprintf("%d balancers, %s, backends that bear %v", balancers, load.name, bears)
+			for _, sessionsPerBackend := range []float64{25, 200} {
+				worst := load.worstUsage(balancers, sessionsPerBackend, seeds)
+				name := fmt.Sprintf("%d balancers, %s, %v sessions a backend", balancers, load.name, sessionsPerBackend)
 				t.Logf("%s: %.2f", name, worst)
 				assert.LessOrEqual(t, worst, 1.0, name)
 			}
@@ -275,9 +277,9 @@
 	}
 }
 
-// The same where two thirds of all clients return within three seconds, after eight in which next to none
-// came, with full warm backends: each balancer has saved up its budget, and none sees yet what the others
-// assign.
+// The limit of TestColdBudgetHoldsForTheWholeFleet holds in a wave too. Two thirds of all clients return within three
+// seconds, after eight seconds in which almost none came, and the warm backends are full. Each balancer has saved up
+// budget, and no report includes yet what the others assign.
 func TestColdBudgetHoldsInAWave(t *testing.T) {
 	load := slowStartLoad{"a wave after silence", 0.9, 0.05, 6, 8000, false}
 	for _, balancers := range []int{1, 3, 12, 20, 30} {
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// An idle backend in slow start would get all relays' even shares, or a session from each of hundreds at
-// once. What all assign together, in a wave too, stays under its capacity.
+// All relays together assign no more to a backend in slow start than it can take, in a wave too. Without the
+// budget, an idle one would get the even shares of all relays, or one session from each of hundreds at once.
 func TestSlowStartBudget(t *testing.T) {
 	for _, c := range []struct {
 		name             string
@@ -31,34 +31,35 @@
 				}
 			}
 		}
-		fill := 1000.0 / quotaCapacityShare / 4 // by the quotas of the helper's tenants
-		for window, sent := range times {
-			part := 0.2 + 0.8*float64(window)*2000/20000
-			assert.LessOrEqual(t, sent, 3*part*fill/20000*2000+2, "%s, window %d", c.name, window)
+		backendCapacity := 1000.0 / quotaCapacityShare / 4 // sessions that fill a backend, by the quotas that testFleet sets
+		for window, assigned := range times {
+			capacityShare := 0.2 + 0.8*float64(window)*2000/20000
+			assert.LessOrEqual(t, assigned, 3*capacityShare*backendCapacity/20000*2000+2, "%s, window %d", c.name, window)
 		}
 	}
 }
 
-// After a release, eighty relays with few sessions each rejected clients for twelve seconds beside idle
-// backends in slow start. Once its report includes what all relays assigned, such a backend takes what warm
-// ones have no room for; before that it stays within the budget, whoever else is full.
+// A backend in slow start takes the sessions that warm ones have no room for, once its report includes what all
+// relays assigned to it. Before that it stays within the budget, even if all others are full. Without this rule,
+// eighty relays with few sessions each rejected clients for twelve seconds after a release, while backends in
+// slow start were idle.
 func TestWarmingBackendTakesOverflow(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		relays       int
-		age          float64
-		warming      float64 // its load
-		least, most  int     // of eighty
-		warm, placed float64 // load of the others; sessions of its own there of late
+		age          float64 // milliseconds since the backend in slow start started
+		warming      float64 // load of the backend in slow start
+		least, most  int     // bounds on the number of relays, of eighty, that assign a session to it
+		warm, placed float64 // load of each warm backend; number of sessions that the relay assigned to the one in slow start
 	}{
-		{"just started", 80, 1000, 0, 0, 24, 0.9, 0}, // what it can take in the span
-		{"its load tells", 80, 6000, 0.1, 60, 80, 0.9, 0},
+		{"just started", 80, 1000, 0, 0, 24, 0.9, 0}, // 24: what it can take within the overload span
+		{"its report includes all assignments", 80, 6000, 0.1, 60, 80, 0.9, 0},
 		{"it is full as well", 80, 6000, 0.9, 0, 0, 0.9, 0},
-		{"warm ones have room: an even share", 80, 6000, 0.1, 10, 40, 0.3, 0},
-		{"sessions weigh by the part that it can do", 80, 6000, 0.1, 0, 0, 0.9, 100},
-		// Against reports a second old: found by drawn experiments, where a wave pushed a backend in slow
-		// start over.
-		{"few relays, that do not ask for each session", 4, 6000, 0.1, 0, 35, 0.9, 0},
+		{"warm backends have room: an even share", 80, 6000, 0.1, 10, 40, 0.3, 0},
+		{"sessions count by the capacity that it has now", 80, 6000, 0.1, 0, 0, 0.9, 100},
+		// Regular polls leave reports up to a second old. In randomly generated experiments, a wave overloaded a
+		// backend in slow start because of such reports.
+		{"few relays, which do not poll for each session", 4, 6000, 0.1, 0, 35, 0.9, 0},
 	} {
 		sent := 0
 		for seed := range int64(80) {
@@ -75,7 +76,8 @@
 	}
 }
 
-// Two processes of one relay have one budget for backends in slow start: the draining one assigns none there.
+// Two processes of one relay share one budget for backends in slow start: the draining process assigns no
+// sessions to them.
 func TestDrainingProcessAvoidsWarmingBackends(t *testing.T) {
 	for _, draining := range []bool{false, true} {
 		toWarming := 0
@@ -95,8 +97,8 @@
 	}
 }
 
-// What a young relay draws beyond its usual budget, it uses only where the backend reports load: before that all relays
-// would spend what they saved over a silence.
+// A relay that has just started uses budget beyond the usual one only if the backend has reported load. Otherwise all
+// relays would spend, before any report, what they saved up while no clients came.
 func TestYoungRelayWaitsForReportedLoad(t *testing.T) {
 	const unknown = -1.0
 	for _, c := range []struct {
@@ -123,10 +125,10 @@
 	}
 }
 
-// Only a relay's first sessions ask for a report of load, and of those the ones beyond the usual budget.
+// Only the first sessions of a relay depend on a reported load, and of those only the ones beyond the usual budget.
 func TestOnlyYoungRelaysAskForReportedLoad(t *testing.T) {
 	const relays, sessions = 1000, 8
-	asked := make([]int, sessions)
+	requiringLoad := make([]int, sessions)
 	granted := make([]int, sessions)
 	for seed := range int64(relays) {
 		b := testFleet{Loads: []float64{0.4, 0.4, 0.4, 0}, LastStartedAt: start, Relays: 300, Seed: seed}.build(t)
@@ -140,13 +142,13 @@
 			}
 			granted[i]++
 			if session.warming.onlyIfLoaded {
-				asked[i]++
+				requiringLoad[i]++
 			}
 		}
 	}
-	t.Logf("granted %v, of those with a report of load %v", granted, asked)
+	t.Logf("granted %v, of those only if the backend has reported load %v", granted, requiringLoad)
 	for i := range sessions {
-		assert.Less(t, asked[i], granted[i], "within the usual budget none is asked for, session %d", i)
-		assert.Equal(t, i < newRelaySessions, asked[i] > 0, "session %d", i)
+		assert.Less(t, requiringLoad[i], granted[i], "within the usual budget no reported load is required, session %d", i)
+		assert.Equal(t, i < newRelaySessions, requiringLoad[i] > 0, "session %d", i)
 	}
 }
--- a/balancer/slow_start_wave_test.go
+++ b/balancer/slow_start_wave_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// overloadLimit is the load from which on a backend in slow start is overloaded, in sessions of the mean load, where it
-// can take n: the service's rule, which leaves more to chance where few sessions make up the load.
+// overloadLimit returns the load above which a backend in slow start that can take n sessions is overloaded, in sessions
+// of the mean load. It is the service's rule, which allows more random variation where the load consists of few sessions.
 func overloadLimit(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -17,8 +17,8 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// worstShare returns the highest share of overloadLimit that came to a backend in slow start within the overload span,
-// once the fleet was played.
+// worstShare returns the highest share of overloadLimit that was assigned to a backend in slow start within the overload
+// span. It is called after run.
 func (f *slowStartFleet) worstShare() (worst float64) {
 	for _, s := range f.backends {
 		from := 0
@@ -34,8 +34,8 @@
 	return worst
 }
 
-// A wave of clients after a silence, or out of usual traffic, overloads no backend in slow start, whatever the fleet's
-// size.
+// A wave of clients overloads no backend in slow start, whether it follows a silence or usual traffic, at any size of
+// the fleet.
 func TestSlowStartBudgetHoldsInWaves(t *testing.T) {
 	seeds, sizes, bearings := int64(20), []int{2, 8, 16, 20, 30, 60, 300}, []float64{12, 25, 60}
 	if testing.Short() {
@@ -62,11 +62,11 @@
 	}
 }
 
-// worstShare returns the highest over so many seeds.
-func (l slowStartLoad) worstShare(balancers int, bears float64, seeds int64) (worst float64) {
+// worstShare returns the highest worstShare of a fleet over the given number of seeds.
+func (l slowStartLoad) worstShare(balancers int, sessionsPerBackend float64, seeds int64) (worst float64) {
 	for seed := range seeds {
-		fleet := l.fleet(balancers, bears, seed)
-		fleet.play()
+		fleet := l.fleet(balancers, sessionsPerBackend, seed)
+		fleet.run()
 		worst = max(worst, fleet.worstShare())
 	}
 	return worst
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newUsedBalancer is a balancer that has seen sessions, a failure, a backend in slow start and measured
+// newUsedBalancer returns a balancer that has had sessions, failed polls, a backend in slow start and measured
 // loads.
 func newUsedBalancer(t *testing.T) *Balancer {
 	t.Helper()
@@ -32,16 +32,16 @@
 	return b
 }
 
-// The next process knows the same of every backend and weighs it alike.
+// After a restore, the next process knows the same about every backend and gives it nearly the same weight.
 func TestSnapshotIsRestored(t *testing.T) {
 	old := newUsedBalancer(t)
 	now := start + 1000
 	text, err := json.Marshal(old.Snapshot(now))
 	require.NoError(t, err)
-	var r Snapshot
-	require.NoError(t, json.Unmarshal(text, &r))
+	var snapshot Snapshot
+	require.NoError(t, json.Unmarshal(text, &snapshot))
 	b := testFleet{Loads: []float64{math.NaN(), math.NaN(), math.NaN(), math.NaN()}, LastStartedAt: start - 4000}.build(t)
-	require.NoError(t, b.Restore(now, &r))
+	require.NoError(t, b.Restore(now, &snapshot))
 	assert.Equal(t, old.poller.reports.loads, b.poller.reports.loads)
 	assert.Equal(t, old.poller.reports.receivedAt, b.poller.reports.receivedAt)
 	assert.Equal(t, old.poller.unreported.byBackend, b.poller.unreported.byBackend)
@@ -57,33 +57,35 @@
 	old.refreshWeights(now)
 	b.refreshWeights(now)
 	assert.Equal(t, old.outliers.evidence, b.outliers.evidence)
-	for i, n := range old.roundRobin.bucketCounts { // its own sessions tell the parent more of a backend's capacity
+	for i, n := range old.roundRobin.bucketCounts { // off by one at most: only the parent has sessions to estimate capacity
 		assert.InDelta(t, n, b.roundRobin.bucketCounts[i], 1)
 	}
-	assert.GreaterOrEqual(t, b.slowStart.requestedAt, now, "what was saved up for backends in slow start is not given twice")
+	assert.GreaterOrEqual(t, b.slowStart.requestedAt, now, "saved slow-start budget is not spent twice")
 
 	other := testFleet{Loads: []float64{0.5, 0.5}, LastStartedAt: start + 500}.build(t)
-	require.NoError(t, other.Restore(now, &r))
-	assert.Equal(t, []int{0, 0}, other.outliers.consecutiveFailures, "backend 2 has started again since")
+	require.NoError(t, other.Restore(now, &snapshot))
+	assert.Equal(t, []int{0, 0}, other.outliers.consecutiveFailures, "backend 2 has restarted since")
 	assert.Equal(t, 0.5, other.poller.reports.loads[1])
 }
 
 func TestInvalidSnapshotIsRefused(t *testing.T) {
-	for name, spoil := range map[string]func(*Snapshot){
-		"other classes":      func(r *Snapshot) { r.ClassLoads = r.ClassLoads[:1] },
-		"negative width":     func(r *Snapshot) { r.ConcurrencyLimit = -1 },
-		"endless mean":       func(r *Snapshot) { r.MeanSessionLoad = math.Inf(1) },
-		"a backend's load":   func(r *Snapshot) { r.Backends[0].Load = -2 },
-		"doubt beyond all":   func(r *Snapshot) { r.Backends[0].OutlierEvidence = 2 },
-		"a backend's health": func(r *Snapshot) { r.Backends[0].ConsecutiveFailures = -1 },
-		"a placed session":   func(r *Snapshot) { r.Backends[0].RecentAssignments = []AssignmentSnapshot{{1, math.NaN()}} },
-		"an ended session":   func(r *Snapshot) { r.EndedSessionLoads[1] = -5 },
+	for name, corrupt := range map[string]func(*Snapshot){
+		"another number of classes":   func(snapshot *Snapshot) { snapshot.ClassLoads = snapshot.ClassLoads[:1] },
+		"negative concurrency limit":  func(snapshot *Snapshot) { snapshot.ConcurrencyLimit = -1 },
+		"infinite mean session load":  func(snapshot *Snapshot) { snapshot.MeanSessionLoad = math.Inf(1) },
+		"negative backend load":       func(snapshot *Snapshot) { snapshot.Backends[0].Load = -2 },
+		"outlier evidence above 1":    func(snapshot *Snapshot) { snapshot.Backends[0].OutlierEvidence = 2 },
+		"negative number of failures": func(snapshot *Snapshot) { snapshot.Backends[0].ConsecutiveFailures = -1 },
+		"assignment load not a number": func(snapshot *Snapshot) {
+			snapshot.Backends[0].RecentAssignments = []AssignmentSnapshot{{1, math.NaN()}}
+		},
+		"negative load of an ended session": func(snapshot *Snapshot) { snapshot.EndedSessionLoads[1] = -5 },
 	} {
-		r := newUsedBalancer(t).Snapshot(start + 1000)
-		spoil(&r)
+		snapshot := newUsedBalancer(t).Snapshot(start + 1000)
+		corrupt(&snapshot)
 		b := testFleet{Loads: []float64{0.2, 0.6, 0.3, 0.1}}.build(t)
 		before := b.Snapshot(start)
-		assert.Error(t, b.Restore(start+1000, &r), name)
-		assert.Equal(t, before, b.Snapshot(start), "%s: nothing changed", name)
+		assert.Error(t, b.Restore(start+1000, &snapshot), name)
+		assert.Equal(t, before, b.Snapshot(start), "%s: the refused snapshot must change nothing", name)
 	}
 }
--- a/balancer/tracker_test.go
+++ b/balancer/tracker_test.go
@@ -9,42 +9,42 @@
 	"github.com/stretchr/testify/require"
 )
 
-// nextActionByFullScan is NextAction without the tracker: it looks at every backend.
+// nextActionByFullScan does the same as NextAction without the tracker, by a scan of all backends.
 func nextActionByFullScan(b *Balancer, now float64) Action {
-	d := Action{Wait: b.watch.nextAt - now}
-	if d.Wait <= 0 {
+	action := Action{Wait: b.watch.nextAt - now}
+	if action.Wait <= 0 {
 		b.watch.nextAt = now + b.watchRenewalInterval()
 		return Action{Kind: ActionSubscribe}
 	}
-	p := b.poller
-	if s := p.requests.next(); s >= 0 {
-		return b.startPoll(now, s)
+	loadPoller := b.poller
+	if backend := loadPoller.requests.next(); backend >= 0 {
+		return b.startPoll(now, backend)
 	}
-	part, every := b.pollingPlan()
-	if !p.enabled || part == 0 {
-		return d
+	share, interval := b.pollingPlan()
+	if !loadPoller.enabled || share == 0 {
+		return action
 	}
-	for s, c := range b.states {
-		if c != Ready || p.polls.selectionDraws[s] >= part || !math.IsNaN(p.polls.sentAt[s]) {
+	for backend, state := range b.states {
+		if state != Ready || loadPoller.polls.selectionDraws[backend] >= share || !math.IsNaN(loadPoller.polls.sentAt[backend]) {
 			continue
 		}
-		if math.IsInf(p.polls.latestAt[s], -1) {
-			p.polls.latestAt[s] = now + b.roundRobin.rng.Float64()*failedPollInterval - every
+		if math.IsInf(loadPoller.polls.latestAt[backend], -1) {
+			loadPoller.polls.latestAt[backend] = now + b.roundRobin.rng.Float64()*failedPollInterval - interval
 		}
-		wait := p.polls.latestAt[s] + every*(0.9+0.2*p.polls.selectionDraws[s]) - now
-		if b.outliers.consecutiveFailures[s] > 0 {
-			wait = p.polls.latestAt[s] + failedPollInterval - now
+		wait := loadPoller.polls.latestAt[backend] + interval*(0.9+0.2*loadPoller.polls.selectionDraws[backend]) - now
+		if b.outliers.consecutiveFailures[backend] > 0 {
+			wait = loadPoller.polls.latestAt[backend] + failedPollInterval - now
 		}
 		if wait <= 0 {
-			return b.startPoll(now, s)
+			return b.startPoll(now, backend)
 		}
-		d.Wait = min(d.Wait, wait)
+		action.Wait = min(action.Wait, wait)
 	}
-	return d
+	return action
 }
 
-// comparison drives two equal balancers by the same random events. One uses its tracker, the other scans the
-// fleet.
+// comparison drives two equal balancers with the same random events. One uses its tracker; the other scans all
+// backends.
 type comparison struct {
 	rng      *rand.Rand
 	now      float64
@@ -52,7 +52,7 @@
 
 	tracked, scanned                 *Balancer
 	trackedSessions, scannedSessions []*Session
-	polled                           []uint32 // whose polls are in flight
+	polled                           []uint32 // IDs of the backends with a poll in flight
 }
 
 func newComparison(seed int64) *comparison {
@@ -69,7 +69,7 @@
 	}
 }
 
-// step makes one random event happen.
+// step applies one random event to both balancers.
 func (c *comparison) step(t *testing.T) {
 	t.Helper()
 	c.now += c.rng.ExpFloat64() * 20
@@ -79,7 +79,7 @@
 	case kind < 6:
 		c.assign(t)
 	case kind < 8 && len(c.trackedSessions) > 0:
-		c.goOnWithSession(t)
+		c.advanceSession(t)
 	case kind == 8:
 		c.updateEndpoint()
 	}
@@ -96,28 +96,28 @@
 
 func (c *comparison) assign(t *testing.T) {
 	t.Helper()
-	session, twin := newSession(c.now), newSession(c.now)
-	require.Equal(t, c.scanned.Assign(c.now, twin), c.tracked.Assign(c.now, session))
+	session, scannedSession := newSession(c.now), newSession(c.now)
+	require.Equal(t, c.scanned.Assign(c.now, scannedSession), c.tracked.Assign(c.now, session))
 	if session.state.reserved {
 		c.trackedSessions = append(c.trackedSessions, session)
-		c.scannedSessions = append(c.scannedSessions, twin)
+		c.scannedSessions = append(c.scannedSessions, scannedSession)
 	}
 }
 
-// goOnWithSession establishes a session or ends it badly.
-func (c *comparison) goOnWithSession(t *testing.T) {
+// advanceSession establishes a random session or ends its attempt without success.
+func (c *comparison) advanceSession(t *testing.T) {
 	t.Helper()
 	i := c.rng.Intn(len(c.trackedSessions))
-	session, twin := c.trackedSessions[i], c.scannedSessions[i]
+	session, scannedSession := c.trackedSessions[i], c.scannedSessions[i]
 	if c.rng.Intn(2) == 0 {
 		c.tracked.SessionEstablished(c.now, session)
-		c.scanned.SessionEstablished(c.now, twin)
+		c.scanned.SessionEstablished(c.now, scannedSession)
 		return
 	}
 	outcomes := []AttemptOutcome{OutcomeFailed, OutcomeRejected, OutcomeTimedOut, OutcomeUnreachable,
 		OutcomeConnectionLost}
 	outcome := outcomes[c.rng.Intn(len(outcomes))]
-	require.Equal(t, c.scanned.AttemptFinished(c.now, twin, outcome, true),
+	require.Equal(t, c.scanned.AttemptFinished(c.now, scannedSession, outcome, true),
 		c.tracked.AttemptFinished(c.now, session, outcome, true))
 	c.trackedSessions = append(c.trackedSessions[:i], c.trackedSessions[i+1:]...)
 	c.scannedSessions = append(c.scannedSessions[:i], c.scannedSessions[i+1:]...)
@@ -139,7 +139,7 @@
 	}
 }
 
-// compareActions runs all actions that are due, which must be the same.
+// compareActions performs all actions that are due, which must be the same for both balancers.
 func (c *comparison) compareActions(t *testing.T) {
 	t.Helper()
 	for {
@@ -154,7 +154,7 @@
 	}
 }
 
-// compareCounts checks the tracker's counts by a scan.
+// compareCounts checks the tracker's number of usable backends and its backends in slow start against a scan.
 func (c *comparison) compareCounts(t *testing.T) {
 	t.Helper()
 	usable := 0
@@ -169,8 +169,8 @@
 	require.Equal(t, usable, c.tracked.tracker.usable)
 }
 
-// Whatever happens, the same action is due, and the same backends are in slow start, as a scan of the fleet
-// finds.
+// After any sequence of events, the tracker finds the same due action, number of usable backends and backends in
+// slow start as a scan of all backends.
 func TestTrackerMatchesFullScan(t *testing.T) {
 	for seed := range int64(60) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
