--- a/internal/relay/accept.go
+++ b/internal/relay/accept.go
@@ -1,6 +1,6 @@
 package relay
 
-// This file is the driver's side of accepting: the loop at the listener, and its pauses.
+// This file is the driver's accept loop, which can be paused.
 
 import (
 	"errors"
@@ -9,10 +9,10 @@
 	"time"
 )
 
-const acceptRetryDelay = 20 * time.Millisecond
+const acceptRetryDelay = 20 * time.Millisecond // wait after a failed accept
 
-// acceptClients accepts clients until the end. nbio's own listener would spin where there are no descriptors left, as it
-// asks again at once.
+// acceptClients runs the accept loop until the relay exits. nbio's own listener is not used, because it retries without
+// a delay and so spins when no descriptors are left.
 func (d *driver) acceptClients() {
 	defer close(d.accept.done)
 	for d.waitUntilAccepting() {
@@ -20,9 +20,9 @@
 	}
 }
 
-// restoreNonblocking has calls on the listening socket not block. Whether they do is a property of the socket, which all
-// processes that hold it share: one that starts another with it may set it, and a deadline does not end a call that
-// blocks.
+// restoreNonblocking puts the listening socket into nonblocking mode. All processes that hold the socket share this
+// mode, and a process that passes the socket to a new one may have made it blocking. A deadline does not interrupt a
+// blocking call.
 func (d *driver) restoreNonblocking() {
 	conn, err := d.listener.SyscallConn()
 	if err == nil {
@@ -33,7 +33,7 @@
 	}
 }
 
-// waitUntilAccepting waits while accepting is paused, and reports whether clients are accepted again.
+// waitUntilAccepting waits while accepting is paused. It returns false once the relay is exiting.
 func (d *driver) waitUntilAccepting() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -43,7 +43,7 @@
 	return !d.accept.ending
 }
 
-// acceptClient accepts one client, and reports whether one came.
+// acceptClient accepts one client, and reports whether it did.
 func (d *driver) acceptClient() bool {
 	if d.slot != nil {
 		d.restoreNonblocking()
--- a/internal/relay/adminapi.go
+++ b/internal/relay/adminapi.go
@@ -10,7 +10,8 @@
 	"valeshift/internal/admin"
 )
 
-// openAdminListener opens the admin API's socket, and publishes metrics from now on; nil where there is no address.
+// openAdminListener opens the admin API's listener and enables the publishing of metrics. It returns nil if the address
+// is empty.
 func (d *driver) openAdminListener(address string) (net.Listener, error) {
 	if address == "" {
 		return nil, nil
@@ -23,7 +24,7 @@
 	return listener, nil
 }
 
-// serveAdmin serves the admin API beside the relay. The function that it returns ends that, and waits for it.
+// serveAdmin serves the admin API in the background. The returned function stops it and waits until it has stopped.
 func (d *driver) serveAdmin(listener net.Listener) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var serving sync.WaitGroup
@@ -40,18 +41,19 @@
 
 var errStopping = errors.New("the relay is stopping")
 
-// adminAPI is the relay as the admin API asks it.
+// adminAPI implements admin.Relay on the driver.
 type adminAPI struct {
 	driver *driver
 }
 
-// IsReady reports whether the relay was fit to be sent clients after the last event.
+// IsReady reports whether the relay was ready for new clients after the last event.
 func (a *adminAPI) IsReady() bool { return a.driver.metrics.serving.Load() }
 
-// Metrics returns the metrics after the last event.
+// Metrics returns the metrics as published after the last event.
 func (a *adminAPI) Metrics() []admin.Metric { return a.driver.metrics.published() }
 
-// SetDraining returns once the event is handled and, where there is a fleet, its order taken.
+// SetDraining drains the relay or returns it to service. It returns once the event has been handled and the fleet, if
+// there is one, has taken the order.
 func (a *adminAPI) SetDraining(draining bool) error {
 	d := a.driver
 	d.handle(DrainRequested{On: draining})
@@ -67,7 +69,7 @@
 	return d.fleet.SetDraining(draining)
 }
 
-// FleetStatus returns what the fleet knows; nil where there is none.
+// FleetStatus returns the fleet's status; nil if there is no fleet.
 func (a *adminAPI) FleetStatus() any {
 	if a.driver.fleet == nil {
 		return nil
@@ -75,7 +77,7 @@
 	return a.driver.fleet.Status()
 }
 
-// ReplicatedRecords returns one part of the records held for other relays; nil where there is no fleet.
+// ReplicatedRecords returns one part of the records held for other relays; nil if there is no fleet.
 func (a *adminAPI) ReplicatedRecords(part int) any {
 	if a.driver.fleet == nil {
 		return nil
--- a/internal/relay/carryout.go
+++ b/internal/relay/carryout.go
@@ -1,15 +1,15 @@
 package relay
 
-// This file is where the driver carries out the state machine's effects.
+// This file carries out the state machine's effects.
 
 import "time"
 
-// carryOut does what the state machine asks for, in order. The lock is held.
+// carryOut carries out effects in order. The caller holds d.mutex.
 func (d *driver) carryOut(effects []Effect) {
 	for i := 0; i < len(effects); i++ {
 		switch e := effects[i].(type) {
 		case *Write:
-			i += d.writeRun(e, effects[i+1:])
+			i += d.writeCoalesced(e, effects[i+1:])
 		case *Dial:
 			d.dial(e.Conn, e.ForClient, e.Address)
 		case *Close:
@@ -17,9 +17,9 @@
 		case *Reset:
 			d.closeOrReset(e.Conn, byReset)
 		case *PauseAccept:
-			d.pauseAccept(true)
+			d.setAcceptPaused(true)
 		case *ResumeAccept:
-			d.pauseAccept(false)
+			d.setAcceptPaused(false)
 		case *ReplicationRequest:
 			d.fleet.Replicate(*e)
 		case *StartWatch:
@@ -27,16 +27,16 @@
 		case *StopWatch:
 			d.discovery.stop()
 		case *SendHandoff, *SendEndpoints, *TransferSession, *SessionDetached, *SessionAccepted:
-			d.carryOutHandoff(e)
+			d.carryOutSiblingEffect(e)
 		default:
-			d.carryOutProcess(e)
+			d.carryOutProcessEffect(e)
 		}
 	}
 }
 
-// writeRun writes the chunks of a Write together with those of the writes to the same connection that follow it, and
-// returns how many those are.
-func (d *driver) writeRun(first *Write, following []Effect) int {
+// writeCoalesced writes the chunks of a Write together with those of the Writes to the same connection that directly
+// follow it, and returns how many of these there are.
+func (d *driver) writeCoalesced(first *Write, following []Effect) int {
 	d.chunks = append(d.chunks[:0], first.Chunks...)
 	merged := 0
 	for _, effect := range following {
@@ -51,22 +51,22 @@
 	return merged
 }
 
-// pauseAccept has clients accepted no longer, or again.
-func (d *driver) pauseAccept(on bool) {
-	d.accept.paused = on
+// setAcceptPaused pauses or resumes the accept loop.
+func (d *driver) setAcceptPaused(pause bool) {
+	d.accept.paused = pause
 	d.accept.changed.Broadcast()
 	if d.accept.ending {
-		return // the listener's deadline is that of its last connections
+		return // the deadline is now the one that closeListener and acceptBacklog set
 	}
-	if on { // also where a client is waited for already: the next is not accepted
+	if pause { // a deadline in the past also interrupts an Accept that is already waiting
 		d.listener.SetDeadline(time.Unix(1, 0))
 	} else {
 		d.listener.SetDeadline(time.Time{})
 	}
 }
 
-// carryOutProcess does what concerns this process as a whole.
-func (d *driver) carryOutProcess(effect Effect) {
+// carryOutProcessEffect carries out an effect on this process as a whole.
+func (d *driver) carryOutProcessEffect(effect Effect) {
 	switch e := effect.(type) {
 	case *SetTimer:
 		d.timer.Reset(time.Duration(max(e.At-d.now(), 0) * float64(time.Millisecond)))
@@ -81,8 +81,8 @@
 	}
 }
 
-// carryOutHandoff does what concerns the other process of this relay.
-func (d *driver) carryOutHandoff(effect Effect) {
+// carryOutSiblingEffect carries out an effect that concerns the other process of this relay.
+func (d *driver) carryOutSiblingEffect(effect Effect) {
 	switch e := effect.(type) {
 	case *SendHandoff:
 		child, handoff := d.siblings.handoffChild, e.Handoff
--- a/internal/relay/conns.go
+++ b/internal/relay/conns.go
@@ -7,46 +7,47 @@
 	"valeshift/internal/protocol"
 )
 
-// firstDialedID is the number of the first connection that the relay dials; lower ones are clients'.
+// firstDialedID separates the IDs of client connections, which are lower, from those of connections that the relay
+// dials, which start one above it.
 const firstDialedID = 1 << 63
 
-// connection is one open connection, or one being dialed.
+// connection is a connection that is open or being dialed.
 type connection struct {
 	id       uint64
-	session  *session // nil: it is for polls
-	backend  *backend // that it goes to; nil: it is a client's
+	session  *session // nil for a poll connection
+	backend  *backend // the backend that it goes to; nil for a client connection
 	input    protocol.LineSplitter
-	deadline timer // for what is awaited on it
+	deadline timer // for the next thing awaited on the connection
 
-	// Of a client's.
-	acceptedAt float64
-	lastDataAt float64 // when it last brought a part of its request
-	pings      uint8   // maxPings and one more at the most
+	// Client connections only.
+	acceptedAt float64 // Unix milliseconds
+	lastDataAt float64 // when a part of the request last arrived, in Unix milliseconds
+	pings      uint8   // PING lines received before the request; at most maxPings+1
 
-	// Of a backend's.
-	isUp             bool
-	awaitsMarker     bool    // it is up, and its request waits for the attempt's marker to be replicated
-	backendStartedAt float64 // the backend's start, as it was known when it was chosen
+	// Backend connections only.
+	isUp             bool    // the connection is established
+	awaitsMarker     bool    // the connection is up, and its request waits until the attempt marker is replicated
+	backendStartedAt float64 // the backend's start time as known when the connection was dialed
 }
 
-// connTable holds all connections that are open or being dialed, of clients and to backends.
+// connTable holds all client and backend connections that are open or being dialed.
 type connTable struct {
 	byID         map[uint64]*connection
 	lastDialedID uint64
-	polling      int // connections for polls
+	polling      int // number of poll connections
 }
 
 func newConnTable() connTable {
 	return connTable{byID: map[uint64]*connection{}, lastDialedID: firstDialedID}
 }
 
-// nextDialedID is a number for a connection to a backend.
+// nextDialedID returns an unused ID for a connection to a backend.
 func (t *connTable) nextDialedID() uint64 {
 	t.lastDialedID++
 	return t.lastDialedID
 }
 
-// clients are the clients' connections in the order in which they came.
+// clients returns the client connections, in the order in which they were accepted.
 func (t *connTable) clients() []*connection {
 	var all []*connection
 	for _, conn := range t.byID {
@@ -58,15 +59,15 @@
 	return all
 }
 
-// closeMode is how a connection is ended.
+// closeMode is how a connection is closed.
 type closeMode uint8
 
 const (
-	gracefully closeMode = iota // once all that was written is sent
-	byReset                     // at once
+	gracefully closeMode = iota // after everything written to it has been sent
+	byReset                     // immediately, with a TCP reset
 )
 
-// addConn takes a connection into the table.
+// addConn adds a connection to the table and updates the counters.
 func (m *StateMachine) addConn(conn *connection) *connection {
 	m.conns.byID[conn.id] = conn
 	if conn.session == nil {
@@ -77,7 +78,7 @@
 	return conn
 }
 
-// dropConn ends a connection. Whatever comes of it later is dropped.
+// dropConn removes a connection from the table and closes it. Later events on it are ignored.
 func (m *StateMachine) dropConn(conn *connection, how closeMode) {
 	if m.conns.byID[conn.id] == nil {
 		return
@@ -95,7 +96,7 @@
 	}
 }
 
-// dial starts a connection to the backend; session is nil for one that polls it.
+// dial starts connecting to the backend. session is nil for a poll connection.
 func (m *StateMachine) dial(backend *backend, session *session) *connection {
 	conn := m.addConn(&connection{id: m.conns.nextDialedID(), backend: backend, session: session,
 		backendStartedAt: backend.StartedAt})
@@ -107,10 +108,10 @@
 	return conn
 }
 
-// write sends data on the connection after all that was written before.
+// write sends data on the connection, after everything written before.
 func (m *StateMachine) write(conn *connection, data []byte) { m.effects.write(conn.id, data) }
 
-// connEstablished handles that a connection that was dialed is up.
+// connEstablished handles a dialed connection that has been established.
 func (m *StateMachine) connEstablished(e ConnEstablished) {
 	conn := m.conns.byID[e.Conn]
 	if conn == nil {
@@ -120,14 +121,15 @@
 	case session == nil:
 		m.pollConnEstablished(conn)
 	case session.state == handingOff:
-	case session.state == established: // it has answered before: the connection is not what it was
+	case session.state == established: // the backend has already answered on this connection: treat it as broken
 		m.backendClosed(session, ConnClosed{})
 	default:
 		m.sendRequest(session)
 	}
 }
 
-// dataReceived handles bytes of a connection. What comes while its session is handed off is the other process's.
+// dataReceived handles data from a connection. Data that arrives while the session is handed off belongs to the other
+// process and is ignored.
 func (m *StateMachine) dataReceived(e DataReceived) {
 	conn := m.conns.byID[e.Conn]
 	if conn == nil {
@@ -146,13 +148,13 @@
 	}
 }
 
-// connClosed handles the end of a connection.
+// connClosed handles a connection that was closed or never established.
 func (m *StateMachine) connClosed(e ConnClosed) {
 	conn := m.conns.byID[e.Conn]
 	if conn == nil {
 		return
 	}
-	// The socket may still be open on this side, after the other has ended its sending.
+	// The peer may have closed only its sending direction, so the socket may still be open here.
 	m.dropConn(conn, gracefully)
 	switch session := conn.session; {
 	case session == nil:
--- a/internal/relay/dialing.go
+++ b/internal/relay/dialing.go
@@ -7,17 +7,17 @@
 	"syscall"
 )
 
-// pendingDial is a connection that is being dialed. A context for each would cost a goroutine and a timer more than the
-// connecting itself: whoever cancels the dial shuts its socket down.
+// pendingDial is a connection that is being dialed. Canceling it shuts its socket down. A context per dial would cost a
+// goroutine and a timer on top of the dial itself.
 type pendingDial struct {
 	mutex    sync.Mutex
-	rawConn  syscall.RawConn // nil until there is a socket
+	rawConn  syscall.RawConn // nil until the socket exists
 	canceled bool
 }
 
 var errDialCanceled = errors.New("dial canceled")
 
-// control is a net.Dialer's Control hook, called once there is a socket and before it connects.
+// control is the net.Dialer.Control hook, which is called after the socket is created and before it connects.
 func (p *pendingDial) control(_, _ string, rawConn syscall.RawConn) error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -28,6 +28,7 @@
 	return nil
 }
 
+// cancel ends the dial. One that has no socket yet fails once it has created it.
 func (p *pendingDial) cancel() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -37,8 +38,9 @@
 	}
 }
 
-// dial connects to a backend beside the driver. A connection that comes up after it was canceled is closed here. The
-// state machine cancels each that doesn't come up in time, so that there is no other timeout. The lock is held.
+// dial connects to a backend in the background. A connection that is established after its dial was canceled is closed
+// by register. There is no timeout here, because the state machine cancels dials that take too long. The caller holds
+// d.mutex.
 func (d *driver) dial(conn, forClient uint64, address string) {
 	d.evictClosing(1)
 	pending := &pendingDial{}
@@ -59,8 +61,9 @@
 	})
 }
 
-// reportEstablished reports that a dialed connection is up. Where the client that it is for has closed by now, that is
-// reported first, as the poller may not have come to it yet: nothing is sent for a client that has left.
+// reportEstablished reports a dialed connection as established. If the client that it is for has closed its
+// connection, that is reported first, as the poller may not have noticed yet: nothing is sent for a client that has
+// left.
 func (d *driver) reportEstablished(conn, forClient uint64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -72,7 +75,7 @@
 	d.handleLocked(ConnEstablished{Conn: conn})
 }
 
-// hasPeerClosed reports whether the peer has closed or reset the connection, with nothing left to be read before that.
+// hasPeerClosed reports whether the peer has closed or reset the connection and no unread data is left.
 func (c *socket) hasPeerClosed() (closed, reset bool) {
 	c.nbConn.Lock()
 	defer c.nbConn.Unlock()
--- a/internal/relay/driver.go
+++ b/internal/relay/driver.go
@@ -16,97 +16,102 @@
 )
 
 const (
-	siblingCheckInterval = 100 * time.Millisecond // between two looks for another process of this relay
-	minNbioOpenFiles     = 64
+	siblingCheckInterval = 100 * time.Millisecond // interval between checks for other processes of this relay
+	minNbioOpenFiles     = 64                     // lower bound for nbio.MaxOpenFiles
 )
 
-// driver runs one relay on sockets: it turns what happens on them, in the fleet and in the process into events of the
-// state machine, one after the other under one lock, and carries out its effects. It decides nothing itself.
+// driver runs one relay on sockets. It turns what happens on the sockets, in the fleet and in the process into events,
+// passes them to the state machine one at a time under a lock, and carries out the resulting effects. It makes no
+// decisions of its own.
 type driver struct {
 	log       *slog.Logger
 	discovery *discoveryWatch
 	engine    *nbio.Engine
-	fleet     Fleet         // nil where this relay stores nothing and knows no other
-	metrics   *metricsBoard // nil where there is no admin API
-	exit      chan struct{} // closed once the state machine is done
+	fleet     Fleet         // nil if this relay has no storage and no peers
+	metrics   *metricsBoard // nil if there is no admin API
+	exit      chan struct{} // closed by the Exit effect
 	workers   workerPool
-	transfers transferChannel // of sessions, to a child process
+	transfers transferChannel // sends sessions to a child process
 	listener  *net.TCPListener
-	slot      *hotrestart.Slot // among the processes of this relay; nil where there can be no other
+	slot      *hotrestart.Slot // nil without a shared listening socket, or if no slot could be acquired
 
-	startTime   time.Time // of the monotonic clock
-	startMillis float64   // the same time in Unix milliseconds
+	startTime   time.Time // when the driver was created, with its monotonic clock reading
+	startMillis float64   // the same instant by Config.Clock, in Unix milliseconds
 
-	mutex   sync.Mutex // guards all below
+	mutex   sync.Mutex // guards all fields below
 	machine *StateMachine
 	timer   *time.Timer
-	sockets map[uint64]*socket      // by connection
-	dials   map[uint64]*pendingDial // by connection
-	closing []*socket               // in the order in which their closing began; some may be closed since
-	chunks  [][]byte                // used again for each write
+	sockets map[uint64]*socket      // by connection ID
+	dials   map[uint64]*pendingDial // by connection ID
+	closing []*socket               // in the order in which closing began; may include sockets closed since
+	chunks  [][]byte                // scratch buffer, reused for each write
 
 	suspension     suspensionDetector
-	lastClientConn uint64 // the highest number that a client's connection was given
+	lastClientConn uint64 // the highest ID assigned to a client connection so far
 	accept         acceptState
 	siblings       siblingState
 
-	detached            *TransferredSession // set by the effects of DetachRequested
-	acceptedBackendConn uint64              // set by the effects of SessionReceived; 0: not accepted
+	detached            *TransferredSession // set by the SessionDetached effect, which answers DetachRequested
+	acceptedBackendConn uint64              // set by the SessionAccepted effect, which answers SessionReceived; else 0
 }
 
-// acceptState says whether clients are accepted.
+// acceptState controls the accept loop.
 type acceptState struct {
-	paused  bool          // no client is accepted
-	ending  bool          // none is from now on, but for those in the backlog
-	changed *sync.Cond    // of the driver's mutex, for both
-	done    chan struct{} // closed once the accept loop is over
+	paused  bool          // no clients are accepted
+	ending  bool          // the relay is exiting: only clients already in the listen backlog are still accepted
+	changed *sync.Cond    // uses the driver's mutex; broadcast when paused or ending changes
+	done    chan struct{} // closed when the accept loop returns
 }
 
-// siblingState is what the last look at the other processes of this relay found.
+// siblingState is the result of the last check for other processes of this relay.
 type siblingState struct {
 	last         SiblingProcessesChanged
-	nearest      int // the slot's number of the nearest; 0: none
-	handoffChild int // of the child that was last sent a handoff; 0: none
+	nearest      int // slot number of the nearest sibling; 0 if there is none
+	handoffChild int // slot number of the child that was last sent a handoff; 0 if there is none
 }
 
-// Fleet is what the relay stores on disk, and what it knows of other relays. No method waits for either.
+// Fleet is the relay's storage on disk and its connection to the other relays. Except for SetDraining and Stop, its
+// methods wait for neither.
 type Fleet interface {
-	// Start begins. The functions are called from goroutines of the fleet's: handle takes an event, the others
-	// return how the relay fares, what it knows, and what it has observed of zones and how much load it has.
+	// Start starts the fleet's goroutines, which call the functions passed in: handle passes an event to the relay;
+	// status and snapshot return the relay's status and the state to be kept for its next start; zoneObservations
+	// returns what the relay has observed of each zone, and the load of its sessions.
 	Start(now float64, handle func(Event), status func() Status, snapshot func() *Snapshot,
 		zoneObservations func() (map[string]balancer.ZoneObservation, float64)) error
-	// SetDraining takes an operator's order to drain the relay or take it back into service. The error says what is
-	// missing for it to hold after a restart, too.
+	// SetDraining takes an operator's order to drain the relay or to return it to service, and waits for a bounded time
+	// until the order would survive a restart. An error says what is missing for that; the order is in effect anyway.
 	SetDraining(draining bool) error
-	// Replicate has other relays hold, find or release a record. Events follow.
+	// Replicate asks other relays to hold, look up or release a record, and returns without waiting for them. The
+	// results arrive as events.
 	Replicate(request ReplicationRequest)
-	// ReplicationPage returns one part of the records held for others, to be encoded as JSON; nil where there are none.
+	// ReplicationPage returns one part of the records held for other relays, as a value to encode as JSON; nil if
+	// there are none.
 	ReplicationPage(part int) any
-	// Status returns what the fleet knows, to be encoded as JSON.
+	// Status returns the fleet's status, as a value to encode as JSON.
 	Status() any
-	// Stop ends the fleet's goroutines and waits for them.
+	// Stop stops the fleet's goroutines and waits for them to return.
 	Stop()
 }
 
-// Options are what a relay runs with besides its configuration.
+// Options are the dependencies of a relay besides its configuration.
 type Options struct {
 	Log   *slog.Logger
 	Fleet Fleet // may be nil
-	// Reload reads the configuration again. The function that it returns applies the rest of it, and is called once
-	// the relay's part is found valid.
+	// Reload rereads the configuration. The relay validates the returned Config and, if it is valid, calls apply, which
+	// applies the settings outside this package.
 	Reload  func() (config *Config, apply func(), err error)
 	Signals Signals
 }
 
-// Signals bring the requests of the process's environment.
+// Signals deliver requests from outside the process, such as those sent as operating system signals.
 type Signals struct {
-	Shutdown    <-chan struct{} // only the first counts
+	Shutdown    <-chan struct{} // only the first value has an effect
 	LogCounters <-chan struct{}
 	Reload      <-chan struct{}
 }
 
-// Serve runs the relay until it has shut down, or returns why it can't start. It is to be called once a process: nbio's
-// poller and the watch of the endpoint list end with that.
+// Serve runs the relay until it has shut down, or returns an error if it can't start. It may be called only once per
+// process, because nbio's poller and the watch of the endpoint list keep running until the process exits.
 func Serve(config *Config, options Options) error {
 	d := newDriver(config, options)
 	defer d.workers.stop()
@@ -129,17 +134,17 @@
 	defer stopReceiving()
 	d.handle(TimerFired{})
 	stopAdmin := func() {}
-	defer func() { stopAdmin() }() // calls are answered until the fleet has ended
+	defer func() { stopAdmin() }() // runs after fleet.Stop: calls are answered until the fleet has stopped
 	if d.fleet != nil {
 		if err := d.fleet.Start(d.now(), d.handle, d.status, d.snapshot, d.zoneObservations); err != nil {
 			return err
 		}
 		defer d.fleet.Stop()
 	}
-	if adminListener != nil { // calls ask the fleet, which has started by now
+	if adminListener != nil { // only now, as admin calls query the fleet, which has to be started first
 		stopAdmin = d.serveAdmin(adminListener)
 	}
-	go d.acceptClients() // closeListener waits for its end
+	go d.acceptClients() // closeListener waits for it to return
 	d.log.Info("serving", "name", config.Name, "listen", d.listener.Addr().String(), "backends",
 		len(config.InitialEndpoints.Endpoints))
 	d.run(options)
@@ -163,7 +168,7 @@
 	return d
 }
 
-// startEngine starts nbio's poller. maxSockets is 0 where the platform does not limit them.
+// startEngine starts nbio's poller. maxSockets is 0 if the platform sets no limit.
 func (d *driver) startEngine(maxSockets int) error {
 	logging.SetLogger(nbioLogger{d.log})
 	if maxSockets > 0 {
@@ -171,7 +176,7 @@
 	}
 	d.engine = nbio.NewEngine(nbio.Config{NPoller: 1, ReadBufferSize: readBufferBytes,
 		MaxWriteBufferSize: maxUnsentBytes})
-	buffer := make([]byte, readBufferBytes) // one poller reads, so that one buffer serves all
+	buffer := make([]byte, readBufferBytes) // there is one poller, so all connections can share it
 	d.engine.OnRead(func(nbConn *nbio.Conn) { d.readAvailable(nbConn, buffer) })
 	d.engine.OnClose(d.onClose)
 	d.engine.OnWrittenSize(d.onWritten)
@@ -181,7 +186,7 @@
 	return nil
 }
 
-// run handles signals until the state machine is done, and finishes.
+// run handles signals and periodic checks until the Exit effect, and then answers the remaining clients.
 func (d *driver) run(options Options) {
 	var siblingCheck <-chan time.Time
 	if d.slot != nil {
@@ -213,14 +218,15 @@
 	}
 }
 
-// shutDown yields to a child process where one is ready.
+// shutDown starts a graceful shutdown, which leaves new clients to a child process if one is ready.
 func (d *driver) shutDown() {
-	yield := d.slot != nil && d.checkSiblings().Ready
-	d.log.Info("stopping", "for a child process", yield)
-	d.handle(ShutdownRequested{YieldToChild: yield})
+	yieldToChild := d.slot != nil && d.checkSiblings().Ready
+	d.log.Info("stopping", "for a child process", yieldToChild)
+	d.handle(ShutdownRequested{YieldToChild: yieldToChild})
 }
 
-// reloadEvent checks the whole configuration by the same steps as at the start, and applies what is not the relay's.
+// reloadEvent validates a reloaded configuration with the same checks as at the start, and applies the settings outside
+// this package if it is valid.
 func reloadEvent(config *Config, apply func(), err error) Event {
 	if err == nil {
 		_, err = New(0, config)
@@ -232,21 +238,22 @@
 	return ConfigReloaded{DiscoveryAddress: config.Discovery}
 }
 
-// handle has the state machine handle one event, and carries out what follows. No callback runs beside it.
+// handle passes one event to the state machine and carries out the resulting effects, one event at a time.
 func (d *driver) handle(event Event) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.handleLocked(event)
 }
 
-// handleLocked does so where the lock is held. Metrics are published before the effects: whoever has seen an effect
-// finds it counted.
+// handleLocked is handle for callers that hold d.mutex.
 func (d *driver) handleLocked(event Event) {
 	now := d.now()
 	d.observeSuspension(now)
 	d.handleAt(now, event)
 }
 
+// handleAt handles an event at the given time. Metrics are published before the effects are carried out, so whoever
+// observes an effect finds it counted. The caller holds d.mutex.
 func (d *driver) handleAt(now float64, event Event) {
 	effects := d.machine.Handle(now, event)
 	if d.metrics != nil {
@@ -267,26 +274,27 @@
 	d.suspension.stop()
 }
 
-// detectSuspension tells the state machine where the process was suspended until now.
+// detectSuspension tells the state machine if the process was suspended until now.
 func (d *driver) detectSuspension() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.observeSuspension(d.now())
 }
 
-// observeSuspension does so where the lock is held.
+// observeSuspension is detectSuspension for callers that hold d.mutex.
 func (d *driver) observeSuspension(now float64) {
 	if suspended := d.suspension.observe(now); suspended > 0 {
 		d.handleAt(now, ProcessSuspended{Millis: suspended})
 	}
 }
 
-// now returns the clock that all machines read, in Unix milliseconds, kept steady by this machine's monotonic one.
+// now returns the current time in Unix milliseconds: the wall clock, which all machines share, as read when the driver
+// was created, advanced by this machine's monotonic clock.
 func (d *driver) now() float64 {
 	return d.startMillis + float64(time.Since(d.startTime))/float64(time.Millisecond)
 }
 
-// status, snapshot and zoneObservations ask the state machine between two events.
+// status, snapshot and zoneObservations query the state machine between two events.
 func (d *driver) status() Status {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -305,7 +313,7 @@
 	return d.machine.ZoneObservations(d.now())
 }
 
-// logCounters logs the counters, and a line for each backend.
+// logCounters logs the relay's counters and one line per backend.
 func (d *driver) logCounters(why string) {
 	d.mutex.Lock()
 	counters := d.machine.Counters
--- a/internal/relay/sockets.go
+++ b/internal/relay/sockets.go
@@ -1,11 +1,11 @@
 package relay
 
-// This file owns the connections: lesismal/nbio polls, reads and writes them.
-//
-// Where nbio 1.6.8 falls short (docs/architecture.md has the probes): its DialAsync gives no connection until
-// that is up and reports none that never is, so net.Dialer dials and nbio takes over; its Writev keeps
-// nothing of what follows the first piece that the kernel did not take whole, so what is left goes by Write;
-// its OnData reports a reset that follows data as an end, so OnRead reads here.
+// This file manages connections. lesismal/nbio polls, reads and writes them, with workarounds for these limits of
+// nbio 1.6.8 (docs/architecture.md describes the probes that show them):
+//   - DialAsync returns no connection before it is established, and does not report one that never is, so net.Dialer
+//     dials and nbio takes over the established connection.
+//   - Writev drops all buffers after the first that the kernel accepts only in part, so Write is used for them.
+//   - OnData reports a reset that follows data as an end of stream, so OnRead is used and reads from the connection.
 
 import (
 	"errors"
@@ -22,32 +22,32 @@
 )
 
 const (
-	readBufferBytes  = 16 << 10
-	maxUnsentBytes   = 64 << 10 // that a peer has not taken, above which it is a slow reader and cut off
-	unlimitedSockets = 1 << 30  // more than there can be
+	readBufferBytes  = 16 << 10 // size of the buffer for reads, in bytes
+	maxUnsentBytes   = 64 << 10 // unsent bytes above which a peer is a slow reader and its connection is closed
+	unlimitedSockets = 1 << 30  // stands for no limit: more sockets than a process can open
 )
 
-// socket is a connection that nbio holds.
+// socket is a connection that nbio manages.
 type socket struct {
-	conn   uint64 // its number in events and effects
+	conn   uint64 // connection ID in events and effects
 	nbConn *nbio.Conn
-	unsent atomic.Int64 // bytes that the kernel has not taken
-	polled bool         // nbio reads it
+	unsent atomic.Int64 // bytes written but not yet accepted by the kernel
+	polled bool         // nbio's poller watches it
 
-	awaitsFirstData bool // a client's that has brought nothing; of the reader's
+	awaitsFirstData bool // a client connection on which nothing has been read yet; used only by the reader
 
-	closing        atomic.Bool // it is closed once nothing is unsent
-	discardedBytes int         // that have come since it is closing
+	closing        atomic.Bool // the connection is closed once nothing is unsent
+	discardedBytes int         // bytes received and dropped since closing was set
 
-	readMutex   sync.Mutex // held while it is read
-	transferred bool       // to the child process; guarded by readMutex
+	readMutex   sync.Mutex // held while reading
+	transferred bool       // the child process has the connection; guarded by readMutex
 
-	awaitsRelease  bool   // received from the parent, which has not released it: nothing is read or written
-	deferredWrites []byte // that are to be written then, counted as unsent
+	awaitsRelease  bool   // received from a parent that has not released it yet: nothing is read or written
+	deferredWrites []byte // data to write once it is released, included in unsent
 }
 
-// register gives a connection to nbio, unless its dial was canceled meanwhile, and reports whether it did. A client's
-// connection is announced before its first bytes can be.
+// register hands a connection to nbio, unless its dial was canceled in the meantime, and reports whether it did. A
+// client's connection is reported to the state machine before polling starts, and so before any data.
 func (d *driver) register(conn uint64, netConn net.Conn, dialed bool) bool {
 	nbConn, err := nbio.NBConn(netConn)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return true
 }
 
-// addSocket reports whether the connection is still wanted.
+// addSocket adds the socket to the driver's table, unless its dial was canceled, and reports whether it did.
 func (d *driver) addSocket(c *socket, dialed bool) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -86,7 +86,8 @@
 	return true
 }
 
-// startPollingNew has nbio poll the socket, unless it was closed since: its descriptor may be another's by now.
+// startPollingNew adds the socket to nbio's poller, unless it has been closed since it was added to the table: its
+// descriptor may belong to another connection by now.
 func (d *driver) startPollingNew(c *socket) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -98,9 +99,9 @@
 	return err
 }
 
-// readAvailable reads what there is, up to the end or reset behind it.
+// readAvailable reads all available data, up to the end of the stream or the reset that may follow it.
 func (d *driver) readAvailable(nbConn *nbio.Conn, buffer []byte) {
-	d.mutex.Lock() // the socket was made under it, as nbio orders nothing between its goroutines
+	d.mutex.Lock() // nbio does not synchronize with the goroutine that set the session; this lock does
 	c := nbConn.Session().(*socket)
 	d.mutex.Unlock()
 	c.readMutex.Lock()
@@ -110,7 +111,7 @@
 		switch {
 		case n > 0 && c.closing.Load():
 			c.discardedBytes += n
-			if c.discardedBytes > maxUnsentBytes { // it sends at full speed and takes nothing in, at the cost of a core
+			if c.discardedBytes > maxUnsentBytes { // a peer that only sends, at full speed, would cost a core
 				nbConn.Close()
 				return
 			}
@@ -129,8 +130,8 @@
 	}
 }
 
-// firstDataWaited returns for how many milliseconds the last of a client's first bytes has been here, and 0 for all later
-// ones. The kernel's clock for that ticks every few milliseconds.
+// firstDataWaited returns for how many milliseconds a client's first data, counted from its last byte, waited to be
+// read, and 0 for all later data. The kernel's clock for this has a resolution of a few milliseconds.
 func (c *socket) firstDataWaited() float64 {
 	if !c.awaitsFirstData {
 		return 0
@@ -143,7 +144,7 @@
 	return float64(info.Last_data_recv)
 }
 
-// onClose is called by a goroutine of nbio's that swallows panics, so the event comes from another.
+// onClose is nbio's close callback. nbio calls it on a goroutine that swallows panics, so a worker handles the event.
 func (d *driver) onClose(nbConn *nbio.Conn, err error) {
 	c, ok := nbConn.Session().(*socket)
 	if !ok {
@@ -162,10 +163,10 @@
 	})
 }
 
-// nbioLogger passes on nbio's warnings and errors.
+// nbioLogger forwards nbio's warnings and errors to the relay's log.
 type nbioLogger struct{ log *slog.Logger }
 
-// SetLevel implements logging.Logger: the level is the log's.
+// SetLevel implements logging.Logger and does nothing: the relay's log has its own level.
 func (nbioLogger) SetLevel(int) {}
 
 // Debug implements logging.Logger and drops the message.
--- a/internal/relay/workers.go
+++ b/internal/relay/workers.go
@@ -2,27 +2,28 @@
 
 import "sync"
 
-const maxIdleWorkers = 64
+const maxIdleWorkers = 64 // goroutines kept waiting for jobs
 
-// workerPool runs jobs beside their callers, each at once. A goroutine that is done waits for the next job: the stack of
-// a new one would grow anew for each dial and each close. The zero value is ready to use.
+// workerPool runs jobs in the background. Each starts at once: if no worker is idle, a new one is started. Workers are
+// reused because the stack of a new goroutine would have to grow again for each dial and each close. The zero value is
+// ready to use.
 type workerPool struct {
 	mutex   sync.Mutex
-	idle    []chan func() // the job channels of those that wait
-	stopped bool          // nobody waits from now on
+	idle    []chan func() // the job channels of idle workers
+	stopped bool          // workers exit instead of becoming idle
 }
 
-// run starts the job without waiting.
+// run starts the job without blocking.
 func (p *workerPool) run(job func()) {
 	jobs := p.takeIdle()
 	if jobs == nil {
 		jobs = make(chan func(), 1)
 		go p.work(jobs)
 	}
-	jobs <- job // doesn't block: a worker has one job at a time, and a channel with room for it
+	jobs <- job // doesn't block: the channel has room for one job, and its worker has no other
 }
 
-// takeIdle returns the job channel of the worker that became idle last; nil where none is.
+// takeIdle takes the worker that became idle last out of the pool and returns its job channel; nil if none is idle.
 func (p *workerPool) takeIdle() chan func() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -35,7 +36,7 @@
 	return jobs
 }
 
-// work runs jobs until enough others are idle.
+// work runs the jobs of one worker until the pool no longer keeps it.
 func (p *workerPool) work(jobs chan func()) {
 	for job := range jobs {
 		job()
@@ -45,7 +46,7 @@
 	}
 }
 
-// putIdle reports whether the worker is kept.
+// putIdle returns a worker to the pool, and reports whether the pool keeps it: it is not stopped and not full.
 func (p *workerPool) putIdle(jobs chan func()) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -56,8 +57,8 @@
 	return true
 }
 
-// stop ends idle workers at once, and others once their job is done. It doesn't wait for those: a job may take as long
-// as a peer does.
+// stop ends idle workers at once, and busy ones after their current job. It doesn't wait for the busy ones, as a job
+// may take as long as its peer does.
 func (p *workerPool) stop() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/relay/writing.go
+++ b/internal/relay/writing.go
@@ -7,7 +7,8 @@
 	"github.com/lesismal/nbio"
 )
 
-// write writes all chunks at once. What the kernel doesn't take stays with nbio, within its bound. The lock is held.
+// write writes all chunks, in a single system call if nothing is unsent. nbio buffers what the kernel does not accept,
+// up to maxUnsentBytes. The caller holds d.mutex.
 func (d *driver) write(conn uint64, chunks [][]byte) {
 	c := d.sockets[conn]
 	if c == nil {
@@ -40,10 +41,10 @@
 	}
 }
 
-// writeRest writes what Writev has not taken. nbio has counted the written bytes, and kept the rest of the chunk that
-// they end in; the chunks behind it are written again.
+// writeRest writes what is left after Writev. nbio reports the written bytes to onWritten and buffers the rest of a
+// chunk that was written in part, but drops the chunks after it, which are written again here.
 func (c *socket) writeRest(chunks [][]byte, written int) {
-	c.unsent.Add(int64(written)) // onWritten subtracts it
+	c.unsent.Add(int64(written)) // onWritten subtracts the same number
 	remaining := written
 	for _, chunk := range chunks {
 		switch {
@@ -58,14 +59,14 @@
 	}
 }
 
-// writeChunk writes to nbio. An error closes the connection, and is reported by that.
+// writeChunk writes one chunk through nbio. On an error nbio closes the connection and passes the error to onClose.
 func (c *socket) writeChunk(chunk []byte) {
 	c.unsent.Add(int64(len(chunk)))
 	c.nbConn.Write(chunk)
 }
 
-// onWritten is nbio's hook for what the kernel has taken. nbio holds its connection's lock meanwhile, so that a closing
-// connection is finished by another goroutine.
+// onWritten is nbio's callback for bytes that the kernel has accepted. nbio holds its lock of the connection during the
+// call, so a worker finishes the close of a closing connection.
 func (d *driver) onWritten(nbConn *nbio.Conn, _ []byte, n int) {
 	c, ok := nbConn.Session().(*socket)
 	if !ok {
