--- a/internal/relay/dialing_test.go
+++ b/internal/relay/dialing_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A client may close while its attempt is dialed, with the poller busy elsewhere: that is found out before anything
-// is sent, and nothing is.
+// A client may close its connection while the one to its backend is being dialed, and the poller may be too busy to
+// notice. The driver has to check for that, and must send nothing to the backend.
 func TestNothingIsSentForAClientThatHasClosed(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
@@ -47,13 +47,13 @@
 				assert.Contains(t, line, "OPEN a 1f ")
 				return
 			}
-			assert.Error(t, err, "the connection is closed")
+			assert.Error(t, err, "the connection must be closed without a request")
 			assert.Empty(t, line)
 		})
 	}
 }
 
-// connectUnpolled connects a client as connection 1, which is not polled.
+// connectUnpolled connects a client as connection 1, which the poller does not watch.
 func connectUnpolled(t *testing.T, d *driver) net.Conn {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,7 +70,7 @@
 	return peer
 }
 
-// A dial that is canceled ends at once, though its peer says nothing: here a listener that is full.
+// A canceled dial ends at once even if its peer never answers, which here is a listener whose backlog is full.
 func TestCanceledDialEndsAtOnce(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
@@ -80,17 +80,17 @@
 	name, err := syscall.Getsockname(fd)
 	require.NoError(t, err)
 	address := net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: name.(*syscall.SockaddrInet4).Port}
-	for range 10 { // until it is full
+	for range 10 { // until the backlog is full
 		c, err := net.DialTimeout("tcp", address.String(), 200*time.Millisecond)
 		if err != nil {
 			break
 		}
 		defer c.Close()
 	}
-	for _, early := range []bool{false, true} {
+	for _, beforeSocket := range []bool{false, true} {
 		pending := &pendingDial{}
 		ended := make(chan error, 1)
-		if early { // before there is a socket
+		if beforeSocket { // before the dial has created its socket
 			pending.cancel()
 		}
 		go func() {
@@ -98,10 +98,10 @@
 			_, err := dialer.Dial("tcp", address.String())
 			ended <- err
 		}()
-		if !early {
+		if !beforeSocket {
 			select {
 			case err := <-ended:
-				require.Fail(t, "the listener is not full", "%v", err)
+				require.Fail(t, "the dial ended: the listener's backlog is not full", "%v", err)
 			case <-time.After(50 * time.Millisecond):
 			}
 			pending.cancel()
@@ -110,7 +110,7 @@
 		case err := <-ended:
 			require.Error(t, err)
 		case <-time.After(5 * time.Second):
-			require.Fail(t, "still dialing")
+			require.Fail(t, "the canceled dial has not ended")
 		}
 	}
 }
--- a/internal/relay/driver_harness_test.go
+++ b/internal/relay/driver_harness_test.go
@@ -15,11 +15,11 @@
 	"valeshift/internal/settings"
 )
 
-// smallBufferBytes makes the kernel take little of what is written.
+// smallBufferBytes is a size for receive buffers, small enough that the kernel accepts little of what is written.
 const smallBufferBytes = 2048
 
-// newTestDriver returns a driver without a relay, and a function that connects it, as connection 1, to a peer that takes
-// little in until it reads.
+// newTestDriver returns a driver without a state machine, and a function that opens connection 1 from it to a peer that
+// accepts little data until it reads.
 func newTestDriver(t *testing.T) (d *driver, connect func() (*socket, net.Conn)) {
 	t.Helper()
 	listener := listenWithSmallBuffer(t)
@@ -45,8 +45,8 @@
 	})
 	return d, func() (*socket, net.Conn) {
 		t.Helper()
-		near, far := connectPair(t, listener)
-		nbConn, err := nbio.NBConn(near)
+		local, peer := connectPair(t, listener)
+		nbConn, err := nbio.NBConn(local)
 		require.NoError(t, err)
 		require.NoError(t, nbConn.SetWriteBuffer(4096))
 		c := &socket{conn: 1, nbConn: nbConn, polled: true}
@@ -56,10 +56,11 @@
 		d.sockets[1] = c
 		_, err = d.engine.AddConn(nbConn)
 		require.NoError(t, err)
-		return c, far
+		return c, peer
 	}
 }
 
+// listenWithSmallBuffer listens on loopback. The connections that it accepts have small receive buffers.
 func listenWithSmallBuffer(t *testing.T) net.Listener {
 	t.Helper()
 	config := net.ListenConfig{Control: func(_, _ string, rawConn syscall.RawConn) error {
@@ -82,30 +83,30 @@
 	return dialed, accepted
 }
 
-// startPolling starts the engine, and waits until it polls: nbio 1.6.8 spins for ever where it is stopped before that.
+// startPolling starts the engine and waits until it polls: nbio 1.6.8 spins forever if it is stopped before that.
 func startPolling(t *testing.T, d *driver, listener net.Listener) {
 	t.Helper()
 	buffer := make([]byte, readBufferBytes)
-	polls := make(chan struct{})
+	polling := make(chan struct{})
 	d.engine.OnRead(func(nbConn *nbio.Conn) {
-		if nbConn.Session() == nil { // the first one, below
+		if nbConn.Session() == nil { // the probe connection, opened below
 			nbConn.Close()
-			close(polls)
+			close(polling)
 			return
 		}
 		d.readAvailable(nbConn, buffer)
 	})
 	require.NoError(t, d.engine.Start())
-	first, accepted := connectPair(t, listener)
+	probe, accepted := connectPair(t, listener)
 	_, err := d.engine.AddConn(accepted)
 	require.NoError(t, err)
-	_, err = first.Write([]byte("x"))
+	_, err = probe.Write([]byte("x"))
 	require.NoError(t, err)
-	<-polls
-	first.Close()
+	<-polling
+	probe.Close()
 }
 
-// startMachine gives the driver a relay with one backend, to which it can't connect.
+// startMachine gives the driver a state machine with one backend, b1, whose address can't be reached.
 func startMachine(t *testing.T, d *driver) {
 	t.Helper()
 	values, err := settings.Flatten([]byte(baseSettings))
@@ -122,7 +123,7 @@
 	d.discovery = newDiscoveryWatch(d.handle)
 }
 
-// writeAndClose writes to connection 1, and closes it once that is sent.
+// writeAndClose writes to connection 1, and closes it once everything is sent.
 func writeAndClose(d *driver, chunks ...[]byte) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -130,7 +131,7 @@
 	d.closeOrReset(1, gracefully)
 }
 
-// writeText writes to a peer.
+// writeText writes text to a connection.
 func writeText(t *testing.T, to net.Conn, text string) {
 	t.Helper()
 	_, err := to.Write([]byte(text))
--- a/internal/relay/workers_test.go
+++ b/internal/relay/workers_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A job is run at once, also where all workers are busy, and idle workers take the next.
+// A job starts at once even if all workers are busy, and idle workers, up to maxIdleWorkers, are kept for later jobs.
 func TestJobsRunAtOnce(t *testing.T) {
 	var pool workerPool
 	t.Cleanup(pool.stop)
