--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,8 +1,8 @@
-// Package dispatch keeps the sessions that a driver has for one relay: it puts them to the balancer, asks
-// again about those that are queued, and has actions carried out until none is due. Both drivers, the
-// simulator's (package adapter) and the relay's state machine (package relay), use it, so that the same
-// decisions follow from the same observations. It decides nothing and knows no transport. Times and durations
-// are milliseconds.
+// Package dispatch connects the balancer with a driver, which is the simulator's (package adapter) or the
+// relay's state machine (package relay). For the sessions of one relay it asks the balancer for decisions, asks
+// again for queued sessions, and has the driver carry out decisions and due actions. Both drivers use it, so
+// that the same observations lead to the same decisions. It makes no decisions itself and is independent of the
+// transport. Times and durations are in milliseconds.
 package dispatch
 
 import (
@@ -11,39 +11,38 @@
 	"valeshift/balancer"
 )
 
-// Entry is what a Dispatcher keeps of a driver's session; the driver embeds it.
+// Entry is a Dispatcher's state of one session. The driver embeds it in its own session type.
 type Entry struct {
 	balancer.Session
-	Attempt int     // number of the attempt in flight or of the latest one, from 0
-	retryAt float64 // when to ask about the session again; +Inf: it is not queued
+	Attempt int     // number of the latest attempt, which may be in flight, from 0
+	retryAt float64 // when to call Assign for the session again; +Inf if it is not queued
 }
 
-// DispatchEntry returns the entry, for a Dispatcher that knows the driver's session as a Session only.
+// DispatchEntry implements Session for the types that embed an Entry.
 func (e *Entry) DispatchEntry() *Entry { return e }
 
-// Session is a driver's session, which embeds an Entry.
+// Session is the driver's session type, which embeds an Entry.
 type Session interface {
 	comparable
 	DispatchEntry() *Entry
 }
 
-// Driver carries out what the balancer decides.
+// Driver carries out the balancer's decisions and actions.
 type Driver[S Session] interface {
-	// Execute carries out a decision, which is none to queue the session. After any but Assign the session is
-	// over.
+	// Execute carries out a decision other than Queue. After any decision but Assign the session is over.
 	Execute(session S, decision balancer.Decision)
-	// Poll asks the backend of that ID for its load.
+	// Poll requests a load report from the backend with that ID.
 	Poll(id uint32)
-	// Subscribe asks for the endpoint list.
+	// Subscribe requests the endpoint list.
 	Subscribe()
 }
 
-// Dispatcher keeps the sessions of one relay. It is not safe for concurrent use.
+// Dispatcher manages the sessions of one relay. It is not safe for concurrent use.
 type Dispatcher[S Session] struct {
 	Balancer     Balancer
 	driver       Driver[S]
-	queued       []S  // some may have been forgotten since
-	pollAnswered bool // since the last Advance: queued sessions may wait for it
+	queued       []S  // may include sessions that Forget was called for
+	pollAnswered bool // a poll was answered since the last Advance; queued sessions may be waiting for that
 }
 
 // NewDispatcher returns a Dispatcher without sessions.
@@ -51,13 +50,13 @@
 	return &Dispatcher[S]{Balancer: b, driver: driver}
 }
 
-// Assign has the balancer decide where the session goes, and carries that out.
+// Assign asks the balancer where the session goes, and has the decision carried out.
 func (d *Dispatcher[S]) Assign(now float64, session S) {
 	d.apply(now, session, d.Balancer.Assign(now, &session.DispatchEntry().Session))
 }
 
-// AttemptFinished reports the outcome of an attempt, or of the session that it established, and carries out
-// what follows. With last the session is over.
+// AttemptFinished reports the outcome of an attempt, or of the session that it established, to the balancer and
+// has its decision carried out. If last is set, the session is over.
 func (d *Dispatcher[S]) AttemptFinished(now float64, session S, outcome balancer.AttemptOutcome, last bool) {
 	d.apply(now, session, d.Balancer.AttemptFinished(now, &session.DispatchEntry().Session, outcome, last))
 }
@@ -68,7 +67,7 @@
 	d.Balancer.PollFinished(now, id, ok, report)
 }
 
-// Forget has the balancer not asked about the session again.
+// Forget removes the session from the queue.
 func (d *Dispatcher[S]) Forget(session S) { session.DispatchEntry().retryAt = math.Inf(1) }
 
 func (d *Dispatcher[S]) apply(now float64, session S, decision balancer.Decision) {
@@ -85,8 +84,8 @@
 	d.driver.Execute(session, decision)
 }
 
-// Advance asks about the queued sessions that are due, has due actions carried out, and returns when to call
-// it again.
+// Advance retries the queued sessions that are due, has due actions carried out, and returns the time of its
+// next call.
 func (d *Dispatcher[S]) Advance(now float64) float64 {
 	d.retryQueued(now)
 	wake := now + d.runActions(now)
@@ -96,10 +95,10 @@
 	return wake
 }
 
-// retryQueued asks about queued sessions: those whose time has come, or all of them after an answered poll.
+// retryQueued calls Assign for the queued sessions that are due, or for all of them after an answered poll.
 func (d *Dispatcher[S]) retryQueued(now float64) {
 	waiting := d.queued
-	d.queued = d.queued[len(d.queued):] // sessions queued anew go behind those that are walked over
+	d.queued = d.queued[len(d.queued):] // Assign appends behind the sessions being iterated over
 	for _, session := range waiting {
 		retryAt := session.DispatchEntry().retryAt
 		isForgotten := math.IsInf(retryAt, 1)
@@ -113,7 +112,7 @@
 	d.pollAnswered = false
 }
 
-// runActions has actions carried out until none is due, and returns how long to wait for the next.
+// runActions has actions carried out until none is due, and returns how long to wait for the next one.
 func (d *Dispatcher[S]) runActions(now float64) float64 {
 	for {
 		action := d.Balancer.NextAction(now)
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -10,7 +10,7 @@
 	"valeshift/balancer"
 )
 
-// scriptedBalancer returns decisions and actions in order, and then none.
+// scriptedBalancer returns the given decisions and actions in order, and after them zero decisions and waits.
 type scriptedBalancer struct {
 	Balancer
 	decisions []balancer.Decision
@@ -39,7 +39,7 @@
 
 type testSession struct{ Entry }
 
-// recorder is a driver that writes down what it is to do.
+// recorder is a Driver that records its calls.
 type recorder struct{ calls []string }
 
 func (r *recorder) Execute(s *testSession, decision balancer.Decision) {
@@ -74,7 +74,7 @@
 			d := NewDispatcher[*testSession](scripted, driver)
 			s := &testSession{}
 			d.Assign(100, s)
-			assert.Empty(t, driver.calls, "a queued session asks nothing of the driver")
+			assert.Empty(t, driver.calls, "the driver is not called for a queued session")
 			if c.before != nil {
 				c.before(d, s)
 			}
--- a/internal/protocol/line_splitter.go
+++ b/internal/protocol/line_splitter.go
@@ -1,6 +1,6 @@
-// Package protocol parses the text protocol that clients and backends speak: lines that end with CRLF. It
-// reads requests in place and keeps no copy of what it is given, except the part of a line whose end has not
-// come. It knows no socket, no session and no balancer.
+// Package protocol parses the text protocol of clients and backends, whose lines end with CRLF. It parses
+// requests in place and copies no input except the start of a line whose end has not arrived yet. It is
+// independent of sockets, sessions and the balancer.
 package protocol
 
 import (
@@ -8,19 +8,20 @@
 	"errors"
 )
 
-// MaxLineBytes is the longest line, its end included.
+// MaxLineBytes is the maximum length of a line, including its line end.
 const MaxLineBytes = 4096
 
-// ErrLineTooLong says that a line had no end within MaxLineBytes.
+// ErrLineTooLong is returned if a line does not end within MaxLineBytes.
 var ErrLineTooLong = errors.New("line too long")
 
-// LineSplitter cuts what comes in pieces into lines. The zero value is ready for use.
+// LineSplitter splits a stream that arrives in pieces into lines. The zero value is ready to use.
 type LineSplitter struct {
-	pending []byte // start of a line whose end has not come
+	pending []byte // start of a line whose end has not arrived yet
 }
 
-// Next returns the first whole line of data, its end included, and what follows it. Without a whole line it
-// returns nil and keeps the piece. The line is good as long as data is.
+// Next returns the first complete line of data, including its line end, and the data after it. If there is no
+// complete line, it keeps a copy of data and returns nil. The line may share memory with data, and is valid
+// only as long as data is.
 func (s *LineSplitter) Next(data []byte) (line, rest []byte, err error) {
 	end := bytes.IndexByte(data, '\n') + 1
 	if s.isTooLong(data, end) {
@@ -34,11 +35,12 @@
 		return data[:end], data[end:], nil
 	}
 	line = append(s.pending, data[:end]...)
-	s.pending = nil // not emptied: the line that is returned stands in it
+	s.pending = nil // not s.pending[:0], as the returned line uses its memory
 	return line, data[end:], nil
 }
 
-// isTooLong reports whether the line, which ends there in data (0: not yet), can't keep to the bound.
+// isTooLong reports whether the line exceeds MaxLineBytes or is bound to. end is the offset behind its end in
+// data; 0 if it does not end there.
 func (s *LineSplitter) isTooLong(data []byte, end int) bool {
 	if end == 0 {
 		return len(s.pending)+len(data) >= MaxLineBytes
@@ -46,21 +48,21 @@
 	return len(s.pending)+end > MaxLineBytes
 }
 
-// HasPending reports whether the start of a line is kept.
+// HasPending reports whether the start of an incomplete line is kept.
 func (s *LineSplitter) HasPending() bool { return len(s.pending) > 0 }
 
-// Pending returns the start of a line whose end has not come, for Restore.
+// Pending returns the start of an incomplete line, to be passed to Restore.
 func (s *LineSplitter) Pending() []byte { return s.pending }
 
-// Restore goes on from the start of a line that another LineSplitter kept.
+// Restore continues an incomplete line that Pending of another LineSplitter returned.
 func (s *LineSplitter) Restore(pending []byte) { s.pending = append([]byte(nil), pending...) }
 
-// TrimLineEnd returns the line without its end.
+// TrimLineEnd returns the line without its LF or CRLF.
 func TrimLineEnd(line []byte) []byte {
 	return bytes.TrimSuffix(bytes.TrimSuffix(line, []byte("\n")), []byte("\r"))
 }
 
-// CutVerb cuts a line's first word from what follows.
+// CutVerb splits a line, without its line end, into its first word and the rest.
 func CutVerb(line []byte) (verb, rest []byte) {
 	verb, rest, _ = bytes.Cut(TrimLineEnd(line), []byte(" "))
 	return verb, rest
--- a/internal/protocol/line_splitter_test.go
+++ b/internal/protocol/line_splitter_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The same bytes in any pieces are the same lines.
+// The lines do not depend on how the stream is split into pieces.
 func TestLineSplitterInAnyPieces(t *testing.T) {
 	text := "one\r\n\r\ntwo\nthree\r\nrest"
 	for size := 1; size <= len(text); size++ {
@@ -25,7 +25,7 @@
 				got, piece = append(got, string(line)), rest
 			}
 			for i := range piece {
-				piece[i] = '#' // against keeping a piece of a buffer that is read into again
+				piece[i] = '#' // the caller reuses its buffer, so the splitter must have copied this
 			}
 		}
 		assert.Equal(t, []string{"one\r\n", "\r\n", "two\n", "three\r\n"}, got, "pieces of %d", size)
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -9,34 +9,35 @@
 )
 
 const (
-	maxIDBytes   = 64  // of an ID or a key
-	maxMillis    = 1e9 // of a time in a request
-	usualFields  = 8   // of a request
-	requestVerb  = "OPEN"
-	retryFlagSet = "1"
+	maxIDBytes    = 64  // maximum length of an ID or a key
+	maxMillis     = 1e9 // maximum of a time in a request, in milliseconds
+	typicalFields = 8   // initial capacity for the names of a request's fields
+	requestVerb   = "OPEN"
+	retryFlagSet  = "1" // value of the retry fields if the client has tried before
 )
 
-// ErrMalformedRequest says that a line is no request.
+// ErrMalformedRequest is returned for a line that is not a valid request.
 var ErrMalformedRequest = errors.New("malformed request")
 
-// Request is a client's first line. Its byte fields lie in the line that was read.
+// Request is a parsed request line. Its byte slices share memory with the line.
 type Request struct {
 	ID            []byte
 	Class         []byte
-	Tenant        []byte  // empty: not named
-	StickyBackend []byte  // name of the backend that the session is established at already; empty: none
-	Key           uint64  // of the client, hashed
-	AffinityGroup uint64  // hashed; 0: none
-	Timeout       float64 // milliseconds that the client waits for its answer
-	LoadHint      float64 // 0: none
-	IsRetry       bool    // the client has tried before, or had a connection that is over
+	Tenant        []byte  // empty if not given
+	StickyBackend []byte  // name of the backend at which the session is already established; empty if none
+	Key           uint64  // the client's key as a number, see Hash
+	AffinityGroup uint64  // the affinity group as a number, see Hash; 0 if none
+	Timeout       float64 // how long the client waits for an answer, in milliseconds
+	LoadHint      float64 // load that the client expects, in milliseconds of work a second; 0 if unknown
+	IsRetry       bool    // the client has tried before, or has lost an earlier connection
 
-	beforeTimeout []byte // of the line, up to the figure of the timeout
-	afterTimeout  []byte // and from there on
+	beforeTimeout []byte // the line up to the timeout's value; nil if it has no timeout
+	afterTimeout  []byte // the line after the timeout's value; the whole line if it has none
 }
 
-// ParseRequest parses a whole line, in place. It accepts nothing that a backend may fail to parse: a backend
-// that closes the connection on it would be taken for faulty. All errors are ErrMalformedRequest.
+// ParseRequest parses a complete line in place. It rejects everything that a backend may fail to parse, because
+// a backend that closes the connection for that reason would be treated as faulty. All errors wrap
+// ErrMalformedRequest.
 func ParseRequest(line []byte) (Request, error) {
 	var request Request
 	content, hasEnd := bytes.CutSuffix(line, []byte("\r\n"))
@@ -55,7 +56,7 @@
 	}
 	switch {
 	case request.beforeTimeout == nil && len(request.StickyBackend) > 0:
-		request.afterTimeout = line // it is forwarded as it came
+		request.afterTimeout = line // forwarded unchanged
 	case request.beforeTimeout == nil:
 		return request, malformed("d expected")
 	}
@@ -71,7 +72,7 @@
 
 func isUnprintable(c rune) bool { return c < ' ' || c > '~' }
 
-// parseStart reads the verb, the ID and the key, and returns the fields that follow.
+// parseStart parses the verb, the ID and the key, and returns the list of fields after them.
 func (r *Request) parseStart(content []byte) (fields []byte, err error) {
 	space := []byte(" ")
 	verb, rest, _ := bytes.Cut(content, space)
@@ -90,9 +91,9 @@
 	return fields, nil
 }
 
-// parseFields reads the list of name=value that begins at that offset of the content and of the line.
+// parseFields parses the list of name=value that starts at the offset, which is the same in content and line.
 func (r *Request) parseFields(line, content []byte, offset int) error {
-	seen := make([][]byte, 0, usualFields)
+	seen := make([][]byte, 0, typicalFields)
 	for offset <= len(content) {
 		field := content[offset:]
 		if end := bytes.IndexByte(field, ','); end >= 0 {
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// setField sets one field, whose value begins at that offset of the line. Unknown names are ignored.
+// setField sets one field, whose value starts at the offset in the line. Unknown names are ignored.
 func (r *Request) setField(name, value, line []byte, offset int) (err error) {
 	switch string(name) {
 	case "c":
@@ -147,8 +148,8 @@
 	return millis, nil
 }
 
-// Hash reads a key or a group: a number in hexadecimal, or the hash of whatever else it is, so that all
-// relays know it by the same number.
+// Hash returns a number for a key or a group that is the same on all relays: its value if it is a hexadecimal
+// number, else a hash.
 func Hash(text []byte) uint64 {
 	if number, err := strconv.ParseUint(string(text), 16, 64); err == nil {
 		return number
@@ -158,8 +159,9 @@
 	return sum.Sum64()
 }
 
-// EncodeWithTimeout returns the request as it is forwarded, in pieces to be written together: unchanged but
-// for the timeout, in milliseconds. One at a sticky backend that had none has none.
+// EncodeWithTimeout returns the request to forward, in chunks to be written together. It is the original line
+// with the timeout, in milliseconds, replaced. A request with a sticky backend may have no timeout, and is
+// returned unchanged then.
 func (r *Request) EncodeWithTimeout(timeout float64) [][]byte {
 	if r.beforeTimeout == nil {
 		return [][]byte{r.afterTimeout}
--- a/internal/protocol/request_test.go
+++ b/internal/protocol/request_test.go
@@ -19,10 +19,10 @@
 	assert.Equal(t, []float64{2000, 2.5}, []float64{request.Timeout, request.LoadHint})
 	assert.Equal(t, "OPEN 9b1f 7f3a c=chat,t=acme,d=1499,g=5c,h=2.5,again=1,at=s-1\r\n",
 		string(bytes.Join(request.EncodeWithTimeout(1499.7), nil)))
-	assert.Same(t, &line[0], &request.EncodeWithTimeout(1)[0][0], "read in place")
+	assert.Same(t, &line[0], &request.EncodeWithTimeout(1)[0][0], "must share memory with the line")
 
 	request, err = ParseRequest([]byte("OPEN a b c=chat,at=s-1\r\n"))
-	require.NoError(t, err, "one at a sticky backend need not have a timeout")
+	require.NoError(t, err, "a request with a sticky backend needs no timeout")
 	assert.Equal(t, "OPEN a b c=chat,at=s-1\r\n", string(bytes.Join(request.EncodeWithTimeout(7), nil)))
 }
 
@@ -59,7 +59,7 @@
 	}
 }
 
-// Whatever comes, a request that is accepted is forwarded as it came but for the timeout, and is one line.
+// Any line that is accepted is forwarded as exactly one line, with the same ID, class, tenant and sticky backend.
 func FuzzParseRequest(f *testing.F) {
 	for _, line := range []string{"OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c\r\n",
 		"OPEN a b c=x,d=1e3,h=2\r\nOPEN a b c=x,d=1\r\n",
