--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,7 +1,7 @@
-// Package admin is the admin API of a relay over HTTP/1.1, one call to a connection: readiness, metrics,
-// draining, and what the relay knows of its fleet and holds for it. It turns calls into methods of a Relay, and
-// writes out the metrics that were published last. It doesn't wait for a client's traffic, look at the relay's
-// state itself, or tell callers apart.
+// Package admin serves a relay's admin API over HTTP/1.1, with one call per connection: readiness, metrics,
+// draining, the status of the fleet, and the records that the relay holds for other relays. It maps calls to
+// methods of a Relay, and returns the most recently published metrics. It doesn't wait for client traffic,
+// read the relay's state itself, or authenticate callers.
 package admin
 
 import (
@@ -17,39 +17,40 @@
 )
 
 const (
-	// MaxDescriptors is how many descriptors the admin API holds at most, its listener included.
-	MaxDescriptors = maxConns + 2 // one more while the next is accepted and the oldest is closed
+	// MaxDescriptors is the maximum number of file descriptors that the admin API holds, including its listener.
+	MaxDescriptors = maxConns + 2 // the listener, and a connection accepted before the oldest is closed
 
-	callTimeout    = 2 * time.Second // for a request to be read, and again for its answer to be written
-	maxHeaderBytes = 4 << 10
+	callTimeout    = 2 * time.Second // time limit for reading a request, and another for writing its response
+	maxHeaderBytes = 4 << 10         // maximum size of a request's header, in bytes
 )
 
-// Metric is one published value: a counter, which only grows, or a gauge.
+// Metric is a published counter, which only grows, or gauge.
 type Metric struct {
 	Name      string
 	Value     uint64
 	IsCounter bool
 }
 
-// Relay is what the API serves. Its methods are called by several goroutines at a time, and must not wait for
-// more than one event of the relay.
+// Relay is the relay that the API gives access to. Its methods are called concurrently, and must not wait for
+// more than one event of the relay. Only SetDraining may wait for the fleet as well.
 type Relay interface {
-	// IsReady reports whether the relay is fit to be sent clients.
+	// IsReady reports whether the relay is ready for new clients.
 	IsReady() bool
-	// Metrics returns what was published last.
+	// Metrics returns the metrics as last published.
 	Metrics() []Metric
-	// SetDraining drains the relay or takes it back into service. The error says why that can't be.
+	// SetDraining drains the relay or returns it to service. An error says why that is not possible, or is not
+	// certain to survive a restart.
 	SetDraining(draining bool) error
-	// FleetStatus returns what the relay stores and hears of others, to be encoded as JSON; nil where it does
-	// neither.
+	// FleetStatus returns the status of the relay's storage and of the other relays, as a value to encode as JSON;
+	// nil if it has neither.
 	FleetStatus() any
-	// ReplicatedRecords returns one part, from 0 on, of the records that the relay holds for others, to be
-	// encoded as JSON; nil where it holds none for any.
+	// ReplicatedRecords returns one part, counted from 0, of the records that the relay holds for others, as a
+	// value to encode as JSON; nil if it holds no records for others.
 	ReplicatedRecords(part int) any
 }
 
-// Serve answers calls at the listener until the context is done or the listener fails, closes the listener and
-// all connections, and returns why it ended: nil where the context was done.
+// Serve answers calls on the listener until the context is done or the listener fails. It closes the listener
+// and all connections, and returns nil if the context was done, else the listener's error.
 func Serve(ctx context.Context, listener net.Listener, relay Relay, log *slog.Logger) error {
 	conns := &connLimiter{}
 	server := &http.Server{
@@ -71,7 +72,7 @@
 	return fmt.Errorf("serve admin API: %w", err)
 }
 
-// newHandler routes the calls. Another path is answered 404, another method 405.
+// newHandler returns a handler that routes the calls. Other paths get status 404, other methods 405.
 func newHandler(relay Relay) http.Handler {
 	handler := &handler{relay: relay}
 	routes := http.NewServeMux()
@@ -131,7 +132,8 @@
 	fmt.Fprintln(w, answer)
 }
 
-// writeJSON answers 404 where there is no value. An error of the encoder means that the caller has left.
+// writeJSON writes the value, or status 404 if it is nil. An encoding error means that the caller has
+// disconnected.
 func writeJSON(w http.ResponseWriter, r *http.Request, value any) {
 	if value == nil {
 		http.NotFound(w, r)
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stubRelay has no replicated records in part 0, and no fleet while it drains.
+// stubRelay is a Relay that has no replicated records in part 0 and no fleet status while it drains.
 type stubRelay struct {
 	ready, draining, stopping atomic.Bool
 }
@@ -48,7 +48,7 @@
 	return map[string]int{"Part": part}
 }
 
-// serve serves a stub until the test ends.
+// serve serves the admin API of a stub until the test ends, and returns the stub and the API's address.
 func serve(t *testing.T) (*stubRelay, string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -64,7 +64,7 @@
 	return s, listener.Addr().String()
 }
 
-// A listener that fails ends the API with its error.
+// If the listener fails, Serve returns its error.
 func TestServeReportsTheListenersError(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -73,7 +73,7 @@
 	assert.ErrorIs(t, err, net.ErrClosed)
 }
 
-// call makes one call, within the second that operators wait, and returns its status and body.
+// call makes one call and returns its status and body. Its timeout is one second, as long as operators wait.
 func call(t *testing.T, address, method, path string) (int, string) {
 	t.Helper()
 	request, err := http.NewRequest(method, "http://"+address+path, nil)
@@ -84,7 +84,7 @@
 	defer answer.Body.Close()
 	body, err := io.ReadAll(answer.Body)
 	require.NoError(t, err)
-	assert.True(t, answer.Close, "one call to a connection")
+	assert.True(t, answer.Close, "the connection must be closed after one call")
 	return answer.StatusCode, string(body)
 }
 
@@ -119,7 +119,7 @@
 	assert.False(t, s.draining.Load())
 }
 
-// Callers that never finish a call don't keep out those that do, nor hold their descriptors for good.
+// Callers that never finish a request must not keep out others, nor hold their descriptors forever.
 func TestStalledCallersAreClosed(t *testing.T) {
 	s, address := serve(t)
 	s.ready.Store(true)
@@ -144,7 +144,7 @@
 		}
 		assert.False(t, strings.Contains(err.Error(), "timeout"), "%d is still open", i)
 		if i < len(stalled)-maxConns {
-			assert.Less(t, time.Since(start), callTimeout/2, "%d", i) // closed for those that came later
+			assert.Less(t, time.Since(start), callTimeout/2, "%d", i) // closed to make room for later connections
 		}
 	}
 	assert.Less(t, time.Since(start), callTimeout+2*time.Second)
--- a/internal/admin/conns.go
+++ b/internal/admin/conns.go
@@ -7,16 +7,17 @@
 	"sync"
 )
 
-const maxConns = 16
+const maxConns = 16 // maximum number of open connections
 
-// connLimiter bounds how many connections are open, so that callers that never finish a call can't keep others
-// out: beyond the bound it closes the connection that has been open longest, as a call takes milliseconds.
+// connLimiter limits the number of open connections, so that callers that never finish a call can't keep
+// others out. Beyond maxConns it closes the oldest connection: a call takes milliseconds, so that one is
+// likely stalled.
 type connLimiter struct {
 	mutex sync.Mutex
-	open  []net.Conn // in the order in which they came
+	open  []net.Conn // oldest first
 }
 
-// observe is an http.Server's ConnState hook.
+// observe is the http.Server.ConnState hook.
 func (l *connLimiter) observe(conn net.Conn, state http.ConnState) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -12,7 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The answers that programs read are those of testdata/golden/answers.txt to the byte: status, type and body.
+// Programs read the responses, so status, content type and body must match testdata/golden/answers.txt byte
+// for byte.
 func TestGoldenAnswers(t *testing.T) {
 	s, address := serve(t)
 	s.ready.Store(true)
--- a/internal/hotrestart/channel.go
+++ b/internal/hotrestart/channel.go
@@ -8,35 +8,35 @@
 	"time"
 )
 
-// FilesPerSession is how many descriptors go with a session: its client's connection and its backend's.
+// FilesPerSession is the number of descriptors sent with a session: its client connection and its backend
+// connection.
 const FilesPerSession = 2
 
 const (
-	network        = "unixpacket" // keeps the bounds of packets
-	maxPacketBytes = 16 << 10
-	answerTimeout  = 500 * time.Millisecond // for the other process's next packet
+	network        = "unixpacket"           // a Unix socket type that preserves packet boundaries
+	maxPacketBytes = 16 << 10               // maximum size of a packet, in bytes
+	answerTimeout  = 500 * time.Millisecond // how long to wait for the other process's next packet
 )
 
-// Packets between the processes beside the sessions themselves. They are shared by processes of different
-// builds, so they must not change.
+// Packets exchanged in addition to the sessions themselves. Processes of different builds exchange them, so
+// they must not change.
 const (
-	packetAccepted = "taken"   // the receiver has the session, and uses it from now on
-	packetWaiting  = "waits"   // it has it, and waits with using it for packetReleased
-	packetRejected = "refused" // the session stays the sender's
+	packetAccepted = "taken"   // the receiver has taken over the session and uses it from now on
+	packetWaiting  = "waits"   // the receiver has taken over the session and uses it after packetReleased
+	packetRejected = "refused" // the session stays with the sender
 	packetReleased = "free"    // the sender has closed its own descriptors of the session
 )
 
-// ErrRejected reports that the other process left the session to this one.
+// ErrRejected is returned if the other process did not take over the session, so that it stays with this one.
 var ErrRejected = errors.New("session rejected")
 
-// Channel is a connection to a child process, on which sessions are sent. It is not safe for use by several
-// goroutines at a time.
+// Channel is a connection to a child process, on which sessions are sent. It is not safe for concurrent use.
 type Channel struct {
 	conn          *net.UnixConn
-	awaitsRelease bool // the receiver waits for this process to close its descriptors of the last session
+	awaitsRelease bool // the receiver waits until this process has closed its descriptors of the last session
 }
 
-// OpenChannel connects to the process of that number.
+// OpenChannel connects to the process with that slot number.
 func (s *Slot) OpenChannel(number int) (*Channel, error) {
 	address := &net.UnixAddr{Net: network, Name: s.path(number, socketKind)}
 	conn, err := net.DialUnix(network, nil, address)
@@ -47,8 +47,8 @@
 }
 
 // SendSession sends a record with the descriptors of a session, and waits for the answer. The caller keeps its
-// own descriptors. After ErrRejected, or any error with sent false, the session stays here; after an error with
-// sent true it may be the other process's.
+// own descriptors open. After ErrRejected, or any error with sent false, the session stays with this process.
+// After an error with sent true, the other process may have taken it over.
 func (c *Channel) SendSession(record []byte, fds [FilesPerSession]int) (sent bool, err error) {
 	if len(record) > maxPacketBytes {
 		return false, fmt.Errorf("send session: %w: %d bytes, at most %d expected", ErrTooLarge, len(record),
@@ -74,10 +74,10 @@
 	}
 }
 
-// ConfirmRelease tells the other process, where it waits for that, that no descriptor of the last session is
-// open here any more. The receiver's poller needs to know: its epoll set keeps a descriptor that it has closed
-// for as long as another process holds the connection, and reports its events for whatever connection has the
-// number next, as nbio takes no connection out of the set by itself.
+// ConfirmRelease tells the other process, if it waits for that, that this process has closed all descriptors
+// of the last session. Otherwise the receiver's poller could mix up connections: nbio does not remove a closed
+// connection from its epoll set, and the kernel keeps it there as long as another process holds the
+// connection open. Its events would then be reported for the next connection with the same descriptor number.
 func (c *Channel) ConfirmRelease() error {
 	if !c.awaitsRelease {
 		return nil
@@ -89,5 +89,5 @@
 	return nil
 }
 
-// Close closes the channel. The receiver closes its end then, and stops waiting for a release.
+// Close closes the channel. The receiver then closes its end and stops waiting for a release.
 func (c *Channel) Close() { c.conn.Close() }
--- a/internal/hotrestart/channel_test.go
+++ b/internal/hotrestart/channel_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// receive starts a receiver that ends with the test.
+// receive starts a receiver that is closed when the test ends.
 func receive(t *testing.T, slot *Slot, handle SessionHandler) {
 	t.Helper()
 	receiver, err := slot.ReceiveSessions(handle)
@@ -17,24 +17,24 @@
 	t.Cleanup(receiver.Close)
 }
 
-// socketPairs returns a session's descriptors, and those of its peers.
-func socketPairs(t *testing.T) (near, far [FilesPerSession]int) {
+// socketPairs returns the descriptors of a session and those of its peers.
+func socketPairs(t *testing.T) (local, peers [FilesPerSession]int) {
 	t.Helper()
-	for i := range near {
+	for i := range local {
 		pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 		require.NoError(t, err)
-		near[i] = pair[0]
-		far[i] = pair[1]
+		local[i] = pair[0]
+		peers[i] = pair[1]
 	}
-	return near, far
+	return local, peers
 }
 
-// A session goes from one process to the other with a record, and stays where it is if that one rejects it.
+// A session is sent with its record and descriptors, and stays with the sender if the receiver rejects it.
 func TestSessionIsSent(t *testing.T) {
 	dir := t.TempDir()
 	parent, child := acquire(t, dir), acquire(t, dir)
 	_, err := parent.OpenChannel(2)
-	assert.Error(t, err, "nobody listens there")
+	assert.Error(t, err, "no process listens there")
 	var records []string
 	var kept [FilesPerSession]*os.File
 	released := make(chan bool, 1)
@@ -52,46 +52,46 @@
 	channel, err := parent.OpenChannel(2)
 	require.NoError(t, err)
 	defer channel.Close()
-	near, far := socketPairs(t)
+	local, peers := socketPairs(t)
 
-	sent, err := channel.SendSession([]byte("bad"), near)
+	sent, err := channel.SendSession([]byte("bad"), local)
 	assert.ErrorIs(t, err, ErrRejected)
 	assert.False(t, sent)
-	sent, err = channel.SendSession(make([]byte, maxPacketBytes+1), near)
+	sent, err = channel.SendSession(make([]byte, maxPacketBytes+1), local)
 	assert.ErrorIs(t, err, ErrTooLarge)
 	assert.False(t, sent)
-	_, _, err = channel.conn.WriteMsgUnix([]byte("alone"), syscall.UnixRights(near[0]), nil)
+	_, _, err = channel.conn.WriteMsgUnix([]byte("alone"), syscall.UnixRights(local[0]), nil)
 	require.NoError(t, err)
 	answer := make([]byte, 100)
 	n, err := channel.conn.Read(answer)
 	require.NoError(t, err)
-	assert.Equal(t, packetRejected, string(answer[:n]), "one descriptor")
+	assert.Equal(t, packetRejected, string(answer[:n]), "a session with only one descriptor")
 
-	sent, err = channel.SendSession([]byte("good"), near)
+	sent, err = channel.SendSession([]byte("good"), local)
 	require.NoError(t, err)
 	assert.True(t, sent)
 	assert.Equal(t, []string{"bad", "good"}, records)
-	for i := range near {
-		syscall.Close(near[i])
-		_, err := syscall.Write(far[i], []byte("on"))
-		require.NoError(t, err, "it goes on there")
+	for i := range local {
+		syscall.Close(local[i])
+		_, err := syscall.Write(peers[i], []byte("on"))
+		require.NoError(t, err, "the connection must work in the other process")
 		n, err := kept[i].Read(answer)
 		require.NoError(t, err)
 		assert.Equal(t, "on", string(answer[:n]))
 		kept[i].Close()
-		syscall.Close(far[i])
+		syscall.Close(peers[i])
 	}
 	select {
 	case <-released:
-		assert.Fail(t, "released while the other process holds it")
+		assert.Fail(t, "released before the sender has confirmed it")
 	default:
 	}
 	require.NoError(t, channel.ConfirmRelease())
 	assert.True(t, <-released)
-	require.NoError(t, channel.ConfirmRelease(), "said once")
+	require.NoError(t, channel.ConfirmRelease(), "the release is confirmed only once")
 }
 
-// A receiver that is closed lets go of a session whose release it waits for, and ends.
+// Closing a receiver ends its wait for the release of a session, and calls the session's released function.
 func TestClosedReceiverStopsWaiting(t *testing.T) {
 	dir := t.TempDir()
 	parent, child := acquire(t, dir), acquire(t, dir)
@@ -103,13 +103,13 @@
 	channel, err := parent.OpenChannel(2)
 	require.NoError(t, err)
 	defer channel.Close()
-	near, far := socketPairs(t)
-	sent, err := channel.SendSession([]byte("good"), near)
+	local, peers := socketPairs(t)
+	sent, err := channel.SendSession([]byte("good"), local)
 	require.NoError(t, err)
 	assert.True(t, sent)
-	for i := range near {
-		syscall.Close(near[i])
-		syscall.Close(far[i])
+	for i := range local {
+		syscall.Close(local[i])
+		syscall.Close(peers[i])
 	}
 	receiver.Close()
 	assert.Len(t, released, 1)
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -13,17 +13,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// golden is what two processes of different builds share: the names and the bytes of testdata/golden/exchange.json.
+// golden is the content of testdata/golden/exchange.json: the file names and packets with which processes of
+// different builds communicate, which must not change.
 type golden struct {
-	Slot     string `json:"slot"`    // file of process 2
-	Ready    string `json:"ready"`   // its content, once the process is ready
-	Handoff  string `json:"handoff"` // file that is left for process 2
-	Message  string `json:"message"`
-	Socket   string `json:"socket"`   // of packets to process 2
-	Taken    string `json:"taken"`    // answers to a packet
-	Waits    string `json:"waits"`    //
-	Rejected string `json:"rejected"` //
-	Released string `json:"released"` // the packet that follows "waits"
+	Slot     string `json:"slot"`     // slot file of process 2
+	Ready    string `json:"ready"`    // content of the slot file once its process is ready
+	Handoff  string `json:"handoff"`  // file with a handoff for process 2
+	Message  string `json:"message"`  // file with a message for process 2
+	Socket   string `json:"socket"`   // socket on which process 2 receives packets
+	Accepted string `json:"taken"`    // answer to a session: packetAccepted
+	Waiting  string `json:"waits"`    // answer to a session: packetWaiting
+	Rejected string `json:"rejected"` // answer to a session: packetRejected
+	Released string `json:"released"` // packet sent after packetWaiting: packetReleased
 }
 
 func readGolden(t *testing.T) golden {
@@ -35,7 +36,7 @@
 	return g
 }
 
-// What this build leaves in the folder has the names and bytes that every build reads.
+// This build writes files with the golden names and contents.
 func TestGoldenFilesAreWritten(t *testing.T) {
 	g, dir := readGolden(t), t.TempDir()
 	first, second := acquire(t, dir), acquire(t, dir)
@@ -60,7 +61,7 @@
 		g.Message: "\x00\x01\xff", g.Socket: ""}, content)
 }
 
-// What another build has left is read.
+// This build reads files that another build has written.
 func TestGoldenFilesAreRead(t *testing.T) {
 	g, dir := readGolden(t), t.TempDir()
 	first := acquire(t, dir)
@@ -83,7 +84,8 @@
 	assert.Equal(t, "told", string(record))
 }
 
-// A receiver of another build answers with the golden packets, and gets the golden one.
+// A sender of this build understands the golden answers of another build's receiver, and confirms a release
+// with the golden packet.
 func TestGoldenPacketsAreUnderstood(t *testing.T) {
 	g, dir := readGolden(t), t.TempDir()
 	listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Net: "unixpacket", Name: filepath.Join(dir, g.Socket)})
@@ -106,11 +108,11 @@
 		err          error
 		after        string
 	}{
-		{"taken", g.Taken, true, nil, ""},
+		{"taken", g.Accepted, true, nil, ""},
 		{"rejected", g.Rejected, false, ErrRejected, ""},
-		{"waits", g.Waits, true, nil, g.Released},
+		{"waits", g.Waiting, true, nil, g.Released},
 	} {
-		_, err := conn.Write([]byte(tt.answer)) // is there when the packet has gone out
+		_, err := conn.Write([]byte(tt.answer)) // written first, so SendSession finds the answer
 		require.NoError(t, err)
 		sent, err := channel.SendSession([]byte(tt.name), pair)
 		assert.Equal(t, tt.sent, sent, tt.name)
@@ -133,7 +135,8 @@
 	}
 }
 
-// A sender of another build gets the golden answers, and its golden packet is understood.
+// A receiver of this build sends the golden answers to another build's sender, and understands its golden
+// packet.
 func TestGoldenPacketsAreSent(t *testing.T) {
 	g, dir := readGolden(t), t.TempDir()
 	s := &Slot{dir: dir, number: 2}
@@ -155,7 +158,7 @@
 	require.NoError(t, err)
 	defer syscall.Close(pair[0])
 	defer syscall.Close(pair[1])
-	for record, want := range map[string]string{"taken": g.Taken, "other": g.Rejected, "waits": g.Waits} {
+	for record, want := range map[string]string{"taken": g.Accepted, "other": g.Rejected, "waits": g.Waiting} {
 		_, _, err := conn.WriteMsgUnix([]byte(record), syscall.UnixRights(pair[:]...), nil)
 		require.NoError(t, err)
 		answer := make([]byte, 100)
--- a/internal/hotrestart/listener_test.go
+++ b/internal/hotrestart/listener_test.go
@@ -22,7 +22,7 @@
 	require.NoError(t, err)
 	require.NoError(t, inherited.Close())
 	c, err := net.Dial("tcp", l.Addr().String())
-	require.NoError(t, err, "the other process's is left alone")
+	require.NoError(t, err, "closing the inherited listener must not affect the other process")
 	c.Close()
 	l.Close()
 
--- a/internal/hotrestart/receiver.go
+++ b/internal/hotrestart/receiver.go
@@ -10,11 +10,12 @@
 	"time"
 )
 
-const bytesPerDescriptor = 4 // in a packet's control message
+const bytesPerDescriptor = 4 // size of a descriptor in a packet's control message, in bytes
 
-// SessionHandler takes a session that a parent process sends, and reports whether this process has it from then
-// on. The files are closed after the call; a handler that accepts has descriptors of its own. Where it returns
-// released, too, that is called once the parent holds no descriptor of the session any more, or does not answer.
+// SessionHandler handles a session that a parent process sends, and reports whether this process takes it
+// over. The files are closed after the call, so a handler that accepts the session duplicates their
+// descriptors. If released is not nil, it is called once the parent has closed its descriptors of the session,
+// or does not answer.
 type SessionHandler func(record []byte, files [FilesPerSession]*os.File) (accepted bool, released func())
 
 // Receiver receives the sessions that parent processes send.
@@ -28,20 +29,21 @@
 	closed bool
 }
 
-// ReceiveSessions passes each session that a parent process sends to the handler, until the receiver is closed.
+// ReceiveSessions passes each session that a parent process sends to the handler, until the receiver is
+// closed.
 func (s *Slot) ReceiveSessions(handle SessionHandler) (*Receiver, error) {
 	address := &net.UnixAddr{Net: network, Name: s.path(s.number, socketKind)}
 	listener, err := net.ListenUnix(network, address)
 	if err != nil {
 		return nil, fmt.Errorf("receive sessions: %w", err)
 	}
-	listener.SetUnlinkOnClose(false) // the file stays, as after a process that was killed
+	listener.SetUnlinkOnClose(false) // the socket file stays, as it does if the process is killed
 	r := &Receiver{listener: listener, handle: handle, conns: map[*net.UnixConn]bool{}}
 	r.goroutines.Go(r.accept)
 	return r, nil
 }
 
-// Close stops receiving, and returns once no call of the handler is under way.
+// Close stops receiving, and waits for calls of the handler to return.
 func (r *Receiver) Close() {
 	r.mutex.Lock()
 	r.closed = true
@@ -53,7 +55,7 @@
 	r.goroutines.Wait()
 }
 
-// accept ends when the listener fails, which it does once it is closed.
+// accept serves connections until the listener fails, which it does once it is closed.
 func (r *Receiver) accept() {
 	for {
 		conn, err := r.listener.AcceptUnix()
@@ -66,7 +68,7 @@
 	}
 }
 
-// register reports whether the connection is to be served. One that comes during Close is not.
+// register reports whether the connection is to be served. It closes one that arrives during Close.
 func (r *Receiver) register(conn *net.UnixConn) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -89,7 +91,7 @@
 	}
 }
 
-// receiveSession receives one session, and reports whether another can follow.
+// receiveSession receives and answers one session, and reports whether another can follow.
 func (r *Receiver) receiveSession(conn *net.UnixConn) bool {
 	record, files, err := readPacket(conn)
 	if err != nil {
@@ -115,7 +117,7 @@
 	return err == nil
 }
 
-// readPacket reads a record and the files that came with it: none where anything was cut off.
+// readPacket reads a record and the files sent with it. If the packet was truncated, it returns no files.
 func readPacket(conn *net.UnixConn) (record []byte, files []*os.File, err error) {
 	record = make([]byte, maxPacketBytes)
 	rights := make([]byte, syscall.CmsgSpace(bytesPerDescriptor*FilesPerSession))
@@ -138,7 +140,8 @@
 	return record[:recordLength], files, nil
 }
 
-// descriptors returns the descriptors that came with a packet; those of a message that can't be read are left out.
+// descriptors returns the descriptors in a packet's control messages. Messages that can't be parsed are
+// skipped.
 func descriptors(rights []byte) []int {
 	messages, err := syscall.ParseSocketControlMessage(rights)
 	if err != nil {
@@ -153,8 +156,8 @@
 	return all
 }
 
-// awaitRelease says that this process waits, and returns once the sender has released the session, has closed
-// the channel, or has not answered in time. It reports whether another session can follow.
+// awaitRelease tells the sender that this process waits, and returns once the sender has released the session,
+// has closed the channel, or has not answered in time. It reports whether another session can follow.
 func awaitRelease(conn *net.UnixConn) bool {
 	conn.SetDeadline(time.Now().Add(answerTimeout))
 	defer conn.SetDeadline(time.Time{})
--- a/internal/hotrestart/records.go
+++ b/internal/hotrestart/records.go
@@ -9,34 +9,35 @@
 )
 
 const (
-	maxRecordBytes = 4 << 20 // keeps another process's file from filling the memory
-	pollInterval   = 10 * time.Millisecond
+	maxRecordBytes = 4 << 20               // maximum size of a record in bytes: a file must not exhaust memory
+	pollInterval   = 10 * time.Millisecond // interval between checks for a file
 )
 
-// ErrTooLarge reports a record that is larger than one process may send to another.
+// ErrTooLarge is returned for a record that is too large to be sent to another process.
 var ErrTooLarge = errors.New("record is too large")
 
-// SendHandoff leaves a record for the process of that number, whole or not at all. It stays until that process
-// receives it.
+// SendHandoff sends a record, completely or not at all, to the process with that slot number. It is kept until
+// that process receives it.
 func (s *Slot) SendHandoff(number int, record []byte) error {
 	return s.send(number, handoffKind, record)
 }
 
-// SendMessage sends a message to the process of that number. It replaces one that was not received yet.
+// SendMessage sends a message to the process with that slot number. It replaces one that was not received yet.
 func (s *Slot) SendMessage(number int, record []byte) error {
 	return s.send(number, messageKind, record)
 }
 
-// ReceiveHandoff waits for what a parent process leaves for this one, and removes it. The error is
-// os.ErrNotExist where nothing comes in time.
+// ReceiveHandoff waits for the handoff that a parent process sends to this one, and removes it. The error
+// wraps os.ErrNotExist if there is none within the timeout.
 func (s *Slot) ReceiveHandoff(timeout time.Duration) ([]byte, error) {
 	return s.receive(handoffKind, timeout)
 }
 
-// ReceiveMessage takes the latest message of another process. The error is os.ErrNotExist where there is none.
+// ReceiveMessage returns the latest message of another process and removes it. The error wraps os.ErrNotExist
+// if there is none.
 func (s *Slot) ReceiveMessage() ([]byte, error) { return s.receive(messageKind, 0) }
 
-// send writes a file of another name first, so that a reader never sees half a record.
+// send writes a temporary file and renames it, so that a reader never sees an incomplete record.
 func (s *Slot) send(number int, kind string, record []byte) error {
 	if len(record) > maxRecordBytes {
 		return fmt.Errorf("send record: %w: %d bytes, at most %d expected", ErrTooLarge, len(record), maxRecordBytes)
@@ -75,7 +76,7 @@
 	return record, nil
 }
 
-// openWithin opens the file once it is there.
+// openWithin opens the file as soon as it exists, or fails after the timeout.
 func openWithin(path string, timeout time.Duration) (*os.File, error) {
 	deadline := time.Now().Add(timeout)
 	for {
--- a/internal/hotrestart/slot.go
+++ b/internal/hotrestart/slot.go
@@ -1,10 +1,10 @@
 // Package hotrestart lets two processes of one relay share a listening socket that the platform holds, so that
-// the program can be replaced while it serves. The processes find each other by files in a folder that they
-// share: each acquires a slot, a numbered file that it keeps locked while it lives. A parent process hands its
-// state to its child as a record, and established sessions as open descriptors.
+// the program can be replaced while it serves. The processes find each other through files in a shared folder:
+// each acquires a slot, which is a numbered file that it keeps locked as long as it runs. A parent process
+// sends its state to its child as a record, and established sessions as open descriptors.
 //
-// The package carries records as bytes, whole or not at all. It doesn't know what they mean and doesn't decide
-// which process serves.
+// Records are opaque bytes that arrive completely or not at all. The package doesn't decide which process
+// serves.
 package hotrestart
 
 import (
@@ -17,39 +17,39 @@
 	"syscall"
 )
 
-// Files in the shared folder are called "valeshift.NUMBER.KIND". Names and contents are shared by processes of
-// different builds, so they must not change.
+// Files in the shared folder are named "valeshift.NUMBER.KIND", where NUMBER is the slot number of the process
+// that the file is for. Processes of different builds share names and contents, so they must not change.
 const (
 	filePrefix  = "valeshift"
 	tempPattern = "valeshift.new.*"
 
-	slotKind    = "seat" // locked by the process of that number
-	handoffKind = "left" // a handoff for the process of that number
-	messageKind = "told" // a message to the process of that number
-	socketKind  = "way"  // the socket on which the process of that number receives sessions
+	slotKind    = "seat" // the slot file, locked by its process
+	handoffKind = "left" // a handoff for the process
+	messageKind = "told" // a message for the process
+	socketKind  = "way"  // the socket on which the process receives sessions
 
-	readyText = "ready" // the content of a slot file once its process is ready
+	readyText = "ready" // content of a slot file once its process is ready; empty before
 )
 
-const maxAcquireAttempts = 1000
+const maxAcquireAttempts = 1000 // attempts to take a number, each of which another process may win
 
-var errNoFreeNumber = errors.New("no free number found")
+var errNoFreeNumber = errors.New("no free slot number found")
 
-// Slot is the place of this process among the processes of the relay. It is held until the process ends: the
-// kernel releases the lock then, however the process ends.
+// Slot is the numbered place of this process among the processes of the relay. It is held until the process
+// ends, in whatever way: the kernel then releases the lock.
 type Slot struct {
 	dir    string
 	number int
 	file   *os.File
 }
 
-// Process is another live process of the relay. The zero value stands for none.
+// Process is another live process of the relay. The zero value means that there is none.
 type Process struct {
-	Number int
-	Ready  bool // it takes clients
+	Number int  // slot number
+	Ready  bool // the process accepts clients
 }
 
-// Acquire takes the next number in the folder.
+// Acquire acquires the slot with the next number in the folder.
 func Acquire(dir string) (*Slot, error) {
 	file, err := os.CreateTemp(dir, tempPattern)
 	if err != nil {
@@ -64,9 +64,9 @@
 	return slot, nil
 }
 
-// linkNextNumber gives the slot's file the first number above those in use.
+// linkNextNumber links the slot's file under the first number above all existing ones.
 func (s *Slot) linkNextNumber() error {
-	// The file is locked before it has its name: an unlocked slot is taken for that of a dead process.
+	// Lock the file before it gets its name: an unlocked slot file is treated as that of a dead process.
 	if err := syscall.Flock(int(s.file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		return err
 	}
@@ -83,7 +83,7 @@
 		if err == nil {
 			return nil
 		}
-		if !errors.Is(err, os.ErrExist) { // otherwise another process was faster
+		if !errors.Is(err, os.ErrExist) { // if it exists, another process was faster
 			return err
 		}
 	}
@@ -94,7 +94,7 @@
 	return filepath.Join(s.dir, fmt.Sprintf("%s.%d.%s", filePrefix, number, kind))
 }
 
-// slotFiles returns the path of each slot file by its number, whether its process lives or not.
+// slotFiles returns the paths of all slot files by slot number, whether their processes are alive or not.
 func (s *Slot) slotFiles() (map[int]string, error) {
 	entries, err := os.ReadDir(s.dir)
 	if err != nil {
@@ -114,9 +114,9 @@
 	return slots, nil
 }
 
-// Siblings returns the nearest live process with a lower number and the nearest one with a higher number. It
-// removes the files of dead parents; those of dead children stay, so that no number is given twice. A folder
-// that can't be read has no siblings.
+// Siblings returns the live processes with the nearest lower number (the parent) and the nearest higher number
+// (the child). It removes the files of dead parents. Those of dead children stay, so that no number is used
+// twice. If the folder can't be read, there are no siblings.
 func (s *Slot) Siblings() (parent, child Process) {
 	slots, err := s.slotFiles()
 	if err != nil {
@@ -142,14 +142,14 @@
 	return parent, child
 }
 
-// inspectSlot reports whether the slot's process lives, and whether it has marked itself as ready. A lock that
-// can be had means a dead process, whatever the file says.
+// inspectSlot reports whether the slot's process is alive, and whether it has marked itself as ready. If the
+// file can be locked, its process is dead, whatever the content says.
 func inspectSlot(path string) (alive, ready bool) {
 	file, err := os.Open(path)
 	if err != nil {
 		return false, false
 	}
-	defer file.Close() // releases the lock, too
+	defer file.Close() // also releases the lock
 	if syscall.Flock(int(file.Fd()), syscall.LOCK_SH|syscall.LOCK_NB) == nil {
 		return false, false
 	}
@@ -158,7 +158,7 @@
 	return true, string(content[:n]) == readyText
 }
 
-// MarkReady tells the other processes that this one takes clients.
+// MarkReady tells the other processes that this one accepts clients.
 func (s *Slot) MarkReady() error {
 	if _, err := s.file.WriteAt([]byte(readyText), 0); err != nil {
 		return fmt.Errorf("mark slot as ready: %w", err)
