--- a/internal/recovery/golden_test.go
+++ b/internal/recovery/golden_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What operators are told, and programs read, as the build of commit 32b198a wrote it.
+// The JSON form of the status, which operators' programs parse, must stay as the build of commit 32b198a wrote it.
 func TestGoldenStatus(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", "status.json"))
 	require.NoError(t, err)
--- a/internal/recovery/outage.go
+++ b/internal/recovery/outage.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// youngAgeLimit is the age under which a relay was started by the same outage.
+// youngAgeLimit is the age, in milliseconds, below which another relay counts as restarted by the same outage.
 const youngAgeLimit = 15000.0
 
-// DetectFullOutage tells an outage of the whole fleet from this relay's own restart, by how long the others have
-// run: that needs no clock to be right. With nobody heard it is taken for a full one, as what follows of that is
-// the more careful.
+// DetectFullOutage reports whether the whole fleet was down, rather than only this relay. It goes by how long the
+// other relays have been running, so it doesn't depend on correct clocks. If no other relay is heard, a full outage
+// is assumed, because the recovery from one is the more careful.
 func DetectFullOutage(peers []Peer) (isFull bool, reason string) {
 	young := 0
 	for _, peer := range peers {
--- a/internal/recovery/reconcile.go
+++ b/internal/recovery/reconcile.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// freshEndpointsLimit is how long endpoints that discovery has confirmed count as if it had just told them.
+	// freshEndpointsLimit is for how many milliseconds after discovery confirmed them endpoints count as current.
 	freshEndpointsLimit = 15000.0
-	// maxCapacityRatio is how far from the median, as a factor either way, a source's capacity may be.
+	// maxCapacityRatio is the largest factor by which a source's capacity may lie above or below the median.
 	maxCapacityRatio = 2.0
 
 	statusActive  = "active"
 	statusLeaving = "leaving"
 )
 
-// Reconciliation is what is believed of several sources.
+// Reconciliation is the state accepted from several sources.
 type Reconciliation struct {
-	Snapshot  *relay.Snapshot // nil: there was no source
-	Accepted  []string        // what was believed, and by which source
-	Discarded []string        // what was not, and why
+	Snapshot  *relay.Snapshot // nil if there was no source
+	Accepted  []string        // the state that was accepted, with its source
+	Discarded []string        // the state that was discarded, with the reason
 }
 
-// Reconcile makes one snapshot of the disk's and those of other relays. Loads are not among it: a load is worth
-// nothing a second later.
+// Reconcile merges the snapshots of the disk and of other relays into one. It leaves out backend loads, as a load is
+// of no use a second later.
 func Reconcile(disk Source, others []Source) Reconciliation {
 	sources := others
 	if disk.Snapshot != nil {
@@ -38,18 +38,17 @@
 	r := Reconciliation{Snapshot: &relay.Snapshot{Classes: map[string]relay.ClassLoad{}}}
 	r.reconcileEndpoints(sources)
 	r.reconcileEstimates(sources)
-	if disk.Snapshot != nil { // this relay's own promises: no other relay's clients come back to it
+	if disk.Snapshot != nil { // only this relay's own retry times: no other relay's clients come back to it
 		r.Snapshot.RetryAt = disk.Snapshot.RetryAt
 	}
 	return r
 }
 
-// reconcileEndpoints takes the endpoints that discovery confirmed last. Those that it confirmed just now, in the
-// life of the source, are as good as from discovery itself; any other only say where backends were. Of those the
-// strictest word on each backend counts: one that any source has as leaving gets nothing new until discovery
-// says so.
+// reconcileEndpoints takes the latest endpoints. If discovery confirmed them recently, they are as good as an update
+// from discovery itself. Otherwise they only say where backends used to be, and the strictest status of each backend
+// counts: one that any source has as leaving gets no new sessions until discovery reports it as active.
 func (r *Reconciliation) reconcileEndpoints(sources []Source) {
-	latest := latestEndpoints(sources)
+	latest := latestEndpointsSource(sources)
 	if latest == nil {
 		return
 	}
@@ -71,18 +70,18 @@
 	r.Accepted = append(r.Accepted, fmt.Sprintf("%d endpoints, from %s", len(endpoints.Endpoints), latest))
 }
 
-// hasEndpoints tells whether the source knows of any backend.
+// hasEndpoints reports whether the source's snapshot has any endpoints.
 func (s *Source) hasEndpoints() bool {
 	return s.Snapshot.Endpoints != nil && len(s.Snapshot.Endpoints.Endpoints) > 0
 }
 
-// hasFreshEndpoints tells whether discovery has confirmed the endpoints just now.
+// hasFreshEndpoints reports whether discovery confirmed the endpoints recently, in the source's incarnation.
 func (s *Source) hasFreshEndpoints() bool {
 	return s.ConfirmedAgoMillis >= 0 && s.ConfirmedAgoMillis < freshEndpointsLimit
 }
 
-// hasLaterEndpoints tells whether s has later endpoints than other. Fresh ones go before all others, whatever
-// their index, as discovery counts anew after its own restart.
+// hasLaterEndpoints reports whether the endpoints of s are later than those of other. Fresh endpoints take precedence
+// over all others whatever their index, because discovery may restart its index after its own restart.
 func (s *Source) hasLaterEndpoints(other *Source) bool {
 	isFresh := s.hasFreshEndpoints()
 	switch {
@@ -94,8 +93,8 @@
 	return s.Snapshot.Endpoints.Index > other.Snapshot.Endpoints.Index
 }
 
-// latestEndpoints returns the source of the latest endpoints; nil: none has any.
-func latestEndpoints(sources []Source) *Source {
+// latestEndpointsSource returns the source with the latest endpoints, or nil if no source has endpoints.
+func latestEndpointsSource(sources []Source) *Source {
 	var latest *Source
 	for i := range sources {
 		s := &sources[i]
@@ -106,7 +105,7 @@
 	return latest
 }
 
-// leavingBackends returns the backends that any source has as other than active.
+// leavingBackends returns the names of the backends whose status in any source is other than active.
 func leavingBackends(sources []Source) map[string]bool {
 	leaving := map[string]bool{}
 	for i := range sources {
@@ -122,21 +121,22 @@
 	return leaving
 }
 
-// reconcileEstimates takes the estimates of the source whose capacity is the median, or the disk's where they are
-// near that. A source that is wrong, or has another fleet's, moves the median by one place only.
+// reconcileEstimates takes the estimates of the source with the median capacity, or those of the disk if its
+// capacity is near that. A source with wrong estimates, or those of another fleet, moves the median by only one
+// place.
 func (r *Reconciliation) reconcileEstimates(sources []Source) {
 	byCapacity := estimatingSources(sources)
 	if len(byCapacity) == 0 {
 		return
 	}
-	chosen := byCapacity[(len(byCapacity)-1)/2] // of two the lower: it asks less of backends that warm up
+	chosen := byCapacity[(len(byCapacity)-1)/2] // the lower of two medians, which loads backends in slow start less
 	for _, s := range byCapacity {
-		limit := chosen.Snapshot.Capacity
+		reference := chosen.Snapshot.Capacity
 		capacity := s.Snapshot.Capacity
 		switch {
-		case capacity > maxCapacityRatio*limit || capacity < limit/maxCapacityRatio:
+		case capacity > maxCapacityRatio*reference || capacity < reference/maxCapacityRatio:
 			r.Discarded = append(r.Discarded, fmt.Sprintf("%s: a backend's capacity is %.0f, the median is %.0f", s,
-				capacity, limit))
+				capacity, reference))
 		case s.isDisk():
 			chosen = s
 		}
@@ -147,7 +147,7 @@
 	r.Accepted = append(r.Accepted, fmt.Sprintf("estimates, from %s", chosen))
 }
 
-// estimatingSources returns the sources that have estimates, by capacity.
+// estimatingSources returns the sources that have estimates, sorted by capacity.
 func estimatingSources(sources []Source) []*Source {
 	var estimating []*Source
 	for i := range sources {
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// snapshot has that capacity, and an endpoint of each status.
+// snapshot returns a snapshot with the given capacity and one endpoint for each of the statuses.
 func snapshot(capacity float64, index uint64, statuses ...string) *relay.Snapshot {
 	s := &relay.Snapshot{Version: 1, Capacity: capacity, MeanLoad: 4e4}
 	if len(statuses) == 0 {
@@ -50,7 +50,7 @@
 	return s
 }
 
-// disk is a source whose endpoints were not confirmed in the life that reads it.
+// disk returns a disk source, whose endpoints discovery has not confirmed since the start.
 func disk(s *relay.Snapshot) Source { return Source{Snapshot: s, ConfirmedAgoMillis: -1} }
 
 func statusesOf(s *relay.Snapshot) []string {
@@ -107,24 +107,25 @@
 	assert.Nil(t, Reconcile(Source{}, nil).Snapshot, "no source at all")
 }
 
-// Whatever is read, received and answered, and when, and whatever never is: querying ends within its bound, all
-// phases end within the next, and the share is none that can't be.
+// With any combination of disk results, peers and answers, at any time or missing altogether, the querying and all
+// phases end within their time limits, no peer is queried again before it answers, and the capacity share stays
+// between 0 and 1.
 func TestAllPhasesEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		isDiskUnread, hasPeers := rapid.Bool().Draw(t, "disk"), rapid.Bool().Draw(t, "others")
+		isDiskUnread, hasPeers := rapid.Bool().Draw(t, "has disk"), rapid.Bool().Draw(t, "has peers")
 		p := New(1000, isDiskUnread, hasPeers)
 		queried := map[string]bool{}
 		var peers []Peer
 		restored := 0
-		const end = 1000 + queryTimeout + maxAdmitting + 1000
+		const end = 1000 + queryTimeout + maxAdmittingTime + 1000
 		for now := 1000.0; now < end; now += rapid.Float64Range(1, 500).Draw(t, "step") {
-			if hasPeers && rapid.IntRange(0, 3).Draw(t, "comes") == 0 {
+			if hasPeers && rapid.IntRange(0, 3).Draw(t, "peer joins") == 0 {
 				peers = append(peers, Peer{
 					Name:               fmt.Sprint("r", len(peers)%7),
 					AgeMillis:          rapid.Float64Range(0, 1e6).Draw(t, "age"),
 					Phase:              Phase(rapid.IntRange(0, 3).Draw(t, "phase")),
-					RejectedLastSecond: rapid.Uint32().Draw(t, "waiting"),
-					Unreachable:        rapid.Bool().Draw(t, "mute"),
+					RejectedLastSecond: rapid.Uint32().Draw(t, "rejected"),
+					Unreachable:        rapid.Bool().Draw(t, "unreachable"),
 				})
 			}
 			var actions []Action
@@ -141,10 +142,10 @@
 			}
 			actions = append(actions, p.Advance(now, peers, relay.Status{
 				Now:                now,
-				EndpointsConfirmed: rapid.Bool().Draw(t, "told"),
-				WarmingUp:          rapid.IntRange(0, 4).Draw(t, "cold"),
+				EndpointsConfirmed: rapid.Bool().Draw(t, "endpoints confirmed"),
+				WarmingUp:          rapid.IntRange(0, 4).Draw(t, "warming up"),
 				Usable:             4,
-				RejectedLastSecond: rapid.IntRange(0, 1000).Draw(t, "w"),
+				RejectedLastSecond: rapid.IntRange(0, 1000).Draw(t, "own rejected"),
 			})...)
 			for _, a := range actions {
 				if a.Query != "" {
@@ -157,9 +158,9 @@
 					restored++
 				}
 				changed, _ := a.Event.(relay.RecoveryChanged)
-				isShare := changed.CapacityShare >= 0 && changed.CapacityShare <= 1
-				if !isShare || math.IsNaN(p.capacityShare) {
-					t.Fatal("a share that can't be", p.capacityShare, changed.CapacityShare)
+				isValidShare := changed.CapacityShare >= 0 && changed.CapacityShare <= 1
+				if !isValidShare || math.IsNaN(p.capacityShare) {
+					t.Fatal("capacity share out of range", p.capacityShare, changed.CapacityShare)
 				}
 			}
 			if now > 1000+queryTimeout+500 && p.Phase() < Admitting {
@@ -172,7 +173,7 @@
 	})
 }
 
-// A disk that is read late gives estimates, and no endpoints.
+// A disk that is read after the querying still supplies its estimates, but not its endpoints.
 func TestLateDisk(t *testing.T) {
 	p := New(0, true, false)
 	assert.Empty(t, p.Advance(100, nil, relay.Status{}))
--- a/internal/recovery/status.go
+++ b/internal/recovery/status.go
@@ -1,20 +1,20 @@
 package recovery
 
-// Status is what operators are told.
+// Status is the state of the recovery as shown to operators.
 type Status struct {
 	Phase              string   `json:"Phase"`
-	Reason             string   `json:"Why"`   // of the phase
-	PhaseMillis        float64  `json:"For"`   // since the phase began
-	FullOutage         bool     `json:"Whole"` // the start is taken for one of the whole fleet
-	CapacityShare      float64  `json:"Part"`  // of backends that warm up, that this relay takes
-	Accepted           []string `json:"Took"`  // what was believed, and by which source
-	Discarded          []string `json:"Left"`  // what was not, and why
-	EndpointsConfirmed bool     `json:"ListTold"`
-	PendingAnswers     int      `json:"Waited"`
-	Answers            int      `json:"All"`
+	Reason             string   `json:"Why"`      // why the relay entered the phase
+	PhaseMillis        float64  `json:"For"`      // milliseconds since the phase began
+	FullOutage         bool     `json:"Whole"`    // whether the relay assumes that the whole fleet was down
+	CapacityShare      float64  `json:"Part"`     // this relay's share of the capacity of backends that are warming up
+	Accepted           []string `json:"Took"`     // the restored state that was accepted, with its source
+	Discarded          []string `json:"Left"`     // the restored state that was discarded, with the reason
+	EndpointsConfirmed bool     `json:"ListTold"` // whether discovery has confirmed the endpoints since the start
+	PendingAnswers     int      `json:"Waited"`   // number of relays that were queried and haven't answered
+	Answers            int      `json:"All"`      // number of relays whose snapshots were received
 }
 
-// Status returns how far the relay is.
+// Status returns the current state of the recovery.
 func (p *Plan) Status(now float64) Status {
 	return Status{
 		Phase:              p.phase.String(),
