--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,49 +1,54 @@
-// Package admission decides how much one relay sends to backends in slow start after a full outage of the fleet,
-// and which clients go first: then all backends warm up, all relays are young and all clients are there at once.
-// The paper has no such case: its buckets follow polled load (section IV-B), which says nothing of backends that
-// nobody has used yet.
+// Package admission decides how much load one relay sends to backends in slow start after a full outage of the fleet,
+// and which clients are served first. After such an outage all backends are warming up, all relays have just started
+// and all clients reconnect at once. The paper doesn't cover this case: its buckets follow polled load (section IV-B),
+// which says nothing about backends that no session has used yet.
 //
-// The balancer asks a Controller, which knows no backend and no session. It changes nothing until the balancer
-// has set the capacity learnt before, or that the fleet recovers. Times are milliseconds of the relay's clock.
+// The balancer consults a Controller, which doesn't know individual backends or sessions. The Controller changes
+// nothing until the balancer has set the capacity known from before the start, or that the fleet is recovering.
+//
+// A backend in slow start fails if the load that arrives within the overload span reaches its overload limit, which is
+// a multiple of its present capacity. Times are milliseconds of the relay's clock.
 package admission
 
 import "math"
 
 const (
-	// maxMeanShare is of what all backends in slow start bear within a span, that all relays together aim to send.
-	maxMeanShare = 0.45
-	// deviationRoots is how many roots of the mean the load may come to above it: three standard deviations, of
-	// sessions whose loads spread like their mean.
-	deviationRoots = 4.25
-	// maxEvenShares is how many even shares one relay ever takes, whatever the others say.
-	maxEvenShares = 1.6
-	// maxSavedShare is of a span, for which a budget that was not used is saved.
+	// maxTargetShare is the largest share of the overload limit of all backends in slow start that all relays
+	// together aim to send within an overload span.
+	maxTargetShare = 0.45
+	// loadMarginFactor is how far the load of a backend may rise above its mean, in square roots of that mean. It
+	// amounts to three standard deviations if the loads of sessions have a standard deviation as large as their mean.
+	loadMarginFactor = 4.25
+	// maxEvenShareMultiple is the largest share that one relay takes, as a multiple of an even share, whatever other
+	// relays report.
+	maxEvenShareMultiple = 1.6
+	// maxSavedShare is the longest time for which unused budget is saved, as a share of the overload span.
 	maxSavedShare = 0.25
-	// keptCapacityWeight is how many sessions of its own a relay takes to trust them as much as the capacity that
-	// was kept.
-	keptCapacityWeight = 20.0
+	// restoredCapacityWeight is the number of sessions after which a relay trusts its own measurement of a backend's
+	// capacity as much as the one restored from before its start.
+	restoredCapacityWeight = 20.0
 )
 
-// Controller is the admission control of one relay. Nil and the zero value change nothing. It is not safe for
-// concurrent use.
+// Controller is the admission control of one relay. A nil Controller and the zero value change nothing. It is not
+// safe for concurrent use.
 type Controller struct {
-	capacity      float64 // of a backend, as it was kept; 0: not known
-	recovering    bool    // the fleet recovers from a full outage
-	capacityShare float64 // of the budget of backends in slow start, that is this relay's
+	capacity      float64 // capacity of a backend as known from before the start; 0 if not known
+	recovering    bool    // whether the fleet is recovering from a full outage
+	capacityShare float64 // this relay's share of the budget for backends in slow start
 
 	priority     priority
 	reservations reservations
 }
 
-// New returns a controller that knows nothing yet.
+// New returns a Controller without a capacity, for a fleet that is not recovering.
 func New() *Controller {
-	return &Controller{priority: priority{meanGainAt: math.Inf(-1), promptAt: math.Inf(-1)}}
+	return &Controller{priority: priority{meanWeightAt: math.Inf(-1), lastOnTimeAt: math.Inf(-1)}}
 }
 
-// SetCapacity sets the capacity of a backend as it was kept from before the start.
+// SetCapacity sets the capacity of a backend as known from before the start.
 func (c *Controller) SetCapacity(capacity float64) { c.capacity = capacity }
 
-// Capacity returns the capacity that was set, to be kept for the next life; 0: there is none.
+// Capacity returns the capacity that was set, to be stored for the relay's next start, or 0 if none was set.
 func (c *Controller) Capacity() float64 {
 	if c == nil {
 		return 0
@@ -51,63 +56,66 @@
 	return c.capacity
 }
 
-// SetRecovering sets whether the fleet recovers, and which share of what backends in slow start bear is this
-// relay's, by how many relays there are and how many clients each rejects; 0: an even one. Whatever others say, it
-// is never more than 1.6 even shares: so all relays together, with what each has saved, stay under nine tenths of
-// what backends bear within any span.
+// SetRecovering sets whether the fleet is recovering, this relay's share of the overload limit of backends in slow
+// start, and the number of relays. The share depends on the number of relays and the clients that each rejects; 0
+// means an even share. It is capped at 1.6 even shares (maxEvenShareMultiple) whatever other relays report, so that
+// all relays together, including the budget that each has saved, stay below nine tenths of the backends' overload
+// limit within any overload span.
 func (c *Controller) SetRecovering(recovering bool, share, relays float64) {
 	c.recovering = recovering
 	c.capacityShare = 1 / relays
 	if share > 0 {
-		c.capacityShare = min(share, maxEvenShares/relays)
+		c.capacityShare = min(share, maxEvenShareMultiple/relays)
 	}
 }
 
-// isRecovering tells whether the fleet recovers. It may be called on nil, as all that follow.
+// isRecovering reports whether the fleet is recovering. It may be called on a nil Controller, like all methods below.
 func (c *Controller) isRecovering() bool { return c != nil && c.recovering }
 
-// isBudgeted tells whether backends in slow start get this package's budget: the fleet recovers, and it is known
-// what a backend bears.
-func (c *Controller) isBudgeted() bool { return c.isRecovering() && c.capacity > 0 }
+// usesRecoveryBudget reports whether backends in slow start get this package's budget: the fleet is recovering and the
+// capacity of a backend is known.
+func (c *Controller) usesRecoveryBudget() bool { return c.isRecovering() && c.capacity > 0 }
 
-// EstimateCapacity returns a backend's capacity, by what this relay has measured of so many sessions, and by what
-// was kept as far as those are few.
+// EstimateCapacity returns the estimated capacity of a backend. It weighs what this relay has measured over the given
+// number of sessions against the capacity known from before the start, which counts less the more sessions there are.
 func (c *Controller) EstimateCapacity(measured, sessions float64) float64 {
 	if c == nil || c.capacity == 0 {
 		return measured
 	}
-	return (measured*sessions + c.capacity*keptCapacityWeight) / (sessions + keptCapacityWeight)
+	return (measured*sessions + c.capacity*restoredCapacityWeight) / (sessions + restoredCapacityWeight)
 }
 
-// SlowStartBudget returns this relay's budget for backends in slow start, in sessions of the mean load for each
-// millisecond and backend's capacity.
+// SlowStartBudget returns this relay's budget for backends in slow start, in sessions of the mean load per
+// millisecond, for the whole capacity of one backend.
+//
+// A backend's full capacity is the given number of sessions. It starts with that times initial, and fails if multiple
+// times its present capacity arrives within the overload span.
 //
-// A backend's capacity is that many sessions. It starts with the part from of it, and falls over at that multiple
-// of its present capacity within the span. Usual is the budget that fills backends over their warm-up, as they
-// warm up beside others; it is returned unless the fleet recovers, half of the usable backends warm up, and it is
-// known what one bears. Then there is no warm backend that could serve meanwhile, and the budget is a share of
-// what those that warm up bear within the span.
-func (c *Controller) SlowStartBudget(sessions, multiple, from, span, usual, warmingUp, usable float64) float64 {
-	if !c.isBudgeted() || 2*warmingUp <= usable {
+// The usual budget fills backends over their slow start while others are warm. It is returned unless the fleet is
+// recovering, more than half of the usable backends are warming up and a backend's capacity is known. In that case
+// there are too few warm backends to serve meanwhile, and the budget is a share of the overload limit of those in
+// slow start.
+func (c *Controller) SlowStartBudget(sessions, multiple, initial, span, usual, warmingUp, usable float64) float64 {
+	if !c.usesRecoveryBudget() || 2*warmingUp <= usable {
 		return usual
 	}
-	return recoveryShare(multiple*sessions*from) * multiple * sessions / span * c.capacityShare
+	return targetShare(multiple*sessions*initial) * multiple * sessions / span * c.capacityShare
 }
 
-// recoveryShare returns the share of what backends in slow start bear within a span, of so many sessions for one
-// of them, that all relays together aim to send. Sessions come to a backend by chance and differ in load: the
-// fewer it bears, the further under that the mean has to lie.
-func recoveryShare(bearable float64) float64 {
-	root := (math.Sqrt(deviationRoots*deviationRoots+4*bearable) - deviationRoots) / 2
-	return min(root*root/max(bearable, 1), maxMeanShare)
+// targetShare returns the share of the overload limit of backends in slow start that all relays together aim to send
+// within an overload span. The limit is that of one backend, in sessions. Sessions are spread over the backends by
+// chance and differ in load, so the lower the limit, the further below it the mean load has to stay.
+func targetShare(overloadLimit float64) float64 {
+	root := (math.Sqrt(loadMarginFactor*loadMarginFactor+4*overloadLimit) - loadMarginFactor) / 2
+	return min(root*root/max(overloadLimit, 1), maxTargetShare)
 }
 
-// ShouldRedraw tells whether queued sessions ask for a backend in slow start anew each time.
-func (c *Controller) ShouldRedraw() bool { return c.isBudgeted() }
+// ShouldRedraw reports whether a queued session draws a backend in slow start again at each of its assignments.
+func (c *Controller) ShouldRedraw() bool { return c.usesRecoveryBudget() }
 
-// OfferedShare returns the share of the budget saved since the last request that a session of that priority weight
-// is offered. The rest is left to the next. Those of the highest weight go first, and clients that come back at the
-// time they were told.
+// OfferedShare returns the share of the budget saved since the last session asked for a backend in slow start that is
+// offered to a session of the given priority weight. The rest is left to the sessions after it. Sessions of the
+// highest weight, and clients that come back at the time they were given, go first.
 func (c *Controller) OfferedShare(weight float64, key uint64, now float64) float64 {
 	if !c.isRecovering() {
 		return 1
@@ -115,20 +123,21 @@
 	return c.priority.offeredShare(weight, now, c.reservations.isDue(key, now))
 }
 
-// SavedTimeLimit returns for how much of the time since the last request the budget is saved, of the span in which
-// a backend falls over.
+// SavedTimeLimit returns the longest time since the last session's request for which unused budget is saved: a share
+// of the overload span during recovery, and the usual limit otherwise.
 func (c *Controller) SavedTimeLimit(span, usual float64) float64 {
-	if c.isBudgeted() {
+	if c.usesRecoveryBudget() {
 		return maxSavedShare * span
 	}
 	return usual
 }
 
-// UnusedTime returns what a session leaves to the next of the time since the last request: what it was not offered,
-// and what it did not need, as one session is never more than one.
-func (c *Controller) UnusedTime(since, offered, due float64) float64 {
+// UnusedTime returns the part of the elapsed time since the last session's request that a session leaves to the next:
+// the time whose budget it was not offered, and the part of the offered time that it did not need. Due is the number
+// of sessions that the offered budget would cover, of which a session uses at most one.
+func (c *Controller) UnusedTime(elapsed, offered, due float64) float64 {
 	if !c.isRecovering() {
 		return 0
 	}
-	return since - offered/max(due, 1)
+	return elapsed - offered/max(due, 1)
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever the others say, and however capacity is shared, all relays together send backends in slow start no more
-// within any span than nine tenths of what they bear, what each has saved included.
+// Whatever shares the relays are given, all relays together send backends in slow start at most nine tenths of their
+// overload limit within any overload span, including the budget that each relay has saved.
 func TestSharesAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		relays := rapid.IntRange(1, 300).Draw(t, "relays")
@@ -21,17 +21,18 @@
 		for range relays {
 			c := New()
 			c.SetCapacity(capacity)
-			share := rapid.OneOf(rapid.Float64Range(0, 2), rapid.Just(math.Inf(1)), rapid.Just(-1.0)).Draw(t, "part")
+			share := rapid.OneOf(rapid.Float64Range(0, 2), rapid.Just(math.Inf(1)), rapid.Just(-1.0)).Draw(t, "share")
 			c.SetRecovering(true, share, float64(relays))
 			sum += c.SlowStartBudget(sessions, 3, 1, 2000, 0, 2, 2) * (2000 + c.SavedTimeLimit(2000, 3000))
 		}
 		if limit := 0.9 * 3 * sessions; sum > limit*(1+1e-9) {
-			t.Fatalf("%d relays come to %v, %v at the most", relays, sum, limit)
+			t.Fatalf("%d relays send %v sessions in all, want %v at most", relays, sum, limit)
 		}
 	})
 }
 
-// The time that sessions of a low weight are not offered is left to those of a high one, never given twice.
+// Sessions of a high priority weight are offered a larger share of the budget than those of a low weight, and no
+// session is offered more than all of it. If all weights are low, each is offered all of it.
 func TestHighWeightsFirst(t *testing.T) {
 	c := New()
 	weights := [2]float64{1, 8}
@@ -49,10 +50,11 @@
 	assert.Greater(t, shares[1]/count[1], 2*shares[0]/count[0])
 	c = New()
 	c.SetRecovering(true, 0.5, 2)
-	assert.InDelta(t, 1, c.OfferedShare(1, 0, 5000), 1e-9, "where all weights are low, they are offered all")
+	assert.InDelta(t, 1, c.OfferedShare(1, 0, 5000), 1e-9, "sessions are offered the whole budget if all weights are low")
 }
 
-// Clients that come back at the time they were told go before newcomers, also after the relay's next start.
+// Clients that come back at the time they were given are served before newcomers, also after a restart of the relay.
+// Reservations at impossible times, stored under a wrong clock, are not restored.
 func TestReservations(t *testing.T) {
 	c := New()
 	c.SetRecovering(true, 0.5, 2)
@@ -73,6 +75,6 @@
 	assert.InDelta(t, newcomerShare, next.OfferedShare(1, 999, 1000+waits[6]+1), 1e-9)
 
 	next = New()
-	next.RestoreReservations(1200, 1000, map[uint64]float64{7: 1200 + 3.6e6, 8: 5}) // of a clock that was wrong
+	next.RestoreReservations(1200, 1000, map[uint64]float64{7: 1200 + 3.6e6, 8: 5}) // from a wrong clock
 	assert.Empty(t, next.Reservations(1200, 1000))
 }
--- a/internal/admission/priority.go
+++ b/internal/admission/priority.go
@@ -3,29 +3,31 @@
 import "math"
 
 const (
-	minOfferedShare = 0.25  // of the lowest priority weight
-	gainWindow      = 500.0 // over which the mean weight is taken, and clients that came in time are remembered
-	newcomerShare   = 0.5   // of those without a reservation, while others come at the time they were told
+	minOfferedShare = 0.25 // least share of the saved budget offered to a session for its priority weight, however low
+	// priorityWindow is the time constant of the mean priority weight, and the time for which newcomers are offered
+	// less after a client came back at the time it was given, in milliseconds.
+	priorityWindow = 500.0
+	newcomerShare  = 0.5 // factor on the share of clients without a reservation, while others come back on time
 )
 
-// priority orders sessions that ask for a backend in slow start.
+// priority decides which sessions that ask for a backend in slow start go first.
 type priority struct {
-	meanGain   float64 // mean priority weight of those that asked of late
-	meanGainAt float64
-	promptAt   float64 // when the last client came back at the time it was told
+	meanWeight   float64 // mean priority weight of the sessions that asked recently
+	meanWeightAt float64 // when meanWeight was last updated
+	lastOnTimeAt float64 // when a client last came back at the time it was given
 }
 
-// offeredShare returns which share of the budget a session of that weight is offered. IsPrompt: its client comes
-// back at the time it was told.
-func (p *priority) offeredShare(weight, now float64, isPrompt bool) float64 {
-	fade := math.Exp((p.meanGainAt - now) / gainWindow)
-	p.meanGain = p.meanGain*fade + weight*(1-fade)
-	p.meanGainAt = now
-	share := max(min(weight/p.meanGain, 1), minOfferedShare)
+// offeredShare returns the share of the saved budget that a session of the given weight is offered. If isOnTime, its
+// client comes back at the time it was given.
+func (p *priority) offeredShare(weight, now float64, isOnTime bool) float64 {
+	decay := math.Exp((p.meanWeightAt - now) / priorityWindow)
+	p.meanWeight = p.meanWeight*decay + weight*(1-decay)
+	p.meanWeightAt = now
+	share := max(min(weight/p.meanWeight, 1), minOfferedShare)
 	switch {
-	case isPrompt:
-		p.promptAt = now
-	case now < p.promptAt+gainWindow:
+	case isOnTime:
+		p.lastOnTimeAt = now
+	case now < p.lastOnTimeAt+priorityWindow:
 		share *= newcomerShare
 	}
 	return share
--- a/internal/admission/reservations.go
+++ b/internal/admission/reservations.go
@@ -1,20 +1,20 @@
 package admission
 
 const (
-	// reservationEarly and reservationLate are how far from the time that a client was told it may come back.
-	reservationEarly = 300.0
-	reservationLate  = 700.0
-	// reservationRotation is how long a half of the reservations is written to, and then kept.
+	reservationEarly = 300.0 // milliseconds by which a client may come back before the time it was given
+	reservationLate  = 700.0 // milliseconds by which a client may come back after the time it was given
+	// reservationRotation is for how many milliseconds reservations are added to one generation before the next one
+	// replaces it. The former generation is kept for as long again.
 	reservationRotation = 10000.0
-	maxReservations     = 1 << 16 // in each half
+	maxReservations     = 1 << 16 // number of reservations in one generation
 )
 
-// reservations are the times at which rejected clients were told to come back, by key. There are two halves, the
-// older of which is dropped as a whole.
+// reservations are the times at which rejected clients were told to come back, by key. They are kept in two
+// generations, so that old ones are dropped all at once.
 type reservations struct {
-	recent    map[uint64]float64
-	older     map[uint64]float64
-	rotatedAt float64
+	recent    map[uint64]float64 // the generation that is added to
+	older     map[uint64]float64 // the generation before it
+	rotatedAt float64            // when the recent generation was begun
 }
 
 func (r *reservations) add(now float64, key uint64, due float64) {
@@ -28,7 +28,8 @@
 	}
 }
 
-// isDue tells whether the client of that key was told to come back about now. A key of 0 is no client's.
+// isDue reports whether the client with that key was told to come back about now. Key 0 stands for a client without a
+// key.
 func (r *reservations) isDue(key uint64, now float64) bool {
 	if key == 0 {
 		return false
@@ -40,19 +41,19 @@
 	return isReserved && now > due-reservationEarly && now < due+reservationLate
 }
 
-// RetryAfter returns after which time a client of that key that is rejected is told to come back, at the most
-// longest. While the fleet recovers it is drawn from the second half of that, so that clients don't all come at
-// one moment; the draw is from 0 to 1.
-func (c *Controller) RetryAfter(longest float64, key uint64, now, draw float64) float64 {
-	if !c.isRecovering() || longest <= 0 {
-		return longest
+// RetryAfter returns the time after which a rejected client with that key is told to come back, maxWait at most. While
+// the fleet is recovering, the time is spread over the second half of maxWait by a random number from 0 to 1, so that
+// clients don't all come back at the same moment, and it is recorded as a reservation.
+func (c *Controller) RetryAfter(maxWait float64, key uint64, now, random float64) float64 {
+	if !c.isRecovering() || maxWait <= 0 {
+		return maxWait
 	}
-	wait := longest * (0.5 + 0.5*draw)
+	wait := maxWait * (0.5 + 0.5*random)
 	c.reservations.add(now, key, now+wait)
 	return wait
 }
 
-// DropReservation forgets the reservation of that key: others hold it, and it is looked up there.
+// DropReservation removes the reservation of that key, because other relays store it and it is looked up there.
 func (c *Controller) DropReservation(key uint64) {
 	if c == nil {
 		return
@@ -61,14 +62,14 @@
 	delete(c.reservations.older, key)
 }
 
-// Reservations returns up to limit reservations, by key, whose times lie ahead or just behind.
+// Reservations returns up to limit reservations, by key, that can still be used.
 func (c *Controller) Reservations(now float64, limit int) map[uint64]float64 {
 	reserved := map[uint64]float64{}
 	if c == nil {
 		return reserved
 	}
-	for _, half := range []map[uint64]float64{c.reservations.older, c.reservations.recent} {
-		for key, due := range half {
+	for _, generation := range []map[uint64]float64{c.reservations.older, c.reservations.recent} {
+		for key, due := range generation {
 			if now < due+reservationLate && len(reserved) < limit {
 				reserved[key] = due
 			}
@@ -77,11 +78,11 @@
 	return reserved
 }
 
-// RestoreReservations takes the reservations of the life before, but for those at times that no client could have
-// been told: longest is the longest wait.
-func (c *Controller) RestoreReservations(now, longest float64, reserved map[uint64]float64) {
+// RestoreReservations adds reservations from before the start or from another relay. It leaves out those that have
+// expired, and those further ahead than maxWait, which no client can have been given.
+func (c *Controller) RestoreReservations(now, maxWait float64, reserved map[uint64]float64) {
 	for key, due := range reserved {
-		if now < due+reservationLate && due < now+longest {
+		if now < due+reservationLate && due < now+maxWait {
 			c.reservations.add(now, key, due)
 		}
 	}
