--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -6,42 +6,44 @@
 	"math"
 )
 
-// A datagram is a header, states and a tag that seals both. Numbers are little-endian.
+// A datagram consists of a header, member states and a tag that authenticates both. Fixed-size numbers are
+// little-endian.
 //
-//	magic "vsp", version      4 bytes
-//	1: asks for an answer     1 byte
-//	number of states          2 bytes
-//	sender's clock, as a      8 bytes
-//	float64 of milliseconds
-//	states, the sender's first
-//	tag                       datagramTagBytes
+//	magic "vsp", version                4 bytes
+//	1 if the sender asks for an answer  1 byte
+//	number of states                    2 bytes
+//	sender's clock in milliseconds,     8 bytes
+//	as a float64
+//	states, the sender's own first      variable
+//	tag                                 datagramTagBytes
 //
-// A state is its name, zone, region and address, each with a length of one byte before it; a byte of flags (bit
-// 0: draining, above it the phase); the incarnation in 8 bytes; and the numbers of appendState as varints.
+// A state consists of the name, zone, region and address, each preceded by its length in one byte; a byte of flags
+// (bit 0 is draining, the bits above it are the phase); the incarnation in 8 bytes; and the numbers in the order of
+// appendState as varints.
 const (
 	protocolVersion  = 2
 	headerBytes      = 4 + 1 + 2 + 8
 	asksOffset       = 4
 	countOffset      = 5
 	clockOffset      = 7
-	maxDatagramBytes = 1200 // fits into one packet on any network
-	maxTextBytes     = 64   // of a name, zone, region or address; longer ones are cut
-	maxAgeMillis     = 1e15
-	stateNumbers     = 8 // varints of a state
+	maxDatagramBytes = 1200 // bytes of a datagram, which fit into one packet on any network
+	maxTextBytes     = 64   // bytes of a name, zone, region or address; longer ones are truncated
+	maxAgeMillis     = 1e15 // milliseconds; higher ages are sent as this
+	stateNumbers     = 8    // number of varints in a state
 )
 
 var magic = [4]byte{'v', 's', 'p', protocolVersion}
 
 var errMalformed = errors.New("decode membership datagram: malformed")
 
-// datagramBody is what a datagram says.
+// datagramBody is the decoded content of a datagram.
 type datagramBody struct {
 	asksForAnswer bool
-	clock         float64 // the sender's, in milliseconds; may be any number
-	states        []MemberState
+	clock         float64       // the sender's clock in milliseconds; may be NaN or infinite
+	states        []MemberState // the sender's own state first
 }
 
-// appendHeader appends the header of a datagram; setStateCount completes it.
+// appendHeader appends the header of a datagram. The number of states is filled in by setStateCount.
 func appendHeader(to []byte, asksForAnswer bool, clock float64) []byte {
 	to = append(to, magic[:]...)
 	asks := byte(0)
@@ -57,7 +59,7 @@
 	binary.LittleEndian.PutUint16(datagram[countOffset:], uint16(count))
 }
 
-// decodeDatagram reads a datagram without its tag. It has one state at the least.
+// decodeDatagram decodes a datagram whose tag has been removed. A datagram without states is malformed.
 func decodeDatagram(body []byte) (datagramBody, error) {
 	if len(body) < headerBytes {
 		return datagramBody{}, errMalformed
@@ -77,7 +79,7 @@
 	}, nil
 }
 
-// appendState appends the encoded state.
+// appendState appends the encoding of a state.
 func appendState(to []byte, s MemberState) []byte {
 	for _, text := range []string{s.Name, s.Zone, s.Region, s.Address} {
 		text = text[:min(len(text), maxTextBytes)]
@@ -106,7 +108,7 @@
 	return to
 }
 
-// decodeStates reads so many states, which must take up all of data.
+// decodeStates decodes count states, which must take up all of data.
 func decodeStates(data []byte, count int) (states []MemberState, err error) {
 	for range count {
 		var s MemberState
@@ -122,7 +124,7 @@
 	return states, nil
 }
 
-// decodeState reads one state and returns what follows it.
+// decodeState decodes one state and returns the data after it.
 func decodeState(data []byte) (s MemberState, rest []byte, err error) {
 	for _, text := range []*string{&s.Name, &s.Zone, &s.Region, &s.Address} {
 		*text, data, err = decodeText(data)
@@ -148,7 +150,7 @@
 		data = data[size:]
 	}
 	boot, waitingClients, sessions := numbers[0], numbers[4], numbers[5]
-	// A boot is counted on from, and so must not be the last.
+	// RestoreBoot adds 1 to a boot number, so the highest number is not accepted.
 	if boot == math.MaxUint64 || waitingClients > math.MaxUint32 || sessions > math.MaxUint32 {
 		return s, nil, errMalformed
 	}
@@ -163,7 +165,7 @@
 	return s, data, nil
 }
 
-// decodeText reads a text with its length before it and returns what follows it.
+// decodeText decodes a text preceded by its length in one byte and returns the data after it.
 func decodeText(data []byte) (text string, rest []byte, err error) {
 	if len(data) < 1 {
 		return "", nil, errMalformed
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew, from what the code writes now")
+var update = flag.Bool("update", false, "rewrite the golden files with the output of the present code")
 
-// golden returns the content of a golden file; with -update it writes the file first.
+// golden returns the content of a golden file. With -update it first writes now to the file.
 func golden(t *testing.T, name string, now []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -27,11 +27,12 @@
 }
 
 const (
-	goldenTime = 90000.0 // when the datagrams of the golden files are sent
+	goldenTime = 90000.0 // milliseconds at which the datagrams of the golden files are sent
 	goldenFrom = "10.0.0.1:7000"
 )
 
-// goldenStates are a sender's own state and what it passes on of two others, with no field left zero.
+// goldenStates returns a sender's own state and two states that it passes on. Every encoded field is non-zero in one of
+// them at least.
 func goldenStates() (own, second, third MemberState) {
 	own = MemberState{Name: "relay-1", Zone: "a", Region: "north", Address: goldenFrom, Boot: 7, Incarnation: 0x0102030405060708,
 		Phase: 2, EndpointsVersion: 314, PlacedLoad: 123456, WaitingClients: 21, Sessions: 1999, OrderNumber: 5, Draining: true}
@@ -43,7 +44,7 @@
 	return own, second, third
 }
 
-// goldenSender is a relay that has heard of two others and sends at goldenTime.
+// goldenSender returns the view of a relay that knows two other members and sends at goldenTime.
 func goldenSender() *View {
 	own, second, third := goldenStates()
 	v := New(1000, own, []string{"10.0.0.9:7000"}, key, rand.New(rand.NewSource(1)))
@@ -54,7 +55,7 @@
 	return v
 }
 
-// Datagrams are read as what the golden file was written from, and written as the same bytes.
+// Datagrams are decoded into the states that the golden files were written from, and encoded as the same bytes.
 func TestGoldenDatagrams(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -88,7 +89,7 @@
 	}
 }
 
-// A datagram's plain part: the states alone, without the header and the seal.
+// The states of a datagram without its header and tag are encoded as in the golden file, and decoded from it.
 func TestGoldenStates(t *testing.T) {
 	own, second, third := goldenStates()
 	own.Heartbeat, own.AgeMillis = 44, 89000
@@ -103,7 +104,7 @@
 	assert.Equal(t, []MemberState{own, second, third}, states)
 }
 
-// A sealed request to another relay.
+// A sealed message to another relay has the bytes of the golden file, and can be opened.
 func TestGoldenSealed(t *testing.T) {
 	body := []byte("question: what do you hold?")
 	want := golden(t, "sealed.bin", Seal(key, body))
@@ -113,7 +114,7 @@
 	assert.Equal(t, body, opened)
 }
 
-// The counts of the wire, as the status of the fleet has them.
+// The counts of datagrams have the JSON form that the status of the fleet contains.
 func TestGoldenCounts(t *testing.T) {
 	counts := Counts{Sent: 1, SentBytes: 2, Received: 3, ReceivedBytes: 4, Unauthenticated: 5, Malformed: 6}
 	text, err := json.Marshal(counts)
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -3,19 +3,19 @@
 import "slices"
 
 const (
-	fanOut       = 2  // members that each round of gossip goes to
-	goneInterval = 10 // one round in so many goes to a gone member too: separated islands meet again
-	usualStates  = 20 // in a datagram, as a rule: from it the suspicion timeout is reckoned
+	fanOut              = 2  // number of members that each round of gossip is sent to
+	goneContactInterval = 10 // mean number of rounds between datagrams to gone members, which let partitions rejoin
+	typicalStates       = 20 // typical number of states in a datagram, from which the suspicion timeout is derived
 
-	// In a fleet of more than twice usualStates a datagram skips each state with this chance, so that not all
-	// relays pass on the same ones.
-	skipChance = 0.6
+	// skipProbability is the chance that a datagram leaves out a state, in a fleet of more than twice typicalStates
+	// members. It keeps the relays from all passing on the same states.
+	skipProbability = 0.6
 
-	maxAnswersPerSecond = 50 // so that a flood of datagrams does not have this relay flood others
+	maxAnswersPerSecond = 50 // answers per second, so that a flood of datagrams doesn't make this relay flood others
 )
 
-// selectTargets draws the addresses that this round of gossip goes to: members that are not gone; each time a
-// seed that has not answered yet; and now and then a member that is gone.
+// selectTargets draws the addresses that this round of gossip is sent to: members that are not gone, one seed that has
+// not answered yet, and from time to time a member that is gone.
 func (v *View) selectTargets(now float64) (targets []string) {
 	present, gone := v.addressesByLiveness(now)
 	silentSeeds := v.silentSeeds()
@@ -32,14 +32,14 @@
 		pick(present)
 	}
 	pick(silentSeeds)
-	if v.rng.Intn(goneInterval) == 0 || len(present) == 0 {
+	if v.rng.Intn(goneContactInterval) == 0 || len(present) == 0 {
 		pick(gone)
 	}
 	return targets
 }
 
-// addressesByLiveness returns the members' addresses in the order of their names. One that can't be reached
-// has an empty address.
+// addressesByLiveness returns the addresses of the members, ordered by name. The address of a member that can't be
+// reached is empty.
 func (v *View) addressesByLiveness(now float64) (present, gone []string) {
 	for _, name := range v.names {
 		m := v.members[name]
@@ -52,7 +52,7 @@
 	return present, gone
 }
 
-// silentSeeds returns the seeds from which no member has answered.
+// silentSeeds returns the seed addresses from which no member has answered.
 func (v *View) silentSeeds() (silent []string) {
 	for _, seed := range v.seeds {
 		if v.namesBySeed[seed] == "" {
@@ -62,8 +62,8 @@
 	return silent
 }
 
-// composeDatagram returns a datagram with this relay's state and as many others as there is room for, the
-// latest news first.
+// composeDatagram returns a datagram with this relay's state and as many states of other members as fit, the most
+// recently updated first.
 func (v *View) composeDatagram(now float64, to string, asksForAnswer bool) Datagram {
 	data := appendHeader(make([]byte, 0, maxDatagramBytes), asksForAnswer, now+v.ClockOffset)
 	v.local.AgeMillis = now - v.startedAt
@@ -72,9 +72,9 @@
 	for e := v.newestFirst.Front(); e != nil; e = e.Next() {
 		m := e.Value.(*Member)
 		if v.liveness(now, m) == Gone {
-			break // passed on, its state would make it look alive elsewhere, and so would all older ones
+			break // passing on this state or an older one would make a gone member look alive to other relays
 		}
-		if len(v.names) > 2*usualStates && v.rng.Float64() < skipChance {
+		if len(v.names) > 2*typicalStates && v.rng.Float64() < skipProbability {
 			continue
 		}
 		s := m.MemberState
@@ -93,20 +93,20 @@
 	return Datagram{To: to, Data: data}
 }
 
-// answerBudget is a token bucket that limits the answers.
+// answerBudget is a token bucket that limits the rate of answers.
 type answerBudget struct {
-	left      float64
+	tokens    float64
 	updatedAt float64
 }
 
-// take takes one answer from the budget, and tells whether there was one.
+// take takes a token for one answer and reports whether there was one.
 func (b *answerBudget) take(now float64) bool {
 	earned := (now - b.updatedAt) * maxAnswersPerSecond / 1000
-	b.left = min(b.left+earned, maxAnswersPerSecond)
+	b.tokens = min(b.tokens+earned, maxAnswersPerSecond)
 	b.updatedAt = now
-	if b.left < 1 {
+	if b.tokens < 1 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,13 +1,13 @@
-// Package membership tracks by gossip which relays of a fleet are alive, suspected or gone, under which
-// incarnation each runs, and what each last said of itself.
+// Package membership tracks by gossip which relays of a fleet are alive, suspected or gone, the incarnation of each,
+// and the state that each last announced.
 //
-// Every period a relay sends a few datagrams, each with its own state and as many states of others as fit. Of
-// two states of one relay the later one counts (by boot, then by heartbeat), so datagrams that are lost,
-// delayed, duplicated or reordered take nothing back. Nobody waits for an answer.
+// In every period a relay sends a few datagrams, each with its own state and as many states of other relays as fit.
+// Of two states of one relay the later one counts (by boot, then by heartbeat), so that lost, delayed, duplicated or
+// reordered datagrams never revert a state. Nothing waits for an answer.
 //
-// The package does no I/O and reads no clock: callers pass the time and received datagrams in and send the
-// datagrams that they get back. All times are milliseconds of the caller's clock. A View is not safe for
-// concurrent use.
+// The package does no I/O and reads no clock: callers pass in the time and the received datagrams, and send the
+// datagrams that they get back. All times are milliseconds of the caller's clock. A View is not safe for concurrent
+// use.
 package membership
 
 import (
@@ -19,22 +19,22 @@
 )
 
 const (
-	gossipPeriod = 200.0 // milliseconds between two rounds of gossip, on average
-	periodJitter = 0.2   // of the period: it is drawn from this range around its mean
+	gossipPeriod = 200.0 // mean milliseconds between two rounds of gossip
+	periodJitter = 0.2   // width of the range around the mean from which each period is drawn, as a share of the mean
 
-	// A gap between two ticks that is longer than the period by this much means that this process was stopped:
-	// the silence of the others meanwhile does not count against them.
-	stoppedAfter = 1000.0
+	// suspensionThreshold is by how many milliseconds a gap between two ticks must exceed the period for this process
+	// to count as having been suspended. The silence of other relays during that time does not count against them.
+	suspensionThreshold = 1000.0
 )
 
-// Counts are the datagrams that were sent and received.
+// Counts are the numbers of datagrams sent and received since the start, and of their bytes.
 type Counts struct {
 	Sent            uint64 `json:"Sent"`
 	SentBytes       uint64 `json:"SentBytes"`
 	Received        uint64 `json:"Heard"`
 	ReceivedBytes   uint64 `json:"HeardBytes"`
-	Unauthenticated uint64 `json:"Refused"` // sealed with another key, or changed on the way
-	Malformed       uint64 `json:"Strange"` // of another version, or not readable
+	Unauthenticated uint64 `json:"Refused"` // datagrams sealed with another key or changed on the way
+	Malformed       uint64 `json:"Strange"` // datagrams of another version or that can't be decoded
 }
 
 // Datagram is a packet to be sent to an address.
@@ -43,16 +43,16 @@
 	Data []byte
 }
 
-// View is what one relay knows of the fleet, and its side of the gossip.
+// View is one relay's view of the fleet and its part in the gossip.
 type View struct {
-	// Counts are the datagrams up to now.
+	// Counts are the numbers of datagrams so far.
 	Counts Counts
-	// ClockOffset is what the machine's clock is ahead of the times that are passed in, in milliseconds.
-	// Others learn it from this relay's datagrams.
+	// ClockOffset is by how many milliseconds the machine's clock is ahead of the times that are passed in.
+	// Other relays learn it from this relay's datagrams.
 	ClockOffset float64
-	// SeedsOnly has others reached by the seeds' addresses alone, not by those that they announce.
+	// SeedsOnly makes other relays reachable only at the seed addresses, not at those that they announce.
 	SeedsOnly bool
-	// DuplicateSeenAt is when another process under this relay's name was last heard; 0: never.
+	// DuplicateSeenAt is when another process with this relay's name was last heard; 0 if never.
 	DuplicateSeenAt float64
 
 	local     MemberState
@@ -62,18 +62,18 @@
 	nextTick  float64
 	lastTick  float64
 
-	seeds       []string          // addresses
-	namesBySeed map[string]string // the member that answered from a seed's address
+	seeds       []string          // seed addresses
+	namesBySeed map[string]string // name of the member that answered from each seed address
 
-	members     map[string]*Member
-	names       []string   // of the members, sorted
-	newestFirst *list.List // of *Member, by when their state was last news
+	members     map[string]*Member // members by name
+	names       []string           // names of the members, sorted
+	newestFirst *list.List         // members (*Member), the most recently updated first
 
 	answers answerBudget
 }
 
-// New returns the view of a relay that starts now with a state of its own. Seeds are addresses where others may
-// be; the key is shared by the whole fleet.
+// New returns the view of a relay that starts now with the given state. Seeds are addresses at which other relays may
+// be found. The key is shared by the whole fleet.
 func New(now float64, local MemberState, seeds []string, key []byte, rng *rand.Rand) *View {
 	local.Boot = max(local.Boot, 1)
 	return &View{
@@ -87,15 +87,15 @@
 		namesBySeed: map[string]string{},
 		members:     map[string]*Member{},
 		newestFirst: list.New(),
-		answers:     answerBudget{left: maxAnswersPerSecond, updatedAt: now},
+		answers:     answerBudget{tokens: maxAnswersPerSecond, updatedAt: now},
 	}
 }
 
-// LocalState returns this relay's state as it stands.
+// LocalState returns this relay's current state.
 func (v *View) LocalState() MemberState { return v.local }
 
-// SetLocalState changes what this relay says of itself from the next datagram on. Name, boot, incarnation and
-// heartbeat stay as they are, and an operators' order that is later than the given one does too.
+// SetLocalState changes the state that this relay announces from the next datagram on. The name, boot, incarnation and
+// heartbeat stay as they are, and so does an operator order that is later than the given one.
 func (v *View) SetLocalState(s MemberState) {
 	s.Name = v.local.Name
 	s.Boot = v.local.Boot
@@ -105,8 +105,8 @@
 	v.local = s
 }
 
-// RestoreBoot takes the boot number that the disk had, and counts this start above it. The disk may be read
-// only after the first datagrams have gone out.
+// RestoreBoot makes this start's boot number higher than the given one, which was stored on the disk or is known to
+// other relays. It may be called after the first datagrams have been sent.
 func (v *View) RestoreBoot(boot uint64) {
 	if boot >= v.local.Boot {
 		v.local.Boot = boot + 1
@@ -117,12 +117,12 @@
 // NextTick returns when Tick is due.
 func (v *View) NextTick() float64 { return v.nextTick }
 
-// Tick returns the datagrams to be sent now. It returns none before NextTick.
+// Tick returns the datagrams to send now. It returns none before NextTick.
 func (v *View) Tick(now float64) (out []Datagram) {
 	if now < v.nextTick {
 		return nil
 	}
-	v.forgiveOwnStop(now)
+	v.discountOwnSuspension(now)
 	v.lastTick = now
 	v.nextTick = now + gossipPeriod*(1-periodJitter/2+periodJitter*v.rng.Float64())
 	v.local.Heartbeat++
@@ -133,10 +133,10 @@
 	return out
 }
 
-// forgiveOwnStop counts the time in which this process was stopped as no silence of the others.
-func (v *View) forgiveOwnStop(now float64) {
+// discountOwnSuspension leaves the time during which this process was suspended out of the other relays' silence.
+func (v *View) discountOwnSuspension(now float64) {
 	gap := now - v.lastTick - gossipPeriod
-	if gap <= stoppedAfter {
+	if gap <= suspensionThreshold {
 		return
 	}
 	for _, m := range v.members {
@@ -144,8 +144,8 @@
 	}
 }
 
-// Receive handles a datagram that came from an address and returns the answer to it, if it asks for one. A
-// datagram that is sealed with another key, of another version or malformed changes nothing but the counts.
+// Receive handles a datagram from an address and returns the answer, if the datagram asks for one. A datagram that is
+// sealed with another key, of another version or malformed changes only the counts.
 func (v *View) Receive(now float64, from string, data []byte) []Datagram {
 	v.Counts.Received++
 	v.Counts.ReceivedBytes += uint64(len(data))
@@ -164,7 +164,7 @@
 	}
 	sender := received.states[0].Name
 	if m := v.members[sender]; m != nil && !math.IsNaN(received.clock) && !math.IsInf(received.clock, 0) {
-		m.ClockOffset = received.clock - now // the time on the way, which is short, is neglected
+		m.ClockOffset = received.clock - now // ignores the network delay, which is short
 	}
 	if slices.Contains(v.seeds, from) {
 		v.bindSeed(from, sender)
@@ -175,7 +175,7 @@
 	return []Datagram{v.composeDatagram(now, from, false)}
 }
 
-// countRejected counts a datagram that was not taken in.
+// countRejected counts a datagram that was rejected with the given error.
 func (v *View) countRejected(err error) {
 	if errors.Is(err, errUnauthenticated) {
 		v.Counts.Unauthenticated++
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -16,8 +16,8 @@
 		name     string
 		relays   int
 		lossRate float64
-		joined   float64 // milliseconds until all know all
-		detected float64 // milliseconds until all see as gone one that died
+		joined   float64 // milliseconds within which every relay must know all others
+		detected float64 // milliseconds within which all relays must see a stopped relay as gone
 	}{
 		{"three relays", 3, 0, 2000, 4000},
 		{"twelve relays", 12, 0, 2000, 4000},
@@ -27,21 +27,21 @@
 		t.Run(c.name, func(t *testing.T) {
 			n := newNetwork(int64(c.relays))
 			n.lossRate = c.lossRate
-			n.doubleRate = 0.1
+			n.duplicationRate = 0.1
 			n.startAll(c.relays)
 			n.run(c.joined)
 			for at, v := range n.relays {
 				counts := countByLiveness(v, n.now)
 				require.Equal(t, c.relays-1, counts[Alive]+counts[Suspected], at)
 			}
-			falseDeaths := 0
+			falseDetections := 0
 			for range 100 {
 				n.run(200)
 				for _, v := range n.relays {
-					falseDeaths += countByLiveness(v, n.now)[Gone]
+					falseDetections += countByLiveness(v, n.now)[Gone]
 				}
 			}
-			assert.Zero(t, falseDeaths, "in 20 s")
+			assert.Zero(t, falseDetections, "false detections in 20 s")
 			dead := c.relays - 1
 			delete(n.relays, address(dead))
 			n.run(c.detected)
@@ -53,7 +53,8 @@
 	}
 }
 
-// A relay that was stopped and goes on sees nobody else as gone, and is back at once for the others.
+// A relay whose process was suspended sees no other relay as gone when it resumes, and the others soon see it as alive
+// again.
 func TestStoppedProcessResumes(t *testing.T) {
 	n := newNetwork(3)
 	n.startAll(9)
@@ -68,13 +69,13 @@
 	assert.Equal(t, Alive, find(n.relays[address(0)], n.now, name(4)).Liveness)
 }
 
-// Two islands see each other as gone, and find each other again without a seed's help.
+// The members of two network partitions see each other as gone, and rejoin afterwards without the help of a seed.
 func TestSeparatedIslandsMeetAgain(t *testing.T) {
 	n := newNetwork(4)
 	n.startAll(12)
 	n.run(3000)
-	isOnIsland := func(at string) bool { return at < address(6) && len(at) == len(address(1)) }
-	n.isCut = func(from, to string) bool { return isOnIsland(from) != isOnIsland(to) }
+	isOnFirstSide := func(at string) bool { return at < address(6) && len(at) == len(address(1)) }
+	n.isCut = func(from, to string) bool { return isOnFirstSide(from) != isOnFirstSide(to) }
 	n.run(8000)
 	assert.NotZero(t, countByLiveness(n.relays[address(11)], n.now)[Gone])
 	n.isCut = func(string, string) bool { return false }
@@ -84,7 +85,7 @@
 	}
 }
 
-// setOrder gives a relay an operators' order.
+// setOrder gives a relay an operator order.
 func setOrder(v *View, number uint64, draining bool) {
 	s := v.LocalState()
 	s.OrderNumber = number
@@ -92,7 +93,8 @@
 	v.SetLocalState(s)
 }
 
-// A relay that has forgotten its former incarnations takes a boot above them, and the order that it had.
+// A relay that has lost its stored state learns from other relays the operator order that it had, and a boot higher
+// than those of its former incarnations.
 func TestForgottenStateIsLearnedFromOthers(t *testing.T) {
 	n := newNetwork(5)
 	n.startAll(5)
@@ -103,7 +105,7 @@
 		oldBoot := n.relays[address(4)].LocalState().Boot
 		delete(n.relays, address(4))
 		n.run(1000)
-		v = n.start(4, 1) // a wiped disk
+		v = n.start(4, 1) // the disk was wiped
 		n.run(1000)
 		assert.Greater(t, v.LocalState().Boot, oldBoot)
 		assert.Equal(t, uint64(7), v.LocalState().OrderNumber)
@@ -113,14 +115,15 @@
 	n.run(1000)
 	delete(n.relays, address(4))
 	v = n.start(4, 1)
-	v.local.OrderNumber = 7 // from an older copy of the disk
+	v.local.OrderNumber = 7 // the disk is an older copy
 	v.local.Draining = true
 	n.run(2000)
 	assert.Equal(t, uint64(8), v.LocalState().OrderNumber)
 	assert.False(t, v.LocalState().Draining)
 }
 
-// Two processes under one name see each other, and no third relay is told of a duplicate by what is passed on.
+// Two processes with the same name detect each other. A third relay, which only receives states that were passed on,
+// doesn't detect a duplicate of itself.
 func TestDuplicateProcessIsSeen(t *testing.T) {
 	n := newNetwork(6)
 	n.startAll(5)
@@ -138,10 +141,10 @@
 func TestBadDatagramsAreRejected(t *testing.T) {
 	n := newNetwork(7)
 	v := n.start(0, 1)
-	stranger := New(n.now, MemberState{Name: "x", Address: address(1), Incarnation: 5}, nil,
+	otherKeySender := New(n.now, MemberState{Name: "x", Address: address(1), Incarnation: 5}, nil,
 		[]byte("another key"), n.rng)
-	friend := New(n.now, MemberState{Name: "y", Address: address(2), Incarnation: 6}, nil, key, n.rng)
-	good := friend.composeDatagram(n.now, address(0), true).Data
+	sender := New(n.now, MemberState{Name: "y", Address: address(2), Incarnation: 6}, nil, key, n.rng)
+	good := sender.composeDatagram(n.now, address(0), true).Data
 	withByte := func(at int, value byte) []byte {
 		data := slices.Clone(good)
 		data[at] = value
@@ -150,9 +153,9 @@
 	for _, c := range []struct {
 		name string
 		data []byte
-		want Counts // but for what was received
+		want Counts // expected increase of the counts of rejected datagrams
 	}{
-		{"another key", stranger.composeDatagram(n.now, "", true).Data, Counts{Unauthenticated: 1}},
+		{"another key", otherKeySender.composeDatagram(n.now, "", true).Data, Counts{Unauthenticated: 1}},
 		{"nothing", nil, Counts{Malformed: 1}},
 		{"another version", withByte(3, 9), Counts{Malformed: 1}},
 		{"one bit flipped", withByte(30, good[30]^1), Counts{Unauthenticated: 1}},
@@ -169,12 +172,12 @@
 	}
 }
 
-// A flood of datagrams is answered no more often than the budget allows.
+// A flood of datagrams gets no more answers than the budget allows.
 func TestAnswersAreLimited(t *testing.T) {
 	n := newNetwork(7)
 	v := n.start(0, 1)
-	friend := New(n.now, MemberState{Name: "y", Address: address(2), Incarnation: 6}, nil, key, n.rng)
-	good := friend.composeDatagram(n.now, address(0), true).Data
+	sender := New(n.now, MemberState{Name: "y", Address: address(2), Incarnation: 6}, nil, key, n.rng)
+	good := sender.composeDatagram(n.now, address(0), true).Data
 	assert.NotEmpty(t, v.Receive(n.now, address(2), good))
 	answers := 0
 	for range 1000 {
@@ -183,7 +186,7 @@
 	assert.Less(t, answers, maxAnswersPerSecond)
 }
 
-// States in any order, duplicated or lost, come to the same as in order: the last of each relay.
+// States that arrive in any order, and twice, lead to the same result as in order: the latest state of each relay.
 func TestOrderOfStatesDoesNotMatter(t *testing.T) {
 	drawState := rapid.Custom(func(t *rapid.T) MemberState {
 		boot := rapid.Uint64Range(1, 3).Draw(t, "boot")
@@ -259,8 +262,8 @@
 	})
 }
 
-// What gossip costs a relay, and how long until a death is known to all: the figures are in
-// docs/design/recovery.md.
+// The benchmark measures the traffic of gossip for one relay, and the time until all relays detect that one has
+// stopped. The figures are in docs/design/recovery.md.
 func BenchmarkFleet(b *testing.B) {
 	for _, c := range []struct {
 		relays   int
@@ -271,25 +274,25 @@
 				n := newNetwork(1)
 				n.lossRate = c.lossRate
 				n.startAll(c.relays)
-				watched := n.relays[address(9)]
+				observer := n.relays[address(9)]
 				joined := 0.0
-				for joined < 60000 && countByLiveness(watched, n.now)[Alive] < c.relays-1 {
+				for joined < 60000 && countByLiveness(observer, n.now)[Alive] < c.relays-1 {
 					n.run(100)
 					joined += 100
 				}
 				n.run(5000)
-				before := watched.Counts
-				falseDeaths := 0
+				before := observer.Counts
+				falseDetections := 0
 				for range 20 {
 					n.run(500)
 					for i := range 10 {
-						falseDeaths += countByLiveness(n.relays[address(i)], n.now)[Gone]
+						falseDetections += countByLiveness(n.relays[address(i)], n.now)[Gone]
 					}
 				}
-				after := watched.Counts
+				after := observer.Counts
 				b.ReportMetric(float64(after.SentBytes-before.SentBytes)/10000, "kB/s")
 				b.ReportMetric(float64(after.Received-before.Received)/10, "heard/s")
-				b.ReportMetric(float64(falseDeaths), "false")
+				b.ReportMetric(float64(falseDetections), "false")
 				b.ReportMetric(joined/1000, "s/join")
 				delete(n.relays, address(5))
 				b.ReportMetric(detectionTime(n, name(5))/1000, "s/death")
@@ -298,7 +301,8 @@
 	}
 }
 
-// detectionTime runs until all see a relay as gone, and returns the milliseconds that it took, 90 s at most.
+// detectionTime runs the network until all relays see a relay as gone, for 90 s at most, and returns how many
+// milliseconds it took.
 func detectionTime(n *network, name string) (took float64) {
 	for took < 90000 {
 		n.run(200)
--- a/internal/membership/network_test.go
+++ b/internal/membership/network_test.go
@@ -8,26 +8,26 @@
 
 var key = []byte("a key of the fleet's")
 
-// network carries datagrams between relays under virtual time, in milliseconds.
+// network simulates a network that carries datagrams between relays. Its virtual time is in milliseconds.
 type network struct {
-	now        float64
-	rng        *rand.Rand
-	queue      eventQueue
-	nextSeq    int
-	relays     map[string]*View // by address
-	stopped    map[string]bool  // processes that do nothing, by address
-	lossRate   float64
-	doubleRate float64
-	isCut      func(from, to string) bool
+	now             float64
+	rng             *rand.Rand
+	queue           eventQueue
+	nextSeq         int
+	relays          map[string]*View // views by address
+	stopped         map[string]bool  // whether the process is suspended, by address
+	lossRate        float64
+	duplicationRate float64
+	isCut           func(from, to string) bool
 }
 
 type event struct {
 	at  float64
-	seq int // of two at one time the first scheduled comes first
+	seq int // sequence number, which orders events that are due at the same time
 	do  func()
 }
 
-// eventQueue is a heap with the next event at its top.
+// eventQueue is a heap of events, the earliest first.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -56,13 +56,13 @@
 	}
 }
 
-// after schedules an event.
+// after schedules an event in the given number of milliseconds.
 func (n *network) after(wait float64, do func()) {
 	n.nextSeq++
 	heap.Push(&n.queue, event{n.now + wait, n.nextSeq, do})
 }
 
-// run plays all events of that many milliseconds.
+// run executes the events of the given number of milliseconds.
 func (n *network) run(millis float64) {
 	until := n.now + millis
 	for len(n.queue) > 0 && n.queue[0].at <= until {
@@ -73,13 +73,13 @@
 	n.now = until
 }
 
-// address is where the relay of that number is.
+// address returns the address of a relay by its number.
 func address(i int) string { return fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250) }
 
-// name is the name of the relay of that number.
+// name returns the name of a relay by its number.
 func name(i int) string { return fmt.Sprintf("r%d", i) }
 
-// start starts a process of a relay. All know the first three relays as seeds.
+// start starts a process of a relay. The first three relays are the seeds of all others.
 func (n *network) start(i int, boot uint64) *View {
 	at := address(i)
 	var seeds []string
@@ -95,7 +95,7 @@
 	return v
 }
 
-// startAll starts so many relays for the first time.
+// startAll starts the given number of relays for the first time.
 func (n *network) startAll(count int) {
 	for i := range count {
 		n.start(i, 1)
@@ -122,12 +122,12 @@
 	}
 }
 
-// drawCopies returns how often a datagram arrives.
+// drawCopies draws how many copies of a datagram arrive.
 func (n *network) drawCopies() int {
 	if n.rng.Float64() < n.lossRate {
 		return 0
 	}
-	if n.rng.Float64() < n.doubleRate {
+	if n.rng.Float64() < n.duplicationRate {
 		return 2
 	}
 	return 1
@@ -141,7 +141,7 @@
 	n.send(d.To, to.Receive(n.now, from, d.Data))
 }
 
-// countByLiveness counts the members of a view as it sees them now.
+// countByLiveness returns the number of members of a view at each level of liveness.
 func countByLiveness(v *View, now float64) (counts [Gone + 1]int) {
 	for _, m := range v.Members(now) {
 		counts[m.Liveness]++
@@ -149,7 +149,7 @@
 	return counts
 }
 
-// find returns a member as a view sees it now; one that it does not know is gone.
+// find returns the state of a member in a view. A member that the view doesn't know counts as gone.
 func find(v *View, now float64, name string) Member {
 	for _, m := range v.Members(now) {
 		if m.Name == name {
--- a/internal/membership/seal.go
+++ b/internal/membership/seal.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// datagramTagBytes is the length of the HMAC-SHA256, cut short, at a datagram's end.
+// datagramTagBytes is the length in bytes of the truncated HMAC-SHA256 at the end of a datagram.
 const datagramTagBytes = 16
 
 // The errors of Open.
@@ -19,15 +19,15 @@
 
 var errUnauthenticated = errors.New("open membership datagram: sealed with another key, or changed")
 
-// Seal returns the body with a tag (HMAC-SHA256) that only holders of the key can make. It guards the messages
-// that relays send one another over connections.
+// Seal returns the body followed by a tag (HMAC-SHA256) that only holders of the key can make. It authenticates the
+// messages that relays send each other over connections.
 func Seal(key, body []byte) []byte {
 	h := hmac.New(sha256.New, key)
 	h.Write(body)
 	return h.Sum(slices.Clone(body))
 }
 
-// Open returns the body of what Seal made. Its errors are ErrNotSealed and ErrWrongKey.
+// Open checks a message made by Seal and returns its body. Its errors wrap ErrNotSealed or ErrWrongKey.
 func Open(key, sealed []byte) ([]byte, error) {
 	if len(sealed) < sha256.Size {
 		return nil, fmt.Errorf("open membership message: %w: %d bytes", ErrNotSealed, len(sealed))
@@ -39,14 +39,14 @@
 	return body, nil
 }
 
-// sealDatagram appends a datagram's tag.
+// sealDatagram appends the tag to a datagram.
 func sealDatagram(key, data []byte) []byte {
 	h := hmac.New(sha256.New, key)
 	h.Write(data)
 	return h.Sum(data)[:len(data)+datagramTagBytes]
 }
 
-// openDatagram returns a received datagram without its tag, once the version and the tag are found right.
+// openDatagram checks the length, version and tag of a received datagram and returns it without the tag.
 func openDatagram(key, data []byte) (body []byte, err error) {
 	if len(data) < headerBytes+datagramTagBytes || len(data) > maxDatagramBytes || [4]byte(data) != magic {
 		return nil, errMalformed
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	maxMembers = 4096 // further names are ignored
+	maxMembers = 4096 // number of other relays that are tracked; further ones are ignored
 
-	minSuspicionTimeout = 1200.0   // milliseconds
-	suspicionFactor     = 6.0      // times the mean time between two news of one relay
-	goneFactor          = 2.0      // times the suspicion timeout
-	expireAfter         = 600000.0 // milliseconds without news
+	minSuspicionTimeout = 1200.0   // milliseconds without an update
+	suspicionFactor     = 6.0      // suspicion timeout as a multiple of the mean time between updates of one member
+	goneFactor          = 2.0      // time without an update until a member is gone, in suspicion timeouts
+	expireAfter         = 600000.0 // milliseconds without an update until a member is removed
 )
 
-// Members returns the other relays as they are seen now, by name.
+// Members returns the other relays with their liveness and age as of now, ordered by name.
 func (v *View) Members(now float64) []Member {
 	all := make([]Member, 0, len(v.names))
 	for _, name := range v.names {
@@ -27,7 +27,7 @@
 	return all
 }
 
-// Address returns where a member can be reached; empty: nowhere.
+// Address returns the address at which a member can be reached, or an empty string if there is none.
 func (v *View) Address(m Member) string { return v.address(&m) }
 
 func (v *View) address(m *Member) string {
@@ -37,12 +37,12 @@
 	return cmp.Or(m.seedAddress, m.Address)
 }
 
-// suspicionTimeout is how long a relay may be without news before it is suspected. It grows with the fleet, as
-// each datagram has room for a part of the members only.
+// suspicionTimeout returns how many milliseconds without an update make a member suspected. The timeout grows with the
+// fleet, because a datagram has room for only some of the members.
 func (v *View) suspicionTimeout() float64 {
-	statesPerPeriod := float64(usualStates * 2 * fanOut)
-	newsInterval := float64(len(v.names))/statesPerPeriod*gossipPeriod + gossipPeriod
-	return max(minSuspicionTimeout, suspicionFactor*newsInterval)
+	statesPerPeriod := float64(typicalStates * 2 * fanOut)
+	updateInterval := float64(len(v.names))/statesPerPeriod*gossipPeriod + gossipPeriod
+	return max(minSuspicionTimeout, suspicionFactor*updateInterval)
 }
 
 func (v *View) liveness(now float64, m *Member) Liveness {
@@ -57,7 +57,7 @@
 	return Gone
 }
 
-// merge takes in a state: the sender's own (direct), or one that it passes on.
+// merge applies a received state, which is the sender's own (direct) or one that it passes on.
 func (v *View) merge(now float64, s MemberState, direct bool) {
 	if s.Name == v.local.Name {
 		v.mergeOwn(now, s, direct)
@@ -75,23 +75,23 @@
 	m.MemberState = s
 	m.HeardAt = now
 	m.ageAt = now
-	v.newestFirst.MoveToFront(m.recency)
+	v.newestFirst.MoveToFront(m.listElement)
 }
 
-// add begins to track a relay that was not known.
+// add begins to track a new member.
 func (v *View) add(now float64, s MemberState) {
 	if len(v.names) >= maxMembers {
 		return
 	}
 	m := &Member{MemberState: s, HeardAt: now, ageAt: now, ClockOffset: math.NaN()}
-	m.recency = v.newestFirst.PushFront(m)
+	m.listElement = v.newestFirst.PushFront(m)
 	v.members[s.Name] = m
 	at, _ := slices.BinarySearch(v.names, s.Name)
 	v.names = slices.Insert(v.names, at, s.Name)
 }
 
-// mergeOwn takes in what others know under this relay's name: of its former incarnations, whose boot this one
-// must be above, or of a second process that runs now.
+// mergeOwn applies a received state with this relay's own name. It is a state of this incarnation, of a former one,
+// whose boot this one must exceed, or of another process that is running under the same name.
 func (v *View) mergeOwn(now float64, s MemberState, direct bool) {
 	v.local.OrderNumber, v.local.Draining = laterOrder(s, v.local)
 	if s.Incarnation == v.local.Incarnation {
@@ -103,7 +103,7 @@
 	v.RestoreBoot(s.Boot)
 }
 
-// bindSeed notes from which seed's address a member answers.
+// bindSeed records that a member answers from a seed address.
 func (v *View) bindSeed(seed, name string) {
 	m := v.members[name]
 	if m == nil {
@@ -113,7 +113,7 @@
 	m.seedAddress = seed
 }
 
-// expire forgets the members that have been gone for long.
+// expire removes the members that have been gone for longer than expireAfter.
 func (v *View) expire(now float64) {
 	v.names = slices.DeleteFunc(v.names, func(name string) bool {
 		m := v.members[name]
@@ -125,7 +125,7 @@
 				delete(v.namesBySeed, seed)
 			}
 		}
-		v.newestFirst.Remove(m.recency)
+		v.newestFirst.Remove(m.listElement)
 		delete(v.members, name)
 		return true
 	})
