--- a/internal/store/compact.go
+++ b/internal/store/compact.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	compactAboveBytes = 1 << 20 // a smaller file is not compacted, however much of it is superseded
-	copyChunkBytes    = 1 << 20 // a copy is written in pieces of about this size
+	minCompactionBytes = 1 << 20 // bytes; a smaller file is not compacted, however much of it is superseded
+	copyChunkBytes     = 1 << 20 // approximate size in bytes of the chunks in which a compacted file is written
 )
 
-// compact writes all live records to a new file, which replaces all former ones once it is durable.
+// compact writes all live records to a new file. Once that is durable, it replaces all earlier files.
 func (s *Store) compact() error {
 	s.mutex.Lock()
 	live := maps.Clone(s.live)
 	s.mutex.Unlock()
 	number := s.fileNumber + 1
 	name := fileName(number)
-	s.fs.Remove(name + partialSuffix) // a former compaction may have failed
+	s.fs.Remove(name + partialSuffix) // left by an earlier compaction that failed
 	file, err := s.fs.OpenAppend(name + partialSuffix)
 	if err != nil {
 		return fmt.Errorf("compact to %s: %w", name, err)
@@ -43,9 +43,9 @@
 	return nil
 }
 
-// writeCopy writes a copy of the live records and syncs it.
+// writeCopy writes a copy of the live records, syncs it and returns its length in bytes.
 func (s *Store) writeCopy(file File, live map[recordID]Record) (length int, err error) {
-	chunk := appendFrame(nil, s.owner, Record{Kind: KindHeader, Key: copyHeader})
+	chunk := appendFrame(nil, s.owner, Record{Kind: KindHeader, Key: copyHeaderKey})
 	writeChunk := func() error {
 		n, err := file.Write(chunk)
 		length += n
@@ -67,7 +67,7 @@
 	return length, file.Sync()
 }
 
-// publish gives a complete copy its final name, durably.
+// publish renames a complete copy to its final name and makes that durable.
 func (s *Store) publish(name string) error {
 	if err := s.fs.Rename(name+partialSuffix, name); err != nil {
 		return err
@@ -75,8 +75,8 @@
 	return s.fs.SyncNames()
 }
 
-// removeFilesExcept removes the log files that a copy has replaced. One that can't be removed does no harm: it
-// is read before the copy, which replaces it then too.
+// removeFilesExcept removes the log files that a copy has replaced. A file that can't be removed does no harm: the next
+// recovery reads it before the copy, which replaces its records.
 func (s *Store) removeFilesExcept(name string) {
 	names, err := s.fs.ListFiles()
 	if err != nil {
--- a/internal/store/dirfs.go
+++ b/internal/store/dirfs.go
@@ -10,7 +10,7 @@
 
 const lockName = "lock"
 
-// DirFS is a folder of the file system, as an FS.
+// DirFS is an FS in a directory of the operating system's file system. Its value is the path.
 type DirFS string
 
 func (f DirFS) path(name string) string { return filepath.Join(string(f), name) }
@@ -24,21 +24,21 @@
 	return names, err
 }
 
-// ReadFile returns a file's content.
+// ReadFile returns the content of a file.
 func (f DirFS) ReadFile(name string) ([]byte, error) { return os.ReadFile(f.path(name)) }
 
-// OpenAppend opens a file to write at its end, and makes it where there is none.
+// OpenAppend opens a file for appending and creates it if it doesn't exist.
 func (f DirFS) OpenAppend(name string) (File, error) {
 	return os.OpenFile(f.path(name), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 }
 
-// Rename gives a file another name.
+// Rename renames a file and replaces a file that already has the new name.
 func (f DirFS) Rename(from, to string) error { return os.Rename(f.path(from), f.path(to)) }
 
 // Remove deletes a file.
 func (f DirFS) Remove(name string) error { return os.Remove(f.path(name)) }
 
-// SyncNames makes the files' names durable.
+// SyncNames makes creations, renames and removals of files durable.
 func (f DirFS) SyncNames() error {
 	dir, err := os.Open(string(f))
 	if err != nil {
@@ -48,7 +48,7 @@
 	return dir.Sync()
 }
 
-// Lock holds the folder for this process. The kernel releases it when the process ends, however it does.
+// Lock locks the folder for this process. The kernel releases the lock when the process ends, even in a crash.
 func (f DirFS) Lock() (release func() error, err error) {
 	file, err := os.OpenFile(f.path(lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
--- a/internal/store/flush.go
+++ b/internal/store/flush.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Flush writes and syncs all queued records and calls their done functions. It takes as long as the disk does.
-// After an error the records stay queued: their callers were told no, but a disk that works again should have
+// Flush writes and syncs all queued records and calls their done functions. It blocks until the disk is done. After an
+// error the records stay queued: their callers have been given the error, but once the disk works again it should hold
 // the live records.
 func (s *Store) Flush() error {
 	s.diskMutex.Lock()
@@ -31,8 +31,8 @@
 	return err
 }
 
-// requeue puts records that could not be written before those that were put meanwhile. Nobody is told of them
-// a second time.
+// requeue puts records that could not be written back at the front of the queue, before those that were put meanwhile.
+// Their done functions are not called again.
 func (s *Store) requeue(queue []pendingRecord) {
 	for i := range queue {
 		queue[i].done = nil
@@ -42,8 +42,8 @@
 	s.queue = append(dropSuperseded(queue), s.queue...)
 }
 
-// dropSuperseded keeps the last record of each kind and key, so that the queue of a disk that keeps failing
-// can't grow without end.
+// dropSuperseded returns the last record of each kind and key, so that the queue doesn't grow without limit while the
+// disk keeps failing.
 func dropSuperseded(queue []pendingRecord) (last []pendingRecord) {
 	seen := map[recordID]bool{}
 	for _, p := range slices.Backward(queue) {
@@ -57,11 +57,11 @@
 	return last
 }
 
-// write brings queued records onto the disk: at the end of the present file, or, with all other live ones, in
-// a new file.
+// write writes queued records to the disk, either at the end of the current file or, together with all other live
+// records, in a new file.
 func (s *Store) write(queue []pendingRecord, liveBytes int) error {
-	isMostlyDead := s.fileBytes > compactAboveBytes && s.fileBytes > 2*liveBytes
-	if s.file == nil || s.fileFailed || isMostlyDead {
+	isMostlySuperseded := s.fileBytes > minCompactionBytes && s.fileBytes > 2*liveBytes
+	if s.file == nil || s.fileFailed || isMostlySuperseded {
 		return s.compact()
 	}
 	return s.appendToFile(queue)
@@ -78,8 +78,8 @@
 		err = s.file.Sync()
 	}
 	if err != nil {
-		// The kernel may have dropped what it could not sync and report the next sync as good: nothing that is
-		// written to this file can be relied on any more.
+		// The kernel may drop the data that it could not sync and report success for the next sync, so nothing
+		// written to this file is reliable any more.
 		s.fileFailed = true
 		return fmt.Errorf("append to %s: %w", fileName(s.fileNumber), err)
 	}
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -7,32 +7,34 @@
 	"sync"
 )
 
-// A record is in a file as a frame: the magic number, the length of its body and the body's CRC-32C, each a
-// little-endian uint32, and the body. The body is the version and the kind (a byte each), the boot as varint,
-// the time as little-endian float64, the owner and the key (each with its length as varint before it), and the
-// record's own body, which takes the rest.
+// A record is stored as a frame: the magic number, the length of the frame's body and the CRC-32C of that body, each as
+// a little-endian uint32, followed by the body. The body consists of the version and the kind (one byte each), the boot
+// as a varint, the time as a little-endian float64, the owner and the key (each preceded by its length as a varint),
+// and the record's own body, which takes up the rest.
 const (
-	frameMagic       = 0x31735676 // begins each frame, so that the next is found behind a damaged one
+	frameMagic       = 0x31735676 // first bytes of each frame, by which the next frame after a damaged one is found
 	frameHeaderBytes = 12
 	lengthOffset     = 4
 	checksumOffset   = 8
 	recordVersion    = 1
 
 	maxFrameBodyBytes = 16 << 20
-	maxPayloadBytes   = maxFrameBodyBytes - 1024 // of a record's own body
+	maxPayloadBytes   = maxFrameBodyBytes - 1024 // largest size in bytes of a record's own body
 
-	recordOverheadBytes = 24 // about what a frame's body has besides key and payload
+	recordOverheadBytes = 24 // approximate size in bytes of a frame's body without the key and the record's own body
 )
 
-// castagnoli makes the table at its first use, so that a start without a disk does not pay for it.
+// castagnoli returns the table of CRC-32C. It is computed at the first use, so that a start without a disk doesn't take
+// the time for it.
 var castagnoli = sync.OnceValue(func() *crc32.Table { return crc32.MakeTable(crc32.Castagnoli) })
 
-// accountedBytes is what a record counts against the store's limit: about its size on the disk.
+// accountedBytes returns the size for which a record counts towards the store's limit, which is about its size on the
+// disk.
 func accountedBytes(r Record) int {
 	return frameHeaderBytes + recordOverheadBytes + len(r.Key) + len(r.Body)
 }
 
-// appendFrame appends a record's frame.
+// appendFrame appends the frame of a record.
 func appendFrame(to []byte, owner string, r Record) []byte {
 	start := len(to)
 	to = append(to, make([]byte, frameHeaderBytes)...)
@@ -51,8 +53,8 @@
 	return to
 }
 
-// frameAt returns the body of the frame that begins there and where the next one begins. The body is nil where
-// no intact frame begins there.
+// frameAt returns the body of the frame at an offset of data, and the offset at which the next frame begins. The body
+// is nil if there is no intact frame at the offset.
 func frameAt(data []byte, at int) (body []byte, next int) {
 	if len(data)-at < frameHeaderBytes || binary.LittleEndian.Uint32(data[at:]) != frameMagic {
 		return nil, 0
@@ -69,7 +71,7 @@
 	return body, start + length
 }
 
-// findFrame returns where the next intact frame begins, or -1.
+// findFrame returns the offset of the first intact frame at or after an offset, or -1 if there is none.
 func findFrame(data []byte, from int) int {
 	for at := from; at+frameHeaderBytes <= len(data); at++ {
 		if data[at] != byte(frameMagic&0xff) {
@@ -82,8 +84,8 @@
 	return -1
 }
 
-// decodeRecord reads a frame's body, and whose record it is: as a rule the expected owner, whose name is then
-// not copied. The record's body shares the memory of the frame.
+// decodeRecord decodes the body of a frame into a record and its owner. If that is the expected owner, as it usually
+// is, the owner's name is not allocated again. The record's body shares the memory of the frame.
 func decodeRecord(frameBody []byte, expectedOwner string) (r Record, owner string, ok bool) {
 	rest := frameBody
 	if len(rest) < 2 || rest[0] != recordVersion {
@@ -97,11 +99,11 @@
 	}
 	r.Boot = boot
 	r.UnixMillis = math.Float64frombits(binary.LittleEndian.Uint64(rest[n:]))
-	ownerText, rest, ok := cutText(rest[n+8:])
+	ownerText, rest, ok := decodeText(rest[n+8:])
 	if !ok {
 		return r, "", false
 	}
-	key, rest, ok := cutText(rest)
+	key, rest, ok := decodeText(rest)
 	if !ok {
 		return r, "", false
 	}
@@ -114,8 +116,8 @@
 	return r, owner, true
 }
 
-// cutText returns a text that has its length before it, and what follows it.
-func cutText(data []byte) (text, rest []byte, ok bool) {
+// decodeText returns a text preceded by its length as a varint, and the data after it.
+func decodeText(data []byte) (text, rest []byte, ok bool) {
 	length, n := binary.Uvarint(data)
 	if n <= 0 || length > uint64(len(data)-n) {
 		return nil, nil, false
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -10,11 +10,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew, from what the code writes now")
+var update = flag.Bool("update", false, "rewrite the golden files with the output of the present code")
 
 const goldenFolder = "testdata/golden"
 
-// goldenRecords are one of each kind, with no field left zero.
+// goldenRecords returns one record of each kind that callers put, with no field left zero.
 func goldenRecords() []Record {
 	return []Record{
 		{Kind: KindBoot, Key: "boot", Boot: 7, UnixMillis: 1700000000000.5, Body: []byte{7}},
@@ -27,11 +27,11 @@
 	}
 }
 
-// writeGolden writes the records to a folder as a relay does: each durable before the next, one replaced and
-// one deleted.
+// writeGolden writes the golden records to a folder, as a relay does: each is durable before the next is put. Each
+// replaces an earlier record, and one further record is deleted.
 func writeGolden(t *testing.T, folder DirFS) {
 	t.Helper()
-	s, recovery, err := Open(folder, owner, plenty)
+	s, recovery, err := Open(folder, owner, testMaxBytes)
 	require.NoError(t, err)
 	require.True(t, recovery.IsNew)
 	put := func(r Record) {
@@ -49,7 +49,7 @@
 	require.NoError(t, s.Close())
 }
 
-// Today's code writes the folder byte by byte as the golden one.
+// The present code writes the same bytes as in the golden folder.
 func TestGoldenFolderIsWritten(t *testing.T) {
 	folder := DirFS(t.TempDir())
 	writeGolden(t, folder)
@@ -67,13 +67,13 @@
 	assert.Equal(t, want, written)
 }
 
-// The golden folder is read as the records that it was written from.
+// The golden folder is read into the records that it was written from.
 func TestGoldenFolderIsRead(t *testing.T) {
 	want, err := os.ReadFile(filepath.Join(goldenFolder, "log-00000001"))
 	require.NoError(t, err)
 	folder := DirFS(t.TempDir())
 	require.NoError(t, os.WriteFile(filepath.Join(string(folder), "log-00000001"), want, 0o600))
-	s, recovery, err := Open(folder, owner, plenty)
+	s, recovery, err := Open(folder, owner, testMaxBytes)
 	require.NoError(t, err)
 	defer s.Close()
 	assert.Equal(t, Recovery{Records: len(goldenRecords()), LastBoot: 1 << 40}, recovery)
--- a/internal/store/memoryfs.go
+++ b/internal/store/memoryfs.go
@@ -8,29 +8,30 @@
 	"sync"
 )
 
-// ErrNoSpace is the error of a full disk in memory.
+// ErrNoSpace is the error of a full disk, for faults injected into a MemoryFS.
 var ErrNoSpace = errors.New("no space left on device")
 
-// MemoryFS is an FS in memory with the faults of real disks: a power loss takes what was not synced, but for a
-// part of it, and writes and syncs can be made to fail. Tests and the simulation use it. It is safe for
-// concurrent use, but for its fields.
+// MemoryFS is an FS in memory with the faults of real disks: a power loss discards data that was not synced, except
+// perhaps a part of it, and calls can be made to fail. It is used by tests and the simulation. Its methods are safe for
+// concurrent use, its fields are not.
 type MemoryFS struct {
-	// IgnoresSync has syncs of files do nothing, and report success.
+	// IgnoresSync makes syncs of files do nothing and report success.
 	IgnoresSync bool
 
-	// InjectFault, where set, is called before each call that changes something, with the call's name, and its
-	// error fails the call. A write that fails so is half done.
+	// InjectFault, if set, is called with the name of each call that changes something, before the call takes
+	// effect. If it returns an error, the call fails with that error. A write that fails in this way still appends
+	// half of its data.
 	InjectFault func(call string) error
 
 	mutex  sync.Mutex
-	files  map[string]*memoryFile
-	synced map[string]*memoryFile // under the names that are durable
+	files  map[string]*memoryFile // files by their current names
+	synced map[string]*memoryFile // files by the names that survive a power loss
 	locked bool
 }
 
 type memoryFile struct {
 	data         []byte
-	durableBytes int // that a power loss leaves
+	durableBytes int // number of bytes that survive a power loss
 }
 
 // NewMemoryFS returns an empty disk.
@@ -38,29 +39,30 @@
 	return &MemoryFS{files: map[string]*memoryFile{}, synced: map[string]*memoryFile{}}
 }
 
-func (m *MemoryFS) fault(call string) error {
+// injectedFault returns the error with which a call is to fail, or nil.
+func (m *MemoryFS) injectedFault(call string) error {
 	if m.InjectFault == nil {
 		return nil
 	}
 	return m.InjectFault(call)
 }
 
-// LosePower leaves what was durable, and of each file's bytes that were not so many as survive returns. It
-// releases the lock.
+// LosePower simulates a power loss. What was durable survives; of the bytes of each file that were not, the first ones
+// survive, as many as survive returns. It also releases the lock.
 func (m *MemoryFS) LosePower(survive func(unsynced int) int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.files = map[string]*memoryFile{}
 	for name, f := range m.synced {
-		left := f.durableBytes + survive(len(f.data)-f.durableBytes)
-		f.data = f.data[:left]
-		f.durableBytes = left
+		kept := f.durableBytes + survive(len(f.data)-f.durableBytes)
+		f.data = f.data[:kept]
+		f.durableBytes = kept
 		m.files[name] = f
 	}
 	m.locked = false
 }
 
-// MutateFiles replaces the content of each file, as wear or an operator's mistake would.
+// MutateFiles replaces the content of each file, to simulate a worn disk or an operator's mistake.
 func (m *MemoryFS) MutateFiles(mutate func(name string, data []byte) []byte) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -70,7 +72,7 @@
 	}
 }
 
-// Clone returns a disk with the same files as they are now, durable or not, all of them durable.
+// Clone returns a disk with the current files, all of them durable, whether they were so before or not.
 func (m *MemoryFS) Clone() *MemoryFS {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -90,7 +92,7 @@
 	return slices.Sorted(maps.Keys(m.files)), nil
 }
 
-// ReadFile returns a file's content.
+// ReadFile returns the content of a file.
 func (m *MemoryFS) ReadFile(name string) ([]byte, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -101,11 +103,11 @@
 	return slices.Clone(f.data), nil
 }
 
-// OpenAppend opens a file to write at its end, and makes it where there is none.
+// OpenAppend opens a file for appending and creates it if it doesn't exist.
 func (m *MemoryFS) OpenAppend(name string) (File, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if err := m.fault("append"); err != nil {
+	if err := m.injectedFault("append"); err != nil {
 		return nil, err
 	}
 	f := m.files[name]
@@ -116,11 +118,11 @@
 	return &memoryHandle{disk: m, file: f}, nil
 }
 
-// Rename gives a file another name.
+// Rename renames a file and replaces a file that already has the new name.
 func (m *MemoryFS) Rename(from, to string) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if err := m.fault("rename"); err != nil {
+	if err := m.injectedFault("rename"); err != nil {
 		return err
 	}
 	f := m.files[from]
@@ -136,7 +138,7 @@
 func (m *MemoryFS) Remove(name string) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if err := m.fault("remove"); err != nil {
+	if err := m.injectedFault("remove"); err != nil {
 		return err
 	}
 	if m.files[name] == nil {
@@ -146,18 +148,18 @@
 	return nil
 }
 
-// SyncNames makes the files' names durable.
+// SyncNames makes creations, renames and removals of files durable.
 func (m *MemoryFS) SyncNames() error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if err := m.fault("sync names"); err != nil {
+	if err := m.injectedFault("sync names"); err != nil {
 		return err
 	}
 	m.synced = maps.Clone(m.files)
 	return nil
 }
 
-// Lock holds the disk until it is released or loses power.
+// Lock locks the disk until the lock is released or power is lost.
 func (m *MemoryFS) Lock() (release func() error, err error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -175,18 +177,18 @@
 	return nil
 }
 
-// memoryHandle is a file that was opened.
+// memoryHandle is an open file.
 type memoryHandle struct {
 	disk *MemoryFS
 	file *memoryFile
 }
 
-// Write appends data, or half of it where a fault is injected.
+// Write appends data to the file, or half of it if a fault is injected.
 func (h *memoryHandle) Write(data []byte) (int, error) {
 	h.disk.mutex.Lock()
 	defer h.disk.mutex.Unlock()
 	n := len(data)
-	err := h.disk.fault("write")
+	err := h.disk.injectedFault("write")
 	if err != nil {
 		n /= 2
 	}
@@ -194,11 +196,11 @@
 	return n, err
 }
 
-// Sync makes what was written durable.
+// Sync makes the data written so far durable, unless IgnoresSync is set.
 func (h *memoryHandle) Sync() error {
 	h.disk.mutex.Lock()
 	defer h.disk.mutex.Unlock()
-	if err := h.disk.fault("sync"); err != nil {
+	if err := h.disk.injectedFault("sync"); err != nil {
 		return err
 	}
 	if !h.disk.IgnoresSync {
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -9,22 +9,22 @@
 const (
 	filePrefix    = "log-"
 	partialSuffix = ".new"
-	copyHeader    = "copy" // key of the header of a file that replaces all former ones
+	copyHeaderKey = "copy" // key of the header record of a compacted file, which replaces all earlier files
 )
 
-// Recovery is what Open found in the folder.
+// Recovery describes what Open found in the folder.
 type Recovery struct {
-	Records   int  // that are live
-	Damaged   int  // records or pieces that could not be read and were passed over
-	TornBytes int  // cut off at the ends of files
-	IsNew     bool // nothing was there
-	LastBoot  uint64
+	Records   int    // number of live records
+	Damaged   int    // number of records and other pieces that could not be read and were skipped
+	TornBytes int    // number of incomplete bytes at the ends of files, which were ignored
+	IsNew     bool   // whether the folder had no log files
+	LastBoot  uint64 // highest boot number in any record
 }
 
-// fileName returns the name of the log file of that number.
+// fileName returns the name of the log file with the given number.
 func fileName(number uint64) string { return fmt.Sprintf("%s%08d", filePrefix, number) }
 
-// recover reads all log files, the oldest first.
+// recover restores the live records from all log files, the oldest file first.
 func (s *Store) recover() (recovery Recovery, err error) {
 	numbers, err := s.listLogFiles()
 	if err != nil {
@@ -52,8 +52,8 @@
 	return recovery, nil
 }
 
-// listLogFiles returns the numbers of the log files in order, and removes what a compaction left that did not
-// come to its end: the files that it was made from are still there.
+// listLogFiles returns the numbers of the log files in ascending order. It removes the file of a compaction that was
+// not completed, because the files that it was made from are still there.
 func (s *Store) listLogFiles() (numbers []uint64, err error) {
 	names, err := s.fs.ListFiles()
 	if err != nil {
@@ -76,8 +76,9 @@
 	return numbers, nil
 }
 
-// recoverFile takes one file's records over what was read before it. A copy replaces all that, unless it is
-// damaged itself: then the former files, where they are still there, have what it lacks.
+// recoverFile applies the records of one file on top of those of the files before it. A compacted file replaces all
+// earlier records, unless it is damaged itself: then the earlier files, if they are still there, may have the records
+// that it lacks.
 func (s *Store) recoverFile(data []byte, recovery *Recovery) error {
 	file, err := readLog(data, s.owner)
 	if err != nil {
@@ -95,16 +96,16 @@
 	return nil
 }
 
-// logContent is what was read from one log file.
+// logContent is the content of one log file.
 type logContent struct {
 	records   []Record
-	isCopy    bool
-	damaged   int
-	tornBytes int
+	isCopy    bool // whether the file was written by a compaction
+	damaged   int  // number of records and other pieces that could not be read
+	tornBytes int  // number of bytes after the last intact frame
 }
 
-// readLog reads a log file. The records' bodies share its memory. It returns ErrOtherOwner where a record is
-// not the owner's.
+// readLog decodes the data of a log file. The bodies of the records share its memory. The error is ErrOtherOwner if a
+// record belongs to another owner.
 func readLog(data []byte, owner string) (logContent, error) {
 	content := logContent{records: make([]Record, 0, len(data)/64)}
 	for at := 0; at < len(data); {
@@ -127,7 +128,7 @@
 		case recordOwner != owner:
 			return content, fmt.Errorf("%w: %q", ErrOtherOwner, recordOwner)
 		case r.Kind == KindHeader:
-			content.isCopy = r.Key == copyHeader
+			content.isCopy = r.Key == copyHeaderKey
 		default:
 			content.records = append(content.records, r)
 		}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,12 +1,11 @@
-// Package store keeps a relay's or a coordinator's records on a disk that is not to be trusted.
+// Package store keeps the records of a relay or coordinator on a disk that may fail or lose data.
 //
-// Records are appended to log files as frames with a checksum. Those that were put since the last Flush are
-// written in one go and synced once. At the start the store reads whatever it finds: a torn tail is cut off, a
-// damaged record is left out and counted, all others are recovered. Once half of a file is superseded, the live
-// records are compacted into a new one.
+// Records are appended to log files as frames with a checksum. All records put since the last Flush are written
+// together and synced once. At the start the store recovers every intact record: it ignores a torn tail, and skips and
+// counts damaged records. Once more than half of a file is superseded, the live records are compacted into a new file.
 //
-// Nobody who assigns sessions waits for the disk: Put only queues, and Flush is called by a goroutine that may
-// wait. The package starts no goroutine and reads no clock. A Store is safe for concurrent use.
+// The assignment of sessions never waits for the disk: Put only queues a record, and Flush is called by a goroutine
+// that may block. The package starts no goroutines and reads no clock. A Store is safe for concurrent use.
 package store
 
 import (
@@ -16,31 +15,32 @@
 	"sync"
 )
 
-// Kind is what a record is about.
+// Kind is the type of a record.
 type Kind uint8
 
-// The kinds. Their numbers are on disks: none is ever given another meaning.
+// The kinds. Their numbers are stored on disks, so none may ever be reused with another meaning.
 const (
-	KindHeader        Kind = iota // the first record of a file
-	KindBoot                      // the number of the last start
-	KindOrder                     // an operators' order
-	KindSnapshot                  // endpoint list, load estimates, clients with a Retry-After
-	KindAttemptMarker             // of a session whose effect may have happened
-	KindConsensus                 // all that a coordinator keeps: term, vote, log
-	KindDecision                  // the number of the last failover decision that this relay has followed
-	KindReplica                   // what this relay holds for another
+	KindHeader        Kind = iota // header, the first record of a file
+	KindBoot                      // number of the last start
+	KindOrder                     // operator order
+	KindSnapshot                  // endpoint list, load estimates and clients with a Retry-After
+	KindAttemptMarker             // attempt marker of a session whose effect may have happened
+	KindConsensus                 // whole state of a coordinator: term, vote and log
+	KindDecision                  // number of the last failover decision that this relay has followed
+	KindReplica                   // replica that this relay stores for another relay
 )
 
-// Record is one thing kept. The latest of a kind and key counts; one without a body deletes it.
+// Record is a stored value. The latest record of a kind and key replaces earlier ones. A record without a body deletes
+// them.
 type Record struct {
 	Kind       Kind
 	Key        string
-	Boot       uint64  // of the process that wrote it
-	UnixMillis float64 // when it was written, by the wall clock
+	Boot       uint64  // boot number of the process that wrote it
+	UnixMillis float64 // Unix time in milliseconds, by the wall clock, at which it was written
 	Body       []byte
 }
 
-// id returns what a later record must have in common with this one to supersede it.
+// id returns the identity of the record, which a later record that supersedes it shares.
 func (r Record) id() recordID { return recordID{r.Kind, r.Key} }
 
 type recordID struct {
@@ -48,67 +48,67 @@
 	key  string
 }
 
-// FS is a folder on some disk that a store has to itself.
+// FS is a folder that is used by one store alone.
 type FS interface {
 	// ListFiles returns the names of all files.
 	ListFiles() ([]string, error)
-	// ReadFile returns a file's content.
+	// ReadFile returns the content of a file.
 	ReadFile(name string) ([]byte, error)
-	// OpenAppend opens a file to write at its end, and makes it where there is none.
+	// OpenAppend opens a file for appending and creates it if it doesn't exist.
 	OpenAppend(name string) (File, error)
-	// Rename gives a file another name, in place of one that has it already.
+	// Rename renames a file and replaces a file that already has the new name.
 	Rename(from, to string) error
 	// Remove deletes a file.
 	Remove(name string) error
-	// SyncNames makes the files' names durable.
+	// SyncNames makes creations, renames and removals of files durable.
 	SyncNames() error
-	// Lock holds the folder for this process. It returns ErrLocked at once where another process has it.
+	// Lock locks the folder for this process. If another process has locked it, Lock returns ErrLocked at once.
 	Lock() (release func() error, err error)
 }
 
-// File is a file that is written at its end.
+// File is a file that is open for appending.
 type File interface {
 	Write([]byte) (int, error)
 	Sync() error
 	Close() error
 }
 
-// The errors that name why a folder can't be used. All others are the disk's own.
+// The errors of the store itself. All other errors come from the disk.
 var (
 	ErrLocked     = errors.New("store: the folder is held by another process")
 	ErrOtherOwner = errors.New("store: the folder is another relay's")
-	ErrFull       = errors.New("store: more than it may hold")
+	ErrFull       = errors.New("store: size limit exceeded")
 	ErrClosed     = errors.New("store: closed")
 )
 
-// Store is the store of one owner in one folder.
+// Store holds the records of one owner in one folder.
 type Store struct {
 	fs       FS
 	owner    string
-	maxBytes int // of all live records
-	release  func() error
+	maxBytes int          // limit on the accounted size of all live records
+	release  func() error // releases the lock on the folder
 
-	mutex     sync.Mutex // over what follows; never held while the disk is waited for
+	mutex     sync.Mutex // guards the fields up to closed; never held while waiting for the disk
 	live      map[recordID]Record
-	liveBytes int
+	liveBytes int // accounted size of all live records
 	queue     []pendingRecord
 	closed    bool
 
-	diskMutex  sync.Mutex // over what follows; held by one Flush at a time
-	file       File       // nil: nothing was written yet
+	diskMutex  sync.Mutex // guards the fields below; held by one Flush at a time
+	file       File       // nil until something has been written
 	fileNumber uint64
 	fileBytes  int
-	fileFailed bool // its end may be torn: the next record goes to another file
+	fileFailed bool // whether a write or sync has failed: the end may be torn, so the next records go to a new file
 }
 
-// pendingRecord is a record that waits to be written.
+// pendingRecord is a record that is queued to be written.
 type pendingRecord struct {
 	record Record
 	done   func(error) // may be nil
 }
 
-// Open locks the folder and recovers the records in it. It returns ErrLocked where another process has the
-// folder and ErrOtherOwner where its records are another owner's. All live records together may take maxBytes.
+// Open locks the folder and recovers the records in it. The error is ErrLocked if another process has locked the
+// folder, and ErrOtherOwner if its records belong to another owner. All live records together may take up maxBytes.
 func Open(fs FS, owner string, maxBytes int) (*Store, Recovery, error) {
 	release, err := fs.Lock()
 	if err != nil {
@@ -123,7 +123,7 @@
 	return s, recovery, nil
 }
 
-// Get returns the record of that kind and key, as it was recovered or put last, durable or not.
+// Get returns the record of a kind and key as last recovered or put, whether it is durable yet or not.
 func (s *Store) Get(kind Kind, key string) (r Record, exists bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -144,8 +144,9 @@
 	return records
 }
 
-// Put queues a record for the next Flush and never waits. Done, which may be nil, is called with nil once the
-// record is durable, or with why it is not: ErrFull and ErrClosed at once, the disk's errors from Flush.
+// Put queues a record for the next Flush and never blocks. The function done, which may be nil, is called with nil once
+// the record is durable. Otherwise it is called with ErrFull or ErrClosed at once, or with an error of the disk from
+// Flush.
 func (s *Store) Put(r Record, done func(error)) {
 	if err := s.enqueue(r, done); err != nil && done != nil {
 		done(err)
@@ -179,7 +180,7 @@
 	return nil
 }
 
-// Close writes what is queued and releases the folder.
+// Close flushes the queued records and releases the folder.
 func (s *Store) Close() error {
 	err := s.Flush()
 	s.mutex.Lock()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	owner    = "relay-1"
-	plenty   = 64 << 20
-	openPath = "STORE_FOLDER" // names the folder for TestHelperOpens
+	owner           = "relay-1"
+	testMaxBytes    = 64 << 20
+	helperFolderEnv = "STORE_FOLDER" // environment variable with the folder for TestHelperOpens
 )
 
 func open(t *testing.T, fs FS) (*Store, Recovery) {
 	t.Helper()
-	s, recovery, err := Open(fs, owner, plenty)
+	s, recovery, err := Open(fs, owner, testMaxBytes)
 	require.NoError(t, err)
 	return s, recovery
 }
@@ -31,7 +31,7 @@
 	s.Put(Record{Kind: KindOrder, Key: key, Boot: 1, Body: []byte(value)}, nil)
 }
 
-// contents returns what put has put, by key.
+// contents returns the values of the records written by put, by key.
 func contents(s *Store) map[string]string {
 	all := map[string]string{}
 	for _, r := range s.Records(KindOrder) {
@@ -40,7 +40,7 @@
 	return all
 }
 
-// diskFault is what happens at one call of the disk.
+// diskFault is a fault that happens at one call of the disk.
 type diskFault uint8
 
 const (
@@ -48,8 +48,9 @@
 	callFails
 )
 
-// The disk fails at each of its calls in turn: what was promised as durable is there, and every key has a value
-// that was put and not one from before the last promise. A disk whose syncs do nothing must be caught.
+// Whichever call of the disk fails, records that were reported as durable survive, and every key has either its last
+// durable value or one that was put after it. To show that the test can fail, a disk whose syncs do nothing must lose
+// durable records.
 func TestFaultAtEveryCall(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -65,7 +66,7 @@
 			call := 0
 			for reached := true; reached; call++ {
 				var more []string
-				reached, more = playFaultAt(t, call, c.fault, c.ignoresSync)
+				reached, more = runWithFaultAt(t, call, c.fault, c.ignoresSync)
 				wrong = append(wrong, more...)
 			}
 			require.Greater(t, call, 30)
@@ -78,18 +79,18 @@
 	}
 }
 
-// lostPower is what a call of a disk panics with that loses power.
-type lostPower struct{}
+// powerLossPanic is the value with which the disk call panics at which power is lost.
+type powerLossPanic struct{}
 
-// history is what a play has put, by key.
-type history struct {
-	promised map[string]string   // the last value that was reported as durable
-	putSince map[string][]string // the values put after that
+// writeHistory records what a run has put, by key.
+type writeHistory struct {
+	reportedDurable map[string]string   // last value that was reported as durable
+	putSince        map[string][]string // values put after that
 }
 
-// playFaultAt plays one history with a fault at that call of the disk. It returns false where the history has
-// fewer calls, and a text for each key with a wrong value after the recovery.
-func playFaultAt(t *testing.T, faultyCall int, fault diskFault, ignoresSync bool) (reached bool, wrong []string) {
+// runWithFaultAt executes one run with a fault at the given call of the disk. It returns whether the run reached that
+// call, and a message for each key that has a wrong value after the recovery.
+func runWithFaultAt(t *testing.T, faultyCall int, fault diskFault, ignoresSync bool) (reached bool, wrong []string) {
 	t.Helper()
 	disk := NewMemoryFS()
 	disk.IgnoresSync = ignoresSync
@@ -104,11 +105,11 @@
 		if fault == callFails {
 			return ErrNoSpace
 		}
-		panic(lostPower{})
+		panic(powerLossPanic{})
 	}
-	h := history{promised: map[string]string{}, putSince: map[string][]string{}}
-	playUntilPowerLoss(t, disk, rng, h)
-	disk.mutex.TryLock() // a panic under the disk's lock leaves it held
+	h := writeHistory{reportedDurable: map[string]string{}, putSince: map[string][]string{}}
+	runUntilPowerLoss(t, disk, rng, h)
+	disk.mutex.TryLock() // a panic while the mutex was held leaves it locked
 	disk.mutex.Unlock()
 	disk.InjectFault = nil
 	disk.LosePower(func(unsynced int) int { return rng.Intn(unsynced + 1) })
@@ -116,12 +117,12 @@
 	s, recovery := open(t, disk)
 	got := contents(s)
 	for key, putSince := range h.putSince {
-		if got[key] != h.promised[key] && !slices.Contains(putSince, got[key]) {
-			wrong = append(wrong, fmt.Sprintf("fault at call %d: %s is %q, promised %q, later %q (%+v)", faultyCall,
-				key, got[key], h.promised[key], putSince, recovery))
+		if got[key] != h.reportedDurable[key] && !slices.Contains(putSince, got[key]) {
+			wrong = append(wrong, fmt.Sprintf("fault at call %d: %s is %q, durable %q, later %q (%+v)", faultyCall,
+				key, got[key], h.reportedDurable[key], putSince, recovery))
 		}
 	}
-	put(s, "after", "x") // and it can be written to again
+	put(s, "after", "x") // the store can be written to again
 	require.NoError(t, s.Flush())
 	require.NoError(t, s.Close())
 	s, _ = open(t, disk)
@@ -129,15 +130,15 @@
 	return reached, wrong
 }
 
-// playUntilPowerLoss puts and deletes random keys, with a compaction in the middle.
-func playUntilPowerLoss(t *testing.T, disk *MemoryFS, rng *rand.Rand, h history) {
+// runUntilPowerLoss puts and deletes random keys, with a compaction in the middle, until power is lost or the run ends.
+func runUntilPowerLoss(t *testing.T, disk *MemoryFS, rng *rand.Rand, h writeHistory) {
 	t.Helper()
 	defer func() {
-		if p := recover(); p != nil && p != (lostPower{}) {
+		if p := recover(); p != nil && p != (powerLossPanic{}) {
 			panic(p)
 		}
 	}()
-	s, _, err := Open(disk, owner, plenty)
+	s, _, err := Open(disk, owner, testMaxBytes)
 	require.NoError(t, err)
 	for i := range 40 {
 		key := fmt.Sprint(rng.Intn(6))
@@ -146,16 +147,16 @@
 			value = ""
 		}
 		h.putSince[key] = append(h.putSince[key], value)
-		isPromised := false
+		isReported := false
 		s.Put(Record{Kind: KindOrder, Key: key, Body: []byte(value)}, func(err error) {
-			if err == nil && !isPromised {
-				isPromised = true
-				h.promised[key] = value
+			if err == nil && !isReported {
+				isReported = true
+				h.reportedDurable[key] = value
 				h.putSince[key] = nil
 			}
 		})
 		if i == 20 {
-			s.fileFailed = true // has the next flush compact
+			s.fileFailed = true // makes the next Flush compact
 		}
 		if rng.Intn(2) == 0 {
 			s.Flush()
@@ -212,12 +213,12 @@
 	disk := NewMemoryFS()
 	s, recovery := open(t, disk)
 	assert.True(t, recovery.IsNew)
-	_, _, err := Open(disk, owner, plenty)
+	_, _, err := Open(disk, owner, testMaxBytes)
 	assert.ErrorIs(t, err, ErrLocked)
 	put(s, "a", "1")
 	require.NoError(t, s.Close())
 	before := disk.Clone()
-	_, _, err = Open(disk, "relay-2", plenty)
+	_, _, err = Open(disk, "relay-2", testMaxBytes)
 	assert.ErrorIs(t, err, ErrOtherOwner)
 	assert.ErrorContains(t, err, `"relay-1"`)
 	assert.Equal(t, before.files, disk.files)
@@ -241,7 +242,7 @@
 	}
 	require.NoError(t, s.Flush())
 	assert.ErrorIs(t, lastErr, ErrFull)
-	for i := range 40000 { // one record put over and over does not make the files grow without end
+	for i := range 40000 { // putting one record over and over must not grow the files without limit
 		s.Put(Record{Kind: KindAttemptMarker, Key: "1", Body: make([]byte, 20), Boot: uint64(i)}, nil)
 		if i%500 == 0 {
 			require.NoError(t, s.Flush())
@@ -252,10 +253,10 @@
 	for _, f := range disk.files {
 		total += len(f.data)
 	}
-	assert.Less(t, total, 2*compactAboveBytes)
+	assert.Less(t, total, 2*minCompactionBytes)
 }
 
-// A disk that is full stops nobody: Put returns at once, and the live records are written once they can be.
+// A full disk doesn't block callers: Put returns at once, and the live records are written once there is space again.
 func TestFullDiskRecovers(t *testing.T) {
 	disk := NewMemoryFS()
 	disk.InjectFault = func(call string) error {
@@ -277,14 +278,14 @@
 	assert.Equal(t, map[string]string{"a": "1"}, contents(s))
 }
 
-// A process that ends releases its folder; one that lives keeps others out.
+// While a process has a folder open, another process can't open it. Closing the store releases the folder.
 func TestFolderIsLockedByProcess(t *testing.T) {
 	dir := DirFS(t.TempDir())
 	s, _ := open(t, dir)
 	put(s, "a", "1")
 	require.NoError(t, s.Flush())
 	other := exec.Command(os.Args[0], "-test.run=TestHelperOpens")
-	other.Env = append(os.Environ(), openPath+"="+string(dir))
+	other.Env = append(os.Environ(), helperFolderEnv+"="+string(dir))
 	output, err := other.CombinedOutput()
 	require.NoError(t, err)
 	assert.Contains(t, string(output), "held by another process")
@@ -295,15 +296,15 @@
 }
 
 func TestHelperOpens(t *testing.T) {
-	dir := os.Getenv(openPath)
+	dir := os.Getenv(helperFolderEnv)
 	if dir == "" {
-		t.Skip("is run by another test, as a process of its own")
+		t.Skip("run by TestFolderIsLockedByProcess as a separate process")
 	}
-	_, _, err := Open(DirFS(dir), owner, plenty)
+	_, _, err := Open(DirFS(dir), owner, testMaxBytes)
 	fmt.Println(err)
 }
 
-// The store holds the same as a plain map, over random puts and deletes with reopening.
+// The store has the same contents as a plain map after random puts, deletes and reopenings.
 func TestAgainstMap(t *testing.T) {
 	rng := rand.New(rand.NewSource(7))
 	disk := NewMemoryFS()
@@ -328,25 +329,25 @@
 }
 
 func FuzzRead(f *testing.F) {
-	log := appendFrame(nil, owner, Record{Kind: KindHeader, Key: copyHeader})
+	log := appendFrame(nil, owner, Record{Kind: KindHeader, Key: copyHeaderKey})
 	log = appendFrame(log, owner, Record{Kind: KindOrder, Key: "a", Body: []byte("1")})
 	f.Add(log)
 	f.Add(log[:len(log)-3])
 	f.Fuzz(func(t *testing.T, data []byte) {
 		disk := NewMemoryFS()
 		disk.files[fileName(1)] = &memoryFile{data: data, durableBytes: len(data)}
-		s, _, err := Open(disk, owner, plenty)
+		s, _, err := Open(disk, owner, testMaxBytes)
 		if err != nil {
 			return
 		}
 		put(s, "b", "2")
 		if s.Flush() != nil || contents(s)["b"] != "2" {
-			t.Fatal("can't be written to")
+			t.Fatal("the store can't be written to")
 		}
 	})
 }
 
-// A million records are recovered: the figure is in docs/design/recovery.md.
+// The benchmark measures the recovery of a million records. The figure is in docs/design/recovery.md.
 func BenchmarkMillion(b *testing.B) {
 	disk := NewMemoryFS()
 	s, _, _ := Open(disk, owner, 1<<30)
