--- a/internal/admission/reservations.go
+++ b/internal/admission/reservations.go
@@ -17,6 +17,7 @@
 	rotatedAt float64            // when the recent generation was begun
 }
 
+// add records at which time the client with that key was told to come back.
 func (r *reservations) add(now float64, key uint64, due float64) {
 	if r.recent == nil || now > r.rotatedAt+reservationRotation {
 		r.older = r.recent
--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -29,10 +29,12 @@
 func (p Phase) String() string { return [...]string{"reading", "asking", "admitting", "normal"}[p] }
 
 const (
-	diskTimeout      = 400.0   // milliseconds from the start; state read later is still used, except its endpoints
+	// diskTimeout is for how many milliseconds from the start the querying waits for the disk. State that is read
+	// only after the querying is still used, except its endpoints.
+	diskTimeout      = 400.0
 	firstPeerTimeout = 700.0   // milliseconds from the start within which a first other relay must be heard
 	queryTimeout     = 1000.0  // milliseconds from the start after which no more answers are awaited
-	maxQueriedPeers  = 4       // number of relays that are queried, not counting those that fail
+	maxQueriedPeers  = 4       // largest number of relays queried, not counting those that fail to answer
 	minAdmittingTime = 2000.0  // least milliseconds in the admitting phase, even if the backends are warm before
 	maxAdmittingTime = 60000.0 // milliseconds after which the fleet counts as recovered, in any case
 	// evenShareWeight is the part of the capacity of backends in slow start that is split evenly among the relays.
@@ -235,8 +237,8 @@
 	return actions
 }
 
-// updateAdmission updates this relay's share of the capacity of backends in slow start. It ends the phase once most
-// backends are warm or the time limit is reached.
+// updateAdmission updates this relay's share of the capacity of backends in slow start. It ends the phase once at least
+// half of the usable backends are warm, or at its time limit.
 func (p *Plan) updateAdmission(now float64, peers []Peer, status relay.Status) []Action {
 	isWarm := status.EndpointsConfirmed && status.Usable > 0 && 2*status.WarmingUp <= status.Usable
 	switch {
