--- a/internal/failover/aggregate.go
+++ b/internal/failover/aggregate.go
@@ -6,41 +6,44 @@
 )
 
 const (
-	observationsTTL = 3000.0 // ms that a relay's observations count
-	maxRelays       = 4096
+	observationsTTL = 3000.0 // ms for which a relay's observations are used
+	maxRelays       = 4096   // relays whose observations are kept at the same time
 
-	minAttempts           = 4.0 // that ended, for a failure rate
-	maxWeightOverMedian   = 3.0 // of one relay's attempts, in medians of all relays'
-	minViewsByAttempts    = 3   // of observing zones, for their median
-	minViewsByHealthCheck = 2
+	minAttempts            = 4.0 // completed attempts, or health checks, that a failure rate needs
+	maxWeightOverMedian    = 3.0 // highest weight of one relay, as a multiple of its zone's median of attempts
+	minZonesByAttempts     = 3   // observing zones that a median over zones of attempt failures needs
+	minZonesByHealthChecks = 2   // observing zones that a median over zones of health check failures needs
 )
 
+// timedObservations is one relay's latest observations and when they were received.
 type timedObservations struct {
 	Observations
 	receivedAt float64
 }
 
-// outcomes counts what one relay saw end.
+// outcomes counts the attempts or health checks that one relay saw complete, and how many of them failed.
 type outcomes struct{ total, failed float64 }
 
-// zoneView is how the relays of one zone see another.
+// zoneView is what the relays of one zone, the observing zone, have seen of another or of their own, the
+// observed zone.
 type zoneView struct {
-	attempts      []outcomes // of each relay
-	healthChecks  []outcomes
-	totalAttempts float64
+	attempts      []outcomes // one entry per relay
+	healthChecks  []outcomes // one entry per relay
+	totalAttempts float64    // completed attempts of all these relays
 }
 
-// zoneLoad is what relays say of a zone's load and capacity. The medians are taken once per aggregation, as
+// zoneLoad is the load, capacity and demand of one zone. The medians are computed once per aggregation, as
 // they are read several times.
 type zoneLoad struct {
-	reportedLoads      []float64 // of each relay
-	reportedCapacities []float64
-	load               float64 // the median; 0 if nobody reported
-	capacity           float64 // the median; 0 if nobody reported
-	demand             float64
+	reportedLoads      []float64 // one entry per relay that reports a capacity of the zone
+	reportedCapacities []float64 // one entry per relay that reports a capacity of the zone
+	load               float64   // median of the reported loads; 0 if no relay reports any
+	capacity           float64   // median of the reported capacities; 0 if no relay reports any
+	demand             float64   // sum of the demand of the zone's own relays
 }
 
-// AddObservations takes one relay's observations, in place of its former ones. Implausible ones are ignored.
+// AddObservations stores one relay's observations in place of its previous ones. It ignores implausible
+// observations, those from a zone that is not configured, and new relays beyond maxRelays.
 func (p *Policy) AddObservations(now float64, o Observations) {
 	_, isKnown := p.observations[o.Relay]
 	if !isKnown && len(p.observations) >= maxRelays {
@@ -52,7 +55,7 @@
 	p.observations[o.Relay] = timedObservations{Observations: o, receivedAt: now}
 }
 
-// aggregate sorts all relays' observations by zones, and forgets those that are too old.
+// aggregate groups the observations of all relays by zone and drops those older than observationsTTL.
 func (p *Policy) aggregate(now float64) {
 	p.resetAggregates()
 	for relay, o := range p.observations {
@@ -63,11 +66,11 @@
 		p.aggregateRelay(o.Observations)
 	}
 	for i := range p.loads {
-		p.loads[i].takeMedians()
+		p.loads[i].computeMedians()
 	}
 }
 
-// resetAggregates empties the slices and keeps their memory.
+// resetAggregates clears the views and loads but keeps the allocated slices for reuse.
 func (p *Policy) resetAggregates() {
 	for observing := range p.views {
 		for observed := range p.views[observing] {
@@ -85,6 +88,8 @@
 	}
 }
 
+// aggregateRelay adds one relay's observations to the views and loads. Zones that are not configured are
+// skipped.
 func (p *Policy) aggregateRelay(o Observations) {
 	observing := p.indices[o.Zone]
 	p.loads[observing].demand += o.Demand
@@ -111,7 +116,7 @@
 	}
 }
 
-func (l *zoneLoad) takeMedians() {
+func (l *zoneLoad) computeMedians() {
 	if len(l.reportedCapacities) == 0 {
 		l.load = 0
 		l.capacity = 0
@@ -121,6 +126,7 @@
 	l.capacity = median(l.reportedCapacities)
 }
 
+// failureRates returns the failure rate of each zone, by the zone's index.
 func (p *Policy) failureRates() []float64 {
 	rates := make([]float64, len(p.zones))
 	for i := range p.zones {
@@ -129,8 +135,8 @@
 	return rates
 }
 
-// failureRate is the rate of a zone as all zones see it, the worse of attempts and health checks; NaN if too
-// few see enough.
+// failureRate returns the failure rate of a zone as seen from all zones: the higher one of those of attempts
+// and health checks, or NaN if there are too few observations for both.
 func (p *Policy) failureRate(observed int) float64 {
 	byAttempts := p.failureRateByAttempts(observed)
 	byHealthChecks := p.failureRateByHealthChecks(observed)
@@ -140,52 +146,55 @@
 	return byAttempts
 }
 
-// failureRateByHealthChecks is the median of the observing zones, so that one broken path between two zones
-// does not count against the observed one.
+// failureRateByHealthChecks returns the median of the rates that the observing zones see, so that a broken
+// network path between two zones does not make the observed one look unhealthy. It is NaN if too few zones
+// have a rate.
 func (p *Policy) failureRateByHealthChecks(observed int) float64 {
 	var rates []float64
 	for observing := range p.zones {
-		if rate := relaysFailureRate(p.views[observing][observed].healthChecks); !math.IsNaN(rate) {
+		if rate := combinedFailureRate(p.views[observing][observed].healthChecks); !math.IsNaN(rate) {
 			rates = append(rates, rate)
 		}
 	}
-	if len(rates) < min(minViewsByHealthCheck, len(p.zones)) {
+	if len(rates) < min(minZonesByHealthChecks, len(p.zones)) {
 		return math.NaN()
 	}
 	return median(rates)
 }
 
-// failureRateByAttempts is the median of the observing zones if enough send work to the observed one. Else
-// zones are weighted by their attempts, and the observed zone's own must be among them: as traffic stays
-// near, they may be all there are.
+// failureRateByAttempts returns the median of the rates that the observing zones see, if enough of them send
+// traffic to the observed zone. Otherwise it returns their mean weighted by attempts, for which the relays of
+// the observed zone itself must have a rate: traffic usually stays within its zone, so they may be the only
+// ones that have. It is NaN if they have none.
 func (p *Policy) failureRateByAttempts(observed int) float64 {
 	var rates []float64
 	attempts, failed := 0.0, 0.0
-	seesItself := false
+	hasOwnView := false
 	for observing := range p.zones {
 		view := &p.views[observing][observed]
-		rate := relaysFailureRate(view.attempts)
+		rate := combinedFailureRate(view.attempts)
 		if math.IsNaN(rate) {
 			continue
 		}
 		rates = append(rates, rate)
 		attempts += view.totalAttempts
 		failed += rate * view.totalAttempts
-		seesItself = seesItself || observing == observed
+		hasOwnView = hasOwnView || observing == observed
 	}
-	if len(rates) >= minViewsByAttempts {
+	if len(rates) >= minZonesByAttempts {
 		return median(rates)
 	}
-	if seesItself && attempts > 0 {
+	if hasOwnView && attempts > 0 {
 		return failed / attempts
 	}
 	return math.NaN()
 }
 
-// relaysFailureRate is the failure rate that the relays of one zone see together; NaN if they see too little.
-// It is the median if most relays see enough, so that a third of them that lie change nothing; else the mean,
-// in which no relay has more weight than three median ones.
-func relaysFailureRate(relays []outcomes) float64 {
+// combinedFailureRate returns the failure rate that the relays of one zone see together, or NaN if they have
+// seen too little. It is the median if most relays have at least minAttempts, so that false reports from up to
+// a third of them change nothing. Otherwise it is a weighted mean, in which no relay has more weight than three
+// relays with the median number of attempts.
+func combinedFailureRate(relays []outcomes) float64 {
 	var rates, totals []float64
 	for _, seen := range relays {
 		totals = append(totals, seen.total)
@@ -202,6 +211,8 @@
 	return weightedFailureRate(relays, max(maxWeightOverMedian*median(totals), 1))
 }
 
+// weightedFailureRate returns the mean failure rate of the relays, each weighted by its number of attempts up to
+// maxWeight, or NaN if the weights add up to less than minAttempts.
 func weightedFailureRate(relays []outcomes, maxWeight float64) float64 {
 	total, failed := 0.0, 0.0
 	for _, seen := range relays {
@@ -217,7 +228,7 @@
 	return failed / total
 }
 
-// median sorts the values, of which there must be one.
+// median returns the median of the values, which must not be empty, and sorts them in place.
 func median(values []float64) float64 {
 	slices.Sort(values)
 	return (values[(len(values)-1)/2] + values[len(values)/2]) / 2
--- a/internal/failover/announcement.go
+++ b/internal/failover/announcement.go
@@ -1,20 +1,20 @@
 package failover
 
-// Kinds of datagrams between relays and coordinators: the first byte of the sealed content.
+// Kinds of datagrams between relays and coordinators, given by the first byte of the sealed content.
 const (
-	ConsensusDatagram    = 'v' // a consensus message, between coordinators
-	ObservationsDatagram = 'e' // a relay's observations; without content: a coordinator that asks the leader
-	AnnouncementDatagram = 'w' // the answer to that
+	ConsensusDatagram    = 'v' // a consensus message between coordinators
+	ObservationsDatagram = 'e' // a relay's observations, or if empty a coordinator's request to the leader
+	AnnouncementDatagram = 'w' // the answer to an ObservationsDatagram
 )
 
-// DecisionTTL is how long a relay follows a decision after its last renewal, in milliseconds.
+// DecisionTTL is how long a decision is valid after its last renewal, in milliseconds.
 const DecisionTTL = 5000.0
 
-// Announcement is what a coordinator answers a relay: the decision that holds, and how old that knowledge is
-// at most.
+// Announcement is a coordinator's answer to a relay or to another coordinator: the decision in force, and the
+// greatest possible age of that information.
 type Announcement struct {
-	Number     uint64  `json:"Number"`
-	Zones      []Zone  `json:"Zones"`
-	AgeMillis  float64 `json:"Age"` // since the leader last knew that it leads; negative: this coordinator doesn't know
-	FromLeader bool    `json:"Leads"`
+	Number     uint64  `json:"Number"` // number of the decision
+	Zones      []Zone  `json:"Zones"`  // all zones as decided
+	AgeMillis  float64 `json:"Age"`    // ms since the leader last confirmed its lease; negative if no decision is known
+	FromLeader bool    `json:"Leads"`  // true if the sender is the leader
 }
--- a/internal/failover/decisionlog.go
+++ b/internal/failover/decisionlog.go
@@ -8,46 +8,46 @@
 )
 
 const (
-	maxHistory   = 30  // decisions
-	maxTextBytes = 200 // of a text that an operator wrote, or of a cause
+	maxHistory   = 30  // decisions that the history keeps
+	maxTextBytes = 200 // longest text of an operator's order, and longest cause, in bytes
 )
 
 var errUnreadableCommand = errors.New("unreadable")
 
 // Command is one entry of the coordinators' replicated log: a proposal of the policy (Zones, Demand and
-// Capacity), an operator's order, or the end of one.
+// Capacity), an operator's order, or the removal of an expired order.
 type Command struct {
-	Zones          []Zone             `json:"Zones,omitempty"`  // all zones
-	Demand         map[string]float64 `json:"Demand,omitempty"` // near each zone, when the policy decided
-	Capacity       map[string]float64 `json:"Room,omitempty"`   // of each zone, in the same unit
-	Order          *OperatorOrder     `json:"Order,omitempty"`  // an order to apply
-	ExpiredOrderID string             `json:"Ends,omitempty"`   // an order to remove
+	Zones          []Zone             `json:"Zones,omitempty"`  // all zones, as the policy proposes them
+	Demand         map[string]float64 `json:"Demand,omitempty"` // demand in each zone when the policy decided
+	Capacity       map[string]float64 `json:"Room,omitempty"`   // capacity of each zone then, in the unit of demand
+	Order          *OperatorOrder     `json:"Order,omitempty"`  // operator's order to apply
+	ExpiredOrderID string             `json:"Ends,omitempty"`   // ID of an order to remove
 	Cause          Cause              `json:"Cause"`
-	ProposedAt     float64            `json:"At"` // Unix milliseconds by the proposer's clock
+	ProposedAt     float64            `json:"At"` // proposer's clock, in Unix milliseconds
 }
 
-// Decision is what became of one command.
+// Decision records the outcome of one command.
 type Decision struct {
-	Number     uint64  `json:"Number"` // its index in the replicated log
-	ProposedAt float64 `json:"At"`     // Unix milliseconds by the proposer's clock
+	Number     uint64  `json:"Number"` // index of the command in the replicated log
+	ProposedAt float64 `json:"At"`     // proposer's clock, in Unix milliseconds
 	Cause      Cause   `json:"Cause"`
-	OrderID    string  `json:"Who"`     // of the order that it applies or removes
-	Rejection  string  `json:"Refused"` // why it changed nothing; empty: it was applied
-	Zones      []Zone  `json:"Zones"`   // as they are after it; for an order to hold a zone, as they were before it
+	OrderID    string  `json:"Who"`     // ID of the order that the command applies or removes
+	Rejection  string  `json:"Refused"` // why the command was rejected; empty if it was applied
+	Zones      []Zone  `json:"Zones"`   // zones after the command, but before it for an order to hold a zone
 }
 
-// DecisionLog is the state machine that the coordinators replicate: after the same commands it is the same
-// at all of them. The zero value is ready for use.
+// DecisionLog is the state machine that the coordinators replicate: all of them that have applied the same
+// commands hold the same state. The zero value is ready for use.
 type DecisionLog struct {
-	Number      uint64             `json:"Number"` // of the latest command that was applied
-	PolicyZones []Zone             `json:"Judged"` // as the policy decided, before orders
-	Orders      []OperatorOrder    `json:"Orders"` // that hold
-	Demand      map[string]float64 `json:"Demand"` // near each zone, when the policy decided
-	Capacity    map[string]float64 `json:"Room"`   // of each zone, in the same unit
+	Number      uint64             `json:"Number"` // index of the latest command that was applied and not rejected
+	PolicyZones []Zone             `json:"Judged"` // zones as the policy decided, not overridden by orders
+	Orders      []OperatorOrder    `json:"Orders"` // orders in force
+	Demand      map[string]float64 `json:"Demand"` // demand in each zone when the policy decided
+	Capacity    map[string]float64 `json:"Room"`   // capacity of each zone then, in the unit of demand
 	History     []Decision         `json:"History"`
 }
 
-// EffectiveZones returns the decision that holds: the policy's, overridden by the operators' orders.
+// EffectiveZones returns the decision in force: the policy's, overridden by the operators' orders.
 func (l *DecisionLog) EffectiveZones() []Zone {
 	zones := slices.Clone(l.PolicyZones)
 	if len(l.Orders) == 0 {
@@ -55,12 +55,12 @@
 	}
 	l.applyOrders(zones)
 	l.keepOneServing(zones)
-	divert(zones, l.Demand, l.Capacity) // by the capacity that the policy knew
+	divert(zones, l.Demand, l.Capacity) // with the demand and capacity of the policy's latest proposal
 	return zones
 }
 
-// Apply applies the command with the given index of the replicated log and records the decision. A command
-// that can't be applied is recorded with the reason.
+// Apply applies the command at the given index of the replicated log and records the decision. A command that
+// can't be applied changes no zone and is recorded with the reason of its rejection.
 func (l *DecisionLog) Apply(number uint64, data []byte) {
 	before := l.EffectiveZones()
 	var command Command
@@ -86,13 +86,14 @@
 	} else {
 		l.Number = number
 		if command.Order != nil && command.Order.Action == ActionHold {
-			decision.Zones = before // the state to hold, which heldState reads
+			decision.Zones = before // heldState reads the state to hold from here
 		}
 	}
 	l.record(decision)
 }
 
-// acceptProposal takes over what the policy proposes. Orders for zones that it no longer names end.
+// acceptProposal validates and stores a proposal of the policy. It removes orders for zones that the proposal
+// no longer contains.
 func (l *DecisionLog) acceptProposal(command Command) error {
 	if err := validateProposal(command.Zones); err != nil {
 		return err
@@ -106,6 +107,7 @@
 	return nil
 }
 
+// record appends a decision to the history, which keeps the latest maxHistory decisions.
 func (l *DecisionLog) record(decision Decision) {
 	l.History = append(l.History, decision)
 	if len(l.History) > maxHistory {
@@ -115,11 +117,11 @@
 
 // Snapshot encodes the whole log for Restore.
 func (l *DecisionLog) Snapshot() []byte {
-	data, _ := json.Marshal(l) // can't fail: plain values, and no figure is NaN or infinite
+	data, _ := json.Marshal(l) // can't fail: plain types, and no number is NaN or infinite
 	return data
 }
 
-// Restore replaces the log by a snapshot. On an error the log stays as it is.
+// Restore replaces the log's state by a snapshot. On an error the log stays unchanged.
 func (l *DecisionLog) Restore(data []byte) error {
 	var restored DecisionLog
 	if err := json.Unmarshal(data, &restored); err != nil {
--- a/internal/failover/decisionlog_test.go
+++ b/internal/failover/decisionlog_test.go
@@ -7,6 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Orders override the policy until they expire or are replaced, only a forced order may empty the last zone
+// that serves, and invalid orders are rejected.
 func TestOrders(t *testing.T) {
 	s := newSimulation(t, 12)
 	s.runUntil(3000)
@@ -19,12 +21,12 @@
 	assert.Empty(t, order("1", "b", ActionEmpty, false))
 	assert.Equal(t, "b emptied", s.states())
 	assert.Equal(t, before+1, s.log.Number)
-	assert.Empty(t, order("1", "b", ActionEmpty, false), "sent again")
+	assert.Empty(t, order("1", "b", ActionEmpty, false), "an order sent again is accepted")
 	s.runUntil(6000)
-	assert.Equal(t, "b emptied", s.states(), "overrides the policy")
+	assert.Equal(t, "b emptied", s.states(), "the order overrides the policy")
 	assert.Equal(t, "a", s.log.EffectiveZones()[1].Diversions[0].Zone)
 	assert.Empty(t, order("2", "b", ActionReturn, false))
-	assert.Empty(t, s.states(), "the later order holds")
+	assert.Empty(t, s.states(), "the later order replaces the earlier one")
 	assert.Equal(t, errUnknownZone.Error(), order("3", "x", ActionEmpty, false))
 	assert.Equal(t, `empty, return or hold expected, got "burn"`, order("4", "b", "burn", false))
 	assert.Equal(t, errIncompleteOrder.Error(), order("", "b", ActionEmpty, false))
@@ -32,14 +34,14 @@
 	assert.Empty(t, order("5", "b", ActionHold, false))
 	s.failureRate = zoneFails("b", 1, 0, forever)
 	s.runUntil(12000)
-	assert.Empty(t, s.states(), "held, though it fails")
+	assert.Empty(t, s.states(), "the zone is held as home although it fails")
 
 	for _, zone := range []string{"a", "c", "d", "e"} {
 		assert.Empty(t, order("e"+zone, zone, ActionEmpty, false))
 	}
 	assert.Empty(t, order("eb", "b", ActionEmpty, false))
 	assert.Equal(t, errLastZone.Error(), order("ef", "f", ActionEmpty, false))
-	assert.Empty(t, order("ef!", "f", ActionEmpty, true), "by force")
+	assert.Empty(t, order("ef!", "f", ActionEmpty, true), "a forced order may empty the last zone")
 	assert.Equal(t, s.number, s.log.Number)
 	decision, isDecided := s.log.DecisionOnOrder("ef")
 	assert.True(t, isDecided)
@@ -50,7 +52,7 @@
 		assert.Empty(t, s.apply(Command{ExpiredOrderID: id, Cause: CauseOrderExpired}).Rejection)
 	}
 	assert.Equal(t, errUnknownOrder.Error(), s.apply(Command{ExpiredOrderID: "1"}).Rejection)
-	assert.Equal(t, "b emptied", s.states(), "by the policy")
+	assert.Equal(t, "b emptied", s.states(), "without orders the policy's decision is in force")
 	s.log.Apply(999, []byte("{"))
 	assert.Equal(t, errUnreadableCommand.Error(), s.latestDecision().Rejection)
 }
@@ -58,5 +60,5 @@
 func TestRestoreOfDamagedSnapshot(t *testing.T) {
 	log := &DecisionLog{Number: 7}
 	require.Error(t, log.Restore([]byte("{")))
-	assert.Equal(t, &DecisionLog{Number: 7}, log, "stays as it was")
+	assert.Equal(t, &DecisionLog{Number: 7}, log, "the log is unchanged")
 }
--- a/internal/failover/exhaustive_test.go
+++ b/internal/failover/exhaustive_test.go
@@ -88,66 +88,66 @@
 // and restarts. A relay never goes back in number, follows nothing that is not on its disk, and nothing for
 // longer than twice the TTL. A follower that follows before its disk has the number is found.
 func TestAllShortFollowerSequences(t *testing.T) {
-	for name, ignoresDisk := range map[string]bool{"as it is": false, "follows before it is persisted": true} {
-		w := followerWalk{ignoresDisk: ignoresDisk}
-		w.walk(steppedRelay{
+	for name, followsUnpersisted := range map[string]bool{"as it is": false, "follows before it is persisted": true} {
+		w := followerWalk{followsUnpersisted: followsUnpersisted}
+		w.walk(relayState{
 			follower:    *NewFollower(nil),
 			now:         1,
-			latestTruth: map[uint64]float64{},
+			confirmedAt: map[uint64]float64{},
 		}, 5)
 		t.Logf("%s: %d sequences, %s", name, w.sequences, w.violation)
-		assert.Equal(t, ignoresDisk, w.violation != "", "%s: %s", name, w.violation)
+		assert.Equal(t, followsUnpersisted, w.violation != "", "%s: %s", name, w.violation)
 	}
 }
 
-// steppedRelay is a relay with a follower after some steps.
-type steppedRelay struct {
-	follower    Follower
-	now         float64
-	disk        []byte             // durable
-	writing     []byte             // on its way to the disk
-	number      uint64             // the highest followed, over all restarts
-	latestTruth map[uint64]float64 // when the latest announcement of each number was true
+// relayState is a relay with a follower after some steps.
+type relayState struct {
+	follower     Follower
+	now          float64
+	disk         []byte             // durable
+	pendingWrite []byte             // on its way to the disk
+	number       uint64             // the highest followed, over all restarts
+	confirmedAt  map[uint64]float64 // when the latest announcement of each number was true
 }
 
 // followerWalk tries all sequences of steps.
 type followerWalk struct {
-	ignoresDisk bool
-	sequences   int
-	violation   string
+	followsUnpersisted bool
+	sequences          int
+	violation          string
 }
 
 // The steps of a follower: first an announcement of each number, new and nearly expired.
 const (
-	announcedNumbers  = 3
-	stepPersisted     = 2 * announcedNumbers
-	stepTimePasses    = stepPersisted + 1
-	stepPowerIsLost   = stepPersisted + 2
-	followerSteps     = stepPersisted + 3
-	nearlyExpiredAge  = 4500.0
-	timePassesMillis  = 3000.0
-	maxFollowedMillis = 2 * DecisionTTL
+	announcedNumbers    = 3
+	stepFinishWrite     = 2 * announcedNumbers
+	stepAdvanceTime     = stepFinishWrite + 1
+	stepPowerLoss       = stepFinishWrite + 2
+	followerStepCount   = stepFinishWrite + 3
+	nearlyExpiredMillis = 4500.0
+	timeStepMillis      = 3000.0
+	maxFollowedMillis   = 2 * DecisionTTL
 )
 
-func (w *followerWalk) walk(r steppedRelay, left int) {
+func (w *followerWalk) walk(r relayState, stepsLeft int) {
 	w.sequences++
-	if left == 0 || w.violation != "" {
+	if stepsLeft == 0 || w.violation != "" {
 		return
 	}
-	for step := range followerSteps {
+	for step := range followerStepCount {
 		next := r.clone()
-		if !w.take(&next, step) {
+		if !w.applyStep(&next, step) {
 			continue
 		}
 		w.check(&next)
-		w.walk(next, left-1)
+		w.walk(next, stepsLeft-1)
 	}
 }
 
 // clone copies the relay so that steps of the copy leave the original as it is.
-func (r steppedRelay) clone() steppedRelay {
+func (r relayState) clone() relayState {
 	r.follower.rng = rand.New(rand.NewSource(1))
-	r.latestTruth = maps.Clone(r.latestTruth)
+	r.confirmedAt = maps.Clone(r.confirmedAt)
 	if r.follower.pending != nil { // which Receive changes
 		pending := *r.follower.pending
 		r.follower.pending = &pending
@@ -155,43 +155,43 @@
 	return r
 }
 
-// take has the relay take a step; false if it can't.
-func (w *followerWalk) take(r *steppedRelay, step int) bool {
+// applyStep has the relay applyStep a step; false if it can't.
+func (w *followerWalk) applyStep(r *relayState, step int) bool {
 	switch step {
-	case stepPersisted:
-		if r.writing == nil {
+	case stepFinishWrite:
+		if r.pendingWrite == nil {
 			return false
 		}
-		r.disk = r.writing
-		r.writing = nil
+		r.disk = r.pendingWrite
+		r.pendingWrite = nil
 		r.follower.ConfirmPersisted(r.now, persistedNumber(r.disk))
-	case stepTimePasses:
-		r.now += timePassesMillis
-	case stepPowerIsLost:
+	case stepAdvanceTime:
+		r.now += timeStepMillis
+	case stepPowerLoss:
 		r.follower = *NewFollower(r.follower.rng)
-		r.writing = nil
+		r.pendingWrite = nil
 		r.follower.Restore(r.disk)
 	default:
 		number := uint64(step%announcedNumbers + 1)
-		w.announce(r, number, nearlyExpiredAge*float64(step/announcedNumbers))
+		w.announce(r, number, nearlyExpiredMillis*float64(step/announcedNumbers))
 	}
 	return true
 }
 
-func (w *followerWalk) announce(r *steppedRelay, number uint64, age float64) {
-	r.latestTruth[number] = max(r.latestTruth[number], r.now-age)
+func (w *followerWalk) announce(r *relayState, number uint64, age float64) {
+	r.confirmedAt[number] = max(r.confirmedAt[number], r.now-age)
 	zones := []Zone{{Name: "a", State: Home, Share: 1}}
 	data := r.follower.Receive(r.now, Announcement{Number: number, Zones: zones, AgeMillis: age})
 	if data == nil {
 		return
 	}
-	r.writing = data
-	if w.ignoresDisk {
+	r.pendingWrite = data
+	if w.followsUnpersisted {
 		r.follower.ConfirmPersisted(r.now, number)
 	}
 }
 
-func (w *followerWalk) check(r *steppedRelay) {
+func (w *followerWalk) check(r *relayState) {
 	zones, number := r.follower.Current(r.now)
 	if zones == nil {
 		return
@@ -201,7 +201,7 @@
 		w.violation = fmt.Sprintf("back from %d to %d", r.number, number)
 	case number > persistedNumber(r.disk):
 		w.violation = fmt.Sprintf("follows %d, which is not on disk", number)
-	case r.now > r.latestTruth[number]+maxFollowedMillis:
+	case r.now > r.confirmedAt[number]+maxFollowedMillis:
 		w.violation = fmt.Sprintf("follows %d for too long", number)
 	}
 	r.number = max(r.number, number)
--- a/internal/failover/observations.go
+++ b/internal/failover/observations.go
@@ -8,81 +8,81 @@
 	"slices"
 )
 
-// Observation is what one relay saw of one zone over the last second or so.
+// Observation is what one relay saw of one zone within about one second.
 type Observation struct {
-	Attempts           float64 // to set up a session, that ended
-	FailedAttempts     float64 // of those: without an answer in time, refused or answered with an error
-	HealthChecks       float64 // that ended
-	FailedHealthChecks float64 // of those: without an answer
-	Load               float64 // of the zone's backends together, as they report it; the unit is what one backend can bear
-	Capacity           float64 // of the zone's backends that can serve, in the same unit
+	Attempts           float64 // completed attempts to set up a session
+	FailedAttempts     float64 // attempts that got no answer in time, were refused, or were answered with an error
+	HealthChecks       float64 // completed health checks
+	FailedHealthChecks float64 // health checks that got no answer
+	Load               float64 // total load that the zone's backends report, in capacities of one backend
+	Capacity           float64 // total capacity of the zone's backends that can serve, in capacities of one backend
 }
 
-// Observations is what one relay reports of all zones.
+// Observations is one relay's report on all zones.
 type Observations struct {
-	Relay  string
-	Zone   string  // where the relay is
-	Demand float64 // the work that comes to this relay, in the unit of load
-	ByZone map[string]Observation
+	Relay  string                 // name of the relay
+	Zone   string                 // zone in which the relay runs
+	Demand float64                // load of the relay's own sessions, in capacities of one backend
+	ByZone map[string]Observation // observations of each zone, by zone name
 }
 
-// maxFigure is above any figure that a relay can have counted within an observation.
-const maxFigure = 1e9
+// maxPlausibleValue is greater than any count or load that one relay can observe.
+const maxPlausibleValue = 1e9
 
-// isPlausible reports whether all figures can be true. What a relay reports is not trusted.
+// isPlausible reports whether all values are within their possible range, as reports of relays are not trusted.
 func (o Observations) isPlausible() bool {
 	for _, observation := range o.ByZone {
 		if !observation.isPlausible() {
 			return false
 		}
 	}
-	return isPlausibleFigure(o.Demand)
+	return isPlausibleValue(o.Demand)
 }
 
 func (o Observation) isPlausible() bool {
-	for _, figure := range o.figures() {
-		if !isPlausibleFigure(figure) {
+	for _, value := range o.values() {
+		if !isPlausibleValue(value) {
 			return false
 		}
 	}
 	return o.FailedAttempts <= o.Attempts && o.FailedHealthChecks <= o.HealthChecks
 }
 
-// isPlausibleFigure is false for NaN too.
-func isPlausibleFigure(figure float64) bool { return figure >= 0 && figure < maxFigure }
+// isPlausibleValue reports whether a value is within its possible range, which NaN is not.
+func isPlausibleValue(value float64) bool { return value >= 0 && value < maxPlausibleValue }
 
-// figuresPerObservation counts the figures of an encoded observation.
-const figuresPerObservation = 6
+// valuesPerObservation is the number of values in an encoded observation.
+const valuesPerObservation = 6
 
-// figures returns all figures in the order in which they are encoded.
-func (o Observation) figures() [figuresPerObservation]float64 {
-	return [figuresPerObservation]float64{
+// values returns all values in the order in which they are encoded.
+func (o Observation) values() [valuesPerObservation]float64 {
+	return [valuesPerObservation]float64{
 		o.Attempts, o.FailedAttempts, o.HealthChecks, o.FailedHealthChecks, o.Load, o.Capacity,
 	}
 }
 
-// Observations are sent in a binary form, as hundreds of relays report twice a second and reading JSON costs
-// three times as much. The form is: a version, the relay's name, its zone, its demand, and then for each zone
-// its name and figures. A text is one byte for its length and then its bytes; a figure is a little-endian
-// float32.
+// Observations are sent in a binary encoding, as hundreds of relays report twice a second and decoding JSON
+// costs three times as much. The encoding consists of a version byte, the relay's name, its zone, its demand,
+// and then each zone's name and values. A name is encoded as one byte for its length, followed by its bytes; a
+// value is encoded as a little-endian float32.
 const (
-	observationsVersion = 1
-	maxNameBytes        = 64
-	figureBytes         = 4
+	observationsVersion = 1  // version of the encoding, its first byte
+	maxNameBytes        = 64 // longest name of a relay or zone, in bytes
+	valueBytes          = 4  // size of one encoded value, in bytes
 )
 
-// Encode returns the binary form. Longer names are cut; zones beyond the number that DecodeObservations
-// accepts are left out.
+// Encode returns the binary encoding. Names longer than maxNameBytes are truncated, and zones beyond the first
+// maxZones by name are left out, as DecodeObservations accepts no more.
 func (o Observations) Encode() []byte {
 	data := []byte{observationsVersion}
 	data = appendName(data, o.Relay)
 	data = appendName(data, o.Zone)
-	data = appendFigure(data, o.Demand)
+	data = appendValue(data, o.Demand)
 	zones := slices.Sorted(maps.Keys(o.ByZone))
 	for _, zone := range zones[:min(len(zones), maxZones)] {
 		data = appendName(data, zone)
-		for _, figure := range o.ByZone[zone].figures() {
-			data = appendFigure(data, figure)
+		for _, value := range o.ByZone[zone].values() {
+			data = appendValue(data, value)
 		}
 	}
 	return data
@@ -94,13 +94,14 @@
 	return append(data, name...)
 }
 
-func appendFigure(data []byte, figure float64) []byte {
-	return binary.LittleEndian.AppendUint32(data, math.Float32bits(float32(figure)))
+func appendValue(data []byte, value float64) []byte {
+	return binary.LittleEndian.AppendUint32(data, math.Float32bits(float32(value)))
 }
 
 var errMalformedObservations = errors.New("decode observations: malformed")
 
-// DecodeObservations reads the binary form. It does not check the figures: Policy.AddObservations does.
+// DecodeObservations decodes the binary encoding. It doesn't check whether the values are plausible, which
+// Policy.AddObservations does.
 func DecodeObservations(data []byte) (Observations, error) {
 	if len(data) == 0 || data[0] != observationsVersion {
 		return Observations{}, errMalformedObservations
@@ -109,7 +110,7 @@
 	observations := Observations{
 		Relay:  d.name(),
 		Zone:   d.name(),
-		Demand: d.figure(),
+		Demand: d.value(),
 		ByZone: map[string]Observation{},
 	}
 	for !d.malformed && len(d.rest) > 0 {
@@ -128,10 +129,11 @@
 	return observations, nil
 }
 
-// observationsDecoder reads one value after the other. Once something is malformed it returns zero values.
+// observationsDecoder reads names and values in sequence. After the first malformed one it returns only empty
+// names and zeros.
 type observationsDecoder struct {
-	rest      []byte
-	malformed bool
+	rest      []byte // bytes that are not read yet
+	malformed bool   // true once the data has turned out to be malformed
 }
 
 func (d *observationsDecoder) name() string {
@@ -149,23 +151,23 @@
 	return name
 }
 
-func (d *observationsDecoder) figure() float64 {
-	if d.malformed || len(d.rest) < figureBytes {
+func (d *observationsDecoder) value() float64 {
+	if d.malformed || len(d.rest) < valueBytes {
 		d.malformed = true
 		return 0
 	}
-	figure := math.Float32frombits(binary.LittleEndian.Uint32(d.rest))
-	d.rest = d.rest[figureBytes:]
-	return float64(figure)
+	value := math.Float32frombits(binary.LittleEndian.Uint32(d.rest))
+	d.rest = d.rest[valueBytes:]
+	return float64(value)
 }
 
 func (d *observationsDecoder) observation() Observation {
 	return Observation{
-		Attempts:           d.figure(),
-		FailedAttempts:     d.figure(),
-		HealthChecks:       d.figure(),
-		FailedHealthChecks: d.figure(),
-		Load:               d.figure(),
-		Capacity:           d.figure(),
+		Attempts:           d.value(),
+		FailedAttempts:     d.value(),
+		HealthChecks:       d.value(),
+		FailedHealthChecks: d.value(),
+		Load:               d.value(),
+		Capacity:           d.value(),
 	}
 }
--- a/internal/failover/order.go
+++ b/internal/failover/order.go
@@ -6,28 +6,28 @@
 	"slices"
 )
 
-// OrderAction is what an operator orders to be done with a zone. Its values are stored and sent.
+// OrderAction is what an operator orders for a zone. Its values are stored and sent.
 type OrderAction string
 
 const (
-	ActionEmpty  OrderAction = "empty"  // the zone gets no new work
-	ActionReturn OrderAction = "return" // the zone serves in full
-	ActionHold   OrderAction = "hold"   // the zone stays in the state that it has when the order is applied
+	ActionEmpty  OrderAction = "empty"  // the zone gets no new sessions
+	ActionReturn OrderAction = "return" // the zone serves all its local traffic
+	ActionHold   OrderAction = "hold"   // the zone keeps the state and share that it has when the order is applied
 )
 
 // String returns the stored spelling.
 func (a OrderAction) String() string { return string(a) }
 
-// OperatorOrder overrides what the policy decides about a zone, until the order expires or another one for
-// the same zone replaces it.
+// OperatorOrder overrides the policy's decision about a zone until the order expires or another order for the
+// same zone replaces it.
 type OperatorOrder struct {
-	ID        string      `json:"ID"` // drawn by the caller: an order that is sent again under its ID is applied once
+	ID        string      `json:"ID"` // ID chosen by the caller; an order sent again with the same ID is applied once
 	Zone      string      `json:"Zone"`
 	Action    OrderAction `json:"Do"`
-	ExpiresAt float64     `json:"Until"` // Unix milliseconds; 0: it does not expire
-	Reason    string      `json:"Reason"`
-	IssuedBy  string      `json:"Who"`
-	Force     bool        `json:"Force"` // apply it even if no zone is left that serves
+	ExpiresAt float64     `json:"Until"`  // expiry time in Unix milliseconds; 0 if the order doesn't expire
+	Reason    string      `json:"Reason"` // why the operator gives the order
+	IssuedBy  string      `json:"Who"`    // name of the operator
+	Force     bool        `json:"Force"`  // apply the order even if it leaves no zone that serves
 }
 
 var (
@@ -38,9 +38,9 @@
 	errUnknownAction   = errors.New("empty, return or hold expected")
 )
 
-// acceptOrder adds an order, in place of a former one for its zone. It checks the order against zones, the
-// decision that holds, and not where the order is issued: of two orders that contradict each other the later
-// one sees the earlier.
+// acceptOrder adds an order in place of an earlier one for the same zone. It checks the order against zones,
+// the decision in force. The check is made here and not where the order is issued, so that of two conflicting
+// orders the later one is checked against the effect of the earlier one.
 func (l *DecisionLog) acceptOrder(order OperatorOrder, zones []Zone) error {
 	if !containsZone(zones, order.Zone) {
 		return errUnknownZone
@@ -50,7 +50,7 @@
 		return errIncompleteOrder
 	}
 	if slices.ContainsFunc(l.Orders, func(o OperatorOrder) bool { return o.ID == order.ID }) {
-		return nil // sent again
+		return nil // the order was sent again and is already in force
 	}
 	if err := order.checkAction(zones); err != nil {
 		return err
@@ -60,6 +60,7 @@
 	return nil
 }
 
+// checkAction returns an error if the action is unknown, or would empty the last zone that serves without force.
 func (o *OperatorOrder) checkAction(zones []Zone) error {
 	switch o.Action {
 	case ActionReturn, ActionHold:
@@ -75,6 +76,7 @@
 	}
 }
 
+// removeOrder removes the order with the given ID.
 func (l *DecisionLog) removeOrder(id string) error {
 	before := len(l.Orders)
 	l.Orders = slices.DeleteFunc(l.Orders, func(o OperatorOrder) bool { return o.ID == id })
@@ -84,9 +86,9 @@
 	return nil
 }
 
-// orderFor returns the order that holds for a zone, nil if there is none.
+// orderFor returns the order in force for a zone, or nil if there is none.
 func (l *DecisionLog) orderFor(zone string) *OperatorOrder {
-	for i := len(l.Orders) - 1; i >= 0; i-- { // the latest one holds
+	for i := len(l.Orders) - 1; i >= 0; i-- { // the latest order is in force
 		if l.Orders[i].Zone == zone {
 			return &l.Orders[i]
 		}
@@ -94,7 +96,7 @@
 	return nil
 }
 
-// applyOrders overrides the policy's decisions by the operators' orders.
+// applyOrders overrides the policy's decisions with the operators' orders.
 func (l *DecisionLog) applyOrders(zones []Zone) {
 	for i := range zones {
 		if order := l.orderFor(zones[i].Name); order != nil {
@@ -103,21 +105,23 @@
 	}
 }
 
+// applyOrder returns the zone with the state and share that the order demands.
 func (l *DecisionLog) applyOrder(order *OperatorOrder, zone Zone) Zone {
 	zone.Reason = reasonOrdered(order)
 	switch order.Action {
 	case ActionEmpty:
-		return zone.with(Emptied, 0)
+		return zone.withState(Emptied, 0)
 	case ActionReturn:
-		return zone.with(Home, 1)
+		return zone.withState(Home, 1)
 	case ActionHold:
-		return zone.with(l.heldState(order, zone))
+		return zone.withState(l.heldState(order, zone))
 	default:
 		return zone
 	}
 }
 
-// heldState is the state of a zone when the order to hold it was applied.
+// heldState returns the state and share that a zone had when the order to hold it was applied. If the history
+// no longer contains that decision, it returns the zone's present ones.
 func (l *DecisionLog) heldState(order *OperatorOrder, zone Zone) (State, float64) {
 	for _, decision := range slices.Backward(l.History) {
 		if decision.OrderID != order.ID || decision.Rejection != "" {
@@ -132,9 +136,9 @@
 	return zone.State, zone.Share
 }
 
-// keepOneServing has the zones that the policy emptied serve again if orders that nobody forced would leave
-// no zone: a zone that fails often is better than none, and no order is to end service together with a
-// later decision of the policy.
+// keepOneServing makes all zones without an order home again if no zone would serve otherwise, unless an order
+// is forced. A zone that fails often is better than none, and an order that was accepted while another zone
+// served must not end all service once the policy empties that zone.
 func (l *DecisionLog) keepOneServing(zones []Zone) {
 	if slices.ContainsFunc(zones, Zone.serves) ||
 		slices.ContainsFunc(l.Orders, func(o OperatorOrder) bool { return o.Force }) {
@@ -142,13 +146,13 @@
 	}
 	for i, zone := range zones {
 		if l.orderFor(zone.Name) == nil {
-			zones[i] = zone.with(Home, 1)
+			zones[i] = zone.withState(Home, 1)
 			zones[i].Reason = reasonLastResort(zone.Reason)
 		}
 	}
 }
 
-// ExpiredOrderIDs returns the orders that have expired at a time in Unix milliseconds.
+// ExpiredOrderIDs returns the IDs of the orders that have expired at the given time in Unix milliseconds.
 func (l *DecisionLog) ExpiredOrderIDs(unixMillis float64) (ids []string) {
 	for _, order := range l.Orders {
 		if order.ExpiresAt > 0 && unixMillis >= order.ExpiresAt {
@@ -158,7 +162,8 @@
 	return ids
 }
 
-// DecisionOnOrder returns what was decided on an order; false while nothing is.
+// DecisionOnOrder returns the earliest decision in the history on the order with the given ID, and false if there
+// is none.
 func (l *DecisionLog) DecisionOnOrder(id string) (Decision, bool) {
 	for _, decision := range l.History {
 		if decision.OrderID == id {
--- a/internal/failover/policy.go
+++ b/internal/failover/policy.go
@@ -5,33 +5,33 @@
 	"slices"
 )
 
-// Policy turns what relays observe into proposals, at the coordinator that leads. What it holds is lost with
-// that coordinator: the next leader starts from the decision log and observes anew.
+// Policy runs at the leading coordinator and turns the relays' observations into proposals. Its state is not
+// replicated: the next leader starts with the decision log and collects observations anew.
 type Policy struct {
-	zones        []Zone         // names and regions as configured, sorted by name
-	indices      map[string]int // of zones, by name
-	health       map[string]*zoneHealth
-	observations map[string]timedObservations // the latest of each relay
-	views        [][]zoneView                 // by the index of the observing zone and of the observed one
-	loads        []zoneLoad                   // by the index of the zone
+	zones        []Zone                       // names and regions as configured, sorted by name
+	indices      map[string]int               // indices in zones, by zone name
+	health       map[string]*zoneHealth       // health of each zone, by zone name
+	observations map[string]timedObservations // latest observations of each relay, by relay name
+	views        [][]zoneView                 // views by the index of the observing zone, then of the observed one
+	loads        []zoneLoad                   // loads by the index of the zone
 }
 
-// NewPolicy decides on the given zones. Their states and shares are not read.
+// NewPolicy returns a policy that decides on the given zones. It ignores their states and shares.
 func NewPolicy(zones []Zone) *Policy {
 	p := &Policy{observations: map[string]timedObservations{}}
 	p.SetZones(zones)
 	return p
 }
 
-// SetZones replaces the zones to decide on. Zones that stay keep their health; new ones begin as home; ones
-// that are left out are not in the next proposal, which ends the orders on them.
+// SetZones replaces the zones to decide on. Zones that were configured before keep their health, and new zones
+// start as home. Removed zones are missing in the next proposal, which removes the orders for them.
 func (p *Policy) SetZones(zones []Zone) {
-	formerHealth := p.health
+	previousHealth := p.health
 	p.zones = make([]Zone, 0, len(zones))
 	p.health = map[string]*zoneHealth{}
 	for _, z := range zones {
 		p.zones = append(p.zones, Zone{Name: z.Name, Region: z.Region, State: Home, Share: 1})
-		health := formerHealth[z.Name]
+		health := previousHealth[z.Name]
 		if health == nil {
 			health = newZoneHealth()
 		}
@@ -52,17 +52,17 @@
 	}
 }
 
-// evaluation is what is the same for all zones in one call of Evaluate.
+// evaluation holds the values that one call of Evaluate uses for all zones.
 type evaluation struct {
 	now          float64
-	failureRates []float64 // by the index of the zone; NaN: too little is known
-	commonCause  bool      // most zones fail alike
-	emptied      []Zone    // already, or by this proposal
-	waitFactor   float64   // of the waits of zones that return
+	failureRates []float64 // failure rates by the index of the zone; NaN if too little is known
+	commonCause  bool      // true if most zones fail, so that the cause must be one that they share
+	emptied      []Zone    // zones emptied already or by this proposal
+	waitFactor   float64   // multiplier of the waits of returning zones
 }
 
-// Evaluate returns what to propose to the other coordinators, and whether it differs from what the log holds
-// and may be proposed.
+// Evaluate returns the command to propose to the coordinators, and whether it differs from the decisions in the
+// log and is valid.
 func (p *Policy) Evaluate(now float64, log *DecisionLog) (command Command, changed bool) {
 	p.aggregate(now)
 	failureRates := p.failureRates()
@@ -85,16 +85,16 @@
 	return command, changed && validateProposal(command.Zones) == nil
 }
 
-// evaluateZones puts the next state of each zone into the command, and reports whether any differs from what
-// the log holds.
+// evaluateZones adds each zone with its next state to the command, and reports whether the zones differ from
+// those in the log.
 func (p *Policy) evaluateZones(e *evaluation, log *DecisionLog, command *Command) (changed bool) {
-	held := make(map[string]Zone, len(log.PolicyZones))
+	decided := make(map[string]Zone, len(log.PolicyZones))
 	for _, zone := range log.PolicyZones {
-		held[zone.Name] = zone
+		decided[zone.Name] = zone
 	}
 	changed = len(log.PolicyZones) != len(p.zones)
 	for i, configured := range p.zones {
-		zone, isKnown := held[configured.Name]
+		zone, isKnown := decided[configured.Name]
 		if !isKnown {
 			zone = configured
 			changed = true
@@ -123,8 +123,9 @@
 	return emptied
 }
 
-// mayEmpty reports whether a zone may be emptied in addition to those that are: up to a third of all, or one
-// whole region if there is a healthy zone in another. So that no single fault empties zone after zone.
+// mayEmpty reports whether a zone may be emptied in addition to those already emptied. Up to a third of all
+// zones may be, or a whole region if another region has a healthy zone. The limit keeps a single fault from
+// emptying one zone after the other.
 func (p *Policy) mayEmpty(e *evaluation, zone Zone) bool {
 	count := len(e.emptied) + 1
 	if count <= max(1, len(p.zones)/3) {
@@ -141,8 +142,8 @@
 	return false
 }
 
-// hasCommonCause reports whether most zones fail, so that the cause must be one that they share, as a slow
-// store, and emptying zones can't help.
+// hasCommonCause reports whether more than half of the zones fail. The cause must then be one that they share,
+// such as a slow store, and emptying zones can't help.
 func (p *Policy) hasCommonCause(failureRates []float64) bool {
 	failing := 0
 	for i, zone := range p.zones {
@@ -153,8 +154,9 @@
 	return 2*failing > len(p.zones)
 }
 
-// waitFactor shortens the waits of returning zones while those that are home are full together, as a zone
-// that waits then costs service.
+// waitFactor returns the multiplier of the waits of emptied and returning zones. It shortens the waits while the
+// load of the home zones together exceeds their target utilization, as the capacity of a waiting zone is then
+// missing.
 func (p *Policy) waitFactor(zones []Zone) float64 {
 	load, capacity := 0.0, 0.0
 	for _, zone := range zones {
@@ -170,13 +172,15 @@
 	return 1
 }
 
+// updateMeans updates the mean failure rate of each zone.
 func (p *Policy) updateMeans(now float64, failureRates []float64) {
 	for i, zone := range p.zones {
 		p.health[zone.Name].updateMean(now, failureRates[i])
 	}
 }
 
-// demandAndCapacity are the figures of each zone by its name; a capacity that no relay reported is left out.
+// demandAndCapacity returns the demand and the capacity of each zone, by zone name. A capacity that no relay
+// reported is left out.
 func (p *Policy) demandAndCapacity() (demand, capacity map[string]float64) {
 	demand = map[string]float64{}
 	capacity = map[string]float64{}
@@ -189,7 +193,7 @@
 	return demand, capacity
 }
 
-// loadOf returns the load and the capacity of a zone; 0 if it is unknown.
+// loadOf returns the load and the capacity of a zone, or zeros if they are unknown.
 func (p *Policy) loadOf(zone string) (load, capacity float64) {
 	i, isKnown := p.indices[zone]
 	if !isKnown {
--- a/internal/failover/policy_test.go
+++ b/internal/failover/policy_test.go
@@ -93,13 +93,13 @@
 // As traffic stays near, only its own relays' attempts show that a zone is degraded.
 func TestDegradedZoneIsSeenByItsOwnRelays(t *testing.T) {
 	s := newSimulation(t, 36)
-	s.trafficNear = true
+	s.localTrafficOnly = true
 	s.failureRate = zoneFails("b", 0.34, 5000, forever)
 	s.runUntil(9500)
 	assert.Equal(t, "b emptied", s.states())
 
 	s = newSimulation(t, 36)
-	s.trafficNear = true
+	s.localTrafficOnly = true
 	s.failureRate = func(_ float64, observing, _ string) float64 { return failsIf(observing == "a") / 12 }
 	s.runUntil(20000)
 	assert.Empty(t, s.states(), "one attempt in twelve is too little")
@@ -112,7 +112,7 @@
 	s.failureRate = zoneFails("b", 1, 5000, 10000)
 	var seen []string
 	for s.now < 40000 {
-		s.runUntil(s.now + evaluateEvery)
+		s.runUntil(s.now + evaluationInterval)
 		zone := s.log.EffectiveZones()[1]
 		step := fmt.Sprintf("%s %.2f", zone.State, zone.Share)
 		if len(seen) == 0 || seen[len(seen)-1] != step {
@@ -135,10 +135,10 @@
 // emptied that did not fail just before.
 func TestNoHealthyZoneIsEmptied(t *testing.T) {
 	const schedules = 150
-	const emptiedAfter = 4000 // ms after a fault's end, at most
+	const maxEmptyDelay = 4000 // ms after a fault's end, at most
 	for seed := range int64(schedules) {
 		s := newSimulation(t, 12)
-		faults := s.drawFaults(rand.New(rand.NewSource(seed)))
+		faults := s.randomFaults(rand.New(rand.NewSource(seed)))
 		s.runUntil(30000)
 		for i, decision := range s.log.History {
 			for k, zone := range decision.Zones {
@@ -147,7 +147,7 @@
 				}
 				failedBefore := false
 				for _, f := range faults {
-					if f.zone == zone.Name && decision.ProposedAt > f.from && decision.ProposedAt < f.until+emptiedAfter {
+					if f.zone == zone.Name && decision.ProposedAt > f.from && decision.ProposedAt < f.until+maxEmptyDelay {
 						failedBefore = true
 					}
 				}
@@ -164,21 +164,21 @@
 	from, until, rate float64
 }
 
-// drawFaults has the simulation run a drawn schedule, and returns the faults of zones in it.
-func (s *simulation) drawFaults(rng *rand.Rand) (faults []zoneFault) {
-	s.trafficNear = rng.Intn(2) == 0
+// randomFaults has the simulation run a drawn schedule, and returns the faults of zones in it.
+func (s *simulation) randomFaults(rng *rand.Rand) (faults []zoneFault) {
+	s.localTrafficOnly = rng.Intn(2) == 0
 	for range 1 + rng.Intn(3) {
 		f := zoneFault{
 			zone: sixZones[rng.Intn(6)].Name,
 			from: 3000 + 15000*rng.Float64(),
 			rate: 0.3 + 0.7*rng.Float64(),
 		}
-		failsFor := 200 + 4000*rng.Float64()
-		worksFor := 500 + 4000*rng.Float64()
+		faultDuration := 200 + 4000*rng.Float64()
+		healthyDuration := 500 + 4000*rng.Float64()
 		for range 1 + rng.Intn(5) {
-			f.until = f.from + failsFor
+			f.until = f.from + faultDuration
 			faults = append(faults, f)
-			f.from = f.until + worksFor
+			f.from = f.until + healthyDuration
 		}
 	}
 	storeSlowFrom := 3000 + 20000*rng.Float64()
@@ -200,7 +200,7 @@
 		}
 		return worst
 	}
-	liar := rng.Intn(12)
-	s.isLying = func(relay int) bool { return relay == liar && !s.trafficNear }
+	lyingRelay := rng.Intn(12)
+	s.isLying = func(relay int) bool { return relay == lyingRelay && !s.localTrafficOnly }
 	return faults
 }
--- a/internal/failover/reason.go
+++ b/internal/failover/reason.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Reason tells operators why a zone is in its state. It is stored and shown; no program reads it.
+// Reason tells operators why a zone is in its state. It is stored and displayed, but no program interprets it.
 type Reason string
 
 const (
@@ -10,7 +10,7 @@
 	reasonReturnContinue Reason = "returns step by step"
 )
 
-// String returns the text.
+// String returns the text of the reason.
 func (r Reason) String() string { return string(r) }
 
 func reasonFailing(failureRate float64) Reason {
@@ -27,12 +27,13 @@
 
 func reasonOrdered(order *OperatorOrder) Reason { return Reason("order: " + order.Reason) }
 
-// reasonLastResort is for a zone that serves, though the policy emptied it, as orders leave no other.
+// reasonLastResort is the reason of a zone that serves although the policy emptied it, as the operators' orders
+// leave no other zone that does.
 func reasonLastResort(before Reason) Reason {
 	return "orders leave no other zone that serves; " + before
 }
 
-// Cause tells operators why a decision was proposed. It is stored and shown; no program reads it.
+// Cause tells operators why a decision was proposed. It is stored and displayed, but no program interprets it.
 type Cause string
 
 const (
@@ -41,15 +42,15 @@
 	causeZonesConfigured Cause = "the configured zones"
 )
 
-// String returns the text.
+// String returns the text of the cause.
 func (c Cause) String() string { return string(c) }
 
-// CauseOrdered is the cause of a decision that carries out an operator's order.
+// CauseOrdered returns the cause of a decision on an operator's order.
 func CauseOrdered(o OperatorOrder) Cause {
 	return Cause(fmt.Sprintf("%s %s by %s: %s", o.Action, o.Zone, o.IssuedBy, o.Reason))
 }
 
-// causeTransition is the cause of a decision that moves a zone to another state.
+// causeTransition returns the cause of a decision that changes a zone's state or share.
 func causeTransition(zone Zone, reason Reason) Cause {
 	return Cause(fmt.Sprintf("%s %s: %s", zone.Name, zone.State, reason))
 }
--- a/internal/failover/simulation_test.go
+++ b/internal/failover/simulation_test.go
@@ -21,11 +21,11 @@
 }
 
 const (
-	evaluateEvery       = 100.0 // ms
-	attemptsPerRelay    = 20.0  // in each observation of a zone
-	simulatedCapacity   = 10.0  // of each zone
-	relayReportEvery    = 10    // evaluations
-	undisturbedZoneLoad = 4.0
+	evaluationInterval   = 100.0 // ms
+	attemptsPerRelay     = 20.0  // in each observation of a zone
+	simulatedCapacity    = 10.0  // of each zone
+	evaluationsPerReport = 10    // evaluations
+	normalZoneLoad       = 4.0
 )
 
 // simulation runs relays that see the zones as a test says, and one policy whose proposals are all applied.
@@ -38,10 +38,10 @@
 	number uint64 // of the latest command
 	rng    *rand.Rand
 
-	failureRate func(now float64, observing, observed string) float64
-	load        func(now float64, zone string) float64
-	isLying     func(relay int) bool // it reports successes as failures, and failures as successes
-	trafficNear bool                 // relays send work to their own zone alone, and all health checks succeed
+	failureRate      func(now float64, observing, observed string) float64
+	load             func(now float64, zone string) float64
+	isLying          func(relay int) bool // it reports successes as failures, and failures as successes
+	localTrafficOnly bool                 // relays send work to their own zone alone, and all health checks succeed
 }
 
 func newSimulation(t testing.TB, relays int) *simulation {
@@ -53,7 +53,7 @@
 		log:         &DecisionLog{},
 		rng:         rand.New(rand.NewSource(1)),
 		failureRate: func(float64, string, string) float64 { return 0 },
-		load:        func(float64, string) float64 { return undisturbedZoneLoad },
+		load:        func(float64, string) float64 { return normalZoneLoad },
 		isLying:     func(int) bool { return false },
 	}
 }
@@ -74,10 +74,10 @@
 // runUntil reports, evaluates and applies until a time.
 func (s *simulation) runUntil(end float64) {
 	s.t.Helper()
-	for ; s.now < end; s.now += evaluateEvery {
+	for ; s.now < end; s.now += evaluationInterval {
 		for relay := range s.relays {
 			observations := s.observe(relay)
-			if relay%relayReportEvery == int(s.now/evaluateEvery)%relayReportEvery {
+			if relay%evaluationsPerReport == int(s.now/evaluationInterval)%evaluationsPerReport {
 				s.policy.AddObservations(s.now, observations)
 			}
 		}
@@ -106,7 +106,7 @@
 func (s *simulation) observeZone(relay int, observing, observed string) Observation {
 	o := Observation{Attempts: attemptsPerRelay, Load: s.load(s.now, observed), Capacity: simulatedCapacity}
 	o.FailedAttempts = float64(int(attemptsPerRelay*s.failureRate(s.now, observing, observed) + s.rng.Float64()))
-	if s.trafficNear {
+	if s.localTrafficOnly {
 		o.HealthChecks = attemptsPerRelay
 		if observed != observing {
 			o.Attempts = 0
@@ -121,13 +121,13 @@
 
 // states lists the zones that are not home.
 func (s *simulation) states() string {
-	var all []string
+	var notHome []string
 	for _, z := range s.log.EffectiveZones() {
 		if z.State != Home {
-			all = append(all, fmt.Sprintf("%s %s", z.Name, z.State))
+			notHome = append(notHome, fmt.Sprintf("%s %s", z.Name, z.State))
 		}
 	}
-	return strings.Join(all, ", ")
+	return strings.Join(notHome, ", ")
 }
 
 // zoneFails has a zone fail at a rate from one time to another.
--- a/internal/failover/traffic.go
+++ b/internal/failover/traffic.go
@@ -3,25 +3,27 @@
 import "math"
 
 const (
-	fullAbove         = 0.9    // of a zone's capacity: above that a share goes elsewhere
-	targetUtilization = 0.8    // of a zone's capacity, up to which work is sent there
-	minShareChange    = 0.05   // a share that changes by less stays as it is
-	minFraction       = 0.001  // of the work near a zone: less is not diverted
-	spillDelay        = 1000.0 // ms for which the share does not fit, before it changes
+	fullAbove         = 0.9    // utilization above which a zone spills traffic to other zones
+	targetUtilization = 0.8    // utilization up to which a zone is assigned traffic
+	minShareChange    = 0.05   // smallest change of a zone's share, except back to all its local traffic
+	minFraction       = 0.001  // smallest fraction of a zone's local traffic that is diverted
+	spillDelay        = 1000.0 // ms for which a share must mismatch the capacity before it changes
 )
 
-// updateSpilling has zones that are too full send a share elsewhere, and zones that have capacity again take
-// it back. It reports whether any changed.
+// updateSpilling lowers the share of zones that are overloaded, so that the rest of their local traffic goes to
+// other zones, and raises it again in zones that have regained capacity. It reports whether any zone changed.
 func (p *Policy) updateSpilling(now float64, zones []Zone, demand map[string]float64) (changed bool) {
 	for i := range zones {
-		if p.updateSpill(now, zones, i, demand[zones[i].Name]) {
+		if p.updateZoneSpilling(now, zones, i, demand[zones[i].Name]) {
 			changed = true
 		}
 	}
 	return changed
 }
 
-func (p *Policy) updateSpill(now float64, zones []Zone, index int, demand float64) (changed bool) {
+// updateZoneSpilling updates the share of one zone if it is home or spilling, and reports whether it changed.
+// The share stays as it is while no other zone is home.
+func (p *Policy) updateZoneSpilling(now float64, zones []Zone, index int, demand float64) (changed bool) {
 	zone := &zones[index]
 	if zone.State != Home && zone.State != Spilling {
 		return false
@@ -46,14 +48,15 @@
 	}
 	shareMismatch.reset()
 	if share == 1 {
-		*zone = zone.with(Home, 1)
+		*zone = zone.withState(Home, 1)
 	} else {
-		*zone = zone.with(Spilling, share)
+		*zone = zone.withState(Spilling, share)
 	}
 	zone.Reason = reasonCapacity(share)
 	return true
 }
 
+// hasOtherHome reports whether a zone other than the one at the index is home.
 func hasOtherHome(zones []Zone, index int) bool {
 	for i, zone := range zones {
 		if i != index && zone.State == Home {
@@ -63,9 +66,9 @@
 	return false
 }
 
-// divert decides where the work near each zone goes that the zone does not serve itself: to zones that are
-// home, of the same region first, as far as their capacity allows; what no zone has capacity for is unserved.
-// Where no capacity is known the work is divided evenly.
+// divert decides where the local traffic of each zone goes that the zone doesn't serve itself. It goes to home
+// zones, first to those in the same region, as far as they have spare capacity. Traffic for which no zone has
+// capacity is unserved. Among zones without any known capacity it is divided evenly.
 func divert(zones []Zone, demand, capacity map[string]float64) {
 	for i := range zones {
 		zones[i].Diversions = nil
@@ -84,15 +87,16 @@
 	}
 }
 
-// diversion is the state of one call of divert.
+// diversion is the state of one call of divert. Its maps are by zone name, and their unit is the capacity of
+// one backend.
 type diversion struct {
 	zones    []Zone
-	demand   map[string]float64
-	capacity map[string]float64 // a zone without an entry has an unknown one
-	spare    map[string]float64 // what zones that are home can still take
+	demand   map[string]float64 // load of each zone's local traffic
+	capacity map[string]float64 // capacity of each zone; no entry if it is unknown
+	spare    map[string]float64 // capacity that home zones have left for diverted traffic
 }
 
-// spareCapacity is what each zone that is home can take beside the work near it.
+// spareCapacity returns the load that each home zone can take in addition to its local traffic.
 func spareCapacity(zones []Zone, demand, capacity map[string]float64) map[string]float64 {
 	spare := map[string]float64{}
 	for _, zone := range zones {
@@ -103,7 +107,7 @@
 	return spare
 }
 
-// divertFrom sends what is left of one zone's work to the zones within its region, or to those outside.
+// divertFrom diverts the remaining traffic of one zone to zones within its region, or to those outside of it.
 func (d *diversion) divertFrom(from int, withinRegion bool) {
 	zone := &d.zones[from]
 	rest := zone.undivertedShare()
@@ -119,7 +123,8 @@
 	}
 }
 
-// targets are the names of the zones that can take work from another.
+// targets returns the names of the home zones within or outside of the region of the zone at the index from,
+// to which its traffic can be diverted.
 func (d *diversion) targets(from int, withinRegion bool) (names []string) {
 	for i, zone := range d.zones {
 		isWithin := zone.Region == d.zones[from].Region
@@ -130,6 +135,7 @@
 	return names
 }
 
+// knowsCapacity reports whether the capacity of at least one of the zones is known.
 func (d *diversion) knowsCapacity(zones []string) bool {
 	for _, zone := range zones {
 		if d.capacity[zone] > 0 {
@@ -139,29 +145,31 @@
 	return false
 }
 
-// divertBySpare divides the rest in proportion to what the targets can still take, and takes it off that.
+// divertBySpare divides the remaining traffic among the targets in proportion to their spare capacity, as far as
+// that suffices, and reduces their spare capacity accordingly.
 func (d *diversion) divertBySpare(zone *Zone, targets []string, rest, demand float64) {
 	total := 0.0
 	for _, target := range targets {
 		total += d.spare[target]
 	}
-	fits := min(rest, total/demand)
+	divertible := min(rest, total/demand)
 	before := len(zone.Diversions)
 	for _, target := range targets {
-		zone.divertTo(target, fits*d.spare[target]/max(total, 1e-9))
+		zone.divertTo(target, divertible*d.spare[target]/max(total, 1e-9))
 	}
 	for _, added := range zone.Diversions[before:] {
 		d.spare[added.Zone] -= added.Fraction * demand
 	}
 }
 
+// divertEvenly divides the remaining traffic evenly among the targets.
 func divertEvenly(zone *Zone, targets []string, rest float64) {
 	for _, target := range targets {
 		zone.divertTo(target, rest/float64(len(targets)))
 	}
 }
 
-// divertTo sends a fraction of the zone's work to another, unless it is too small to matter.
+// divertTo adds a diversion of a fraction of the zone's local traffic, unless it is less than minFraction.
 func (z *Zone) divertTo(target string, fraction float64) {
 	if fraction >= minFraction {
 		z.Diversions = append(z.Diversions, TrafficShare{Zone: target, Fraction: fraction})
--- a/internal/failover/traffic_test.go
+++ b/internal/failover/traffic_test.go
@@ -13,7 +13,7 @@
 		if zone == "a" && now > 5000 {
 			return 16
 		}
-		return undisturbedZoneLoad
+		return normalZoneLoad
 	}
 	s.runUntil(9000)
 	a := s.log.EffectiveZones()[0]
