--- a/internal/failover/aggregate.go
+++ b/internal/failover/aggregate.go
@@ -10,9 +10,9 @@
 	maxRelays       = 4096   // relays whose observations are kept at the same time
 
 	minAttempts            = 4.0 // completed attempts, or health checks, that a failure rate needs
-	maxWeightOverMedian    = 3.0 // highest weight of one relay, as a multiple of its zone's median of attempts
-	minZonesByAttempts     = 3   // observing zones that a median over zones of attempt failures needs
-	minZonesByHealthChecks = 2   // observing zones that a median over zones of health check failures needs
+	maxWeightOverMedian    = 3.0 // highest weight of one relay, as a multiple of the median attempts of its zone's relays
+	minZonesByAttempts     = 3   // observing zones needed for their median failure rate of attempts
+	minZonesByHealthChecks = 2   // observing zones needed for their median failure rate of health checks
 )
 
 // timedObservations is one relay's latest observations and when they were received.
--- a/internal/failover/decisionlog.go
+++ b/internal/failover/decisionlog.go
@@ -18,7 +18,7 @@
 // Capacity), an operator's order, or the removal of an expired order.
 type Command struct {
 	Zones          []Zone             `json:"Zones,omitempty"`  // all zones, as the policy proposes them
-	Demand         map[string]float64 `json:"Demand,omitempty"` // demand in each zone when the policy decided
+	Demand         map[string]float64 `json:"Demand,omitempty"` // demand of each zone when the policy decided
 	Capacity       map[string]float64 `json:"Room,omitempty"`   // capacity of each zone then, in the unit of demand
 	Order          *OperatorOrder     `json:"Order,omitempty"`  // operator's order to apply
 	ExpiredOrderID string             `json:"Ends,omitempty"`   // ID of an order to remove
@@ -42,7 +42,7 @@
 	Number      uint64             `json:"Number"` // index of the latest command that was applied and not rejected
 	PolicyZones []Zone             `json:"Judged"` // zones as the policy decided, not overridden by orders
 	Orders      []OperatorOrder    `json:"Orders"` // orders in force
-	Demand      map[string]float64 `json:"Demand"` // demand in each zone when the policy decided
+	Demand      map[string]float64 `json:"Demand"` // demand of each zone when the policy decided
 	Capacity    map[string]float64 `json:"Room"`   // capacity of each zone then, in the unit of demand
 	History     []Decision         `json:"History"`
 }
--- a/internal/failover/exhaustive_test.go
+++ b/internal/failover/exhaustive_test.go
@@ -12,8 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// All sequences of five out of eight commands: each leaves a zone that serves, unless by force, all work is
-// accounted for, the number never goes back, and the log is restored from its snapshot at each step.
+// Tries all sequences of five commands, drawn from eight, and restores the log from its snapshot before each
+// command. A zone must always serve, as no order is forced, the shares of each zone must add up to 1, and the
+// number must never go back.
 func TestAllShortCommandSequences(t *testing.T) {
 	commands := exhaustiveCommands(t)
 	const length = 5
@@ -27,7 +28,7 @@
 			log.Apply(number, data)
 			logs++
 			if log.Number < numberBefore || (log.Number != numberBefore && log.Number != number) {
-				assert.Fail(t, "its number goes back", "%+v", log)
+				assert.Fail(t, "the log's number goes back or is not that of the command", "%+v", log)
 			}
 			checkZones(t, log, k)
 			if number < length && !t.Failed() {
@@ -39,6 +40,8 @@
 	assert.Greater(t, logs, 30000)
 }
 
+// exhaustiveCommands returns the encoded commands: valid proposals, orders, the removal of an order, and a
+// proposal that must be rejected, as no zone would serve.
 func exhaustiveCommands(t *testing.T) (encoded [][]byte) {
 	t.Helper()
 	proposal := func(state State, share float64) Command {
@@ -66,6 +69,7 @@
 	return encoded
 }
 
+// checkZones fails the test unless a zone serves and the shares of each zone add up to 1.
 func checkZones(t *testing.T, log *DecisionLog, command int) {
 	t.Helper()
 	serves := len(log.PolicyZones) == 0
@@ -76,17 +80,18 @@
 		}
 		serves = serves || zone.Share > 0
 		if math.Abs(sum-1) > 0.02 {
-			assert.Fail(t, "shares don't add up", "%+v", log.History)
+			assert.Fail(t, "the shares of a zone don't add up to 1", "%+v", log.History)
 		}
 	}
 	if !serves {
-		assert.Fail(t, "no zone serves, and nobody forced it", "by command %d: %+v", command, log.History)
+		assert.Fail(t, "no zone serves, although no order is forced", "after command %d: %+v", command, log.History)
 	}
 }
 
-// All sequences of five out of nine steps of a follower: announcements, writes to its disk, time that goes by
-// and restarts. A relay never goes back in number, follows nothing that is not on its disk, and nothing for
-// longer than twice the TTL. A follower that follows before its disk has the number is found.
+// Tries all sequences of five steps of a follower, drawn from nine: announcements, finished disk writes, time
+// that passes, and restarts. A relay must never go back to a lower number, follow a decision that is not on its
+// disk, or follow one for longer than twice DecisionTTL. The test must find the fault of a follower that follows
+// a decision before its number is on disk.
 func TestAllShortFollowerSequences(t *testing.T) {
 	for name, followsUnpersisted := range map[string]bool{"as it is": false, "follows before it is persisted": true} {
 		w := followerWalk{followsUnpersisted: followsUnpersisted}
@@ -100,35 +105,37 @@
 	}
 }
 
-// relayState is a relay with a follower after some steps.
+// relayState is the state of a relay with a follower after a sequence of steps.
 type relayState struct {
 	follower     Follower
 	now          float64
-	disk         []byte             // durable
-	pendingWrite []byte             // on its way to the disk
-	number       uint64             // the highest followed, over all restarts
-	confirmedAt  map[uint64]float64 // when the latest announcement of each number was true
+	disk         []byte             // data that is durable
+	pendingWrite []byte             // data that is being written to the disk; nil if there is none
+	number       uint64             // highest number followed so far, over all restarts
+	confirmedAt  map[uint64]float64 // latest time at which each number was confirmed, by the announcements' ages
 }
 
-// followerWalk tries all sequences of steps.
+// followerWalk tries all sequences of steps, until a rule is violated.
 type followerWalk struct {
-	followsUnpersisted bool
-	sequences          int
-	violation          string
+	followsUnpersisted bool   // true for the faulty follower, which follows a decision before it is on disk
+	sequences          int    // number of sequences tried
+	violation          string // description of the violated rule; empty if there is none
 }
 
-// The steps of a follower: first an announcement of each number, new and nearly expired.
+// The steps of a follower. The steps below stepFinishWrite are announcements: one of each number with age 0,
+// then one of each that has nearly expired.
 const (
-	announcedNumbers    = 3
-	stepFinishWrite     = 2 * announcedNumbers
-	stepAdvanceTime     = stepFinishWrite + 1
-	stepPowerLoss       = stepFinishWrite + 2
-	followerStepCount   = stepFinishWrite + 3
-	nearlyExpiredMillis = 4500.0
-	timeStepMillis      = 3000.0
-	maxFollowedMillis   = 2 * DecisionTTL
+	announcedNumbers    = 3                    // how many decision numbers are announced
+	stepFinishWrite     = 2 * announcedNumbers // step that makes the pending write durable
+	stepAdvanceTime     = stepFinishWrite + 1  // step that advances the time by timeStepMillis
+	stepPowerLoss       = stepFinishWrite + 2  // step that restarts the relay, which loses the pending write
+	followerStepCount   = stepFinishWrite + 3  // number of different steps
+	nearlyExpiredMillis = 4500.0               // age in ms of an announcement that has nearly expired
+	timeStepMillis      = 3000.0               // ms that pass in stepAdvanceTime
+	maxFollowedMillis   = 2 * DecisionTTL      // longest time in ms to follow a decision without renewal
 )
 
+// walk tries all continuations of a sequence by up to stepsLeft steps.
 func (w *followerWalk) walk(r relayState, stepsLeft int) {
 	w.sequences++
 	if stepsLeft == 0 || w.violation != "" {
@@ -144,18 +151,18 @@
 	}
 }
 
-// clone copies the relay so that steps of the copy leave the original as it is.
+// clone copies the relay, so that steps of the copy don't change the original.
 func (r relayState) clone() relayState {
 	r.follower.rng = rand.New(rand.NewSource(1))
 	r.confirmedAt = maps.Clone(r.confirmedAt)
-	if r.follower.pending != nil { // which Receive changes
+	if r.follower.pending != nil { // Receive changes the pending announcement in place
 		pending := *r.follower.pending
 		r.follower.pending = &pending
 	}
 	return r
 }
 
-// applyStep has the relay applyStep a step; false if it can't.
+// applyStep applies a step to the relay, and reports whether the step is possible.
 func (w *followerWalk) applyStep(r *relayState, step int) bool {
 	switch step {
 	case stepFinishWrite:
@@ -178,6 +185,7 @@
 	return true
 }
 
+// announce sends an announcement of the given number and age to the relay.
 func (w *followerWalk) announce(r *relayState, number uint64, age float64) {
 	r.confirmedAt[number] = max(r.confirmedAt[number], r.now-age)
 	zones := []Zone{{Name: "a", State: Home, Share: 1}}
@@ -191,6 +199,7 @@
 	}
 }
 
+// check records a violation if the relay follows a decision that it must not follow.
 func (w *followerWalk) check(r *relayState) {
 	zones, number := r.follower.Current(r.now)
 	if zones == nil {
@@ -198,7 +207,7 @@
 	}
 	switch {
 	case number < r.number:
-		w.violation = fmt.Sprintf("back from %d to %d", r.number, number)
+		w.violation = fmt.Sprintf("goes back from %d to %d", r.number, number)
 	case number > persistedNumber(r.disk):
 		w.violation = fmt.Sprintf("follows %d, which is not on disk", number)
 	case r.now > r.confirmedAt[number]+maxFollowedMillis:
@@ -207,7 +216,7 @@
 	r.number = max(r.number, number)
 }
 
-// persistedNumber is 0 for a disk that holds nothing.
+// persistedNumber returns the decision number on the disk; 0 if the disk is empty.
 func persistedNumber(disk []byte) uint64 {
 	var persisted persistedDecision
 	json.Unmarshal(disk, &persisted)
--- a/internal/failover/follower_test.go
+++ b/internal/failover/follower_test.go
@@ -58,7 +58,7 @@
 
 	none := []Zone{{Name: "a", State: Emptied}, {Name: "b", State: Emptied}}
 	require.NotNil(t, f.Receive(30000, Announcement{Number: 6, Zones: none}),
-		"a decision that leaves no serving zone is followed, as a forced order allows it")
+		"a decision without a serving zone is followed, as a forced order can cause it")
 	f.ConfirmPersisted(30010, 6)
 	assert.Equal(t, followed{6, Emptied}, current(30010))
 
--- a/internal/failover/golden_test.go
+++ b/internal/failover/golden_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The golden files hold every form that this package stores or sends, as the build wrote them before its
-// fields had tags. No value in them is zero, so that a field whose name changes can't go unnoticed.
+// The golden files hold every format that this package stores or sends, as written by a build from before the
+// struct tags were added. No value in them is zero, so that the tests notice any field whose stored name changes.
 
 func goldenZones() []Zone {
 	return []Zone{
@@ -62,8 +62,8 @@
 func TestGoldenJSON(t *testing.T) {
 	order := goldenOrder()
 	for name, c := range map[string]struct {
-		want any // a pointer
-		into any // an empty value of the same type
+		want any // pointer to the expected value
+		into any // pointer to an empty value of the same type
 	}{
 		"command-zones.json": {
 			&Command{Zones: goldenZones(), Demand: map[string]float64{"a": 12.5},
@@ -88,10 +88,10 @@
 		t.Run(name, func(t *testing.T) {
 			data := readGolden(t, name)
 			require.NoError(t, json.Unmarshal(data, c.into))
-			assert.Equal(t, c.want, c.into, "read")
+			assert.Equal(t, c.want, c.into, "decoded value")
 			written, err := json.Marshal(c.want)
 			require.NoError(t, err)
-			assert.Equal(t, string(data), string(written), "written")
+			assert.Equal(t, string(data), string(written), "encoded value")
 		})
 	}
 }
@@ -115,7 +115,7 @@
 	assert.Equal(t, data, want.Encode())
 }
 
-// What a relay's follower keeps on disk is read by the next start: nothing of a lower number is followed.
+// A restarted relay restores the number that its follower persisted, so that it follows no lower one.
 func TestGoldenFollower(t *testing.T) {
 	data := readGolden(t, "follower.json")
 	f := NewFollower(rand.New(rand.NewSource(1)))
--- a/internal/failover/health.go
+++ b/internal/failover/health.go
@@ -102,7 +102,8 @@
 }
 
 // updateConditions reports whether the zone has been lost or degraded for long enough to be emptied, and for
-// how long it has been healthy.
+// how long it has been healthy. It is degraded only as long as its current failure rate is above healthyBelow
+// too, and neither lost nor degraded while the failures have a common cause.
 func (h *zoneHealth) updateConditions(e *evaluation, failureRate float64) (isFailing bool, healthyFor float64) {
 	isLost := failureRate > lostAbove && !e.commonCause
 	isDegraded := h.meanFailureRate > degradedAbove && failureRate > healthyBelow && !e.commonCause
--- a/internal/failover/order.go
+++ b/internal/failover/order.go
@@ -121,7 +121,7 @@
 }
 
 // heldState returns the state and share that a zone had when the order to hold it was applied. If the history
-// no longer contains that decision, it returns the zone's present ones.
+// no longer contains that decision, it returns those that the policy decided last.
 func (l *DecisionLog) heldState(order *OperatorOrder, zone Zone) (State, float64) {
 	for _, decision := range slices.Backward(l.History) {
 		if decision.OrderID != order.ID || decision.Rejection != "" {
--- a/internal/failover/policy_test.go
+++ b/internal/failover/policy_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const forever = 1e9
+const forever = 1e9 // ms, later than the end of any simulation
 
 func TestPolicyDecisions(t *testing.T) {
 	oneThird := func(relay int) bool { return relay/6%3 == 0 }
@@ -17,8 +17,8 @@
 		failureRate  func(now float64, observing, observed string) float64
 		isLying      func(relay int) bool
 		until        float64
-		want         string // the zones that are not home
-		maxDecisions int
+		want         string // zones that are not home at the end, with their states
+		maxDecisions int    // highest number of decisions until then, including the one on the configured zones
 	}{
 		"no fault": {until: 20000, maxDecisions: 1},
 		"a zone is lost": {
@@ -90,7 +90,7 @@
 	}
 }
 
-// As traffic stays near, only its own relays' attempts show that a zone is degraded.
+// If traffic stays within its zone, only the attempts of a zone's own relays show that the zone is degraded.
 func TestDegradedZoneIsSeenByItsOwnRelays(t *testing.T) {
 	s := newSimulation(t, 36)
 	s.localTrafficOnly = true
@@ -102,11 +102,11 @@
 	s.localTrafficOnly = true
 	s.failureRate = func(_ float64, observing, _ string) float64 { return failsIf(observing == "a") / 12 }
 	s.runUntil(20000)
-	assert.Empty(t, s.states(), "one attempt in twelve is too little")
+	assert.Empty(t, s.states(), "one failed attempt in twelve is too little to empty a zone")
 }
 
-// A zone that was lost returns step by step, at each of which it must be healthy; one that is emptied again
-// soon after waits for twice as long.
+// A zone that was lost returns in steps, and must be healthy at each of them. If it is emptied again soon after,
+// it waits twice as long before it returns.
 func TestEmptiedZoneReturns(t *testing.T) {
 	s := newSimulation(t, 36)
 	s.failureRate = zoneFails("b", 1, 5000, 10000)
@@ -131,11 +131,11 @@
 	assert.Greater(t, s.log.Number, last.Number)
 }
 
-// Drawn schedules of degraded and flapping zones, broken paths, slow stores and relays that lie: no zone is
-// emptied that did not fail just before.
+// Runs random schedules of degraded and flapping zones, broken network paths, slow stores and relays that report
+// falsely. No zone may be emptied that did not fail shortly before.
 func TestNoHealthyZoneIsEmptied(t *testing.T) {
 	const schedules = 150
-	const maxEmptyDelay = 4000 // ms after a fault's end, at most
+	const maxEmptyDelay = 4000 // ms after the end of a fault until which its zone may be emptied
 	for seed := range int64(schedules) {
 		s := newSimulation(t, 12)
 		faults := s.randomFaults(rand.New(rand.NewSource(seed)))
@@ -158,13 +158,13 @@
 	}
 }
 
-// zoneFault is a time in which a zone fails.
+// zoneFault is a period in which a share of all attempts in a zone fails.
 type zoneFault struct {
 	zone              string
 	from, until, rate float64
 }
 
-// randomFaults has the simulation run a drawn schedule, and returns the faults of zones in it.
+// randomFaults gives the simulation a random schedule of faults, and returns those that concern whole zones.
 func (s *simulation) randomFaults(rng *rand.Rand) (faults []zoneFault) {
 	s.localTrafficOnly = rng.Intn(2) == 0
 	for range 1 + rng.Intn(3) {
--- a/internal/failover/property_test.go
+++ b/internal/failover/property_test.go
@@ -10,8 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is observed and ordered: the policy never empties more than one region or a third of the zones, one
-// zone always serves, all work is accounted for, and the same commands make the same log, also over a restore.
+// Whatever is observed and ordered, the policy empties no more than one region or a third of the zones, a zone
+// always serves, the shares of each zone add up to 1, and replaying the commands gives the same log, even if it
+// is restored from a snapshot in between.
 func TestPolicyProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := newSimulation(t, 12)
@@ -36,6 +37,7 @@
 	})
 }
 
+// addRandomObservations adds random observations from each of twelve relays.
 func (s *simulation) addRandomObservations(rng *rand.Rand) {
 	for relay := range 12 {
 		observations := Observations{
@@ -57,7 +59,7 @@
 	}
 }
 
-// drawCommand is an operator's order, or else what the policy proposes, if anything.
+// drawCommand returns a random operator's order in one of six cases, and otherwise the policy's proposal, if any.
 func (s *simulation) drawCommand(rt *rapid.T) (command Command, changed bool) {
 	if rapid.IntRange(0, 5).Draw(rt, "order") != 0 {
 		return s.policy.Evaluate(s.now, s.log)
@@ -69,6 +71,8 @@
 	}}, true
 }
 
+// requireServing requires that the policy has emptied no more than three zones, that a zone serves once there are
+// any, and that the shares of each zone add up to 1.
 func requireServing(t require.TestingT, log *DecisionLog) {
 	emptiedByPolicy := emptiedZones(log.PolicyZones)
 	require.LessOrEqual(t, len(emptiedByPolicy), 3)
@@ -82,7 +86,7 @@
 	require.True(t, serving > 0 || len(log.PolicyZones) == 0)
 }
 
-// replayWithRestore applies the commands to a new log, which is restored from its snapshot half-way.
+// replayWithRestore applies the commands to a new log, which is restored from its snapshot halfway through.
 func replayWithRestore(t require.TestingT, commands [][]byte) *DecisionLog {
 	log := &DecisionLog{}
 	for i, data := range commands {
--- a/internal/failover/simulation_test.go
+++ b/internal/failover/simulation_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sixZones in two regions, the first three in the north.
+// sixZones are six zones, the first three in one region and the others in another.
 var sixZones = []Zone{
 	{Name: "a", Region: "n"},
 	{Name: "b", Region: "n"},
@@ -21,27 +21,28 @@
 }
 
 const (
-	evaluationInterval   = 100.0 // ms
-	attemptsPerRelay     = 20.0  // in each observation of a zone
-	simulatedCapacity    = 10.0  // of each zone
-	evaluationsPerReport = 10    // evaluations
-	normalZoneLoad       = 4.0
+	evaluationInterval   = 100.0 // ms between two evaluations of the policy
+	attemptsPerRelay     = 20.0  // attempts in each relay's observation of a zone
+	simulatedCapacity    = 10.0  // capacity of each zone, in capacities of one backend
+	evaluationsPerReport = 10    // evaluations between two reports of the same relay
+	normalZoneLoad       = 4.0   // load of a zone for which a test sets no other, in capacities of one backend
 )
 
-// simulation runs relays that see the zones as a test says, and one policy whose proposals are all applied.
+// simulation runs relays that observe the zones as the test defines, and one policy whose proposals are all
+// applied to the log.
 type simulation struct {
 	t      testing.TB
 	now    float64
-	relays int // relay i is in zone i modulo the number of zones
+	relays int // number of relays; relay i is in zone i modulo the number of zones
 	policy *Policy
 	log    *DecisionLog
-	number uint64 // of the latest command
+	number uint64 // number of the latest command
 	rng    *rand.Rand
 
-	failureRate      func(now float64, observing, observed string) float64
-	load             func(now float64, zone string) float64
-	isLying          func(relay int) bool // it reports successes as failures, and failures as successes
-	localTrafficOnly bool                 // relays send work to their own zone alone, and all health checks succeed
+	failureRate      func(now float64, observing, observed string) float64 // failure rate of attempts, 0 to 1
+	load             func(now float64, zone string) float64                // both the load and the demand of a zone
+	isLying          func(relay int) bool                                  // such a relay swaps successes and failures
+	localTrafficOnly bool                                                  // relays attempt only their own zone
 }
 
 func newSimulation(t testing.TB, relays int) *simulation {
@@ -58,7 +59,7 @@
 	}
 }
 
-// apply applies a command as the next of the log and returns the decision.
+// apply applies a command to the log with the next number, and returns the decision.
 func (s *simulation) apply(command Command) Decision {
 	s.t.Helper()
 	s.number++
@@ -71,7 +72,8 @@
 
 func (s *simulation) latestDecision() Decision { return s.log.History[len(s.log.History)-1] }
 
-// runUntil reports, evaluates and applies until a time.
+// runUntil runs the simulation until the given time: in each interval the relays that are due report, and the
+// policy is evaluated and its proposal applied.
 func (s *simulation) runUntil(end float64) {
 	s.t.Helper()
 	for ; s.now < end; s.now += evaluationInterval {
@@ -87,6 +89,7 @@
 	}
 }
 
+// observe returns the observations of one relay.
 func (s *simulation) observe(relay int) Observations {
 	zoneIndex := relay % len(sixZones)
 	zone := sixZones[zoneIndex].Name
@@ -103,6 +106,8 @@
 	return observations
 }
 
+// observeZone returns what a relay in the observing zone reports on the observed zone. With localTrafficOnly all
+// health checks succeed; otherwise there are none.
 func (s *simulation) observeZone(relay int, observing, observed string) Observation {
 	o := Observation{Attempts: attemptsPerRelay, Load: s.load(s.now, observed), Capacity: simulatedCapacity}
 	o.FailedAttempts = float64(int(attemptsPerRelay*s.failureRate(s.now, observing, observed) + s.rng.Float64()))
@@ -119,7 +124,7 @@
 	return o
 }
 
-// states lists the zones that are not home.
+// states lists the zones that are not home, with their states.
 func (s *simulation) states() string {
 	var notHome []string
 	for _, z := range s.log.EffectiveZones() {
@@ -130,7 +135,7 @@
 	return strings.Join(notHome, ", ")
 }
 
-// zoneFails has a zone fail at a rate from one time to another.
+// zoneFails returns a failure rate function for a zone that fails at the given rate from one time to another.
 func zoneFails(zone string, rate, from, until float64) func(float64, string, string) float64 {
 	return func(now float64, _, observed string) float64 {
 		if observed == zone && now >= from && now < until {
@@ -140,7 +145,7 @@
 	}
 }
 
-// failsIf is the failure rate of something that fails always or never.
+// failsIf returns a failure rate of 1 if fails is true, and of 0 otherwise.
 func failsIf(fails bool) float64 {
 	if fails {
 		return 1
@@ -148,7 +153,7 @@
 	return 0
 }
 
-// requireFullShares checks that all the work near a zone is accounted for.
+// requireFullShares requires that the shares of a zone's local traffic add up to 1.
 func requireFullShares(t require.TestingT, zone Zone) {
 	sum := zone.Share + zone.Unserved
 	for _, diversion := range zone.Diversions {
--- a/internal/failover/traffic_test.go
+++ b/internal/failover/traffic_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// What a zone has no capacity for goes to its own region first; it returns once there is capacity again.
+// Traffic for which a zone has no capacity goes to other zones of its region first. The zone serves all its local
+// traffic again once it has the capacity.
 func TestOverfullZoneSpills(t *testing.T) {
 	s := newSimulation(t, 36)
 	s.load = func(now float64, zone string) float64 {
@@ -20,7 +21,7 @@
 	assert.Equal(t, Spilling, a.State)
 	assert.InDelta(t, 0.5, a.Share, 0.03)
 	assert.Equal(t, []string{"b", "c"}, []string{a.Diversions[0].Zone, a.Diversions[1].Zone},
-		"its own region has capacity")
+		"traffic is diverted to the zones of the same region, as they have capacity")
 	assert.InDelta(t, 0.5, a.Diversions[0].Fraction+a.Diversions[1].Fraction+a.Unserved, 0.03)
 
 	s.load = func(_ float64, zone string) float64 {
@@ -32,9 +33,11 @@
 	s.runUntil(14000)
 	s.load = func(float64, string) float64 { return 5 }
 	s.runUntil(20000)
-	assert.Empty(t, s.states(), "home again, as there is capacity")
+	assert.Empty(t, s.states(), "the zone is home again, as it has capacity")
 }
 
+// Diverted traffic goes to the same region first, as far as the zones there have spare capacity, then to other
+// regions. The rest is unserved.
 func TestDivert(t *testing.T) {
 	zones := []Zone{
 		{Name: "a", Region: "n", State: Emptied},
@@ -49,5 +52,5 @@
 	assert.InDelta(t, 0.1, zones[0].Unserved, 1e-9)
 
 	divert(zones, nil, nil)
-	assert.Equal(t, []TrafficShare{{"b", 1}}, zones[0].Diversions, "its own region, as no capacity is known")
+	assert.Equal(t, []TrafficShare{{"b", 1}}, zones[0].Diversions, "goes to the same region, as no capacity is known")
 }
