--- a/internal/replication/codec.go
+++ b/internal/replication/codec.go
@@ -6,9 +6,10 @@
 	"math"
 )
 
-// The binary form of messages between relays, which stored records have as well. Integers are varints, times
-// are float64, strings have a length of one byte before them, all little-endian. Another version of the form
-// is not read: no record becomes durable between relays of two versions, and nothing else is lost.
+// This file is the binary encoding of messages between relays, which is also that of stored records. Integers are
+// varints, times are float64, strings are prefixed with a length of one byte, and all is little-endian. Messages in
+// another version of the format are rejected: no record becomes durable between relays of two versions, and nothing
+// else is lost.
 
 const (
 	formatVersion     = 1
@@ -50,7 +51,7 @@
 	return to
 }
 
-// encode returns the message's binary form.
+// encode returns the message in the binary format.
 func (m *message) encode() []byte {
 	to := []byte{formatVersion, byte(m.Type)}
 	to = binary.AppendUvarint(to, m.Token)
@@ -66,7 +67,7 @@
 	return to
 }
 
-// decodeMessage reads a message's binary form.
+// decodeMessage decodes a message from the binary format.
 func decodeMessage(data []byte) (message, error) {
 	d := decoder{rest: data, malformed: len(data) > maxMessageBytes}
 	d.require(d.uint8() == formatVersion)
@@ -77,7 +78,7 @@
 	return m, nil
 }
 
-// decoder reads fields one after the other. Once the data is known to be malformed, each field is zero.
+// decoder reads fields in sequence. Once the data is known to be malformed, every further field reads as zero.
 type decoder struct {
 	rest      []byte
 	malformed bool
@@ -124,7 +125,7 @@
 	return string(d.bytes(n))
 }
 
-// float reads a finite number.
+// float reads a float64 and rejects NaN and infinities.
 func (d *decoder) float() float64 {
 	b := d.bytes(8)
 	if b == nil {
@@ -148,7 +149,7 @@
 	return kind
 }
 
-// body reads a body, nil where it is empty.
+// body reads a record's body and returns nil if it is empty.
 func (d *decoder) body() []byte {
 	n := d.uvarint()
 	d.require(n <= maxBodyBytes)
--- a/internal/replication/lookup.go
+++ b/internal/replication/lookup.go
@@ -4,22 +4,22 @@
 	"slices"
 )
 
-// This file is how a relay finds a record by its key, and acquires a single-use one.
+// This file looks up records by their key, for this relay, and starts to acquire single-use ones.
 
 const (
-	extraLookupTargets   = 3 // members asked beyond as many as copies are made, as views of the membership differ
+	extraLookupTargets   = 3 // members asked beyond the number of copies, as relays' views of the membership differ
 	acquireTimeoutMillis = 1000.0
-	earlyToleranceMillis = 300.0 // a record may be acquired so long before it becomes valid
+	earlyToleranceMillis = 300.0 // how many ms before ValidFrom a record may already be acquired
 )
 
-// Acquire looks for a single-use record, and acquires it for this relay unless another operation has done so. An
-// Outcome with the token follows within a second.
+// Acquire looks up a single-use record and acquires it for this relay, unless another operation has already acquired
+// it. An Outcome with the returned token follows within a second.
 func (r *Replicator) Acquire(now float64, kind Kind, key string) (token uint64, actions []Action) {
 	return r.startLookup(now, kind, key, acquireTimeoutMillis)
 }
 
-// Lookup looks for the latest version of a record that isn't single-use. An Outcome with the token follows after
-// timeout ms at the latest.
+// Lookup looks up the latest version of a record that isn't single-use. An Outcome with the returned token follows
+// after timeout ms at the latest.
 func (r *Replicator) Lookup(now float64, kind Kind, key string, timeout float64) (token uint64, actions []Action) {
 	return r.startLookup(now, kind, key, timeout)
 }
@@ -34,7 +34,7 @@
 		targets:  r.lookupTargets(key),
 	}
 	if len(r.operations) >= maxOperations || len(op.targets) == 0 || key == "" || len(key) > maxKeyBytes {
-		return op.token, []Action{{Outcome: &Outcome{Token: op.token, Record: op.record, Err: errNoTargets}}}
+		return op.token, []Action{{Outcome: &Outcome{Token: op.token, Record: op.record, Err: errLookupNotStarted}}}
 	}
 	return op.token, r.startPhase(now, op)
 }
@@ -43,9 +43,10 @@
 	return r.members.rank(key, r.copies+extraLookupTargets, true)
 }
 
-// advanceLookup goes on with what was found so far. A single-use record is acquired as soon as one member has
-// answered with it. A durable versioned record is found once all members have replied, as any of them may have the
-// latest version; at the deadline the best of those that have is taken.
+// advanceLookup continues a lookup after a reply. A single-use record is acquired as soon as one member has returned
+// it, and a best-effort record is taken from the first reply that has it. An order or marker is found once all members
+// have replied, as any of them may have the latest version, or know that the marker was revoked; at the deadline the
+// best record returned so far is taken.
 func (r *Replicator) advanceLookup(now float64, op *operation) []Action {
 	candidate := r.bestCandidate(now, op)
 	allReplied := len(op.replies) == len(op.targets)
@@ -66,7 +67,8 @@
 	}
 }
 
-// acquireCandidate begins to acquire a record, unless its client came before its time: it may come again then.
+// acquireCandidate starts to acquire a record. If it is too early for that, the operation fails without using the
+// record, and the client can try again later.
 func (r *Replicator) acquireCandidate(now float64, op *operation, candidate Record) []Action {
 	if now < candidate.ValidFrom-earlyToleranceMillis {
 		return r.finish(op, errTooEarly)
@@ -74,8 +76,9 @@
 	return r.startPrepare(now, op, candidate)
 }
 
-// bestCandidate returns the found record with the highest version, nil where there is none. Of equal versions it is
-// one at random, so that operations on the same key spread over its records.
+// bestCandidate returns the record with the highest version among the replies, or nil if there is none. Among equal
+// versions the choice depends on the operation's random token, so that concurrent operations on one key spread over
+// its records.
 func (r *Replicator) bestCandidate(now float64, op *operation) *Record {
 	revoked := op.revokedIDs()
 	var best *Record
@@ -93,7 +96,7 @@
 	return best
 }
 
-// revokedIDs are the markers that some member knows to be revoked.
+// revokedIDs returns the IDs of the markers that at least one reply reports as revoked.
 func (op *operation) revokedIDs() map[uint64]bool {
 	revoked := map[uint64]bool{}
 	for _, reply := range op.replies {
@@ -120,8 +123,8 @@
 	return candidate.ID^op.token < best.ID^op.token
 }
 
-// lookUpNext looks for the next record of the key, as this one goes to another operation: many clients with the
-// same key may come at once and try for the same record.
+// lookUpNext looks up another record of the same key after this one went to another operation: many clients with the
+// same key may arrive at once and compete for the same record.
 func (r *Replicator) lookUpNext(now float64, op *operation) []Action {
 	op.usedIDs = append(op.usedIDs, op.record.ID)
 	op.phase = messageLookup
@@ -133,7 +136,8 @@
 	return r.startPhase(now, op)
 }
 
-// expireLookup ends a lookup at its deadline, with what was found so far where that is of use.
+// expireLookup ends a lookup at its deadline. For kinds that aren't single-use, the best record found so far is the
+// result.
 func (r *Replicator) expireLookup(now float64, op *operation) []Action {
 	if !op.record.Kind.isSingleUse() {
 		candidate := r.bestCandidate(now, op)
--- a/internal/replication/members.go
+++ b/internal/replication/members.go
@@ -6,21 +6,21 @@
 	"slices"
 )
 
-// Member is a relay that can store records; this relay is one as well.
+// Member is a relay of the fleet that can store records. This relay is a member too.
 type Member struct {
 	Name        string
 	Zone        string
 	Address     string
 	Incarnation uint64
-	Draining    bool // it is given no new records
+	Draining    bool // a draining member is not chosen as a replica of new records
 }
 
-// memberList is the members that are known to be alive. Relays may have different views of it: it only decides
-// who is asked, never what a record's replicas are once it is made.
+// memberList is the list of members known to be alive. Relays may have different views of it: it decides which members
+// are asked, and never changes the replicas of an existing record.
 type memberList []Member
 
-// UpdateMembers sets who can store records now, this relay included. Where names have changed, other relays may
-// look up a record at members that don't store it: those are notified of its location.
+// UpdateMembers sets the members that can store records, which include this relay. If a name was added or removed,
+// other relays may look up records at members that don't store them, so the records' locations are published again.
 func (r *Replicator) UpdateMembers(members []Member) {
 	sameNames := slices.EqualFunc(members, r.members, func(a, b Member) bool { return a.Name == b.Name })
 	r.members = members
@@ -29,7 +29,7 @@
 	}
 }
 
-// HasEnoughMembers reports whether there are members enough for all copies of a record.
+// HasEnoughMembers reports whether there are enough members that aren't draining to store all copies of a record.
 func (r *Replicator) HasEnoughMembers() bool {
 	return len(r.members.rank("", r.copies, false)) >= r.copies
 }
@@ -56,9 +56,9 @@
 	return cmp.Or(cmp.Compare(m.hash, other.hash), cmp.Compare(m.Name, other.Name))
 }
 
-// rank returns the first n members in the order in which they store records of that key. It is drawn by rendezvous
-// hashing, the same at all relays with the same view. No zone comes twice before each has come once, so that the
-// loss of a zone takes few copies.
+// rank returns the n preferred members for records of that key, by rendezvous hashing: all relays with the same view
+// of the members get the same order. The members alternate between zones, and no zone comes twice before each has come
+// once, so that the loss of a zone takes as few copies as possible.
 func (l memberList) rank(key string, n int, includeDraining bool) []Member {
 	zones := l.rankByZone(key, includeDraining)
 	var ranked []Member
@@ -76,7 +76,7 @@
 	return ranked
 }
 
-// rankByZone returns each zone's members in order, and the zones in the order of their first members.
+// rankByZone returns the members grouped by zone. Each zone is sorted by hash, and the zones by their first members.
 func (l memberList) rankByZone(key string, includeDraining bool) [][]rankedMember {
 	byZone := map[string][]rankedMember{}
 	for _, m := range l {
@@ -94,8 +94,8 @@
 	return zones
 }
 
-// rendezvousHash mixes the bits of an FNV hash once more: names that differ in their end only would otherwise come out
-// side by side.
+// rendezvousHash returns a member's FNV-1a hash for a key, with its bits mixed once more: names that differ only in
+// their last characters would otherwise get adjacent hashes.
 func rendezvousHash(key, name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(key))
--- a/internal/replication/operation.go
+++ b/internal/replication/operation.go
@@ -6,53 +6,54 @@
 	"slices"
 )
 
-// This file is what all operations have in common: a request goes to some members, again and again until they
-// have replied or the deadline has passed.
+// This file is what all operations have in common: a request is sent to some members, and again with exponential
+// backoff to those that haven't replied, until the operation ends or its deadline passes.
 
 const (
-	initialRetryMillis = 4.0 // until a request without a reply is sent again; doubled each time
-	maxRetryMillis     = 200.0
-	firstRetryDivisor  = 4.0  // the first retry comes within one part in so many of the time that is left
-	maxOperations      = 4096 // under way at once
+	initialRetryMillis = 4.0   // ms before a request without a reply is sent again; doubled after each time
+	maxRetryMillis     = 200.0 // upper bound of the doubled interval, in ms
+	firstRetryDivisor  = 4.0   // the first interval is at most the time to the deadline divided by this
+	maxOperations      = 4096  // operations that may be under way at once
 )
 
-// Why an operation failed.
+// Errors with which operations end.
 var (
 	errTooManyOperations = errors.New("too many operations under way")
 	errInvalidRecord     = errors.New("the record is invalid or has expired")
-	errNoTargets         = errors.New("no member to ask")
-	errReplicaRejected   = errors.New("a replica rejected it")
-	errAlreadyUsed       = errors.New("the record is used")
+	errLookupNotStarted  = errors.New("lookup not started: no members, too many operations or an invalid key")
+	errReplicaRejected   = errors.New("a replica rejected the record")
+	errAlreadyUsed       = errors.New("the record has already been used")
 	errNotFound          = errors.New("no member has the record")
 	errTooEarly          = errors.New("the record is not valid yet")
-	errContended         = errors.New("other operations acquire the record")
-	errSealed            = errors.New("the record was never replicated")
-	errMissingReplies    = errors.New("not all members have replied")
+	errContended         = errors.New("concurrent operations outbid every attempt to acquire the record")
+	errSealed            = errors.New("the record was discarded by its owner")
+	errMissingReplies    = errors.New("no record found before the deadline, and not all members replied")
 	errTimeout           = errors.New("timed out")
 )
 
-// operation is something that this relay asks others for.
+// operation is a replication, acquisition or lookup that this relay has started.
 type operation struct {
 	token    uint64
-	phase    messageType // the request that it awaits replies to
-	record   Record      // what is stored, or was found; before that its kind and key only
+	phase    messageType // type of the request whose replies it waits for
+	record   Record      // the record to store, or the one found; until one is found, only its kind and key are set
 	deadline float64
-	targets  []Member           // who is asked
-	replies  map[string]message // by the name of the member
+	targets  []Member           // members that the request is sent to
+	replies  map[string]message // replies to the current request, by member name
 
 	nextSendAt    float64
-	retryInterval float64 // ms
+	retryInterval float64 // ms before the request is sent again; doubled each time
 
-	round          uint64 // of the current ballot
-	ballotAttempts int
-	// claimant is the token that the accept request proposes: another operation's, where that may have been decided.
+	round          uint64 // round of the current ballot
+	ballotAttempts int    // ballots that were rejected for the current record
+	// claimant is the token that the accept request proposes. It is another operation's token if that operation's
+	// claim may already have been chosen.
 	claimant uint64
-	usedIDs  []uint64 // records of the key that it found used
+	usedIDs  []uint64 // IDs of the key's records that went to other operations
 }
 
 func (op *operation) ballot() ballot { return ballot{Round: op.round, Token: op.token} }
 
-// isPaxos reports whether the operation is in one of the two phases of Paxos.
+// isPaxos reports whether the operation is in phase 1 or phase 2 of Paxos.
 func (op *operation) isPaxos() bool { return op.phase == messagePrepare || op.phase == messageAccept }
 
 func (op *operation) isTarget(name string) bool {
@@ -60,10 +61,10 @@
 }
 
 // replyCount returns how many members have replied with a message of that type.
-func (op *operation) replyCount(kind messageType) int {
+func (op *operation) replyCount(msgType messageType) int {
 	count := 0
 	for _, reply := range op.replies {
-		if reply.Type == kind {
+		if reply.Type == msgType {
 			count++
 		}
 	}
@@ -71,8 +72,8 @@
 }
 
 // hasMajority reports whether more than half of the record's replicas have replied with a message of that type.
-func (op *operation) hasMajority(kind messageType) bool {
-	return 2*op.replyCount(kind) > len(op.record.Replicas)
+func (op *operation) hasMajority(msgType messageType) bool {
+	return 2*op.replyCount(msgType) > len(op.record.Replicas)
 }
 
 // expects reports whether a reply belongs to the operation's current request.
@@ -81,19 +82,19 @@
 		return false
 	}
 	if op.isPaxos() && reply.Type != messageReject && reply.Ballot != op.ballot() {
-		return false // to an earlier ballot
+		return false // a reply to an earlier ballot
 	}
 	if op.phase == messageStore {
-		// Not from another incarnation, or another process under the replica's name.
+		// A reply from another incarnation, or from another process with the replica's name, doesn't count.
 		return slices.Contains(op.record.Replicas, Replica{reply.From, reply.Incarnation})
 	}
 	return true
 }
 
-// newToken draws an operation's token, which is never 0.
+// newToken returns a random token for an operation, or ID for a record. It is never 0.
 func (r *Replicator) newToken() uint64 { return r.rng.Uint64() | 1 }
 
-// startPhase sends the current phase's request to all targets.
+// startPhase sends the request of the operation's current phase to all targets.
 func (r *Replicator) startPhase(now float64, op *operation) []Action {
 	r.operations[op.token] = op
 	op.replies = map[string]message{}
@@ -101,7 +102,8 @@
 	return r.sendRequests(now, op)
 }
 
-// sendRequests sends the request to the targets that have not replied.
+// sendRequests sends the current request to the targets that have not replied. A request to this relay itself is
+// handled directly.
 func (r *Replicator) sendRequests(now float64, op *operation) []Action {
 	op.nextSendAt = now + op.retryInterval
 	op.retryInterval = min(2*op.retryInterval, maxRetryMillis)
@@ -120,7 +122,7 @@
 		if target.Name == r.name {
 			actions = append(actions, r.handleRequest(now, localAddress, request)...)
 			if r.operations[op.token] != op || op.phase != request.Type {
-				return actions // this relay's own reply was the last that was missing
+				return actions // this relay's own reply completed the phase
 			}
 			continue
 		}
@@ -132,7 +134,7 @@
 	return actions
 }
 
-// handleReply handles a reply to a request of this relay.
+// handleReply handles a reply to one of this relay's requests. Late and duplicate replies are ignored.
 func (r *Replicator) handleReply(now float64, reply message) []Action {
 	op := r.operations[reply.Token]
 	if op == nil || !op.expects(reply) {
@@ -148,7 +150,7 @@
 	return r.advance(now, op)
 }
 
-// advance goes on with an operation once it has the replies that it needs.
+// advance continues an operation after a reply, if it has enough replies for that.
 func (r *Replicator) advance(now float64, op *operation) []Action {
 	switch op.phase {
 	case messageStore:
@@ -164,18 +166,18 @@
 	}
 }
 
-// finish ends an operation.
+// finish ends an operation and returns its Outcome.
 func (r *Replicator) finish(op *operation, err error) []Action {
 	delete(r.operations, op.token)
 	r.countOutcome(op, err)
 	return []Action{{Outcome: &Outcome{Token: op.token, Record: op.record, Err: err}}}
 }
 
-// NextDeadline returns the time when Tick has something to send again or give up, at the soonest; +Inf: never. Expiry
-// and announcements may wait for a Tick that comes anyway.
+// NextDeadline returns the earliest time at which Tick has a message to send again or an operation to expire, or +Inf
+// if there is none. Removing expired records and publishing locations can wait for the next regular Tick.
 func (r *Replicator) NextDeadline() float64 { return r.nextDeadline }
 
-// sortedTokens returns the operations under way in a fixed order, so that a simulation repeats.
+// sortedTokens returns the tokens of the operations under way in a fixed order, so that simulations are reproducible.
 func (r *Replicator) sortedTokens() []uint64 {
 	tokens := make([]uint64, 0, len(r.operations))
 	for token := range r.operations {
@@ -185,7 +187,7 @@
 	return tokens
 }
 
-// advanceOperations sends requests without a reply again, and gives up operations past their deadline.
+// advanceOperations sends requests again that are due for it, and ends operations whose deadline has passed.
 func (r *Replicator) advanceOperations(now float64) []Action {
 	tokens := r.sortedTokens()
 	r.nextDeadline = math.Inf(1)
@@ -193,7 +195,7 @@
 	for _, token := range tokens {
 		op := r.operations[token]
 		switch {
-		case op == nil: // finished meanwhile
+		case op == nil: // finished by an earlier iteration
 		case now >= op.deadline:
 			actions = append(actions, r.expireOperation(now, op)...)
 		case now >= op.nextSendAt:
@@ -202,13 +204,13 @@
 			r.nextDeadline = min(r.nextDeadline, op.nextSendAt, op.deadline)
 		}
 	}
-	if len(r.repeats) > 0 {
-		r.nextDeadline = min(r.nextDeadline, r.repeats[0].at)
+	if len(r.scheduledDiscards) > 0 {
+		r.nextDeadline = min(r.nextDeadline, r.scheduledDiscards[0].sendAt)
 	}
 	return actions
 }
 
-// expireOperation gives up an operation whose deadline has passed.
+// expireOperation ends an operation whose deadline has passed.
 func (r *Replicator) expireOperation(now float64, op *operation) []Action {
 	switch {
 	case op.phase == messageStore:
--- a/internal/replication/publish.go
+++ b/internal/replication/publish.go
@@ -4,20 +4,20 @@
 	"slices"
 )
 
-// After the members have changed, a record may be looked up at a relay that doesn't store it. In this file its
-// replicas publish its location to such relays.
+// This file publishes the locations of records: after a change of members a record may be looked up at relays that
+// don't store it, so its replicas tell those relays where it is stored.
 
 const (
-	publishRounds         = 3 // times that all records are announced after a change, as messages get lost
-	publishIntervalMillis = 300.0
-	publishBatch          = 100 // records a tick: a pace that gives way to all else
+	publishRounds         = 3     // times that all records are published after a change, as messages may be lost
+	publishIntervalMillis = 300.0 // minimum time between the starts of two rounds, in ms
+	publishBatch          = 100   // records published in one tick, so that publishing doesn't delay other work
 )
 
-// publisher goes over the stored records after a change of members.
+// publisher tracks the progress of publishing the stored records after a change of members.
 type publisher struct {
 	roundsLeft  int
 	nextRoundAt float64
-	queue       []uint64 // IDs of the records left in this round
+	queue       []uint64 // IDs of the records still to be published in this round
 }
 
 func (p *publisher) restart() {
@@ -25,7 +25,7 @@
 	p.queue = nil
 }
 
-// startRound queues all records that can be looked up, where a round is due.
+// startRound queues all open durable records for the next round.
 func (p *publisher) startRound(now float64, records *recordTable) {
 	p.roundsLeft--
 	p.nextRoundAt = now + publishIntervalMillis
@@ -37,7 +37,7 @@
 	slices.Sort(p.queue)
 }
 
-// nextBatch takes some IDs off the queue.
+// nextBatch removes up to publishBatch IDs from the queue and returns them.
 func (p *publisher) nextBatch() []uint64 {
 	n := min(publishBatch, len(p.queue))
 	batch := p.queue[:n]
@@ -45,7 +45,8 @@
 	return batch
 }
 
-// publishLocations sends each record's location to the members that its key is looked up at and that don't store it.
+// publishLocations publishes the next batch of records, and starts a round if one is due. Each record goes to the
+// members at which its key is looked up but which don't store it.
 func (r *Replicator) publishLocations(now float64) []Action {
 	if len(r.publisher.queue) == 0 {
 		if r.publisher.roundsLeft == 0 || now < r.publisher.nextRoundAt || r.suspended {
@@ -70,15 +71,15 @@
 			continue
 		}
 		if data == nil {
-			announcement := r.newMessage(messagePublish, 0, record)
-			data = announcement.encode()
+			request := r.newMessage(messagePublish, 0, record)
+			data = request.encode()
 		}
 		actions = append(actions, Action{To: m.Address, Data: data})
 	}
 	return actions
 }
 
-// locationCache holds records that other relays store, as they have announced them: one for each key.
+// locationCache holds records that other relays store and have published, one per kind and key.
 type locationCache struct {
 	maxRecords int
 	byKey      map[recordKey]Record
@@ -88,17 +89,17 @@
 	return locationCache{maxRecords: maxRecords, byKey: map[recordKey]Record{}}
 }
 
-// add keeps an announced record, unless it is out of date or there are too many.
+// add caches a published record, unless it is invalid or has expired, a later version is cached, or the cache is full.
 func (l *locationCache) add(now float64, record Record) {
 	key := record.lookupKey()
-	known, ok := l.byKey[key]
+	cached, ok := l.byKey[key]
 	hasRoom := ok || len(l.byKey) < l.maxRecords
-	if record.isCurrent(now) && hasRoom && record.Version >= known.Version {
+	if record.isCurrent(now) && hasRoom && record.Version >= cached.Version {
 		l.byKey[key] = record
 	}
 }
 
-// find returns the record of a key that has not expired.
+// find returns the cached record of a key, if it has not expired.
 func (l *locationCache) find(now float64, key recordKey) (record Record, ok bool) {
 	record, ok = l.byKey[key]
 	return record, ok && record.ExpiresAt > now
--- a/internal/replication/record.go
+++ b/internal/replication/record.go
@@ -1,19 +1,19 @@
 package replication
 
-// Kind is the kind of a replicated record. The numbers are stored and sent: none ever gets another meaning.
+// Kind is the kind of a replicated record. The numbers are stored and sent, so they never change their meaning.
 type Kind uint8
 
 // The kinds of records.
 const (
-	// Reservation lets a client that was told to retry later go before newcomers. It is found by the client's
-	// key, and used once over the whole fleet.
+	// Reservation gives a client that was told to retry later priority over new clients when it comes back. It is
+	// looked up by the client's key, and can be used only once in the whole fleet.
 	Reservation Kind = iota + 1
-	// OperatorOrder is the latest drain order that an operator gave a relay. Its key is the relay's name.
+	// OperatorOrder is the latest drain order that an operator gave to a relay. Its key is the relay's name.
 	OperatorOrder
-	// AttemptMarker says that an attempt for a client's key may have run at a backend (an idempotency record).
-	// It holds until its owner revokes it.
+	// AttemptMarker is an idempotency record: an attempt for a client's key may have run at a backend. It is valid
+	// until its owner revokes it or it expires.
 	AttemptMarker
-	// Affinity says which backend a client or group was at. It is best effort.
+	// Affinity names the backend that a client or affinity group was assigned to. It is best effort.
 	Affinity
 
 	kindLimit // one past the last kind
@@ -21,20 +21,21 @@
 
 var kindNames = [kindLimit]string{"", "places", "orders", "marks", "affinities"}
 
-// String is the kind's name in /_fleet, in /_holdings and on the command line.
+// String returns the kind's name in /_fleet, in /_holdings and on the command line.
 func (k Kind) String() string { return kindNames[k] }
 
-// isSingleUse reports whether a record of that kind is used up by whoever acquires it.
+// isSingleUse reports whether only one operation can ever acquire a record of that kind.
 func (k Kind) isSingleUse() bool { return k == Reservation }
 
-// isVersioned reports whether only the highest version of a key counts.
+// isVersioned reports whether only the record with the highest version of a key counts.
 func (k Kind) isVersioned() bool { return k == OperatorOrder || k == Affinity }
 
-// isBestEffort reports whether a kind is held in memory only, in a bounded share of it, and never durable.
+// isBestEffort reports whether records of that kind are held in memory only, up to a share of the table's capacity,
+// and are never durable.
 func (k Kind) isBestEffort() bool { return k == Affinity }
 
-// isRevocable reports whether the owner may revoke a record of that kind before it expires. Such a record is
-// useful at a single replica already.
+// isRevocable reports whether the owner may revoke a record of that kind before it expires. Such a record is useful
+// even if only one replica has stored it.
 func (k Kind) isRevocable() bool { return k == AttemptMarker || k == Affinity }
 
 // Limits of a record.
@@ -42,30 +43,30 @@
 	maxKeyBytes       = 64
 	maxBodyBytes      = 256
 	maxCopies         = 7
-	maxLifetimeMillis = 3.6e6 // a record expires no later than this from now
+	maxLifetimeMillis = 3.6e6 // ms from now within which a record must expire (one hour)
 )
 
-// Record is one replicated record. Times are Unix milliseconds of the fleet's clock.
+// Record is a replicated record. Times are Unix milliseconds of the fleet's clock.
 type Record struct {
 	Kind      Kind
 	Key       string
-	ID        uint64 // drawn at random by the owner, never 0
-	Version   uint64 // of records with the same kind and key; used by versioned kinds only
-	Owner     string // name of the relay that had it replicated
+	ID        uint64 // random number chosen by the owner, never 0
+	Version   uint64 // version among the records of the same kind and key; used by versioned kinds only
+	Owner     string // name of the relay that replicates the record
 	ValidFrom float64
 	ExpiresAt float64
-	Body      []byte    // meant for the owner's caller; opaque here
-	Replicas  []Replica // the relays that store it, drawn when it was made; they never change
+	Body      []byte    // data of the package's caller, opaque to this package
+	Replicas  []Replica // relays that store the record, chosen when it is created and never changed
 }
 
-// Replica is a relay, in one incarnation, that stores a record. A later incarnation is no replica: its disk may
-// be another one.
+// Replica is one incarnation of a relay that stores a record. A later incarnation of that relay is not a replica, as
+// it may have another disk.
 type Replica struct {
 	Name        string `json:"Name"`
 	Incarnation uint64 `json:"Life"`
 }
 
-// recordKey is what a record is looked up by.
+// recordKey is the kind and key by which a record is looked up.
 type recordKey struct {
 	kind Kind
 	key  string
@@ -73,7 +74,7 @@
 
 func (r *Record) lookupKey() recordKey { return recordKey{r.Kind, r.Key} }
 
-// isValid reports whether the record is within the limits. It may have expired.
+// isValid reports whether the record is well-formed and within the limits. It may have expired.
 func (r *Record) isValid(now float64) bool {
 	return r.ID != 0 &&
 		r.Key != "" &&
@@ -84,10 +85,10 @@
 		r.ExpiresAt < now+maxLifetimeMillis
 }
 
-// isCurrent reports whether the record is within the limits and has not expired.
+// isCurrent reports whether the record is valid and has not expired.
 func (r *Record) isCurrent(now float64) bool { return r.isValid(now) && r.ExpiresAt > now }
 
-// isReplicaAt reports whether the relay of that name, in any incarnation, is one of the record's replicas.
+// isReplicaAt reports whether the relay with that name, in any incarnation, is one of the record's replicas.
 func (r *Record) isReplicaAt(name string) bool {
 	for i := range r.Replicas {
 		if r.Replicas[i].Name == name {
@@ -97,8 +98,8 @@
 	return false
 }
 
-// hasDistinctReplicas reports whether the record has as many replicas as copies are made, each at another relay.
-// A faulty relay that announces a record of its own making could otherwise grant it alone.
+// hasDistinctReplicas reports whether the record has exactly that many replicas, each at a different relay. Without
+// this check a faulty relay could publish a forged record with itself as the only replica, and let it be acquired.
 func (r *Record) hasDistinctReplicas(copies int) bool {
 	names := make(map[string]bool, len(r.Replicas))
 	for _, replica := range r.Replicas {
--- a/internal/replication/register.go
+++ b/internal/replication/register.go
@@ -5,16 +5,19 @@
 	"math"
 )
 
-// This file is the Paxos register that decides which operation a single-use record goes to. Each record is one
-// decree. Its replicas are the acceptors, and an operation that found the record is a proposer with its own token
-// as the value. Two majorities share a replica, which has made its reply durable before it sent it.
+// This file is the Paxos register that decides which operation acquires a single-use record. Each record is a
+// single-decree instance: its replicas are the acceptors, and an operation that has found the record is a proposer
+// with its own token as the value. Such a proposal is called a claim, and the operation whose token it has its claimant.
+// Only one claim can be chosen, because any two majorities have a replica in common, and a replica makes its state
+// durable before it replies.
 
 const (
-	maxBallotAttempts = 6 // ballots that one operation tries
-	sealedRound       = math.MaxUint64
+	maxBallotAttempts = 6              // ballots that one operation tries for a record
+	sealedRound       = math.MaxUint64 // promised round of a sealed register; operations never reach it
 )
 
-// ballot orders proposals. Each operation has a token of its own, so that no two have the same ballot.
+// ballot is a Paxos ballot number: a round, with the operation's token as tie-breaker, so that no two operations have
+// the same ballot.
 type ballot struct {
 	Round uint64
 	Token uint64
@@ -24,27 +27,27 @@
 	return cmp.Or(cmp.Compare(b.Round, other.Round), cmp.Compare(b.Token, other.Token))
 }
 
-// register is an acceptor's state for one record.
+// register is the Paxos acceptor state of one record at one replica.
 type register struct {
-	Promised ballot // lower ballots are rejected
-	Accepted ballot // zero: no claim was accepted
+	Promised ballot // highest ballot promised; lower ballots are rejected
+	Accepted ballot // ballot of the accepted claim; zero if no claim was accepted
 	Claimant uint64 // token of the operation whose claim was accepted
 }
 
-// isOpen reports whether the record can still be found: no claim was accepted, and it isn't sealed.
+// isOpen reports whether lookups still return the record: no claim was accepted, and it isn't sealed.
 func (g *register) isOpen() bool { return !g.isUsed() && !g.isSealed() }
 
-// isUsed reports whether a claim was accepted here.
+// isUsed reports whether this replica has accepted a claim.
 func (g *register) isUsed() bool { return g.Accepted != ballot{} }
 
-// isSealed reports whether no ballot can be promised any more.
+// isSealed reports whether the register was sealed, so that no further ballot can be promised.
 func (g *register) isSealed() bool { return g.Promised.Round == sealedRound }
 
-// seal makes sure that no operation acquires the record. A claim that was accepted stays accepted.
+// seal makes this replica reject every further ballot. A claim that it has accepted stays accepted.
 func (g *register) seal() { g.Promised = ballot{Round: sealedRound} }
 
-// handlePaxos is the acceptor: it replies to a prepare or accept request once its new state is durable. About a
-// record that isn't stored here, or is not single-use, it replies nothing.
+// handlePaxos is the acceptor: it replies to a prepare or accept request once its new state is durable. It ignores
+// requests for records that aren't stored here or aren't single-use.
 func (r *Replicator) handlePaxos(now float64, from string, request message) []Action {
 	record := r.records.byID[request.Records[0].ID]
 	if record == nil || !record.Kind.isSingleUse() {
@@ -74,7 +77,7 @@
 	return r.replyWhenDurable(now, from, reply, write)
 }
 
-// startPrepare begins to acquire a record that was found, at its replicas that are members now.
+// startPrepare starts phase 1 for a record that was found, at those of its replicas that are members now.
 func (r *Replicator) startPrepare(now float64, op *operation, record Record) []Action {
 	op.record = record
 	op.targets = nil
@@ -90,9 +93,9 @@
 	return r.startPhase(now, op)
 }
 
-// startAccept goes on once a majority has promised the ballot. Where one of it has accepted a claim, that may
-// have been decided and is proposed again in place of the operation's own: two operations that each gave way to
-// the other would leave the record to nobody.
+// startAccept starts phase 2 once a majority has promised the ballot. If any promise reports an accepted claim, that
+// claim may already have been chosen, so it is proposed in place of the operation's own. Proposing it, rather than just
+// giving up, avoids that two operations each give way to the other and neither acquires the record.
 func (r *Replicator) startAccept(now float64, op *operation) []Action {
 	var highest ballot
 	op.claimant = op.token
@@ -106,8 +109,8 @@
 	return r.startPhase(now, op)
 }
 
-// retryWithHigherBallot begins again, after a random backoff, with a ballot above those of the replicas that
-// rejected this one. Without the random part two operations could outbid each other for ever.
+// retryWithHigherBallot restarts phase 1 after a random backoff, with a ballot above those that the rejecting replicas
+// have promised. Without the randomness two operations could keep outbidding each other forever.
 func (r *Replicator) retryWithHigherBallot(now float64, op *operation) []Action {
 	op.ballotAttempts++
 	if op.ballotAttempts >= maxBallotAttempts {
@@ -131,7 +134,7 @@
 	return nil
 }
 
-// advancePrepare goes on once a majority has promised the ballot, or a replica has rejected it.
+// advancePrepare starts phase 2 once a majority has promised the ballot, and retries once a replica has rejected it.
 func (r *Replicator) advancePrepare(now float64, op *operation) []Action {
 	if op.replyCount(messageReject) > 0 {
 		return r.retryWithHigherBallot(now, op)
@@ -142,8 +145,8 @@
 	return r.startAccept(now, op)
 }
 
-// advanceAccept ends the operation once a majority has accepted its claim. Where the claim was another's, the
-// record is used, and the operation looks for the next one.
+// advanceAccept ends the operation once a majority has accepted the claim. If it was another operation's claim, the
+// record is used, and this operation looks for another record of the key.
 func (r *Replicator) advanceAccept(now float64, op *operation) []Action {
 	if op.replyCount(messageReject) > 0 {
 		return r.retryWithHigherBallot(now, op)
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -4,12 +4,12 @@
 	"slices"
 )
 
-// This file is the replica's side: it stores, looks up and discards records for other relays and for this one.
+// This file is the replica side: it stores, looks up and discards records for other relays and for this one.
 
-// localAddress stands for this relay itself, whose requests and replies take no datagram.
+// localAddress is the address of this relay itself: its messages to itself are handled directly, without a datagram.
 const localAddress = ""
 
-// handleRequest handles a request from an address. What it replies waits until what it depends on is durable.
+// handleRequest handles a request from an address. A reply that depends on a write is sent once that write is durable.
 func (r *Replicator) handleRequest(now float64, from string, request message) []Action {
 	if r.suspended || len(request.Records) != 1 {
 		return nil
@@ -31,8 +31,8 @@
 	}
 }
 
-// handleStore stores a record that has this relay, in this incarnation, among its replicas. One that is stored
-// already isn't changed, and the reply is given again.
+// handleStore stores a record that has this incarnation of this relay among its replicas. A record that is already
+// stored isn't changed, and is acknowledged again.
 func (r *Replicator) handleStore(now float64, from string, request message) []Action {
 	record := request.Records[0]
 	if stored := r.records.byID[record.ID]; stored != nil {
@@ -42,19 +42,19 @@
 		r.counts[record.Kind].RejectedFull++
 		return r.reply(now, from, r.replyTo(request, messageReject))
 	}
-	if !r.accepts(now, record) {
+	if !r.canBecomeReplica(now, record) {
 		return r.reply(now, from, r.replyTo(request, messageReject))
 	}
 	stored := &storedRecord{Record: record}
 	removals := r.removeSuperseded(record)
 	r.records.insert(stored)
 	r.counts[record.Kind].Stored++
-	// The older version goes once the newer one is there.
+	// The older version is removed only after the newer one is stored.
 	return append(r.acknowledge(now, from, request, record.Kind, stored), removals...)
 }
 
-// acknowledge replies that a record is stored: at once for a best-effort kind, else once it is durable. It is
-// written again where it was stored before, as the first write may not be durable yet.
+// acknowledge replies that a record is stored: at once for a best-effort kind, otherwise once the record is durable. A
+// record that was stored before is written again, as its first write may not be durable yet.
 func (r *Replicator) acknowledge(now float64, from string, request message, kind Kind, stored *storedRecord) []Action {
 	reply := r.replyTo(request, messageStored)
 	if kind.isBestEffort() {
@@ -63,7 +63,8 @@
 	return r.replyWhenDurable(now, from, reply, r.newWrite(stored))
 }
 
-// hasCapacity reports whether one more record fits in. A best-effort one of a key that is there already does.
+// hasCapacity reports whether the table can take one more record. A best-effort record whose key is already stored
+// isn't subject to the best-effort limits.
 func (r *Replicator) hasCapacity(record Record) bool {
 	if r.records.isFull() {
 		return false
@@ -72,14 +73,15 @@
 		!r.records.isBestEffortFull(record.Owner, len(r.members))
 }
 
-// accepts reports whether this relay may become a replica of the record.
-func (r *Replicator) accepts(now float64, record Record) bool {
+// canBecomeReplica reports whether this relay may store the record: it isn't draining, the record has not expired, and
+// this incarnation is one of the record's replicas.
+func (r *Replicator) canBecomeReplica(now float64, record Record) bool {
 	return !r.members.isDraining(r.name) &&
 		record.isCurrent(now) &&
 		slices.Contains(record.Replicas, Replica{r.name, r.incarnation})
 }
 
-// removeSuperseded removes the records of a versioned kind that the new one takes the place of.
+// removeSuperseded removes the stored records of a versioned kind that the new record replaces.
 func (r *Replicator) removeSuperseded(record Record) []Action {
 	if !record.Kind.isVersioned() {
 		return nil
@@ -93,8 +95,8 @@
 	return actions
 }
 
-// handleLookup replies with the open records of a kind and key, then with the markers that were revoked. Where
-// none is stored here it replies with one that other relays are known to store.
+// handleLookup replies with the open records of a kind and key, followed by the markers that are known to be revoked.
+// If there are none, it replies with the cached location of a record at other relays.
 func (r *Replicator) handleLookup(now float64, from string, request message) []Action {
 	reply := r.replyTo(request, messageFound)
 	key := request.Records[0].lookupKey()
@@ -115,18 +117,17 @@
 	return r.reply(now, from, reply)
 }
 
-// revokedMarker says in a reply that a marker was revoked, as another replica may not know that. It has no
-// replicas.
+// revokedMarker returns the form in which a reply reports a revoked marker, as other replicas may not know that it was
+// revoked. It has no replicas.
 func revokedMarker(key string, id uint64) Record {
 	return Record{Kind: AttemptMarker, Key: key, ID: id}
 }
 
-// isRevokedMarker reports whether a record in a reply is a revokedMarker.
+// isRevokedMarker reports whether a record in a reply was made by revokedMarker.
 func (r *Record) isRevokedMarker() bool { return r.Kind == AttemptMarker && len(r.Replicas) == 0 }
 
-// handleDiscard forgets a record, at its owner's request. Reservations and markers are sealed and kept until
-// their retention ends: a copy that arrives late would otherwise be stored, and acquired or found, as if nothing had
-// happened.
+// handleDiscard removes a record at its owner's request. Reservations and markers are sealed instead, and kept until
+// their retention ends: otherwise a late store request would store the record again, and it could be acquired or found.
 func (r *Replicator) handleDiscard(now float64, request message) []Action {
 	record := request.Records[0]
 	stored := r.records.byID[record.ID]
@@ -143,25 +144,25 @@
 	return r.remove(stored)
 }
 
-// isEarlyRevocation reports whether a marker was revoked before the request to store it arrived. It is stored for
-// that: the later request would otherwise leave a marker that nobody revokes again.
+// isEarlyRevocation reports whether a discard message revokes a marker whose store request has not arrived yet. The
+// marker is then stored as revoked: otherwise the late store request would leave a marker that nobody revokes again.
 func (r *Replicator) isEarlyRevocation(now float64, from string, record Record) bool {
 	return record.Kind == AttemptMarker && record.Owner == from && record.isCurrent(now) && !r.records.isFull()
 }
 
-// seal makes sure that nobody acquires or finds the record. It stays until its retention ends.
+// seal makes the record impossible to acquire or find at this replica. It is kept until its retention ends.
 func (r *Replicator) seal(stored *storedRecord) []Action {
 	stored.seal()
 	return []Action{{Write: r.newWrite(stored)}}
 }
 
-// remove forgets the record, on the disk as well.
+// remove removes the record from memory and from the disk.
 func (r *Replicator) remove(stored *storedRecord) []Action {
 	r.records.remove(stored.ID)
 	return deleteWrites(stored)
 }
 
-// deleteWrites has a record that was removed deleted on the disk, where its kind lies there.
+// deleteWrites returns the write that deletes a removed record from the disk, or none for a best-effort kind.
 func deleteWrites(removed *storedRecord) []Action {
 	if removed.Kind.isBestEffort() {
 		return nil
@@ -169,8 +170,8 @@
 	return []Action{{Write: &Write{Name: recordName(removed.ID)}}}
 }
 
-// DiscardAll forgets all records that are stored here: the disk is an older one, and replies from it might
-// contradict those that were given before.
+// DiscardAll removes all stored records. It is for a relay that has started with an older disk: replies based on that
+// disk might contradict replies that the relay sent before.
 func (r *Replicator) DiscardAll() []Action {
 	var actions []Action
 	for id := range r.records.byID {
@@ -180,7 +181,7 @@
 	return actions
 }
 
-// newWrite returns the write that makes a record durable, with its register.
+// newWrite returns the write that makes a record and its register durable.
 func (r *Replicator) newWrite(stored *storedRecord) *Write {
 	m := r.newMessage(messagePromise, 0, stored.Record)
 	m.Ballot = stored.Promised
@@ -189,8 +190,8 @@
 	return &Write{Name: recordName(stored.ID), Body: m.encode()}
 }
 
-// LoadRecord stores what the disk has under that name. It returns false where that can't be read, or its retention
-// has ended.
+// LoadRecord loads a record that the disk has under that name. It returns false if the record can't be decoded, is
+// invalid, or its retention has ended.
 func (r *Replicator) LoadRecord(now float64, name string, body []byte) bool {
 	m, err := decodeMessage(body)
 	if err != nil || m.Type != messagePromise || len(m.Records) != 1 {
@@ -209,14 +210,14 @@
 	return true
 }
 
-// replyTo returns an empty reply to a request.
-func (r *Replicator) replyTo(request message, kind messageType) message {
-	reply := r.newMessage(kind, request.Token)
+// replyTo returns a reply to a request, without records.
+func (r *Replicator) replyTo(request message, msgType messageType) message {
+	reply := r.newMessage(msgType, request.Token)
 	reply.Ballot = request.Ballot
 	return reply
 }
 
-// reply sends a reply at once, or handles it where this relay made the request itself.
+// reply sends a reply at once, or handles it directly if the request came from this relay itself.
 func (r *Replicator) reply(now float64, to string, reply message) []Action {
 	if to == localAddress {
 		return r.handleReply(now, reply)
--- a/internal/replication/replicate.go
+++ b/internal/replication/replicate.go
@@ -4,19 +4,19 @@
 	"fmt"
 )
 
-// This file is the owner's side of a record: replicate it, revoke it, discard it.
+// This file is the owner side: it replicates, revokes and discards this relay's own records.
 
-// repeatDiscardAfterMillis is the delay after which a discard message is sent a second time.
-const repeatDiscardAfterMillis = 150.0
+// discardResendDelayMillis is the delay in ms after which a discard message is sent a second time.
+const discardResendDelayMillis = 150.0
 
-// scheduledDiscard is a discard message that is sent again, as nobody replies to it.
+// scheduledDiscard is a discard message to be sent a second time: it has no reply, so a lost one goes unnoticed.
 type scheduledDiscard struct {
-	at     float64
+	sendAt float64
 	record Record
 }
 
-// Replicate has a record stored by as many relays as copies are made. The record's ID, owner and replicas are set
-// here. An Outcome with the token follows after timeout ms at the latest.
+// Replicate stores a record at the number of relays that New was given as copies. It sets the record's ID, owner and
+// replicas. An Outcome with the returned token follows after timeout ms at the latest, unless the record is revoked.
 func (r *Replicator) Replicate(now float64, record Record, timeout float64) (token uint64, actions []Action) {
 	token = r.newToken()
 	record.ID = r.newToken()
@@ -56,7 +56,7 @@
 	}
 }
 
-// advanceStore ends the operation once all replicas have stored the record, or one has rejected it.
+// advanceStore ends the operation once all replicas have stored the record or one has rejected it.
 func (r *Replicator) advanceStore(op *operation) []Action {
 	if op.replyCount(messageReject) > 0 {
 		return r.abandonReplication(op, errReplicaRejected)
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// abandonReplication returns up, and has the replicas discard the record: no client was notified of it. A revocable
-// record is useful without being stored everywhere, and stays where it is.
+// abandonReplication ends a failed replication and tells the replicas to discard the record, which no client was told
+// about. A revocable record is useful even if not all replicas have stored it, so it isn't discarded.
 func (r *Replicator) abandonReplication(op *operation, err error) []Action {
 	if op.record.Kind.isRevocable() {
 		return r.finish(op, err)
@@ -87,23 +87,25 @@
 	return append(actions, r.finish(op, err)...)
 }
 
-// Revoke revokes the marker or best-effort record that Replicate returned the token for: its replicas are sent a
-// discard message, and again a moment later. A replication that is still under way is cancelled without an Outcome.
+// Revoke revokes the marker or best-effort record for which Replicate returned the token: its replicas are sent a
+// discard message, and a second one after discardResendDelayMillis. A replication that is still under way is canceled
+// without an Outcome.
 func (r *Replicator) Revoke(now float64, token uint64) []Action {
 	record, ok := r.revocable[token]
 	if !ok {
 		return nil
 	}
-	if len(r.repeats) < maxOperations {
-		r.repeats = append(r.repeats, scheduledDiscard{now + repeatDiscardAfterMillis, record})
-		r.nextDeadline = min(r.nextDeadline, r.repeats[0].at)
+	if len(r.scheduledDiscards) < maxOperations {
+		r.scheduledDiscards = append(r.scheduledDiscards, scheduledDiscard{now + discardResendDelayMillis, record})
+		r.nextDeadline = min(r.nextDeadline, r.scheduledDiscards[0].sendAt)
 	}
 	delete(r.operations, token)
 	delete(r.revocable, token)
 	return r.Discard(now, record)
 }
 
-// Discard has the replicas of a record of this relay discard it, as it is over or was replicated anew elsewhere.
+// Discard tells the replicas of one of this relay's records to discard it, as it is no longer valid or was replicated
+// again at other relays.
 func (r *Replicator) Discard(now float64, record Record) []Action {
 	request := r.newMessage(messageDiscard, 0, record)
 	var actions []Action
@@ -119,12 +121,12 @@
 	return actions
 }
 
-// repeatDiscards sends the discard messages that are due again.
-func (r *Replicator) repeatDiscards(now float64) []Action {
+// resendDiscards sends the discard messages whose second sending is due.
+func (r *Replicator) resendDiscards(now float64) []Action {
 	var actions []Action
-	for len(r.repeats) > 0 && now >= r.repeats[0].at {
-		actions = append(actions, r.Discard(now, r.repeats[0].record)...)
-		r.repeats = r.repeats[1:]
+	for len(r.scheduledDiscards) > 0 && now >= r.scheduledDiscards[0].sendAt {
+		actions = append(actions, r.Discard(now, r.scheduledDiscards[0].record)...)
+		r.scheduledDiscards = r.scheduledDiscards[1:]
 	}
 	return actions
 }
--- a/internal/replication/replicator.go
+++ b/internal/replication/replicator.go
@@ -1,14 +1,13 @@
-// Package replication stores a relay's records at several relays. A durable record counts as replicated once it
-// is on the disks of all its replicas, which are drawn when it is made and never change; fewer than half of them
-// may then be lost together with their disks. Best-effort records are held in memory only.
+// Package replication stores a relay's records at several relays. A durable record counts as replicated once it is on
+// the disks of all its replicas, which are chosen when the record is created and never change. It then survives the
+// loss of fewer than half of its replicas together with their disks. Best-effort records are held in memory only.
 //
-// A record that may be used once is acquired by agreement of more than half of its replicas: a Paxos register of
-// a single decree for each record. So no relay has to know which others are gone, not even while the network is
-// split.
+// A single-use record is acquired with the agreement of more than half of its replicas, by a single-decree Paxos
+// register per record. No relay therefore needs to know which others are gone, not even during a network partition.
 //
-// The package is a state machine without disk, socket or clock. Messages, times and members come in; writes,
-// messages and outcomes go out as actions, and what depends on a write waits for it. Times are Unix milliseconds
-// of the fleet's clock. Calls are not safe for concurrent use.
+// The package is a state machine without disk, socket or clock. Its inputs are messages, times and members; its outputs
+// are actions: writes, messages and outcomes. Replies that depend on a write are held back until it is durable. Times
+// are Unix milliseconds of the fleet's clock. A Replicator is not safe for concurrent use.
 package replication
 
 import (
@@ -16,8 +15,8 @@
 	"math/rand"
 )
 
-// Replicator is one relay's part in replication: it stores replicas for others, and has its own records stored
-// by them.
+// Replicator is one relay's part in replication: it stores records for other relays, and replicates its own records to
+// them.
 type Replicator struct {
 	name        string
 	incarnation uint64
@@ -26,31 +25,31 @@
 	suspended   bool
 
 	members   memberList
-	records   recordTable   // stored here, for this relay and others
-	locations locationCache // where other relays store theirs
-	publisher publisher     // announces to others where records are stored
-	scanner   statusScanner // counts records for the status
+	records   recordTable   // records stored here, for this relay and others
+	locations locationCache // published records that only other relays store
+	publisher publisher     // progress of publishing the locations of the records stored here
+	scanner   statusScanner // counts the records stored here for Status
 
-	operations   map[uint64]*operation // requests to other relays under way, by token
-	revocable    map[uint64]Record     // records of this relay that it may revoke, by the token of Replicate
-	repeats      []scheduledDiscard    // in the order of their times
-	nextDeadline float64               // see NextDeadline
-	lastTickAt   float64
+	operations        map[uint64]*operation // operations under way, by token
+	revocable         map[uint64]Record     // this relay's records that it may revoke, by the token of Replicate
+	scheduledDiscards []scheduledDiscard    // discard messages to send again, by time
+	nextDeadline      float64               // the result of NextDeadline
+	lastTickAt        float64
 
 	counts [kindLimit]Counts
 	faults injectedFaults
 }
 
-// injectedFaults are mistakes made on purpose: tests check that the checks notice them.
+// injectedFaults are deliberate bugs: tests enable them to show that the test checks detect them.
 type injectedFaults struct {
-	ackBeforeSync   bool // acknowledges a record before it is durable
-	countDuplicates bool // counts one replica's reply twice
-	forgetUsed      bool // drops the register's state of a used record at once
-	forgetRevoked   bool // drops a revoked marker at once
+	ackBeforeSync   bool // sends replies before the write that they depend on is durable
+	countDuplicates bool // counts duplicate replies from one replica
+	forgetUsed      bool // resets a record's register in memory as soon as it has accepted a claim
+	forgetRevoked   bool // removes a discarded reservation or marker at once
 }
 
-// New returns a replicator that stores nothing yet. incarnation is the number of this start of the relay, copies
-// how many replicas a record has (1, 3, 5 or 7), maxRecords how many records are stored here at most.
+// New returns a replicator without records. incarnation identifies this start of the relay, copies is the number of
+// replicas of each record (1, 3, 5 or 7), and maxRecords is the maximum number of records stored here.
 func New(name string, incarnation uint64, copies, maxRecords int, rng *rand.Rand) *Replicator {
 	return &Replicator{
 		name:         name,
@@ -65,36 +64,37 @@
 	}
 }
 
-// Action is what the caller is to do. One of Data, Write and Outcome is set.
+// Action is something that the caller has to do. Exactly one of Data, Write and Outcome is set.
 type Action struct {
-	To      string // address that Data is to be sent to
+	To      string // destination address of Data
 	Data    []byte
 	Write   *Write
 	Outcome *Outcome
 }
 
-// Write is to be made durable: Body under Name, or Name deleted where Body is nil. CompleteWrite is called with it
-// afterwards.
+// Write is a write to be made durable: Body is stored under Name, or Name is deleted if Body is nil. The caller calls
+// CompleteWrite with it afterwards.
 type Write struct {
 	Name string
 	Body []byte
 
-	replies      []Action  // to be sent once it is durable
-	localReplies []message // replies to this relay itself
+	replies      []Action  // replies to other relays, to be sent once the write is durable
+	localReplies []message // replies to this relay itself, to be handled once the write is durable
 }
 
 // Outcome is the result of Replicate, Acquire or Lookup.
 type Outcome struct {
 	Token  uint64
 	Record Record
-	Err    error // nil: all replicas have stored the record; or it is found, and acquired by this relay
+	Err    error // nil if the record was stored at all replicas, acquired, or found
 }
 
-// SetSuspended makes this relay store nothing new and reply nothing about what it stores: its disk is not known
-// to be the latest that the relay has replied from, or another process uses its name.
+// SetSuspended makes this relay ignore all requests and start no round of publishing, or ends that. A relay is
+// suspended while its disk is not known to be the latest that it has replied from, or while another process uses its
+// name.
 func (r *Replicator) SetSuspended(suspended bool) { r.suspended = suspended }
 
-// HandleMessage handles a message that came from an address. It fails where the message can't be decoded.
+// HandleMessage handles a message that came from an address. It returns an error if the message can't be decoded.
 func (r *Replicator) HandleMessage(now float64, from string, data []byte) ([]Action, error) {
 	m, err := decodeMessage(data)
 	if err != nil {
@@ -106,8 +106,8 @@
 	return r.handleReply(now, m), nil
 }
 
-// CompleteWrite is called once a write is durable, and returns what waited for that. It is not called for a write
-// that failed: nothing that depends on it may be sent.
+// CompleteWrite is called once a write is durable, and returns the actions that depend on it. It must not be called for
+// a write that failed, as the replies that depend on it must not be sent.
 func (r *Replicator) CompleteWrite(now float64, write *Write) []Action {
 	actions := write.replies
 	for _, reply := range write.localReplies {
@@ -117,6 +117,6 @@
 }
 
 // newMessage returns a message from this relay.
-func (r *Replicator) newMessage(kind messageType, token uint64, records ...Record) message {
-	return message{Type: kind, Token: token, From: r.name, Incarnation: r.incarnation, Records: records}
+func (r *Replicator) newMessage(msgType messageType, token uint64, records ...Record) message {
+	return message{Type: msgType, Token: token, From: r.name, Incarnation: r.incarnation, Records: records}
 }
--- a/internal/replication/snapshot.go
+++ b/internal/replication/snapshot.go
@@ -8,14 +8,14 @@
 // RecordState is the state of a stored record in a snapshot.
 type RecordState string
 
-// The states of a record at a replica.
+// The states of a stored record.
 const (
 	StateOpen RecordState = "open"
-	StateUsed RecordState = "used" // acquired by an operation, as far as this replica has accepted
+	StateUsed RecordState = "used" // this replica has accepted an operation's claim to the record
 	StateOver RecordState = "over" // revoked, discarded or expired
 )
 
-// RecordSnapshot is a record as one of its replicas has it. Times are Unix milliseconds of the fleet's clock.
+// RecordSnapshot is a record as one of its replicas stores it. Times are Unix milliseconds of the fleet's clock.
 type RecordSnapshot struct {
 	Kind      string      `json:"Kind"`
 	Key       string      `json:"Key"`
@@ -29,15 +29,15 @@
 	Body      []byte      `json:"Body,omitempty"`
 }
 
-// Page is one partition of the records that a relay stores.
+// Page holds one partition of the records that a relay stores.
 type Page struct {
 	Relay   string           `json:"Name"`
-	Now     float64          `json:"Now"` // the relay's time, Unix milliseconds of the fleet's clock
+	Now     float64          `json:"Now"` // time of the snapshot in Unix milliseconds of the fleet's clock
 	Records []RecordSnapshot `json:"Records"`
 }
 
-// Page shows one partition of the stored records, in the order of their IDs. It is empty for a number that is no
-// partition's.
+// Page returns one partition of the stored records, in the order of their IDs. The page is empty if there is no
+// partition with that number.
 func (r *Replicator) Page(now float64, partition int) *Page {
 	page := &Page{Relay: r.name, Now: now, Records: []RecordSnapshot{}}
 	if partition >= Partitions {
--- a/internal/replication/status.go
+++ b/internal/replication/status.go
@@ -6,21 +6,20 @@
 )
 
 const (
-	scanIntervalMillis = 50.0 // one partition is scanned at a time, so that all are in 3.2 s
-	fullScanLimit      = 4096 // records, up to which Status scans all of them itself
+	scanIntervalMillis = 50.0 // ms between the scans of two partitions, so that all 64 are scanned in 3.2 s
+	fullScanLimit      = 4096 // number of stored records up to which Status scans all of them at once
 )
 
-// KindStatus is the state of the stored records of a kind. UnderReplicated and BelowQuorum count the
-// records that this relay is the first living replica of, so that the sums over all relays count each record
-// once.
+// KindStatus is the state of the stored records of a kind. UnderReplicated and BelowQuorum count only the records whose
+// first alive replica is this relay, so that the sums over all relays count each record once.
 type KindStatus struct {
-	Stored          int `json:"Held"`  // here
-	Open            int `json:"Open"`  // of those: neither used, revoked nor expired
-	UnderReplicated int `json:"Under"` // some replica is not alive
-	BelowQuorum     int `json:"Short"` // no more than half are: it can't be acquired, or read for certain, until more are
+	Stored          int `json:"Held"`  // records stored here
+	Open            int `json:"Open"`  // records stored here that are neither used, revoked nor expired
+	UnderReplicated int `json:"Under"` // open records with a replica that is not alive
+	BelowQuorum     int `json:"Short"` // open records without a majority alive: not acquirable or reliably readable
 }
 
-// Add adds another relay's status.
+// Add adds another status to this one.
 func (s *KindStatus) Add(other KindStatus) {
 	s.Stored += other.Stored
 	s.Open += other.Open
@@ -28,20 +27,20 @@
 	s.BelowQuorum += other.BelowQuorum
 }
 
-// Counts are the events of a kind of record since the start.
+// Counts are event counts for a kind of record since the start of the relay.
 type Counts struct {
-	Stored        uint64 `json:"Held"`     // stored here, for this relay and others
-	RejectedFull  uint64 `json:"Full"`     // rejected here for want of capacity
-	Replicated    uint64 `json:"Promised"` // records of this relay that all their replicas have stored
-	NotReplicated uint64 `json:"Refused"`  // records of this relay that they have not, or not in time
-	Lookups       uint64 `json:"Sought"`   // begun by this relay
-	Found         uint64 `json:"Took"`     // found by this relay, and acquired where the kind is single-use
-	AlreadyUsed   uint64 `json:"Again"`    // found used
-	Missed        uint64 `json:"Missed"`   // found, and not acquired in time
-	Accepted      uint64 `json:"Accepted"` // claims that were accepted here
+	Stored        uint64 `json:"Held"`     // records stored here, for this relay and others
+	RejectedFull  uint64 `json:"Full"`     // store requests that this relay rejected because it had no capacity
+	Replicated    uint64 `json:"Promised"` // this relay's records that all their replicas have stored
+	NotReplicated uint64 `json:"Refused"`  // this relay's records that not all replicas stored in time
+	Lookups       uint64 `json:"Sought"`   // lookups and acquisitions started by this relay
+	Found         uint64 `json:"Took"`     // lookups that found a record, and acquired it if the kind is single-use
+	AlreadyUsed   uint64 `json:"Again"`    // acquisitions that found only used records
+	Missed        uint64 `json:"Missed"`   // acquisitions that found a record but failed to acquire it
+	Accepted      uint64 `json:"Accepted"` // claims that this relay has accepted as a replica
 }
 
-// Add adds another relay's counts.
+// Add adds other counts to these.
 func (c *Counts) Add(other Counts) {
 	c.Stored += other.Stored
 	c.RejectedFull += other.RejectedFull
@@ -71,14 +70,14 @@
 	}
 }
 
-// statusScanner counts the stored records, one partition at a time where there are many.
+// statusScanner counts the stored records, one partition at a time if there are many.
 type statusScanner struct {
-	partitions [Partitions][kindLimit]KindStatus
-	last       int // the partition that was scanned last
-	nextAt     float64
+	partitions    [Partitions][kindLimit]KindStatus
+	lastPartition int // index of the partition that was scanned last
+	nextScanAt    float64
 }
 
-// scan counts one partition's records as seen by the relay of that name.
+// scan counts one partition's records, which the relay of that name stores.
 func (s *statusScanner) scan(now float64, partition int, records []*storedRecord, name string, alive map[string]bool) {
 	result := [kindLimit]KindStatus{}
 	for _, record := range records {
@@ -89,7 +88,7 @@
 	s.partitions[partition] = result
 }
 
-// sum returns a kind's status over all partitions. Stored is left at 0.
+// sum returns a kind's status over all partitions, with Stored left at 0.
 func (s *statusScanner) sum(kind Kind) KindStatus {
 	var sum KindStatus
 	for i := range s.partitions {
@@ -98,7 +97,7 @@
 	return sum
 }
 
-// count counts an open record as seen by the relay of that name.
+// count counts an open record that the relay of that name stores.
 func (s *KindStatus) count(record *storedRecord, name string, alive map[string]bool) {
 	s.Open++
 	aliveCount := 0
@@ -122,19 +121,20 @@
 	r.scanner.scan(now, partition, r.records.partitions[partition], r.name, alive)
 }
 
-// scanNextPartition scans the next partition where it is due and Status doesn't scan all of them itself.
+// scanNextPartition scans the next partition if its scan is due and there are too many records for Status to scan them
+// all.
 func (r *Replicator) scanNextPartition(now float64) {
-	if now < r.scanner.nextAt || r.records.size() <= fullScanLimit {
+	if now < r.scanner.nextScanAt || r.records.size() <= fullScanLimit {
 		return
 	}
-	r.scanner.nextAt = now + scanIntervalMillis
-	r.scanner.last = (r.scanner.last + 1) % Partitions
-	r.scanPartition(now, r.scanner.last, r.members.names())
+	r.scanner.nextScanAt = now + scanIntervalMillis
+	r.scanner.lastPartition = (r.scanner.lastPartition + 1) % Partitions
+	r.scanPartition(now, r.scanner.lastPartition, r.members.names())
 }
 
-// Status returns the state of the stored records and the counts, by the kind's name. Where very many records are
-// stored, all but Stored is as it was within the last seconds: a scan of all of them would take a hundred
-// milliseconds.
+// Status returns the state of the stored records and the event counts, by the kind's name. With more than fullScanLimit
+// records stored, the state except Stored may be a few seconds old: with very many records, a scan of all of them would
+// take a hundred milliseconds.
 func (r *Replicator) Status(now float64) (map[string]KindStatus, map[string]Counts) {
 	if r.records.size() <= fullScanLimit {
 		alive := r.members.names()
--- a/internal/replication/table.go
+++ b/internal/replication/table.go
@@ -5,15 +5,16 @@
 	"slices"
 )
 
-// Partitions is the number of parts that stored records are shown and counted in, so that each part takes little
-// time.
+// Partitions is the number of partitions in which the stored records are shown and counted, so that each one takes
+// little time.
 const Partitions = 64
 
 const (
-	retentionMillis = 5000.0 // a used or revoked record is remembered for so long after it expires
+	retentionMillis = 5000.0 // ms for which a record is kept after it expires, as late messages may still refer to it
 
-	// One in bestEffortDivisor records may be a best-effort one. Of that, a single owner's may take up to
-	// ownerShares even shares, so that one owner's flood can't take all there is.
+	// Best-effort records may take 1/bestEffortDivisor of the table's capacity. Divided evenly among the members, that
+	// gives each owner one share; an owner may use up to ownerShares of them, so that a flood from one owner can't take
+	// the whole capacity.
 	bestEffortDivisor = 4
 	ownerShares       = 4
 )
@@ -22,21 +23,21 @@
 type storedRecord struct {
 	Record
 	register
-	slot int // index in its partition
+	partitionIndex int // index of the record in its partition's slice
 }
 
-// recordName is the name that a record is stored under.
+// recordName returns the name under which a record is stored on disk.
 func recordName(id uint64) string { return fmt.Sprintf("%016x", id) }
 
 // recordTable holds the records that this relay stores.
 type recordTable struct {
-	maxRecords  int
-	byID        map[uint64]*storedRecord
-	idsByKey    map[recordKey][]uint64
-	idsBySecond map[int64][]uint64 // by the Unix second in which they may be forgotten; some may be gone already
-	sweptSecond int64              // seconds before this one are swept; 0: none yet
+	maxRecords      int
+	byID            map[uint64]*storedRecord
+	idsByKey        map[recordKey][]uint64
+	idsBySecond     map[int64][]uint64 // by the Unix second in which retention ends; may include removed ones
+	nextSweepSecond int64              // first second whose records have not been removed yet; 0 before the first sweep
 
-	partitions  [Partitions][]*storedRecord // all records, by their ID
+	partitions  [Partitions][]*storedRecord // all records, by ID modulo Partitions
 	countByKind [kindLimit]int
 
 	bestEffortCount   int
@@ -55,24 +56,24 @@
 
 // clear removes all records.
 func (t *recordTable) clear() {
-	swept := t.sweptSecond
+	swept := t.nextSweepSecond
 	*t = newRecordTable(t.maxRecords)
-	t.sweptSecond = swept
+	t.nextSweepSecond = swept
 }
 
 func (t *recordTable) size() int { return len(t.byID) }
 
 func (t *recordTable) isFull() bool { return len(t.byID) >= t.maxRecords }
 
-// isBestEffortFull reports whether there is no capacity for one more best-effort record of that owner in a fleet of
-// so many members. Those that are stored stay until they expire: a flood of new ones can't evict them.
+// isBestEffortFull reports whether there is no capacity for another best-effort record of that owner, in a fleet with
+// that number of members. Stored records stay until they expire, so that a flood of new ones can't evict them.
 func (t *recordTable) isBestEffortFull(owner string, members int) bool {
 	capacity := t.maxRecords / bestEffortDivisor
 	ownerCapacity := max(ownerShares*capacity/max(members, ownerShares), 1)
 	return t.bestEffortCount >= capacity || t.bestEffortByOwner[owner] >= ownerCapacity
 }
 
-// withKey returns the records of a kind and key, in the order in which they were inserted.
+// withKey returns the records of a kind and key in insertion order.
 func (t *recordTable) withKey(key recordKey) []*storedRecord {
 	var records []*storedRecord
 	for _, id := range t.idsByKey[key] {
@@ -91,7 +92,7 @@
 	t.idsBySecond[second] = append(t.idsBySecond[second], record.ID)
 
 	partition := &t.partitions[record.ID%Partitions]
-	record.slot = len(*partition)
+	record.partitionIndex = len(*partition)
 	*partition = append(*partition, record)
 	t.countByKind[record.Kind]++
 	if record.Kind.isBestEffort() {
@@ -100,7 +101,7 @@
 	}
 }
 
-// remove removes a record, if it is there.
+// remove removes a record if it is in the table.
 func (t *recordTable) remove(id uint64) {
 	record := t.byID[id]
 	if record == nil {
@@ -123,32 +124,32 @@
 	}
 }
 
-// removeFromPartition moves the partition's last record into the removed one's slot.
+// removeFromPartition removes a record from its partition by moving the partition's last record into its place.
 func (t *recordTable) removeFromPartition(record *storedRecord) {
 	partition := t.partitions[record.ID%Partitions]
 	end := len(partition) - 1
 	moved := partition[end]
-	partition[record.slot] = moved
-	moved.slot = record.slot
+	partition[record.partitionIndex] = moved
+	moved.partitionIndex = record.partitionIndex
 	partition[end] = nil
 	t.partitions[record.ID%Partitions] = partition[:end]
 }
 
-// removeExpired removes the records whose retention has ended, once a second. swept reports whether a second has
-// passed.
+// removeExpired removes and returns the records whose retention has ended. It does so once a second; swept reports
+// whether this call did.
 func (t *recordTable) removeExpired(now float64) (removed []*storedRecord, swept bool) {
 	second := int64(now / 1000)
-	if t.sweptSecond == 0 || t.sweptSecond > second {
-		t.sweptSecond = second - 1
+	if t.nextSweepSecond == 0 || t.nextSweepSecond > second {
+		t.nextSweepSecond = second - 1
 	}
-	for ; t.sweptSecond < second; t.sweptSecond++ {
-		for _, id := range t.idsBySecond[t.sweptSecond] {
+	for ; t.nextSweepSecond < second; t.nextSweepSecond++ {
+		for _, id := range t.idsBySecond[t.nextSweepSecond] {
 			if record := t.byID[id]; record != nil {
 				t.remove(id)
 				removed = append(removed, record)
 			}
 		}
-		delete(t.idsBySecond, t.sweptSecond)
+		delete(t.idsBySecond, t.nextSweepSecond)
 		swept = true
 	}
 	return removed, swept
--- a/internal/replication/tick.go
+++ b/internal/replication/tick.go
@@ -4,22 +4,22 @@
 	"math"
 )
 
-// clockJumpMillis is the time between two ticks beyond which the clock was set, or the process was stopped.
+// clockJumpMillis is the time between two ticks, in ms, beyond which the clock was set or the process was stopped.
 const clockJumpMillis = 5000.0
 
-// Tick does what is due: it sends requests again, gives up late operations and forgets what has expired. It is
-// called when NextDeadline says so, and some times a second besides.
+// Tick does all work that is due: it sends requests again, ends operations whose deadline has passed, removes expired
+// records and publishes locations. It is called at NextDeadline, and several times a second in any case.
 func (r *Replicator) Tick(now float64) []Action {
 	r.adjustToClockJump(now)
-	actions := r.repeatDiscards(now)
+	actions := r.resendDiscards(now)
 	actions = append(actions, r.advanceOperations(now)...)
 	actions = append(actions, r.expireRecords(now)...)
 	r.scanNextPartition(now)
 	return append(actions, r.publishLocations(now)...)
 }
 
-// adjustToClockJump moves the times of all that is under way where the clock was set, so that it has the time left
-// that it had.
+// adjustToClockJump moves all pending deadlines by a jump of the clock, so that operations keep the time that they had
+// left.
 func (r *Replicator) adjustToClockJump(now float64) {
 	jump := now - r.lastTickAt
 	isFirst := r.lastTickAt <= 0
@@ -32,13 +32,13 @@
 		op.nextSendAt += jump
 	}
 	r.publisher.nextRoundAt += jump
-	for i := range r.repeats {
-		r.repeats[i].at += jump
+	for i := range r.scheduledDiscards {
+		r.scheduledDiscards[i].sendAt += jump
 	}
 }
 
-// expireRecords forgets, once a second, the records whose retention has ended, and what is known of records that
-// have expired.
+// expireRecords removes, once a second, the stored records whose retention has ended, and the expired entries of the
+// revocable records and of the location cache.
 func (r *Replicator) expireRecords(now float64) []Action {
 	removed, swept := r.records.removeExpired(now)
 	if !swept {
--- a/internal/replication/verify.go
+++ b/internal/replication/verify.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	// verifyMarginMillis is how long a record must still be valid to be counted: it may otherwise expire between the
-	// answers of two relays.
+	// verifyMarginMillis is the remaining validity in ms below which a record isn't counted, as it could expire between
+	// the responses of two relays.
 	verifyMarginMillis = 1000.0
-	maxInconsistencies = 20 // listed of each kind
+	maxInconsistencies = 20 // maximum number of inconsistencies listed per kind
 )
 
-// Report is what the snapshots of several relays come to for one kind of record.
+// Report is the result of Verify for one kind of record.
 type Report struct {
-	Records         int      `json:"Records"` // open, and valid for a while yet; of versioned kinds the latest
-	FullyReplicated int      `json:"Whole"`   // stored by all replicas
-	UnderReplicated int      `json:"Under"`   // missing at some replica, all of which have answered
-	BelowQuorum     int      `json:"Short"`   // stored by no more than half: it can't be acquired, or read for certain
-	Unknown         int      `json:"Unknown"` // missing at some replica that has not answered
-	Inconsistencies []string `json:"Wrong"`   // in plain text
+	Records         int      `json:"Records"` // open records that don't expire soon; of versioned kinds the latest
+	FullyReplicated int      `json:"Whole"`   // records stored by all replicas
+	UnderReplicated int      `json:"Under"`   // records missing at a minority of replicas, all of which have answered
+	BelowQuorum     int      `json:"Short"`   // records stored by no majority: not acquirable or reliably readable
+	Unknown         int      `json:"Unknown"` // records missing at some replica, where not all replicas have answered
+	Inconsistencies []string `json:"Wrong"`   // descriptions of contradictions, as plain text
 }
 
-// Verify compares the pages of several relays. For each kind it counts how far the records are replicated, and
-// lists what contradicts itself.
+// Verify compares the pages of several relays. For each kind of record it counts the records by how far they are
+// replicated, and lists contradictions between the relays.
 func Verify(pages []Page) map[string]*Report {
 	v := newVerifier()
 	for i := range pages {
@@ -34,29 +34,29 @@
 	return v.reports
 }
 
-// observedRecord is what the pages show of one record.
+// observedRecord combines what the pages show of one record.
 type observedRecord struct {
-	RecordSnapshot          // as the first page has it
-	storedBy       []string // names of relays
-	isClosed       bool     // used or over somewhere
-	expiresSoon    bool
+	RecordSnapshot          // the record as the first page shows it
+	storedBy       []string // names of the relays whose pages show it
+	isClosed       bool     // some relay shows the record as used or over
+	expiresSoon    bool     // some relay shows it within verifyMarginMillis of its expiry
 }
 
-// orderVersion is what no two different orders have in common.
+// orderVersion identifies an operator order: orders with the same relay and version must be identical.
 type orderVersion struct {
 	relay   string
 	version uint64
 }
 
-// versionedKey is a kind and key as pages spell them.
+// versionedKey is the kind and key of a versioned record, as pages have them.
 type versionedKey struct {
 	kind string
 	key  string
 }
 
 type verifier struct {
-	relays  map[string]bool            // whose pages there are
-	records map[string]*observedRecord // by ID
+	relays  map[string]bool            // names of the relays whose pages were added
+	records map[string]*observedRecord // records seen so far, by ID
 	orders  map[orderVersion]RecordSnapshot
 	reports map[string]*Report
 }
@@ -92,7 +92,7 @@
 	}
 }
 
-// checkRecord lists what is wrong with a record on one page, and as compared with the first page that has it.
+// checkRecord checks a record on one page by itself and against the first page that has it.
 func (v *verifier) checkRecord(page *Page, record RecordSnapshot, first *observedRecord) {
 	switch {
 	case !record.isSameRecord(&first.RecordSnapshot):
@@ -105,7 +105,7 @@
 	}
 }
 
-// isSameRecord reports whether two snapshots with the same ID can be of the same record.
+// isSameRecord reports whether two snapshots with the same ID agree on the fields that never change.
 func (s *RecordSnapshot) isSameRecord(other *RecordSnapshot) bool {
 	return s.Kind == other.Kind &&
 		s.Key == other.Key &&
@@ -114,7 +114,7 @@
 		slices.Equal(s.Replicas, other.Replicas)
 }
 
-// checkOrder lists orders with the same relay and version that say different things.
+// checkOrder reports two orders with the same relay and version whose bodies differ.
 func (v *verifier) checkOrder(order RecordSnapshot) {
 	version := orderVersion{order.Key, order.Version}
 	if other, ok := v.orders[version]; ok && string(other.Body) != string(order.Body) {
@@ -123,7 +123,7 @@
 	v.orders[version] = order
 }
 
-// report lists an inconsistency, unless there are many of its kind.
+// report adds an inconsistency to the kind's report, up to maxInconsistencies.
 func (v *verifier) report(kind, format string, args ...any) {
 	report := v.reports[kind]
 	if report == nil {
@@ -135,8 +135,8 @@
 	}
 }
 
-// removeSuperseded removes the earlier versions of versioned records, which may be stored on for a while at some
-// relays. Of equal versions the one at most relays counts.
+// removeSuperseded removes the earlier versions of versioned records, which some relays may still store for a while. Of
+// equal versions, the one stored by the most relays is kept.
 func (v *verifier) removeSuperseded() {
 	latest := map[versionedKey]*observedRecord{}
 	for id, record := range v.records {
@@ -163,7 +163,7 @@
 	return len(o.storedBy) > len(other.storedBy)
 }
 
-// countReplicas counts how far the open records are replicated.
+// countReplicas counts the open records by how far they are replicated.
 func (v *verifier) countReplicas() {
 	for _, record := range v.records {
 		report := v.reports[record.Kind]
