--- a/internal/replication/bench_test.go
+++ b/internal/replication/bench_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// benchmarkRecord is a reservation that the replica "h" stores.
+// benchmarkRecord returns a reservation that has the replica "h".
 func benchmarkRecord(i int, validFrom, expiresAt float64) Record {
 	return Record{
 		Kind:      Reservation,
@@ -21,8 +21,8 @@
 	}
 }
 
-// BenchmarkReplicaOperations is what a replica spends on one reservation, without the disk: to store it, to promise
-// a ballot and to accept a claim.
+// BenchmarkReplicaOperations measures the cost of one reservation at a replica, without the disk: storing it, promising
+// a ballot and accepting a claim. bytes/record counts the bytes written and sent.
 func BenchmarkReplicaOperations(b *testing.B) {
 	r := New("h", 1, 3, 1<<30, rand.New(rand.NewSource(1)))
 	now := 1e6
@@ -57,13 +57,13 @@
 	b.ReportMetric(float64(bytes)/float64(b.N), "bytes/record")
 }
 
-// BenchmarkManyRecords is what a record takes in a replica's memory with very many of them there, and what a look
-// over all of them takes.
+// BenchmarkManyRecords measures the memory per record at a replica that stores a million records, and the time that
+// Status, Page, a partition scan and Tick take there.
 func BenchmarkManyRecords(b *testing.B) {
-	const many = 1000000
-	report := func(unit string, measured func()) {
+	const recordCount = 1000000
+	report := func(unit string, measure func()) {
 		start := time.Now()
-		measured()
+		measure()
 		b.ReportMetric(float64(time.Since(start).Microseconds())/1000, unit)
 	}
 	for range b.N {
@@ -72,7 +72,7 @@
 		runtime.ReadMemStats(&before)
 		r := New("h", 1, 3, 1<<30, rand.New(rand.NewSource(1)))
 		now := 1e6
-		for i := range many {
+		for i := range recordCount {
 			m := message{Type: messageStore, Token: 9, From: "relay-17", Incarnation: 1 << 60,
 				Records: []Record{benchmarkRecord(i, now+5e5, now+5e5+float64(i%1000))}}
 			if _, err := r.HandleMessage(now, "x", m.encode()); err != nil {
@@ -81,7 +81,7 @@
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/many, "bytes/record")
+		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/recordCount, "bytes/record")
 		report("ms/status", func() { r.Status(now) })
 		report("ms/page", func() { r.Page(now, 7) })
 		report("ms/scan", func() { r.scanPartition(now, 7, r.members.names()) })
--- a/internal/replication/fleet_test.go
+++ b/internal/replication/fleet_test.go
@@ -13,30 +13,30 @@
 	"github.com/stretchr/testify/require"
 )
 
-// This file is a simulated fleet in virtual time: relays with disks, and a network that delays, loses and doubles
-// datagrams. Times are ms.
+// This file simulates a fleet in virtual time: relays with disks, and a network that delays, loses and duplicates
+// datagrams. Times are in ms.
 
 const (
-	timeStep       = 0.5
-	replicateLimit = 50.0 // of an operation in the tests
+	timeStep         = 0.5
+	operationTimeout = 50.0 // timeout of replications and lookups in the tests
 )
 
-// testRelay is a relay with a disk.
+// testRelay is a relay with a simulated disk.
 type testRelay struct {
 	*Replicator
 	name          string
 	zone          string
-	format        byte // of its messages; 0: the usual one
+	format        byte // format of its messages; only relays with the same value understand each other
 	starts        uint64
 	down          bool
 	paused        bool
 	inbox         []datagram
 	disk          map[string][]byte
-	pendingWrites []*Write // in order, synced as one group
+	pendingWrites []*Write // writes to be synced together, in order
 	syncsAt       float64
-	wipes         int // times that its disk was lost
+	wipes         int // how many times its disk was lost
 
-	losesSyncedWrites bool // its disk acknowledges a sync, and loses it when the relay is killed
+	losesSyncedWrites bool // its disk acknowledges syncs, but loses the data when the relay is killed
 	diskAtStart       map[string][]byte
 }
 
@@ -52,24 +52,24 @@
 	to        int
 }
 
-// route is the way from one relay to another, by their numbers.
+// route is the network path from one relay to another, by their indexes.
 type route struct{ from, to int }
 
-// recordHistory is a record, and what came of it.
+// recordHistory is what the tests know about one record and the operations on it.
 type recordHistory struct {
-	record       Record
-	startedAt    float64
-	replicatedAt float64 // 0: not yet, or never
-	wipesBefore  []int   // of its replicas, as it was replicated
-	operations   []porcupine.Operation
-	pendingSince map[uint64]float64 // acquisitions without an outcome, by token
-	uses         int
-	missed       bool // an acquisition failed, and may have used the record
-
-	// Of a marker:
-	owner      int
-	ownerStart uint64 // the owner's number of starts
-	token      uint64
+	record             Record
+	startedAt          float64
+	replicatedAt       float64 // 0 if the replication has not succeeded
+	wipesAtReplication []int   // wipes of each of its replicas when it was replicated
+	operations         []porcupine.Operation
+	pendingSince       map[uint64]float64 // start times of acquisitions without an outcome, by token
+	uses               int                // successful acquisitions
+	inconclusive       bool               // an acquisition failed in a way that may still have used the record
+
+	// These fields are set for markers only.
+	owner      int    // index of the relay that owns it
+	ownerStart uint64 // the owner's number of starts when it replicated the marker
+	token      uint64 // token of its replication
 	revoked    bool
 }
 
@@ -77,7 +77,7 @@
 	return &recordHistory{startedAt: now, pendingSince: map[uint64]float64{}}
 }
 
-// testFleet is all relays with the network between them.
+// testFleet is a simulated fleet: all relays and the network between them.
 type testFleet struct {
 	t        *testing.T
 	now      float64
@@ -89,9 +89,9 @@
 	blocked  map[route]bool
 	lossRate float64
 
-	histories    map[string]*recordHistory // by key
-	replications map[uint64]string         // keys of those under way, by token
-	lookups      map[uint64]string         // keys of those under way, by token
+	histories    map[string]*recordHistory // histories of the records, by key
+	replications map[uint64]string         // keys of the replications under way, by token
+	lookups      map[uint64]string         // keys of the lookups and acquisitions under way, by token
 	violations   []string
 	onOutcome    func(o *Outcome)
 }
@@ -137,7 +137,8 @@
 	r.inbox = nil
 }
 
-func (f *testFleet) startAllDown() {
+// resumeAllRelays starts the relays that are down and resumes those that are paused.
+func (f *testFleet) resumeAllRelays() {
 	for i, r := range f.relays {
 		r.paused = false
 		if r.down {
@@ -146,7 +147,7 @@
 	}
 }
 
-// killRelay loses what was not synced.
+// killRelay kills a relay, which loses its unsynced writes.
 func (f *testFleet) killRelay(i int) {
 	r := f.relays[i]
 	r.down = true
@@ -164,7 +165,7 @@
 	f.relays[i].wipes++
 }
 
-// losePower kills all relays, and starts them again after a while.
+// losePower kills all relays and starts them again 100 ms later.
 func (f *testFleet) losePower() {
 	for i := range f.relays {
 		f.killRelay(i)
@@ -188,7 +189,7 @@
 	f.lossRate = 0
 }
 
-// updateMembers tells all relays which are up.
+// updateMembers gives all relays that are up the list of those that are up.
 func (f *testFleet) updateMembers() {
 	var up []Member
 	for i, r := range f.relays {
@@ -203,14 +204,14 @@
 	}
 }
 
-// relayNumber returns the number of the relay with that name.
+// relayNumber returns the index of the relay with that name.
 func (f *testFleet) relayNumber(name string) int {
 	return slices.IndexFunc(f.relays, func(r *testRelay) bool { return r.name == name })
 }
 
 func (f *testFleet) relayNamed(name string) *testRelay { return f.relays[f.relayNumber(name)] }
 
-// replicasOf returns the numbers of the relays that a record was replicated at.
+// replicasOf returns the indexes of a record's replicas.
 func (f *testFleet) replicasOf(record Record) []int {
 	var numbers []int
 	for _, replica := range record.Replicas {
@@ -219,7 +220,7 @@
 	return numbers
 }
 
-// perform does what relay i wants done.
+// perform carries out the actions of relay i.
 func (f *testFleet) perform(i int, actions []Action) {
 	r := f.relays[i]
 	for _, action := range actions {
@@ -237,7 +238,8 @@
 	}
 }
 
-// send delays a datagram. One in 15 is doubled; of a lossy network one in ten is very late.
+// send sends a datagram with a delay, unless it is lost. One in 15 datagrams is duplicated. If the network is lossy,
+// one in ten is delayed 200 times as long.
 func (f *testFleet) send(from int, action Action) {
 	var to int
 	fmt.Sscan(action.To, &to)
@@ -287,7 +289,7 @@
 	history.record = o.Record
 	history.replicatedAt = f.now
 	for _, replica := range o.Record.Replicas {
-		history.wipesBefore = append(history.wipesBefore, f.relayNamed(replica.Name).wipes)
+		history.wipesAtReplication = append(history.wipesAtReplication, f.relayNamed(replica.Name).wipes)
 	}
 }
 
@@ -299,10 +301,10 @@
 	case found:
 		history.uses++
 		if history.uses > 1 {
-			f.violations = append(f.violations, key+" is used twice")
+			f.violations = append(f.violations, key+" was acquired twice")
 		}
 		if history.replicatedAt > 0 && o.Record.ID != history.record.ID {
-			f.violations = append(f.violations, key+" is another record")
+			f.violations = append(f.violations, key+": another record than the replicated one was acquired")
 		}
 	}
 	used := errors.Is(o.Err, errAlreadyUsed)
@@ -315,10 +317,10 @@
 			Return:   int64(f.now*1000) + 1,
 		})
 	}
-	history.missed = history.missed || !found && !used
+	history.inconclusive = history.inconclusive || !found && !used
 }
 
-// runUntil passes time.
+// runUntil runs the simulation up to a point in time.
 func (f *testFleet) runUntil(until float64) {
 	f.t.Helper()
 	for ; f.now < until; f.now += timeStep {
@@ -331,7 +333,7 @@
 	}
 }
 
-// deliver puts the datagrams that have arrived into inboxes.
+// deliver moves the datagrams that have arrived into the inboxes of relays that are up.
 func (f *testFleet) deliver() {
 	var left []datagramInFlight
 	for _, d := range f.inFlight {
@@ -360,8 +362,8 @@
 func (f *testFleet) receive(i int, d datagram) {
 	r := f.relays[i]
 	if d.format != r.format {
-		other := append([]byte{formatVersion + 1}, d.data[1:]...)
-		_, err := r.HandleMessage(f.now, d.from, other)
+		otherFormat := append([]byte{formatVersion + 1}, d.data[1:]...)
+		_, err := r.HandleMessage(f.now, d.from, otherFormat)
 		require.ErrorIs(f.t, err, errMalformed)
 		return
 	}
@@ -370,7 +372,7 @@
 	f.perform(i, actions)
 }
 
-// sync makes the pending writes durable as one group.
+// sync makes all pending writes of a relay durable together.
 func (f *testFleet) sync(i int) {
 	r := f.relays[i]
 	group := r.pendingWrites
@@ -387,16 +389,16 @@
 	}
 }
 
-// reserve has relay i replicate a reservation.
+// reserve makes relay i replicate a reservation.
 func (f *testFleet) reserve(i int, key string, expiresAt float64) {
 	f.histories[key] = newHistory(f.now)
 	token, actions := f.relays[i].Replicate(f.now, Record{Kind: Reservation, Key: key, ValidFrom: f.now,
-		ExpiresAt: expiresAt}, replicateLimit)
+		ExpiresAt: expiresAt}, operationTimeout)
 	f.replications[token] = key
 	f.perform(i, actions)
 }
 
-// acquire has relay i acquire the reservation of that key.
+// acquire makes relay i start to acquire the reservation of that key.
 func (f *testFleet) acquire(i int, key string) {
 	token, actions := f.relays[i].Acquire(f.now, Reservation, key)
 	f.lookups[token] = key
@@ -404,11 +406,11 @@
 	f.perform(i, actions)
 }
 
-// storeMarker has relay i replicate a marker.
+// storeMarker makes relay i replicate a marker.
 func (f *testFleet) storeMarker(i int, key string, expiresAt float64) {
 	r := f.relays[i]
 	token, actions := r.Replicate(f.now, Record{Kind: AttemptMarker, Key: key, ExpiresAt: expiresAt,
-		Body: []byte("s")}, replicateLimit)
+		Body: []byte("s")}, operationTimeout)
 	history := newHistory(f.now)
 	history.owner = i
 	history.ownerStart = r.starts
@@ -418,13 +420,14 @@
 	f.perform(i, actions)
 }
 
-// lookUpMarker has relay i look up a marker, and returns what it found.
+// lookUpMarker makes relay i look up a marker, and returns the one that it found.
 func (f *testFleet) lookUpMarker(i int, key string) Record {
 	f.t.Helper()
-	return f.lookUp(i, AttemptMarker, key, replicateLimit, 60)
+	return f.lookUp(i, AttemptMarker, key, operationTimeout, 60)
 }
 
-// lookUp has relay i look up a record, and returns what it found after a while.
+// lookUp makes relay i look up a record, and returns the one that it has found after wait ms. It is zero if there is
+// none.
 func (f *testFleet) lookUp(i int, kind Kind, key string, timeout, wait float64) Record {
 	f.t.Helper()
 	found := newHistory(f.now)
@@ -436,24 +439,24 @@
 	return found.record
 }
 
-// lostReplicas counts a record's replicas that lost their disk since it was replicated.
+// lostReplicas returns how many of a record's replicas have lost their disks since it was replicated.
 func (f *testFleet) lostReplicas(history *recordHistory) int {
 	lost := 0
 	for i, replica := range history.record.Replicas {
-		if f.relayNamed(replica.Name).wipes != history.wipesBefore[i] {
+		if f.relayNamed(replica.Name).wipes != history.wipesAtReplication[i] {
 			lost++
 		}
 	}
 	return lost
 }
 
-// isWithinGuarantee reports whether a replicated record must still be there.
+// isWithinGuarantee reports whether a record was replicated and so few replicas were lost that it must have survived.
 func (f *testFleet) isWithinGuarantee(history *recordHistory) bool {
 	return history.replicatedAt > 0 && 2*f.lostReplicas(history) < len(history.record.Replicas)
 }
 
-// checkMarker looks a marker up in a healthy fleet. It must be found unless it was revoked or too many replicas
-// were lost, and must not be found where any relay knows that it was revoked.
+// checkMarker looks up a marker in a healthy fleet. It must be found unless it was revoked or too many replicas were
+// lost, and must not be found if any relay knows that it was revoked.
 func (f *testFleet) checkMarker(i int, key string) {
 	f.t.Helper()
 	history := f.histories[key]
@@ -466,15 +469,15 @@
 	found := f.lookUpMarker(i, key).ID != 0
 	switch {
 	case f.isWithinGuarantee(history) && !history.revoked && !found:
-		f.violations = append(f.violations, key+" is lost")
+		f.violations = append(f.violations, key+" was lost")
 	case history.revoked && (isKnownRevoked || f.faults.forgetRevoked) && found:
-		f.violations = append(f.violations, key+" is revoked, and found")
+		f.violations = append(f.violations, key+" was found after it was revoked")
 	}
 }
 
-// singleUse is the model that each record's history is checked against: it is acquired once, and an operation that
-// ends afterwards finds it used.
-var singleUse = porcupine.Model{
+// singleUseModel is the model for the linearizability check of each record's history: one operation acquires the
+// record, and every later one finds it used.
+var singleUseModel = porcupine.Model{
 	Init: func() any { return false },
 	Step: func(state, _, output any) (bool, any) {
 		if output == true {
@@ -484,12 +487,12 @@
 	},
 }
 
-// checkHistories returns the violations so far, and those of single use.
+// checkHistories checks the history of each record against singleUseModel, and returns all violations so far.
 func (f *testFleet) checkHistories() []string {
 	for _, key := range slices.Sorted(maps.Keys(f.histories)) {
 		history := f.histories[key]
 		operations := slices.Clone(history.operations)
-		for _, since := range history.pendingSince { // no outcome: it may have used the record at any time
+		for _, since := range history.pendingSince { // without an outcome, it may have used the record at any time
 			operations = append(operations, porcupine.Operation{
 				ClientId: len(operations),
 				Input:    "acquire",
@@ -498,11 +501,11 @@
 				Return:   math.MaxInt64,
 			})
 		}
-		if history.missed {
-			continue // one that failed may have used it
+		if history.inconclusive {
+			continue // a failed acquisition may have used the record
 		}
-		if len(history.pendingSince) == 0 && !porcupine.CheckOperations(singleUse, operations) {
-			f.violations = append(f.violations, fmt.Sprintf("%s: %+v", key, operations))
+		if len(history.pendingSince) == 0 && !porcupine.CheckOperations(singleUseModel, operations) {
+			f.violations = append(f.violations, fmt.Sprintf("%s: history is not linearizable: %+v", key, operations))
 		}
 	}
 	return f.violations
--- a/internal/replication/golden_test.go
+++ b/internal/replication/golden_test.go
@@ -14,10 +14,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The files of testdata/golden were written by the build before the fields had tags and the names that they have
-// now. Relays of both builds run in one fleet, and a new build reads what an old one stored.
+// The files of testdata/golden were written by a build from before the struct fields got their tags and current names.
+// The formats must stay the same, as relays of both builds run in one fleet and a new build reads what an old one has
+// stored.
 
-// readGoldenFile returns a golden file without the newline at its end.
+// readGoldenFile returns the contents of a golden file without the trailing newline.
 func readGoldenFile(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", name))
@@ -25,21 +26,21 @@
 	return strings.TrimSpace(string(text))
 }
 
-// goldenRecord has no field that is zero.
+// goldenRecord returns a record in which every field is set.
 func goldenRecord(kind Kind) Record {
 	return Record{Kind: kind, Key: "00000000deadbeef", ID: 0x0123456789abcdef, Version: 300, Owner: "relay-1",
 		ValidFrom: 1700000000123.5, ExpiresAt: 1700000060000, Body: []byte("s1\x00\xff"),
 		Replicas: []Replica{{"relay-1", 7}, {"relay-2", 1 << 40}, {"relay-3", 9}}}
 }
 
-// goldenMessage has no field that is zero.
-func goldenMessage(kind messageType, record Kind) message {
-	return message{Type: kind, Token: 0xfedcba9876543211, From: "relay-2", Incarnation: 1 << 40, Ballot: ballot{5, 11},
+// goldenMessage returns a message in which every field is set.
+func goldenMessage(msgType messageType, recordKind Kind) message {
+	return message{Type: msgType, Token: 0xfedcba9876543211, From: "relay-2", Incarnation: 1 << 40, Ballot: ballot{5, 11},
 		AcceptedBallot: ballot{4, 13}, Claimant: 0x8000000000000001,
-		Records: []Record{goldenRecord(record), {Kind: AttemptMarker, Key: "k", ID: 77}}}
+		Records: []Record{goldenRecord(recordKind), {Kind: AttemptMarker, Key: "k", ID: 77}}}
 }
 
-// Each kind of message and of record, as they go between relays.
+// Messages of every type, with records of every kind, are decoded and encoded as in the golden file.
 func TestGoldenMessages(t *testing.T) {
 	golden := map[string]string{}
 	for _, line := range strings.Split(readGoldenFile(t, "messages.hex"), "\n") {
@@ -76,7 +77,8 @@
 	}
 }
 
-// loadGoldenRecord returns a replica that has loaded the stored record of the golden file, with its name and form.
+// loadGoldenRecord returns a replica that has loaded the stored record of the golden file, with the record's name on
+// disk and its encoding as hex digits.
 func loadGoldenRecord(t *testing.T) (r *Replicator, name, digits string) {
 	t.Helper()
 	name, digits, _ = strings.Cut(readGoldenFile(t, "stored-record.hex"), " ")
@@ -87,7 +89,7 @@
 	return r, name, digits
 }
 
-// A stored record is loaded with its register, and stored again as it was.
+// A stored record is loaded with its register, and written again with the same bytes.
 func TestGoldenStoredRecord(t *testing.T) {
 	r, name, digits := loadGoldenRecord(t)
 	stored := r.records.byID[0x0123456789abcdef]
@@ -95,12 +97,12 @@
 		Record:   goldenRecord(Reservation),
 		register: register{Promised: ballot{6, 17}, Accepted: ballot{5, 11}, Claimant: 0x8000000000000001},
 	}, stored)
-	again := r.newWrite(stored)
-	assert.Equal(t, name, again.Name)
-	assert.Equal(t, digits, hex.EncodeToString(again.Body))
+	rewritten := r.newWrite(stored)
+	assert.Equal(t, name, rewritten.Name)
+	assert.Equal(t, digits, hex.EncodeToString(rewritten.Body))
 }
 
-// The numbers of the kinds and their names, which stand in /_holdings and in /_fleet.
+// The numbers of the kinds, and their names in /_holdings and /_fleet, stay the same.
 func TestGoldenKinds(t *testing.T) {
 	var names []string
 	require.NoError(t, json.Unmarshal([]byte(readGoldenFile(t, "kinds.json")), &names))
@@ -111,7 +113,7 @@
 	assert.Len(t, names, int(kindLimit)-1)
 }
 
-// goldenSnapshot has no field that is zero.
+// goldenSnapshot returns a snapshot in which every field is set.
 func goldenSnapshot(kind, id string, state RecordState) RecordSnapshot {
 	return RecordSnapshot{Kind: kind, Key: "00000000deadbeef", ID: id, Owner: "relay-1", Version: 300,
 		ValidFrom: 1700000000123.5, ExpiresAt: 1700000060000, State: state, Body: []byte("s1\x00\xff"),
@@ -127,7 +129,7 @@
 	}}
 }
 
-// The forms in JSON: a page of /_holdings, and what /_fleet has of a kind.
+// The JSON of a page of /_holdings, of a kind's status and counts in /_fleet, and of Verify's report stays the same.
 func TestGoldenJSON(t *testing.T) {
 	for name, c := range map[string]struct{ value, read any }{
 		"empty-page.json":  {&Page{Relay: "relay-2", Now: 1, Records: []RecordSnapshot{}}, new(Page)},
@@ -149,7 +151,7 @@
 	}
 }
 
-// A loaded record is shown as the build before showed it.
+// A record loaded from disk has the same JSON in a page as with the earlier build.
 func TestGoldenPageOfLoadedRecord(t *testing.T) {
 	r, _, _ := loadGoldenRecord(t)
 	text, err := json.Marshal(r.Page(1700000000000, 0x0123456789abcdef%Partitions))
--- a/internal/replication/guarantee_test.go
+++ b/internal/replication/guarantee_test.go
@@ -10,18 +10,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The guarantees of docs/design/replication.md, under losses and under random schedules of faults.
+// This file tests the guarantees of docs/design/replication.md, with specific losses and with random schedules of
+// faults.
 
-// A reservation is found and used once after any loss within the guarantee: as many replicas with their disks as are
-// fewer than half, at once and in the instant after; a zone; all power; a partition.
+// A reservation is found and used exactly once after any loss within the guarantee: fewer than half of its replicas
+// with their disks, even right after the replication; a zone; all power; a network partition.
 func TestDurableRecordSurvivesLosses(t *testing.T) {
 	replicas := func(f *testFleet) []int { return f.replicasOf(f.histories["k"].record) }
 	for _, c := range []struct {
 		name          string
 		copies        int
 		damage        func(f *testFleet)
-		mayBeLost     bool // beyond the guarantee: it may not be found, and is not used twice
-		firstIsolated bool // its first replica can't be asked
+		mayBeLost     bool // beyond the guarantee: the record may be lost, but must not be used twice
+		firstIsolated bool // the record's first replica is isolated, so no client comes to it
 	}{
 		{name: "no loss", copies: 3, damage: func(*testFleet) {}},
 		{name: "the owner with its disk, in the instant after", copies: 3, damage: func(f *testFleet) { f.wipeRelay(0) }},
@@ -88,17 +89,17 @@
 	}
 }
 
-// schedule plays events that a seed draws: records are replicated, clients come to two relays at once, relays are
-// killed, paused and wiped one at a time, routes are blocked and lossy.
+// schedule runs events that a seed determines: records are replicated, clients come to two relays at once, relays are
+// killed, paused and wiped one at a time, and routes are blocked or lose datagrams.
 type schedule struct {
 	*testFleet
 	rng          *rand.Rand
-	reservations []string // keys
-	markers      []string // keys
+	reservations []string // keys of the reservations
+	markers      []string // keys of the markers
 	expiresAt    float64
 }
 
-// randomRelay returns the number of a relay that is up.
+// randomRelay returns the index of a random relay that is neither down nor paused.
 func (s *schedule) randomRelay() int {
 	for {
 		i := s.rng.Intn(len(s.relays))
@@ -121,7 +122,7 @@
 	}
 }
 
-// revokeSome revokes a marker in half of the cases, if its owner has not been restarted.
+// revokeSome revokes a random marker in half of the cases, if its owner is running and has not been restarted since.
 func (s *schedule) revokeSome() {
 	marker := s.histories[s.markers[s.rng.Intn(len(s.markers))]]
 	owner := s.relays[marker.owner]
@@ -141,21 +142,21 @@
 	}
 }
 
-// awayCount returns how many relays are down or paused.
-func (s *schedule) awayCount() int {
-	away := 0
+// unavailableCount returns how many relays are down or paused.
+func (s *schedule) unavailableCount() int {
+	count := 0
 	for _, r := range s.relays {
 		if r.down || r.paused {
-			away++
+			count++
 		}
 	}
-	return away
+	return count
 }
 
 func (s *schedule) injectFault() {
 	i := s.rng.Intn(len(s.relays))
-	away := s.awayCount()
-	mostAreUp := away < len(s.relays)/2
+	unavailable := s.unavailableCount()
+	mostAreUp := unavailable < len(s.relays)/2
 	switch s.rng.Intn(9) {
 	case 0:
 		if mostAreUp {
@@ -174,7 +175,7 @@
 	case 3:
 		s.lossRate = 0.4 * s.rng.Float64()
 	case 4:
-		if away == 0 && s.rng.Intn(3) == 0 {
+		if unavailable == 0 && s.rng.Intn(3) == 0 {
 			s.wipeRelay(i)
 		}
 	case 5:
@@ -189,15 +190,15 @@
 			}
 		}
 	default:
-		s.startAllDown()
+		s.resumeAllRelays()
 	}
 }
 
-// checkAll heals everything, and looks for each record that must be there.
+// checkAll ends all faults, looks for each record that must have survived, and returns all violations.
 func (s *schedule) checkAll() []string {
 	s.t.Helper()
 	s.healNetwork()
-	s.startAllDown()
+	s.resumeAllRelays()
 	s.runUntil(s.now + 1100)
 	s.updateMembers()
 	for _, key := range s.markers {
@@ -209,23 +210,23 @@
 	return s.checkHistories()
 }
 
-// checkReservation acquires a reservation that must be there and that nobody can have used.
+// checkReservation acquires a reservation, unless it may have been lost or used.
 func (s *schedule) checkReservation(key string) {
 	s.t.Helper()
 	history := s.histories[key]
-	mayBeUsed := history.uses > 0 || history.missed || len(history.operations)+len(history.pendingSince) > 0
+	mayBeUsed := history.uses > 0 || history.inconclusive || len(history.operations)+len(history.pendingSince) > 0
 	if mayBeUsed || !s.isWithinGuarantee(history) {
 		return
 	}
 	s.acquire(s.randomRelay(), key)
 	s.runUntil(s.now + 30)
 	if history.uses == 0 {
-		s.violations = append(s.violations, key+" is lost")
+		s.violations = append(s.violations, key+" was lost")
 	}
 }
 
-// playRandomSchedule returns the violations in a schedule that the seed draws.
-func playRandomSchedule(t *testing.T, count int, seed int64, faults injectedFaults, disksLoseWrites bool) []string {
+// runRandomSchedule runs a schedule that the seed determines, and returns the violations.
+func runRandomSchedule(t *testing.T, count int, seed int64, faults injectedFaults, disksLoseWrites bool) []string {
 	t.Helper()
 	rng := rand.New(rand.NewSource(seed))
 	f := newTestFleet(t, count, 3, 3+2*int(seed%2), seed, faults)
@@ -249,19 +250,22 @@
 	return s.checkAll()
 }
 
-const randomSchedules = 60 // a thousand were played by hand
+// randomSchedules is the number of seeds that a test run tries. A thousand were tried in a manual run.
+const randomSchedules = 60
 
+// The guarantees hold in random schedules of faults, in fleets of 9, 60 and 300 relays.
 func TestRandomSchedules(t *testing.T) {
 	for seed := range int64(randomSchedules) {
-		require.Empty(t, playRandomSchedule(t, 9, seed, injectedFaults{}, false), "seed %d", seed)
+		require.Empty(t, runRandomSchedule(t, 9, seed, injectedFaults{}, false), "seed %d", seed)
 	}
-	require.Empty(t, playRandomSchedule(t, 60, 1, injectedFaults{}, false))
+	require.Empty(t, runRandomSchedule(t, 60, 1, injectedFaults{}, false))
 	if !testing.Short() {
-		require.Empty(t, playRandomSchedule(t, 300, 1, injectedFaults{}, false))
+		require.Empty(t, runRandomSchedule(t, 300, 1, injectedFaults{}, false))
 	}
 }
 
-// losePowerAtReply loses all power in the instant in which the owner learns that its record is replicated.
+// losePowerAtReply kills all relays as soon as the owner has the outcome that its record is replicated, restarts them,
+// and returns violations if the record was lost.
 func losePowerAtReply(t *testing.T, seed int64, faults injectedFaults) []string {
 	t.Helper()
 	f := newTestFleet(t, 9, 3, 3, seed, faults)
@@ -284,13 +288,13 @@
 	return f.checkHistories()
 }
 
-// A check that no injected fault trips checks nothing.
+// The checks of this file detect each injected fault: a check that detects none would be worthless.
 func TestInjectedFaultsAreDetected(t *testing.T) {
 	type scenario func(t *testing.T, seed int64, faults injectedFaults) []string
 	random := func(disksLoseWrites bool) scenario {
 		return func(t *testing.T, seed int64, faults injectedFaults) []string {
 			t.Helper()
-			return playRandomSchedule(t, 9, seed, faults, disksLoseWrites)
+			return runRandomSchedule(t, 9, seed, faults, disksLoseWrites)
 		}
 	}
 	for _, c := range []struct {
--- a/internal/replication/operation_test.go
+++ b/internal/replication/operation_test.go
@@ -6,12 +6,12 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A request that nobody replies to is sent again within its time, however short that is.
+// A request without a reply is sent again before its deadline, however short the timeout is.
 func TestRequestIsSentAgainInTime(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		timeout float64
-		sentAt  []float64 // after its start, but what comes behind 20 ms
+		sentAt  []float64 // times of sending within the first 20 ms, in ms after the start
 	}{
 		{"a short time", 8, []float64{0, 2, 6}},
 		{"a long time", 1000, []float64{0, 4, 12}},
--- a/internal/replication/register.go
+++ b/internal/replication/register.go
@@ -7,9 +7,9 @@
 
 // This file is the Paxos register that decides which operation acquires a single-use record. Each record is a
 // single-decree instance: its replicas are the acceptors, and an operation that has found the record is a proposer
-// with its own token as the value. Such a proposal is called a claim, and the operation whose token it has its claimant.
-// Only one claim can be chosen, because any two majorities have a replica in common, and a replica makes its state
-// durable before it replies.
+// with its own token as the value. Such a proposal is called a claim, and the operation whose token it carries is the
+// claimant. Only one claim can be chosen, because any two majorities have a replica in common, and a replica makes its
+// state durable before it replies.
 
 const (
 	maxBallotAttempts = 6              // ballots that one operation tries for a record
--- a/internal/replication/replicator_test.go
+++ b/internal/replication/replicator_test.go
@@ -9,20 +9,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An order is read as it was replicated last, by any relay, with replicas lost; earlier ones are removed.
+// A lookup at any relay returns the latest version of an order, even if replicas were lost, and earlier versions are
+// removed.
 func TestLatestOrderIsRead(t *testing.T) {
 	f := newTestFleet(t, 9, 3, 3, 1, injectedFaults{})
 	for version := uint64(1); version <= 3; version++ {
 		i := int(version)
 		_, actions := f.relays[i].Replicate(f.now, Record{Kind: OperatorOrder, Key: "relay-1", Version: version,
-			ExpiresAt: f.now + 1e6, Body: []byte{byte(version)}}, replicateLimit)
+			ExpiresAt: f.now + 1e6, Body: []byte{byte(version)}}, operationTimeout)
 		f.perform(i, actions)
 		f.runUntil(f.now + 60)
 	}
 	stored := 0
 	for _, r := range f.relays {
 		for _, record := range r.records.byID {
-			assert.Equal(t, uint64(3), record.Version, "older ones make room")
+			assert.Equal(t, uint64(3), record.Version, "earlier versions must be removed")
 			stored++
 		}
 	}
@@ -34,8 +35,9 @@
 	}
 }
 
-// A marker is found at any relay until its owner revokes it, whoever is lost or isolated meanwhile within the
-// guarantee. One that was revoked is never found, whatever message about it is late, doubled or lost.
+// A marker is found at any relay until its owner revokes it, whichever relays are lost within the guarantee. A revoked
+// marker is never found, even if messages were duplicated, some replicas missed the discard message, or all relays were
+// restarted.
 func TestMarkerIsFoundUntilRevoked(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -84,11 +86,11 @@
 	}
 }
 
-// The request to store a marker may arrive after the one that revokes it: it is revoked then as well.
+// A marker is revoked even if the request to store it arrives after the discard message that revokes it.
 func TestMarkerRevokedBeforeItIsStored(t *testing.T) {
 	f := newTestFleet(t, 9, 3, 3, 1, injectedFaults{})
 	token, stores := f.relays[0].Replicate(f.now, Record{Kind: AttemptMarker, Key: "k", ExpiresAt: f.now + 5000},
-		replicateLimit)
+		operationTimeout)
 	f.perform(0, f.relays[0].Revoke(f.now, token))
 	f.runUntil(f.now + 60)
 	f.perform(0, stores)
@@ -101,19 +103,19 @@
 	}
 }
 
-// Best-effort records are held in memory, the latest is found at any relay, and a flood neither evicts them nor
-// takes more than one owner's share, nor capacity from durable records.
+// Best-effort records are held in memory only, and the latest version is found at any relay. A flood of them from one
+// owner doesn't evict others and takes no more than that owner's share, so that capacity is left for durable records.
 func TestBestEffortRecords(t *testing.T) {
 	f := newTestFleet(t, 9, 3, 3, 1, injectedFaults{})
 	replicate := func(i int, key, backend string) uint64 {
 		token, actions := f.relays[i].Replicate(f.now, Record{Kind: Affinity, Key: key, Version: uint64(f.now),
-			ValidFrom: f.now, ExpiresAt: f.now + 60000, Body: []byte(backend)}, replicateLimit)
+			ValidFrom: f.now, ExpiresAt: f.now + 60000, Body: []byte(backend)}, operationTimeout)
 		f.perform(i, actions)
 		return token
 	}
 	lookUp := func() string { return string(f.lookUp(5, Affinity, "k", 8, 20).Body) }
 	for _, r := range f.relays {
-		r.records.maxRecords = 72 // so 18 best-effort ones, 8 of one owner
+		r.records.maxRecords = 72 // allows 18 best-effort records, 8 of them from one owner
 		r.locations.maxRecords = 72
 	}
 	replicate(0, "k", "s1")
@@ -141,8 +143,8 @@
 	}
 }
 
-// Many reservations have the same key, and their clients come at once, at any relay: each reservation is used once,
-// and all are used.
+// When many reservations have the same key and their clients come at once, at any relay, each reservation is used
+// exactly once.
 func TestManyReservationsOfOneKey(t *testing.T) {
 	for seed := range int64(10) {
 		f := newTestFleet(t, 9, 3, 3, seed, injectedFaults{})
@@ -150,7 +152,7 @@
 			key := fmt.Sprint("reservation", i)
 			f.histories[key] = newHistory(f.now)
 			token, actions := f.relays[i%9].Replicate(f.now, Record{Kind: Reservation, Key: "hot", ValidFrom: f.now,
-				ExpiresAt: f.now + 5000}, replicateLimit)
+				ExpiresAt: f.now + 5000}, operationTimeout)
 			f.replications[token] = key
 			f.perform(i%9, actions)
 		}
@@ -159,7 +161,7 @@
 		acquired := map[uint64]bool{}
 		f.onOutcome = func(o *Outcome) {
 			if o.Err == nil && f.lookups[o.Token] == "hot" {
-				assert.False(t, acquired[o.Record.ID], "used twice")
+				assert.False(t, acquired[o.Record.ID], "a reservation was acquired twice")
 				acquired[o.Record.ID] = true
 			}
 		}
@@ -173,8 +175,8 @@
 	}
 }
 
-// A relay that says that it stores what it doesn't, or announces what nobody replicated, counts as one lost: what
-// is guaranteed is found and used once, and what it makes up goes to nobody.
+// A faulty relay that has lost records it acknowledged, or publishes records that nobody replicated, counts as one lost
+// replica: a replicated record is still found and used once, and nobody can acquire a forged one.
 func TestFaultyReplica(t *testing.T) {
 	for seed := range int64(20) {
 		f := newTestFleet(t, 9, 3, 3, seed, injectedFaults{})
@@ -190,7 +192,7 @@
 				Replica{"n1", f.relays[1].incarnation})
 		}
 		for _, r := range f.relays {
-			if r == faulty || seed%4 > 1 { // announced to all
+			if r == faulty || seed%4 > 1 { // in half of the seeds all relays know the forged record
 				r.locations.byKey[madeUp.lookupKey()] = madeUp
 			}
 		}
@@ -204,8 +206,8 @@
 	}
 }
 
-// Two formats of messages are in use while relays are replaced one after the other by a build with another one:
-// nothing is replicated between them, nothing that was is used twice, and once all are replaced all is as before.
+// While relays are replaced one by one with a build that has another message format, nothing is replicated between the
+// two builds and no record is used twice. Once all relays are replaced, replication works as before.
 func TestTwoMessageFormats(t *testing.T) {
 	for seed := range int64(10) {
 		f := newTestFleet(t, 9, 3, 3, seed, injectedFaults{})
@@ -238,12 +240,12 @@
 	}
 }
 
-// A client that comes too early has its reservation when it comes again, one that comes too late has none; and
-// nothing is left once it is over.
+// A client that comes too early can use its reservation when it comes again, and one that comes too late can't. Nothing
+// is left in memory or on disk after the reservation has expired and its retention has ended.
 func TestReservationIsForItsTime(t *testing.T) {
 	f := newTestFleet(t, 9, 3, 3, 1, injectedFaults{})
 	token, actions := f.relays[0].Replicate(f.now, Record{Kind: Reservation, Key: "k", ValidFrom: f.now + 1000,
-		ExpiresAt: f.now + 1700}, replicateLimit)
+		ExpiresAt: f.now + 1700}, operationTimeout)
 	f.histories["k"] = newHistory(f.now)
 	f.replications[token] = "k"
 	f.perform(0, actions)
@@ -286,9 +288,9 @@
 		}
 		decoded, err := decodeMessage(data)
 		require.NoError(t, err)
-		again, err := decodeMessage(decoded.encode())
+		roundTripped, err := decodeMessage(decoded.encode())
 		require.NoError(t, err)
-		require.Equal(t, decoded, again)
+		require.Equal(t, decoded, roundTripped)
 		r.LoadRecord(1, recordName(7), data)
 		r.Tick(2)
 	})
--- a/internal/replication/verify_test.go
+++ b/internal/replication/verify_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// decodedPages returns all relays' pages as a client decodes them.
+// decodedPages returns the pages of all relays after a round trip through JSON, as a client receives them.
 func (f *testFleet) decodedPages() []Page {
 	f.t.Helper()
 	var pages []Page
@@ -28,7 +28,7 @@
 	return decoded
 }
 
-// orderAt returns the snapshot of the only order at its replica with that index.
+// orderAt returns the snapshot of the fleet's only order on the page of its replica with that index.
 func orderAt(pages []Page, replica int) *RecordSnapshot {
 	for i := range pages {
 		for k := range pages[i].Records {
@@ -55,16 +55,16 @@
 	return pages
 }
 
-// Missing replicas are counted, and contradictions are listed.
+// Verify counts missing replicas and lists contradictions between relays.
 func TestVerify(t *testing.T) {
-	whole := &Report{Records: 1, FullyReplicated: 1}
+	fullyReplicated := &Report{Records: 1, FullyReplicated: 1}
 	for _, c := range []struct {
 		name          string
 		change        func(pages []Page) []Page
-		want          *Report // of orders, of which there is one; nil: not checked
-		inconsistency string
+		want          *Report // expected report for orders, without inconsistencies; nil if it isn't checked
+		inconsistency string  // text that the first inconsistency must contain; empty if there must be none
 	}{
-		{"unchanged", func(pages []Page) []Page { return pages }, whole, ""},
+		{"unchanged", func(pages []Page) []Page { return pages }, fullyReplicated, ""},
 		{"a replica was not asked", func(pages []Page) []Page {
 			return withoutRelay(pages, orderAt(pages, 0).Replicas[1].Name)
 		}, &Report{Records: 1, Unknown: 1}, ""},
@@ -83,29 +83,29 @@
 			i := slices.IndexFunc(pages, func(p Page) bool { return p.Relay == earlier.Replicas[0].Name })
 			pages[i].Records = append(pages[i].Records, earlier)
 			return pages
-		}, whole, ""},
+		}, fullyReplicated, ""},
 		{"two orders of one version", func(pages []Page) []Page {
 			orderAt(pages, 1).Body = []byte("other")
 			return pages
-		}, whole, "share version"},
+		}, fullyReplicated, "share version"},
 		{"another version of one ID", func(pages []Page) []Page {
 			orderAt(pages, 2).Version = 9
 			return pages
-		}, whole, "another record"},
+		}, fullyReplicated, "another record"},
 		{"expires too late", func(pages []Page) []Page {
 			orderAt(pages, 2).ExpiresAt = 1e300
 			return pages
-		}, whole, "expires later than allowed"},
+		}, fullyReplicated, "expires later than allowed"},
 		{"stored by a relay that is no replica", func(pages []Page) []Page {
 			pages[0].Records = append(pages[0].Records, *orderAt(pages, 0))
-			pages[0].Relay = "stranger" // the page that is changed may be a replica's
+			pages[0].Relay = "stranger" // the replaced page may have been that of a replica, so want is nil
 			return pages
 		}, nil, "not one of its replicas"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newTestFleet(t, 9, 3, 3, 4, injectedFaults{})
 			_, actions := f.relays[2].Replicate(f.now, Record{Kind: OperatorOrder, Key: "n2", Version: 1,
-				ExpiresAt: f.now + 1e6, Body: []byte("x")}, replicateLimit)
+				ExpiresAt: f.now + 1e6, Body: []byte("x")}, operationTimeout)
 			f.perform(2, actions)
 			f.reserve(1, "k", f.now+5000)
 			f.runUntil(f.now + 60)
@@ -119,7 +119,7 @@
 			if c.want != nil {
 				assert.Equal(t, *c.want, orders)
 			}
-			assert.Zero(t, reports["places"].Records, "it is used")
+			assert.Zero(t, reports["places"].Records, "a used reservation must not be counted")
 			if c.inconsistency == "" {
 				assert.Empty(t, inconsistencies)
 			} else if assert.NotEmpty(t, inconsistencies) {
