--- a/internal/replication/replicator.go
+++ b/internal/replication/replicator.go
@@ -26,7 +26,7 @@
 
 	members   memberList
 	records   recordTable   // records stored here, for this relay and others
-	locations locationCache // published records that only other relays store
+	locations locationCache // records that other relays store, as they have published them
 	publisher publisher     // progress of publishing the locations of the records stored here
 	scanner   statusScanner // counts the records stored here for Status
 
--- a/internal/replication/status.go
+++ b/internal/replication/status.go
@@ -11,12 +11,13 @@
 )
 
 // KindStatus is the state of the stored records of a kind. UnderReplicated and BelowQuorum count only the records whose
-// first alive replica is this relay, so that the sums over all relays count each record once.
+// first alive replica is this relay, so that the sums over all relays count each record once. A record below quorum can
+// be neither acquired nor read reliably until more of its replicas are alive.
 type KindStatus struct {
 	Stored          int `json:"Held"`  // records stored here
 	Open            int `json:"Open"`  // records stored here that are neither used, revoked nor expired
 	UnderReplicated int `json:"Under"` // open records with a replica that is not alive
-	BelowQuorum     int `json:"Short"` // open records without a majority alive: not acquirable or reliably readable
+	BelowQuorum     int `json:"Short"` // open records of which no majority of the replicas is alive
 }
 
 // Add adds another status to this one.
--- a/internal/replication/table.go
+++ b/internal/replication/table.go
@@ -34,7 +34,7 @@
 	maxRecords      int
 	byID            map[uint64]*storedRecord
 	idsByKey        map[recordKey][]uint64
-	idsBySecond     map[int64][]uint64 // by the Unix second in which retention ends; may include removed ones
+	idsBySecond     map[int64][]uint64 // IDs by the Unix second in which retention ends, some already removed
 	nextSweepSecond int64              // first second whose records have not been removed yet; 0 before the first sweep
 
 	partitions  [Partitions][]*storedRecord // all records, by ID modulo Partitions
--- a/internal/replication/verify.go
+++ b/internal/replication/verify.go
@@ -17,7 +17,7 @@
 	Records         int      `json:"Records"` // open records that don't expire soon; of versioned kinds the latest
 	FullyReplicated int      `json:"Whole"`   // records stored by all replicas
 	UnderReplicated int      `json:"Under"`   // records missing at a minority of replicas, all of which have answered
-	BelowQuorum     int      `json:"Short"`   // records stored by no majority: not acquirable or reliably readable
+	BelowQuorum     int      `json:"Short"`   // records stored by no majority: they can't be acquired or read reliably
 	Unknown         int      `json:"Unknown"` // records missing at some replica, where not all replicas have answered
 	Inconsistencies []string `json:"Wrong"`   // descriptions of contradictions, as plain text
 }
