--- a/internal/consensus/apply.go
+++ b/internal/consensus/apply.go
@@ -9,7 +9,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// applyEntry applies a decided entry. One that can't be decoded is passed over, at all voters alike.
+// applyEntry applies a committed entry. An entry that can't be decoded is skipped, by all voters alike.
 func (v *Voter) applyEntry(entry raftpb.Entry) {
 	v.log.appliedIndex = entry.Index
 	if entry.Type != raftpb.EntryNormal {
@@ -19,12 +19,12 @@
 		}
 		return
 	}
-	if len(entry.Data) > 0 { // a leader's first entry is empty
+	if len(entry.Data) > 0 { // a new leader's first entry is empty
 		v.stateMachine.Apply(entry.Index, entry.Data)
 	}
 }
 
-// decodeMembershipChange decodes an entry of either form that Raft has for changes of members.
+// decodeMembershipChange decodes a membership change in either of Raft's encodings (ConfChange, ConfChangeV2).
 func decodeMembershipChange(entry raftpb.Entry) (raftpb.ConfChangeV2, error) {
 	if entry.Type == raftpb.EntryConfChange {
 		var simple raftpb.ConfChange
@@ -40,7 +40,7 @@
 	return change, nil
 }
 
-// applyMembershipChange applies a change of members, whose context is the member that comes.
+// applyMembershipChange applies a membership change. Its context is the added member, in JSON.
 func (v *Voter) applyMembershipChange(change raftpb.ConfChangeV2) {
 	var added Member
 	if len(change.Context) > 0 && json.Unmarshal(change.Context, &added) == nil && added.Disk != "" {
@@ -48,10 +48,10 @@
 	}
 	v.log.confState = *v.log.node.ApplyConfChange(change)
 	maps.DeleteFunc(v.log.members, func(id uint64, _ Member) bool { return !v.isMember(id) })
-	v.compactLog(0) // a new learner must not get a snapshot that doesn't know of it
+	v.compactLog(0) // a snapshot that is sent to a new learner must include that learner
 }
 
-// isMember tells whether Raft counts that number among voters and learners, the outgoing ones included.
+// isMember reports whether a Raft ID is that of a voter, a learner or an outgoing voter.
 func (v *Voter) isMember(id uint64) bool {
 	return slices.Contains(v.log.confState.Voters, id) ||
 		slices.Contains(v.log.confState.Learners, id) ||
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -15,52 +15,52 @@
 
 const simulationStepMillis = 5
 
-// ledger is a state machine that holds what was decided last, and reports each decision to the cluster.
-type ledger struct {
+// register is a state machine that holds the last committed entry, and reports each entry to the cluster.
+type register struct {
 	cluster *cluster
 	voter   int
 	last    string
 	count   int
 }
 
-func (l *ledger) Apply(number uint64, data []byte) {
-	l.last = string(data)
-	l.count++
-	l.cluster.recordDecision(l.voter, number, l.last)
+func (r *register) Apply(number uint64, data []byte) {
+	r.last = string(data)
+	r.count++
+	r.cluster.recordCommit(r.voter, number, r.last)
 }
 
-func (l *ledger) Snapshot() []byte {
-	// Long enough that no datagram would hold it as it is.
-	text, _ := json.Marshal([3]any{l.last, l.count, strings.Repeat(l.last+", ", l.cluster.padding)})
+func (r *register) Snapshot() []byte {
+	// The text is so long that it fits into a datagram only after compression.
+	text, _ := json.Marshal([3]any{r.last, r.count, strings.Repeat(r.last+", ", r.cluster.padding)})
 	return text
 }
 
-func (l *ledger) Restore(data []byte) error {
+func (r *register) Restore(data []byte) error {
 	var state [3]any
 	if err := json.Unmarshal(data, &state); err != nil {
 		return err
 	}
-	l.last = state[0].(string)
-	l.count = int(state[1].(float64))
+	r.last = state[0].(string)
+	r.count = int(state[1].(float64))
 	return nil
 }
 
-// simulatedHost is a machine with a voter, a disk and a clock of its own rate.
+// simulatedHost is a machine with a voter, a disk, and a clock that runs at its own rate.
 type simulatedHost struct {
 	*Voter
-	ledger         *ledger
-	disk           []byte // durable
-	earlierDisk    []byte // a copy of it
-	unsavedDisk    []byte // being saved; nil: nothing is
+	register       *register
+	disk           []byte // durable state
+	earlierDisk    []byte // an earlier copy of disk, which a test can bring back
+	unsavedDisk    []byte // state that is being saved; nil if there is none
 	savedAt        float64
-	unsentMessages []OutgoingMessage // that wait for it
+	unsentMessages []OutgoingMessage // messages to send once unsavedDisk is saved
 	down           bool
-	suspended      bool // its process has stopped and can wake up
+	suspended      bool // the process is stopped, and can wake up again
 	inbox          [][]byte
 	clockRate      float64
 }
 
-// cluster simulates voters and the network between them, and checks what they decide.
+// cluster simulates voters and the network between them, and checks what they commit. Times are milliseconds.
 type cluster struct {
 	t          *testing.T
 	now        float64
@@ -68,21 +68,21 @@
 	hosts      []*simulatedHost
 	configured []Member
 	inFlight   []inFlightMessage
-	severed    map[[2]int]bool // one way, from the first to the second
-	loss       float64         // share of the messages
-	delay      float64         // one way
-	jitter     float64         // of the delay, on top of it at the most
+	severed    map[[2]int]bool // links that deliver nothing, by sender and receiver
+	loss       float64         // fraction of messages that are lost
+	delay      float64         // one-way delay, without jitter
+	jitter     float64         // largest random delay added to a message, as a multiple of delay
 	shouldDrop func(to int, data []byte) bool
 	faults     plantedFaults
 
-	decisions      map[uint64]string // by number
-	highestApplied map[int]uint64    // number, by voter
-	violations     []string
-	starts         int
-	padding        int // of the ledger's snapshot
-	operations     []porcupine.Operation
-	pendingWrites  map[string]float64 // when they were proposed
-	writeCount     int
+	committedEntries map[uint64]string // committed entries, by number
+	highestApplied   map[int]uint64    // highest number that was applied, by voter
+	violations       []string
+	starts           int
+	padding          int // how often a register's snapshot repeats its last entry
+	operations       []porcupine.Operation
+	pendingWrites    map[string]float64 // times at which entries were proposed, by entry
+	writeCount       int
 }
 
 type inFlightMessage struct {
@@ -94,16 +94,16 @@
 func newCluster(t *testing.T, voters int, seed int64, faults plantedFaults) *cluster {
 	t.Helper()
 	c := &cluster{
-		t:              t,
-		rng:            rand.New(rand.NewSource(seed)),
-		severed:        map[[2]int]bool{},
-		delay:          5,
-		jitter:         2,
-		faults:         faults,
-		padding:        6000,
-		decisions:      map[uint64]string{},
-		highestApplied: map[int]uint64{},
-		pendingWrites:  map[string]float64{},
+		t:                t,
+		rng:              rand.New(rand.NewSource(seed)),
+		severed:          map[[2]int]bool{},
+		delay:            5,
+		jitter:           2,
+		faults:           faults,
+		padding:          6000,
+		committedEntries: map[uint64]string{},
+		highestApplied:   map[int]uint64{},
+		pendingWrites:    map[string]float64{},
 	}
 	for i := range voters {
 		c.configured = append(c.configured, Member{Name: fmt.Sprint("v", i), Address: fmt.Sprint(i)})
@@ -115,14 +115,15 @@
 	return c
 }
 
-// recordDecision checks that a number stands for one entry, and that no voter applies one after a higher one.
-func (c *cluster) recordDecision(voter int, number uint64, data string) {
-	if earlier, isKnown := c.decisions[number]; isKnown && earlier != data {
-		c.violations = append(c.violations, fmt.Sprintf("%d is %q and %q", number, earlier, data))
+// recordCommit checks that all voters apply the same entry under a number, and that each applies entries in
+// increasing order.
+func (c *cluster) recordCommit(voter int, number uint64, data string) {
+	if earlier, isKnown := c.committedEntries[number]; isKnown && earlier != data {
+		c.violations = append(c.violations, fmt.Sprintf("entry %d is both %q and %q", number, earlier, data))
 	}
-	c.decisions[number] = data
+	c.committedEntries[number] = data
 	if number <= c.highestApplied[voter] {
-		c.violations = append(c.violations, fmt.Sprintf("voter %d went back to %d", voter, number))
+		c.violations = append(c.violations, fmt.Sprintf("voter %d went back to entry %d", voter, number))
 	}
 	c.highestApplied[voter] = number
 	if proposedAt, isPending := c.pendingWrites[data]; isPending {
@@ -130,7 +131,7 @@
 	}
 }
 
-// recordWrite records that a proposed entry was decided, as soon as a voter that has the lease applies it.
+// recordWrite records that a proposed entry was committed, once a voter that has the lease applies it.
 func (c *cluster) recordWrite(voter int, data string, proposedAt float64) {
 	host := c.hosts[voter]
 	if host.Voter == nil || !host.HasLease(c.clock(voter)) {
@@ -146,18 +147,18 @@
 	})
 }
 
-// clock returns the time at a voter.
+// clock returns the time by a voter's clock, in milliseconds.
 func (c *cluster) clock(i int) float64 { return 1e6 + c.now*c.hosts[i].clockRate }
 
-// start starts a voter's process on what its disk holds.
+// start starts a voter's process on the contents of its disk.
 func (c *cluster) start(i int) {
 	c.t.Helper()
 	host := c.hosts[i]
 	c.starts++
 	c.highestApplied[i] = 0
-	host.ledger = &ledger{cluster: c, voter: i}
+	host.register = &register{cluster: c, voter: i}
 	rng := rand.New(rand.NewSource(int64(c.starts) * 7919))
-	voter, err := New(c.clock(i), c.configured[i], c.configured, host.disk, host.ledger, rng)
+	voter, err := New(c.clock(i), c.configured[i], c.configured, host.disk, host.register, rng)
 	require.NoError(c.t, err)
 	voter.faults = c.faults
 	host.Voter = voter
@@ -167,14 +168,14 @@
 	host.inbox = nil
 }
 
-// kill ends a voter's process; what was not durable is lost.
+// kill ends a voter's process. State that was not durable is lost.
 func (c *cluster) kill(i int) {
 	c.hosts[i].down = true
 	c.hosts[i].unsavedDisk = nil
 	c.hosts[i].unsentMessages = nil
 }
 
-// heal ends all faults: the network delivers, and all voters run.
+// heal ends all faults: the network delivers all messages, and all voters run.
 func (c *cluster) heal() {
 	c.t.Helper()
 	c.restoreNetwork()
@@ -187,7 +188,7 @@
 	c.severed = map[[2]int]bool{}
 }
 
-// startAll starts the voters that are down, and wakes those that are suspended.
+// startAll starts all voters that are down, and resumes those that are suspended.
 func (c *cluster) startAll() {
 	c.t.Helper()
 	for i, host := range c.hosts {
@@ -198,7 +199,7 @@
 	}
 }
 
-// run simulates until that time, with a call after each step.
+// run simulates up to the given time, and calls afterStep (which may be nil) after each step.
 func (c *cluster) run(until float64, afterStep func()) {
 	for ; c.now < until; c.now += simulationStepMillis {
 		c.deliver()
@@ -215,7 +216,7 @@
 			}
 		}
 		if leaders > 1 {
-			c.violations = append(c.violations, fmt.Sprintf("two lead at %.0f", c.now))
+			c.violations = append(c.violations, fmt.Sprintf("two voters hold the lease at %.0f ms", c.now))
 		}
 		if afterStep != nil {
 			afterStep()
@@ -223,7 +224,7 @@
 	}
 }
 
-// deliver puts the messages that have arrived into the inboxes.
+// deliver moves the messages that have arrived to the inboxes of their receivers.
 func (c *cluster) deliver() {
 	var later []inFlightMessage
 	for _, m := range c.inFlight {
@@ -248,14 +249,14 @@
 	c.flush(i)
 }
 
-// flush saves and sends what a voter has ready. Saving takes up to two steps.
+// flush saves and sends what a voter has ready. A save takes up to two simulation steps.
 func (c *cluster) flush(i int) {
 	host := c.hosts[i]
 	for range 20 {
 		if host.unsavedDisk != nil {
 			if c.now < host.savedAt {
 				if ready := host.Ready(); ready.DurableState != nil || len(ready.Messages) > 0 {
-					c.violations = append(c.violations, "something is to be done before what came before is saved")
+					c.violations = append(c.violations, "Ready returned more work before the previous state was saved")
 				}
 				return
 			}
@@ -279,7 +280,7 @@
 	}
 }
 
-// send puts messages on the network, which loses some and delivers some twice.
+// send puts messages on the network, which loses some of them and delivers others twice.
 func (c *cluster) send(from int, messages []OutgoingMessage) {
 	for _, m := range messages {
 		var to int
@@ -298,14 +299,14 @@
 	}
 }
 
-// leaderIndex returns the voter that has the lease and runs; -1: there is none.
+// leaderIndex returns the index of the running voter that has the lease, or -1 if there is none.
 func (c *cluster) leaderIndex() int {
 	return slices.IndexFunc(c.hosts, func(host *simulatedHost) bool {
 		return !host.down && !host.suspended && host.HasLease(c.clock(slices.Index(c.hosts, host)))
 	})
 }
 
-// readOrWrite has whoever holds the lease propose an entry now and then, or read what was decided last.
+// readOrWrite makes the voter that has the lease propose an entry or read the last one, in some of the steps.
 func (c *cluster) readOrWrite() {
 	if c.rng.Intn(8) > 0 {
 		return
@@ -318,7 +319,7 @@
 			c.operations = append(c.operations, porcupine.Operation{
 				ClientId: len(c.operations),
 				Input:    "",
-				Output:   host.ledger.last,
+				Output:   host.register.last,
 				Call:     int64(c.now * 1000),
 				Return:   int64(c.now*1000) + 1,
 			})
@@ -328,7 +329,7 @@
 	}
 }
 
-// write has a voter propose an entry of its own.
+// write makes a voter propose an entry that no other call has proposed.
 func (c *cluster) write(i int) {
 	c.writeCount++
 	data := fmt.Sprintf("%d by %d", c.writeCount, i)
@@ -337,8 +338,8 @@
 	}
 }
 
-// register is the model that histories are checked against: a read returns what was decided last.
-var register = porcupine.Model{
+// registerModel is the model that histories are checked against: a read returns the last committed entry.
+var registerModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
 		if input == "" {
@@ -348,10 +349,10 @@
 	},
 }
 
-// checkHistory returns all violations so far.
+// checkHistory returns all violations so far, including that the history is not linearizable.
 func (c *cluster) checkHistory() []string {
 	operations := slices.Clone(c.operations)
-	for data, proposedAt := range c.pendingWrites { // no answer: it may be decided at any time
+	for data, proposedAt := range c.pendingWrites { // no result is known: the entry may be committed at any time
 		operations = append(operations, porcupine.Operation{
 			ClientId: len(operations),
 			Input:    data,
@@ -359,20 +360,20 @@
 			Return:   math.MaxInt64,
 		})
 	}
-	if !porcupine.CheckOperations(register, operations) {
-		return append(c.violations, "what was read is not what was decided last")
+	if !porcupine.CheckOperations(registerModel, operations) {
+		return append(c.violations, "the history is not linearizable: a read did not return the last committed entry")
 	}
 	return c.violations
 }
 
-// canDecide tells whether anything is decided within that time.
-func (c *cluster) canDecide(within float64) bool {
-	before := len(c.decisions)
-	for until := c.now + within; c.now < until && len(c.decisions) == before; {
+// canCommit reports whether any entry is committed within the given time, in milliseconds.
+func (c *cluster) canCommit(within float64) bool {
+	before := len(c.committedEntries)
+	for until := c.now + within; c.now < until && len(c.committedEntries) == before; {
 		if i := c.leaderIndex(); i >= 0 {
 			c.write(i)
 		}
 		c.run(c.now+50, nil)
 	}
-	return len(c.decisions) > before
+	return len(c.committedEntries) > before
 }
--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -12,14 +12,14 @@
 func TestBootstrap(t *testing.T) {
 	for _, voters := range []int{1, 3, 5, 7} {
 		c := newCluster(t, voters, int64(voters), plantedFaults{})
-		require.True(t, c.canDecide(5000), "%d voters", voters)
+		require.True(t, c.canCommit(5000), "%d voters", voters)
 		assert.Empty(t, c.checkHistory())
 	}
 	c := newCluster(t, 3, 1, plantedFaults{})
 	c.kill(2)
-	assert.False(t, c.canDecide(5000), "all have to take part in the bootstrap")
+	assert.False(t, c.canCommit(5000), "a bootstrap needs all voters")
 	c.start(2)
-	assert.True(t, c.canDecide(5000))
+	assert.True(t, c.canCommit(5000))
 }
 
 func TestNewRejects(t *testing.T) {
@@ -34,13 +34,14 @@
 		"a disk of another version":     {c.configured[0], `{"Version":9}`, ErrUnreadableDisk},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := New(0, test.self, c.configured, []byte(test.disk), &ledger{cluster: c}, c.rng)
+			_, err := New(0, test.self, c.configured, []byte(test.disk), &register{cluster: c}, c.rng)
 			assert.ErrorIs(t, err, test.want)
 		})
 	}
 }
 
-// TestSurvivesFaults has one thing after the other go wrong; after each all heals, and the cluster goes on.
+// TestSurvivesFaults injects one fault into each cluster. Once the fault has ended, the cluster has to commit
+// entries again, and all voters have to reach the same state.
 func TestSurvivesFaults(t *testing.T) {
 	for name, inject := range map[string]func(c *cluster){
 		"the leader is killed": func(c *cluster) { c.kill(c.leaderIndex()) },
@@ -98,12 +99,12 @@
 			c.run(c.now+3000, c.readOrWrite)
 			status := c.hosts[3].Status()
 			assert.Contains(c.t, status.DiskDiscardedReason, "knows of start")
-			assert.Contains(c.t, status.Voters, c.hosts[3].self, "admitted as new")
+			assert.Contains(c.t, status.Voters, c.hosts[3].self, "voter 3 is admitted as a new member")
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t, 5, 42, plantedFaults{})
-			require.True(t, c.canDecide(5000))
+			require.True(t, c.canCommit(5000))
 			c.copyDisks()
 			c.run(c.now+3000, c.readOrWrite)
 			require.GreaterOrEqual(t, c.leaderIndex(), 0)
@@ -111,34 +112,34 @@
 			c.run(c.now+2000, c.readOrWrite)
 			c.heal()
 			c.run(c.now+3000, c.readOrWrite)
-			assert.True(t, c.canDecide(3000), "it goes on")
+			assert.True(t, c.canCommit(3000), "the cluster commits entries again")
 			c.run(c.now+1000, c.readOrWrite)
 			c.run(c.now+500, nil)
 			assert.Empty(t, c.checkHistory())
 			for i, host := range c.hosts {
-				assert.Equal(t, c.hosts[0].ledger.count, host.ledger.count, "voter %d has all", i)
+				assert.Equal(t, c.hosts[0].register.count, host.register.count, "voter %d has all entries", i)
 			}
 		})
 	}
 }
 
-// TestDecisionTakesOneRoundTrip checks that a decision takes one round trip between voters, and what their
-// disks take: far under three.
+// TestDecisionTakesOneRoundTrip checks that committing an entry takes one round trip between voters, plus the
+// time that their disks take, and so far less than three round trips.
 func TestDecisionTakesOneRoundTrip(t *testing.T) {
 	const oneWayMillis = 100.0
 	for _, voters := range []int{3, 5, 7} {
 		c := newCluster(t, voters, 9, plantedFaults{})
 		c.delay = oneWayMillis
 		c.jitter = 0
-		require.True(t, c.canDecide(20000))
+		require.True(t, c.canCommit(20000))
 		c.run(c.now+3000, nil)
 		for range 5 {
-			before := len(c.decisions)
+			before := len(c.committedEntries)
 			proposedAt := c.now
 			leader := c.leaderIndex()
 			require.GreaterOrEqual(t, leader, 0)
 			c.write(leader)
-			for len(c.decisions) == before && c.now < proposedAt+20*oneWayMillis {
+			for len(c.committedEntries) == before && c.now < proposedAt+20*oneWayMillis {
 				c.run(c.now+simulationStepMillis, nil)
 			}
 			assert.Less(t, (c.now-proposedAt)/(2*oneWayMillis), 1.3, "round trips, %d voters", voters)
@@ -147,35 +148,36 @@
 	}
 }
 
-// TestLostSnapshotIsResent has a voter come back that was away for longer than entries are kept, and loses the
-// first snapshots that it is sent: the leader hears nothing of that, and sends it again.
+// TestLostSnapshotIsResent guards against a follower that never gets a snapshot because the first ones were
+// lost. A voter restarts after it was down for longer than the log keeps entries, and the first three snapshots
+// sent to it are dropped. The leader gets no report of that, and has to send the snapshot again.
 func TestLostSnapshotIsResent(t *testing.T) {
 	c := newCluster(t, 3, 5, plantedFaults{})
-	require.True(t, c.canDecide(5000))
-	away := (c.leaderIndex() + 1) % 3
-	c.kill(away)
+	require.True(t, c.canCommit(5000))
+	lagging := (c.leaderIndex() + 1) % 3
+	c.kill(lagging)
 	for range 3 * compactionThreshold {
 		c.run(c.now+20, nil)
 		c.write(c.leaderIndex())
 	}
 	lost := 0
 	c.shouldDrop = func(to int, data []byte) bool {
-		if to != away || lost >= 3 || !isSnapshot(data) {
+		if to != lagging || lost >= 3 || !isSnapshot(data) {
 			return false
 		}
 		lost++
 		return true
 	}
 	leader := c.leaderIndex()
-	c.start(away)
+	c.start(lagging)
 	c.run(c.now+3000, nil)
 	assert.Equal(t, 3, lost)
-	assert.Equal(t, leader, c.leaderIndex(), "nobody else came to lead, who would send it anyway")
-	assert.Equal(t, c.hosts[leader].ledger.count, c.hosts[away].ledger.count)
+	assert.Equal(t, leader, c.leaderIndex(), "the leader must not change: a new one would send the snapshot anyway")
+	assert.Equal(t, c.hosts[leader].register.count, c.hosts[lagging].register.count)
 	assert.Empty(t, c.checkHistory())
 }
 
-// isSnapshot tells whether an encoded message sends a snapshot.
+// isSnapshot reports whether an encoded message carries a snapshot.
 func isSnapshot(data []byte) bool {
 	m, err := decodeMessage(data)
 	if err != nil {
@@ -185,14 +187,14 @@
 	return err == nil && raftMessage.Type == raftpb.MsgSnap
 }
 
-// copyDisks keeps a copy of each disk, which a test can bring back.
+// copyDisks keeps a copy of each disk, to which a test can return later.
 func (c *cluster) copyDisks() {
 	for _, host := range c.hosts {
 		host.earlierDisk = host.disk
 	}
 }
 
-// areAllRunning tells whether no voter is down or suspended.
+// areAllRunning reports whether no voter is down or suspended.
 func (c *cluster) areAllRunning() bool {
 	for _, host := range c.hosts {
 		if host.down || host.suspended {
@@ -202,7 +204,7 @@
 	return true
 }
 
-// runRandomSchedule plays a schedule that a seed draws, and returns the violations.
+// runRandomSchedule runs a schedule of faults that is drawn from a seed, and returns the violations.
 func runRandomSchedule(t *testing.T, seed int64, faults plantedFaults) []string {
 	t.Helper()
 	c := newCluster(t, 3+2*int(seed%2), seed, faults)
@@ -224,7 +226,7 @@
 		case 5:
 			c.loss = 0.4 * c.rng.Float64()
 			c.delay = 60 * c.rng.Float64()
-		case 6: // one machine at a time has lost its disk
+		case 6: // at most one machine at a time loses its disk
 			if c.areAllRunning() && c.leaderIndex() >= 0 && c.loss == 0 && len(c.severed) == 0 {
 				c.replaceDisk(i)
 			}
@@ -236,7 +238,7 @@
 	return c.checkHistory()
 }
 
-// replaceDisk restarts a voter on an empty disk or on an older one, as drawn.
+// replaceDisk restarts a voter on an empty disk or on an earlier copy, chosen at random.
 func (c *cluster) replaceDisk(i int) {
 	c.kill(i)
 	c.hosts[i].disk = nil
@@ -247,8 +249,8 @@
 	c.run(c.now+3000, c.readOrWrite)
 }
 
-// scheduleCount returns how many schedules are played: few of them in short mode, which the race detector
-// runs in many times slower and with nothing to find, as there is one goroutine.
+// scheduleCount returns how many of n schedules to run. Short mode, in which the race detector is used, runs only
+// a fifth: the race detector makes them many times slower and can't find anything, as there is one goroutine.
 func scheduleCount(n int64) int64 {
 	if testing.Short() {
 		return n / 5
@@ -262,8 +264,9 @@
 	}
 }
 
-// runEarlyVotes has one voter campaign all the time, as it doesn't hear the leader, and three others restart
-// just as nobody hears the leader any more.
+// runEarlyVotes cuts one voter off from the leader, so that it campaigns all the time. It then cuts the leader
+// off from all voters and at the same time restarts the three others. They must not vote before the lease has
+// ended.
 func runEarlyVotes(t *testing.T, seed int64, faults plantedFaults) []string {
 	t.Helper()
 	c := newCluster(t, 5, seed, faults)
@@ -286,7 +289,8 @@
 	return c.checkHistory()
 }
 
-// TestPlantedFaultsAreDetected plants faults: a check that none of them trips is worth nothing.
+// TestPlantedFaultsAreDetected guards against checks that can't fail: it switches on each planted fault, and the
+// checks have to detect it. Without planted faults, the same schedules must pass.
 func TestPlantedFaultsAreDetected(t *testing.T) {
 	for name, test := range map[string]struct {
 		faults plantedFaults
@@ -307,7 +311,7 @@
 					return
 				}
 			}
-			assert.Fail(t, "never detected")
+			assert.Fail(t, "the planted fault was never detected")
 		})
 	}
 	for seed := range scheduleCount(20) {
@@ -315,7 +319,7 @@
 	}
 }
 
-// detectViolations plays a schedule. A panic of Raft's own checks counts as a violation.
+// detectViolations runs a schedule and returns its violations. A panic by Raft's own checks counts as one.
 func detectViolations(t *testing.T, seed int64, faults plantedFaults,
 	play func(t *testing.T, seed int64, faults plantedFaults) []string) (violations []string) {
 	t.Helper()
--- a/internal/consensus/explore_test.go
+++ b/internal/consensus/explore_test.go
@@ -13,27 +13,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// steppedCluster is three voters that are driven step by step: every order of steps up to a depth is explored,
-// each from a cluster that has just been bootstrapped. Saves are durable within a step, but for one that a
-// crash cuts off.
+// steppedCluster is three voters that are driven step by step. Every order of steps up to some depth is explored,
+// each starting from a cluster that has just been bootstrapped. Saves are durable within a step, except for the
+// save that a crash interrupts.
 type steppedCluster struct {
 	*cluster
-	inbox [3][3][][]byte // by receiver and sender
+	inbox [3][3][][]byte // messages not yet received, by receiver and sender
 }
 
 // stepKind is what happens in a step.
 type stepKind byte
 
 const (
-	campaign    stepKind = 'c' // a voter asks for votes
+	campaign    stepKind = 'c' // a voter campaigns for votes
 	deliver     stepKind = 'd' // a voter receives all that was sent to it
-	exchange    stepKind = 'b' // two voters talk until they have nothing to say
+	exchange    stepKind = 'b' // two voters exchange messages until neither has any left
 	crash       stepKind = 'k' // a voter loses power while it saves what it received, and restarts
 	propose     stepKind = 'p' // a leader proposes an entry
-	passTimeout stepKind = 't' // a voter's clock goes on by the time after which it votes for another
+	passTimeout stepKind = 't' // a voter's clock advances by the time after which it may vote for another
 )
 
-// clusterStep is one thing that happens to a voter, or to a voter and its peer.
+// clusterStep is one event at a voter, or between a voter and its peer.
 type clusterStep struct {
 	kind        stepKind
 	voter, peer int
@@ -41,7 +41,7 @@
 
 func (s clusterStep) String() string { return fmt.Sprintf("%c%d%d", s.kind, s.voter, s.peer) }
 
-// allSteps returns all steps that there are.
+// allSteps returns every possible step.
 func allSteps() (all []clusterStep) {
 	for i := range 3 {
 		for _, kind := range []stepKind{campaign, deliver, crash, propose, passTimeout} {
@@ -51,7 +51,7 @@
 	return append(all, clusterStep{exchange, 0, 1}, clusterStep{exchange, 1, 2}, clusterStep{exchange, 0, 2})
 }
 
-// bootstrappedDisks returns the disks of a cluster that was just bootstrapped and has no leader.
+// bootstrappedDisks returns the disks of a cluster that has just been bootstrapped and has no leader yet.
 func bootstrappedDisks(t *testing.T) (disks [3][]byte) {
 	t.Helper()
 	s := &steppedCluster{cluster: newCluster(t, 3, 1, plantedFaults{})}
@@ -68,7 +68,7 @@
 		}
 	}
 	for i, host := range s.hosts {
-		require.False(t, host.isLeader(), "nobody was told to campaign")
+		require.False(t, host.isLeader(), "no voter may lead before the first campaign")
 		disks[i] = host.disk
 	}
 	return disks
@@ -77,11 +77,11 @@
 func newSteppedCluster(t *testing.T, disks [3][]byte, faults plantedFaults) *steppedCluster {
 	t.Helper()
 	c := &cluster{
-		t:              t,
-		faults:         faults,
-		decisions:      map[uint64]string{},
-		highestApplied: map[int]uint64{},
-		pendingWrites:  map[string]float64{},
+		t:                t,
+		faults:           faults,
+		committedEntries: map[uint64]string{},
+		highestApplied:   map[int]uint64{},
+		pendingWrites:    map[string]float64{},
 	}
 	s := &steppedCluster{cluster: c}
 	for i := range disks {
@@ -97,10 +97,11 @@
 	return s
 }
 
-// advance has a voter do what is due, without a tick of Raft's clock, and saves and sends what follows.
+// advance makes a voter do what is due, without a tick of Raft's clock, and saves and sends its output.
 func (s *steppedCluster) advance(i int) { s.saveAndSend(i, true) }
 
-// saveAndSend is advance, where saving may fail: then nothing is saved, and so nothing sent.
+// saveAndSend does the same as advance, except that saving may fail. Then nothing is saved and nothing that
+// depends on the save is sent.
 func (s *steppedCluster) saveAndSend(i int, canSave bool) {
 	host := s.hosts[i]
 	host.tickedAt = s.clock(i)
@@ -121,10 +122,10 @@
 			s.inbox[to][i] = append(s.inbox[to][i], m.Data)
 		}
 	}
-	s.violations = append(s.violations, "it never rests")
+	s.violations = append(s.violations, "a voter still has output after 50 rounds")
 }
 
-// receiveFrom has a voter receive what one peer has sent it; false: nothing.
+// receiveFrom delivers to a voter what one peer has sent it; false: there was nothing.
 func (s *steppedCluster) receiveFrom(i, from int) bool {
 	messages := s.inbox[i][from]
 	s.inbox[i][from] = nil
@@ -145,8 +146,9 @@
 	s.advance(i)
 }
 
-// confirmDisk has the others answer a voter that has just started that its disk is the one they know: at once,
-// as long as it waits. What was on its way before stays there.
+// confirmDisk passes the identity queries of a voter that has just started to the others, and their answers back,
+// so that its disk is confirmed. The clock advances by the time that the voter has to wait for that. Messages that
+// were sent before stay undelivered.
 func (s *steppedCluster) confirmDisk(i int) {
 	host := s.hosts[i]
 	host.tickedAt = s.clock(i)
@@ -169,8 +171,9 @@
 	s.advance(i)
 }
 
-// perform has one step happen; false: it can't. That two lead is looked for after each step but an exchange: a step
-// campaigns at once, where in service a voter campaigns after the election timeout only, longer than any lease.
+// perform carries out one step; false: the step is not possible. After each step except an exchange, it checks that
+// at most one voter holds the lease. An exchange is excluded because a campaign step campaigns at once, while in
+// service a voter campaigns only after the election timeout, which is longer than any lease.
 func (s *steppedCluster) perform(step clusterStep) bool {
 	s.now += 10
 	if step.kind == exchange {
@@ -186,7 +189,7 @@
 		}
 	}
 	if leaders > 1 {
-		s.violations = append(s.violations, "two lead")
+		s.violations = append(s.violations, "two voters hold the lease")
 	}
 	return true
 }
@@ -233,7 +236,7 @@
 	return len(s.inbox[i][0])+len(s.inbox[i][1])+len(s.inbox[i][2]) == 0
 }
 
-// exchange has two voters talk until they have nothing to say; false: they had nothing.
+// exchange passes messages between two voters until neither has any left; false: there were none.
 func (s *steppedCluster) exchange(i, j int) bool {
 	anySent := false
 	for range 20 {
@@ -251,7 +254,7 @@
 	return anySent
 }
 
-// fingerprint is a hash of the state as far as it can make a difference to what comes.
+// fingerprint returns a hash of the part of the state that can affect later steps.
 func (s *steppedCluster) fingerprint() uint64 {
 	sum := fnv.New64a()
 	for i, host := range s.hosts {
@@ -270,8 +273,8 @@
 	return sum.Sum64()
 }
 
-// replay has steps happen one after the other; false: they can't. A panic of Raft's own checks counts as a
-// violation.
+// replay carries out steps one after the other on a new cluster; false: one of them is not possible. A panic by
+// Raft's own checks counts as a violation.
 func replay(t *testing.T, disks [3][]byte, path []clusterStep, faults plantedFaults) (s *steppedCluster, ok bool) {
 	t.Helper()
 	s = newSteppedCluster(t, disks, faults)
@@ -288,14 +291,14 @@
 	return s, ok
 }
 
-// endState is where a path leads.
+// endState is the result of a path of steps.
 type endState struct {
 	path        []clusterStep
 	fingerprint uint64
 	violations  []string
 }
 
-// extend plays a path with each of all steps behind it.
+// extend replays a path once for each possible next step, and returns the results.
 func extend(t *testing.T, disks [3][]byte, path []clusterStep, faults plantedFaults) (ends []endState) {
 	t.Helper()
 	for _, step := range allSteps() {
@@ -307,8 +310,8 @@
 	return ends
 }
 
-// explore plays every order of steps behind those given, up to that depth, and returns the first violations
-// with their path. A path that leads to a state seen before is not extended.
+// explore carries out the first steps and then every order of up to depth further steps. It returns the first
+// violations with their path. A path that leads to a state seen before is not extended.
 func explore(t *testing.T, disks [3][]byte, first []clusterStep, depth int, faults plantedFaults) (states int,
 	violations []string) {
 	t.Helper()
@@ -340,8 +343,9 @@
 	return len(seen), nil
 }
 
-// TestAllOrdersUpToDepth explores every order of votes, deliveries, crashes while saving, decisions and clocks
-// that go on, up to a depth: one number stands for one entry, and two never lead. Planted faults are detected.
+// TestAllOrdersUpToDepth explores every order of campaigns, deliveries, crashes while saving, proposals and clock
+// advances, up to a depth. All voters must apply the same entry under a number, and two voters must never hold the
+// lease at once. Planted faults must be detected.
 func TestAllOrdersUpToDepth(t *testing.T) {
 	disks := bootstrappedDisks(t)
 	campaigns := []clusterStep{{campaign, 0, 0}}
@@ -365,7 +369,7 @@
 	} {
 		if testing.Short() {
 			if test.detected {
-				continue // it takes the whole depth
+				continue // a fault is detected only at the full depth
 			}
 			test.depth--
 		}
--- a/internal/consensus/faults.go
+++ b/internal/consensus/faults.go
@@ -1,9 +1,9 @@
 package consensus
 
-// plantedFaults break a voter on purpose, so that tests can show that their checks detect it.
+// plantedFaults are deliberate bugs that tests switch on to show that their checks detect them.
 type plantedFaults struct {
-	sendUnsaved     bool    // sends before the state that messages speak of is durable
-	leaseFactor     float64 // the lease lasts so many times as long; below 1: as long as it should
-	voteEarly       bool    // takes part right after a start, without the confirmation delay
-	acceptStaleDisk bool    // goes on with a disk that is behind what others know
+	sendUnsaved     bool    // sends messages before the state that they refer to is durable
+	leaseFactor     float64 // multiplies the duration of the lease; values below 1 leave it as it is
+	voteEarly       bool    // takes part in Raft right after a start, without waiting for confirmDelayMillis
+	acceptStaleDisk bool    // keeps a disk that is behind what other voters know of it
 }
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -13,8 +13,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// golden reads a file that an earlier build has written. The files are never written anew: what they hold
-// lies on disks and comes from voters of that build.
+// golden reads a file that an earlier build has written. The files are never regenerated, as data in the same
+// form is stored on disks and sent by voters of that build.
 func golden(t *testing.T, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", "golden", name))
@@ -27,8 +27,8 @@
 	goldenSouth = Member{Name: "south", Disk: "fedcba9876543210", Address: "10.0.0.5:7100"}
 )
 
-// TestGoldenJSON reads each form that is stored or sent, every field of it filled, and writes the same bytes
-// back.
+// TestGoldenJSON decodes each type that is stored or sent, with every field filled in, and encodes it to the same
+// bytes.
 func TestGoldenJSON(t *testing.T) {
 	for name, c := range map[string]struct {
 		want any
@@ -99,7 +99,7 @@
 	assert.Equal(t, uint64(3304909486640518328), goldenNorth.ID())
 }
 
-// TestGoldenMessages reads messages that voters have exchanged, and writes the same bytes back.
+// TestGoldenMessages decodes messages that voters of an earlier build exchanged, and encodes them to the same bytes.
 func TestGoldenMessages(t *testing.T) {
 	for name, raftType := range map[string]raftpb.MessageType{
 		"frame-MsgPreVote.json":       raftpb.MsgPreVote,
@@ -138,7 +138,8 @@
 	}
 }
 
-// TestGoldenMembershipChange reads the entries by which a leader has admitted a voter on a new disk.
+// TestGoldenMembershipChange decodes the entries by which a leader of an earlier build admitted a voter on a new
+// disk.
 func TestGoldenMembershipChange(t *testing.T) {
 	for name, changes := range map[string][]raftpb.ConfChangeType{
 		"frame-learner-added.json":   {raftpb.ConfChangeAddLearnerNode},
@@ -169,11 +170,12 @@
 	}
 }
 
-// TestFirstMessageIsStable has a voter on a new disk, whose identity a seed draws, ask the others about itself.
+// TestFirstMessageIsStable checks the first state and the first query of a voter on a new disk whose identity is
+// drawn from a fixed seed.
 func TestFirstMessageIsStable(t *testing.T) {
 	configured := []Member{{Name: "north", Address: "10.0.0.4:7100"}, {Name: "south", Address: "10.0.0.5:7100"}}
-	c := &cluster{t: t, decisions: map[uint64]string{}, highestApplied: map[int]uint64{}}
-	v, err := New(1000, configured[0], configured, nil, &ledger{cluster: c}, rand.New(rand.NewSource(7)))
+	c := &cluster{t: t, committedEntries: map[uint64]string{}, highestApplied: map[int]uint64{}}
+	v, err := New(1000, configured[0], configured, nil, &register{cluster: c}, rand.New(rand.NewSource(7)))
 	require.NoError(t, err)
 	v.Tick(1000)
 	ready := v.Ready()
@@ -183,21 +185,22 @@
 	assert.Equal(t, string(golden(t, "first-disk.json")), string(ready.DurableState))
 }
 
-// TestStartOnGoldenDisk starts a voter on a disk that an earlier build has written: a snapshot, after which a
-// wiped voter was admitted again, and entries behind it, the last of them not known to be decided.
+// TestStartOnGoldenDisk starts a voter on a disk that an earlier build has written. The disk holds a snapshot,
+// after which a voter with a wiped disk was admitted again, and later entries, the last of which is not known to
+// be committed.
 func TestStartOnGoldenDisk(t *testing.T) {
 	configured := []Member{{Name: "v0", Address: "0"}, {Name: "v1", Address: "1"}, {Name: "v2", Address: "2"}}
-	c := &cluster{t: t, decisions: map[uint64]string{}, highestApplied: map[int]uint64{}}
-	state := &ledger{cluster: c}
+	c := &cluster{t: t, committedEntries: map[uint64]string{}, highestApplied: map[int]uint64{}}
+	state := &register{cluster: c}
 	v, err := New(1000, configured[0], configured, golden(t, "disk-v0.json"), state, rand.New(rand.NewSource(7)))
 	require.NoError(t, err)
 	for ready := v.Ready(); ready.DurableState != nil; ready = v.Ready() {
 		v.Advance()
 	}
 	assert.Equal(t, "195 by 1", state.last)
-	assert.Equal(t, 195, state.count, "the snapshot's and the entries that were known to be decided")
+	assert.Equal(t, 195, state.count, "the entries in the snapshot and the later ones that were known to be committed")
 	s := v.Status()
-	assert.Equal(t, uint64(2), s.Boot, "one start more than the disk tells of")
+	assert.Equal(t, uint64(2), s.Boot, "one start more than the disk has recorded")
 	assert.Equal(t, Member{Name: "v0", Disk: "194992241c49ae86", Address: "0"}, s.Self)
 	assert.Equal(t, []Member{
 		{Name: "v1", Disk: "e4a28581c49dc226", Address: "1"},
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -8,28 +8,28 @@
 	"go.etcd.io/raft/v3"
 )
 
-// A leader that a majority has answered within the election timeout can't have been replaced: no voter votes
-// for another as long as it hears a leader. So a leader renews its lease by read requests (ReadIndex in Raft's
-// terms), which a majority has to answer, and counts it from when it sent the request. The lease is shorter
-// than the timeout, as clocks run at different rates.
+// A leader that a majority has answered within the election timeout can't have been replaced, as no voter votes
+// for another while it hears from a leader. So a leader renews its lease by Raft's read requests (ReadIndex),
+// which a majority has to answer. The lease begins when the request is sent. It is shorter than the election
+// timeout, as the voters' clocks may run at different rates.
 
 const (
-	leaseFraction       = 0.7 // of the shortest election timeout
+	leaseFraction       = 0.7 // duration of the lease, as a fraction of the shortest election timeout
 	leaseMillis         = leaseFraction * electionTicks * tickMillis
-	renewIntervalMillis = heartbeatTicks * tickMillis
-	maxOpenRenewals     = electionTicks // requests without an answer that are remembered
+	renewIntervalMillis = heartbeatTicks * tickMillis // between two renewal requests
+	maxOpenRenewals     = electionTicks               // most unanswered renewal requests that are remembered
 )
 
-// leaderLease is how long this voter may rely on leading.
+// leaderLease tracks for how long this voter may rely on being the leader.
 type leaderLease struct {
-	renewedAt     float64            // when the request was sent that a majority has answered; -Inf: none was
+	renewedAt     float64            // when the latest request answered by a majority was sent; -Inf: there is none
 	nextRenewalAt float64            // when the next request is due
-	sequence      uint64             // of the last request
-	requestedAt   map[uint64]float64 // requests without an answer, by sequence
-	unapplied     []raft.ReadState   // answers that wait until this voter has applied as much
+	sequence      uint64             // sequence number of the last request
+	requestedAt   map[uint64]float64 // when each unanswered request was sent, by sequence number
+	unapplied     []raft.ReadState   // answers whose index this voter has not applied yet
 }
 
-// reset forgets all renewals.
+// reset ends the lease and forgets all renewal requests.
 func (l *leaderLease) reset() {
 	l.renewedAt = math.Inf(-1)
 	l.requestedAt = map[uint64]float64{}
@@ -47,8 +47,8 @@
 	return strconv.AppendUint(nil, l.sequence, 10)
 }
 
-// confirm renews the lease by answered read requests, each once its index is applied: a leader may rely on
-// what it reads only after it has applied what its predecessors decided.
+// confirm renews the lease by read requests that were answered, each once its index is applied: a leader may
+// rely on its state only after it has applied what its predecessors committed.
 func (l *leaderLease) confirm(answered []raft.ReadState, appliedIndex uint64) {
 	l.unapplied = append(l.unapplied, answered...)
 	l.unapplied = slices.DeleteFunc(l.unapplied, func(read raft.ReadState) bool {
@@ -64,11 +64,12 @@
 	})
 }
 
-// HasLease tells whether this voter leads and no other can: a majority has answered it a short while ago.
+// HasLease reports whether this voter is the leader and no other can be, because a majority has answered it
+// within the duration of the lease.
 func (v *Voter) HasLease(now float64) bool {
 	return v.isLeader() && now < v.lease.renewedAt+leaseMillis*max(v.faults.leaseFactor, 1)
 }
 
-// LeaseRenewedAt returns when the request was sent that renewed the lease: what another leader may have
-// decided came later.
+// LeaseRenewedAt returns when the request that renewed the lease was sent. Anything that a later leader may
+// have decided was decided after that.
 func (v *Voter) LeaseRenewedAt() float64 { return v.lease.renewedAt }
--- a/internal/consensus/logger.go
+++ b/internal/consensus/logger.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// raftLogger is the logger that Raft is given. It drops what Raft logs, as callers see by Status how things
-// stand. Raft calls Fatal and Panic where its state contradicts itself; nothing that this voter says is worth
-// anything then, so these end the process.
+// raftLogger is the logger that Raft is given. It drops Raft's log messages, as callers get the voter's state
+// from Status. Raft calls Fatal and Panic when its state is inconsistent. The voter can't be trusted then, so
+// these methods panic, which ends the process.
 type raftLogger struct{}
 
 // Debug drops the message.
@@ -25,10 +25,10 @@
 // Warningf drops the message.
 func (raftLogger) Warningf(string, ...any) {}
 
-// Error drops the message: Raft goes on after it.
+// Error drops the message: Raft continues after an error.
 func (raftLogger) Error(...any) {}
 
-// Errorf drops the message: Raft goes on after it.
+// Errorf drops the message: Raft continues after an error.
 func (raftLogger) Errorf(string, ...any) {}
 
 // Fatal panics.
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -8,38 +8,38 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-const maxMessageBytes = 60000 // of a datagram, less what the caller puts around it
+const maxMessageBytes = 60000 // leaves room in a UDP datagram for what the caller adds
 
 // Errors of a message that can't be used.
 var (
-	errTooLong      = errors.New("longer than a datagram holds")
-	errNoDisk       = errors.New("its sender names no disk")
-	errOtherSender  = errors.New("the Raft message has another sender")
-	errRaftEncoding = errors.New("its Raft message is malformed")
+	errTooLong      = errors.New("message is too long for a datagram")
+	errNoDisk       = errors.New("sender has no disk ID")
+	errOtherSender  = errors.New("Raft message has another sender")
+	errRaftEncoding = errors.New("malformed Raft message")
 )
 
-// message is what goes between voters, in JSON: a Raft message, a query about the sender's identity, or the
-// answer to one. A message without RaftMessage and IsIdentityQuery is an answer.
+// message is what voters send one another, in JSON: a Raft message, a query about the sender's identity, or the
+// answer to such a query. A message with neither RaftMessage nor IsIdentityQuery is an answer.
 type message struct {
 	From            Member        `json:"From"`
 	RaftMessage     []byte        `json:"Raft,omitempty"`
 	IsIdentityQuery bool          `json:"Asks,omitempty"`
-	Claim           identityClaim `json:"Claim"`  // the sender's own
-	HasCluster      bool          `json:"Formed"` // the sender belongs to a cluster
-	// Members are those that founded the sender's cluster or, where it belongs to none, the voters on new
-	// disks as it sees them.
+	Claim           identityClaim `json:"Claim"`  // the sender's claim about itself
+	HasCluster      bool          `json:"Formed"` // whether the sender belongs to a cluster
+	// Members are the founders of the sender's cluster or, if it belongs to none, the voters without a cluster
+	// that it knows of.
 	Members        []Member                 `json:"Members,omitempty"`
-	KnownClaim     identityClaim            `json:"Known"`         // in an answer: what is known of who asked
-	ClaimsByMember map[uint64]identityClaim `json:"All,omitempty"` // from a leader: what it knows of each member
+	KnownClaim     identityClaim            `json:"Known"`         // in an answer: what is known of its recipient
+	ClaimsByMember map[uint64]identityClaim `json:"All,omitempty"` // from a leader: all that it knows, by Raft ID
 }
 
-// OutgoingMessage is an encoded message and the address that it goes to.
+// OutgoingMessage is an encoded message and its destination address.
 type OutgoingMessage struct {
 	To   string
 	Data []byte
 }
 
-// decodeMessage decodes and checks a message of whatever sender.
+// decodeMessage decodes and checks a message from any sender.
 func decodeMessage(data []byte) (message, error) {
 	var m message
 	if len(data) > maxMessageBytes {
@@ -54,7 +54,7 @@
 	return m, nil
 }
 
-// decodeRaft returns the Raft message within a message.
+// decodeRaft returns the Raft message within a message. Both must have the same sender.
 func (m message) decodeRaft() (raftpb.Message, error) {
 	var raftMessage raftpb.Message
 	if err := raftMessage.Unmarshal(m.RaftMessage); err != nil {
@@ -66,8 +66,8 @@
 	return raftMessage, nil
 }
 
-// send queues a message, completed by what each message tells of its sender. One that is too long for a
-// datagram is dropped and counted.
+// send queues a message, after filling in the fields that describe its sender. A message that is too long for
+// a datagram is dropped and counted.
 func (v *Voter) send(to string, m message) {
 	m.From = v.self
 	m.Claim = v.ownClaim()
@@ -75,7 +75,7 @@
 	if m.HasCluster {
 		m.Members = v.founders
 	} else {
-		m.Members = v.newcomers()
+		m.Members = v.votersWithoutCluster()
 	}
 	data, err := json.Marshal(m)
 	if err != nil || len(data) > maxMessageBytes {
@@ -85,14 +85,14 @@
 	v.output.messages = append(v.output.messages, OutgoingMessage{To: to, Data: data})
 }
 
-// sendRaft queues a Raft message. One to nobody who is known is dropped.
+// sendRaft queues a Raft message. A message to an unknown member is dropped.
 func (v *Voter) sendRaft(raftMessage raftpb.Message) {
 	to, isMember := v.log.members[raftMessage.To]
 	if !isMember {
 		if raftMessage.To != v.replacement.sponsor.ID() {
 			return
 		}
-		to = v.replacement.sponsor // it admits this voter, which knows no member yet
+		to = v.replacement.sponsor // the sponsor admits this voter, which knows no members yet
 	}
 	data, err := raftMessage.Marshal()
 	if err != nil {
--- a/internal/consensus/proposal_test.go
+++ b/internal/consensus/proposal_test.go
@@ -10,7 +10,7 @@
 
 func TestProposeRejects(t *testing.T) {
 	c := newCluster(t, 3, 1, plantedFaults{})
-	require.True(t, c.canDecide(5000))
+	require.True(t, c.canCommit(5000))
 	leader := c.leaderIndex()
 	require.GreaterOrEqual(t, leader, 0)
 	longest := strings.Repeat("x", maxEntryBytes)
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -5,24 +5,24 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Ready is what the caller has to do: store the state, and once that is durable, send the messages and call
+// Ready is what the caller has to do: store the state and, once it is durable, send the messages and call
 // Advance.
 type Ready struct {
-	DurableState []byte // replaces what was stored before; nil: nothing is to be stored
+	DurableState []byte // replaces the state stored before; nil if there is nothing to store
 	Messages     []OutgoingMessage
 }
 
-// output is what waits to be stored or sent.
+// output is what is waiting to be stored or sent.
 type output struct {
-	raftReady *raft.Ready // taken from Raft, and not durable yet
-	saving    bool        // the caller is storing what Ready returned
-	dirty     bool        // the durable state has changed since it was returned last
+	raftReady *raft.Ready // output taken from Raft that is not durable yet
+	saving    bool        // the caller is storing the state that Ready returned
+	dirty     bool        // the durable state has changed since Ready last returned it
 	messages  []OutgoingMessage
-	oversized int // messages dropped, as no datagram holds them
+	oversized int // number of messages dropped because they are too long for a datagram
 }
 
-// Ready returns what is to be done now; while something is being stored, nothing more. A Ready with nothing to
-// store needs no Advance.
+// Ready returns what is to be done now. It is empty while the caller is still storing a state. A Ready without
+// DurableState needs no Advance.
 func (v *Voter) Ready() Ready {
 	if v.output.saving {
 		return Ready{}
@@ -48,7 +48,7 @@
 	}
 	ready := v.log.node.Ready()
 	v.output.raftReady = &ready
-	// The storage is in memory: it refuses only a snapshot that is older than its own, which is kept then.
+	// The storage is in memory. Its only error is for a snapshot older than its own; it then keeps its own.
 	if !raft.IsEmptySnap(ready.Snapshot) {
 		v.log.storage.ApplySnapshot(ready.Snapshot)
 		v.output.dirty = true
@@ -65,7 +65,7 @@
 	}
 }
 
-// Advance confirms that the state returned by Ready is durable: what was decided by it is applied.
+// Advance confirms that the state returned by Ready is durable, and applies the entries committed with it.
 func (v *Voter) Advance() {
 	ready := v.output.raftReady
 	v.output.raftReady = nil
@@ -83,7 +83,7 @@
 	v.compactLog(compactionThreshold)
 }
 
-// installSnapshot applies a leader's snapshot. A voter on a new disk belongs to the cluster from then on.
+// installSnapshot applies a leader's snapshot. From then on, a voter on a new disk belongs to the cluster.
 func (v *Voter) installSnapshot(snapshot raftpb.Snapshot) {
 	if raft.IsEmptySnap(snapshot) || v.restoreSnapshot(snapshot) != nil || len(v.founders) > 0 {
 		return
@@ -94,9 +94,10 @@
 	v.output.dirty = true
 }
 
-// reportSnapshots tells Raft that the snapshots among these messages have arrived. Nobody tells that a
-// datagram was lost, and Raft sends a follower nothing more until it is told how its snapshot went. Where one
-// has not arrived, the follower rejects the next entry, and the snapshot goes again.
+// reportSnapshots tells Raft that the snapshots among these messages have arrived, although they may be lost.
+// Raft sends a follower nothing more until it is told whether the snapshot arrived, and the loss of a datagram
+// is never reported. A follower that did not get its snapshot rejects the next entry, and the snapshot is sent
+// again.
 func (v *Voter) reportSnapshots(messages []raftpb.Message) {
 	for _, m := range messages {
 		if m.Type == raftpb.MsgSnap {
--- a/internal/consensus/replacement.go
+++ b/internal/consensus/replacement.go
@@ -8,15 +8,16 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// replacement is the admission of a voter on a new disk, in place of the member that it was on its former
-// one.
+// replacement tracks the admission of a voter on a new disk, in place of the member that it was on its former
+// disk.
 type replacement struct {
-	candidates map[string]identityAnswer // at a leader: queries of voters on new disks, by name
-	sponsor    Member                    // at a candidate: the leader that admits it
+	candidates map[string]receivedMessage // on a leader: the last query of each voter on a new disk, by its name
+	sponsor    Member                     // on a candidate: the leader that admits it
 }
 
-// replaceMembers has the leader admit voters on new disks, one at a time and in steps, each an entry of the
-// log: first as a learner, then, once it has caught up, in place of its former disk.
+// replaceMembers lets the leader admit voters on new disks, one at a time. Each step of an admission is an entry
+// of the log: the voter is first added as a learner, and replaces the member on its former disk once it has
+// caught up.
 func (v *Voter) replaceMembers(now float64) {
 	isChanging := len(v.log.confState.VotersOutgoing) > 0
 	if len(v.replacement.candidates) == 0 || !v.HasLease(now) || isChanging {
@@ -24,7 +25,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(v.replacement.candidates)) {
 		candidate := v.replacement.candidates[name]
-		isStale := now > candidate.receivedAt+answerFreshMillis
+		isStale := now > candidate.receivedAt+maxAnswerAgeMillis
 		if isStale || slices.Contains(v.log.confState.Voters, candidate.message.From.ID()) {
 			delete(v.replacement.candidates, name)
 			continue
@@ -34,7 +35,7 @@
 	}
 }
 
-// admit proposes the candidate's next step.
+// admit proposes the next step of a candidate's admission.
 func (v *Voter) admit(candidate Member) {
 	id := candidate.ID()
 	learners := v.log.confState.Learners
@@ -43,7 +44,7 @@
 		if v.hasCaughtUp(id) {
 			v.promote(candidate)
 		}
-	case len(learners) > 0: // a former candidate that didn't get any further
+	case len(learners) > 0: // an earlier candidate, whose admission was not completed
 		v.proposeMembershipChange(Member{}, raftpb.ConfChangeSingle{
 			Type:   raftpb.ConfChangeRemoveNode,
 			NodeID: learners[0],
@@ -56,13 +57,13 @@
 	}
 }
 
-// hasCaughtUp tells whether a learner lacks one decided entry at most.
+// hasCaughtUp reports whether a learner lacks at most one committed entry.
 func (v *Voter) hasCaughtUp(learner uint64) bool {
 	status := v.log.node.Status()
 	return status.Progress[learner].Match+1 >= status.Commit
 }
 
-// promote proposes that a learner votes, and that the members of its name on other disks go.
+// promote proposes to make a learner a voter, and to remove the voters of the same name on other disks.
 func (v *Voter) promote(learner Member) {
 	changes := []raftpb.ConfChangeSingle{{Type: raftpb.ConfChangeAddNode, NodeID: learner.ID()}}
 	for _, id := range v.log.confState.Voters {
@@ -73,9 +74,9 @@
 	v.proposeMembershipChange(learner, changes...)
 }
 
-// proposeMembershipChange proposes changes with the member that they add, if any. Raft drops them while
-// another change is under way; the next tick tries again.
+// proposeMembershipChange proposes changes, with the member that they add (or the zero Member) as their context.
+// Raft drops them while another change is in progress; the next tick tries again.
 func (v *Voter) proposeMembershipChange(added Member, changes ...raftpb.ConfChangeSingle) {
-	data, _ := json.Marshal(added) // of plain values
+	data, _ := json.Marshal(added) // doesn't fail for plain values
 	v.log.node.ProposeConfChange(raftpb.ConfChangeV2{Changes: changes, Context: data})
 }
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -1,6 +1,6 @@
 package consensus
 
-// Role is what a voter is to Raft, in Raft's own words, or RoleAwaitingAdmission.
+// Role is the name of a voter's state in Raft, or RoleAwaitingAdmission.
 type Role string
 
 // The roles of a voter.
@@ -12,28 +12,29 @@
 	RoleLeader            Role = "StateLeader"
 )
 
-// String returns the role as operators read it.
+// String returns the role as operators see it.
 func (r Role) String() string { return string(r) }
 
-// Status is what operators are told of a voter.
+// Status is the state of a voter as operators see it.
 type Status struct {
 	Self         Member   `json:"Me"`
-	Boot         uint64   `json:"Boot"` // starts on its disk
+	Boot         uint64   `json:"Boot"` // number of starts on its disk
 	Role         Role     `json:"Role"`
-	Leader       string   `json:"Leader"` // its name; empty: none is known
+	Leader       string   `json:"Leader"` // name of the leader; empty if none is known
 	Term         uint64   `json:"Term"`
 	AppliedIndex uint64   `json:"Applied"`
 	Voters       []Member `json:"Voters"`
 	Learners     []Member `json:"Learners"`
-	// DiskConfirmed tells that a majority knows no more of this voter than its disk holds.
+	// DiskConfirmed is set once the voter may take part: a majority knows no more of it than its disk holds.
 	DiskConfirmed bool `json:"Vouched"`
-	// OversizedMessages counts messages that no datagram holds: a voter on a new disk may not get in.
+	// OversizedMessages counts messages that were dropped because they are too long for a datagram. Where a
+	// snapshot is among them, a voter on a new disk may not be admitted.
 	OversizedMessages int `json:"Unsaid"`
-	// DiskDiscardedReason tells why this process has discarded the disk that it found; empty: it has not.
+	// DiskDiscardedReason is why this process has discarded the disk that it started on; empty if it has not.
 	DiskDiscardedReason string `json:"Aside"`
 }
 
-// Status returns how things stand at this voter.
+// Status returns this voter's current state.
 func (v *Voter) Status() Status {
 	status := Status{
 		Self:                v.self,
--- a/internal/consensus/storage.go
+++ b/internal/consensus/storage.go
@@ -17,31 +17,32 @@
 
 const (
 	durableVersion       = 1
-	compactionThreshold  = 64      // applied entries kept, above which a snapshot replaces them
-	maxStateMachineBytes = 8 << 20 // of a state machine's snapshot, uncompressed
+	compactionThreshold  = 64      // number of applied entries above which a snapshot replaces them
+	maxStateMachineBytes = 8 << 20 // limit of a state machine's snapshot, uncompressed
 )
 
 var errDurableVersion = errors.New("unknown version")
 
-// durableState is all that a voter stores, in JSON. What is Raft's is in Raft's own encoding.
+// durableState is all that a voter stores, in JSON. Raft's own data is in Raft's encoding.
 type durableState struct {
 	Version     int                      `json:"Version"`
 	Self        Member                   `json:"Me"`
 	Boot        uint64                   `json:"Boot"`
-	Founders    []Member                 `json:"Founders"` // empty: the voter belongs to no cluster yet
+	Founders    []Member                 `json:"Founders"` // empty if the voter belongs to no cluster yet
 	HardState   []byte                   `json:"Hard"`
 	Snapshot    []byte                   `json:"Snapshot"`
 	Entries     [][]byte                 `json:"Entries"`
 	KnownClaims map[uint64]identityClaim `json:"Known"`
 }
 
-// snapshotData replaces the entries up to a snapshot's index.
+// snapshotData is the content of a snapshot, which replaces the entries up to the snapshot's index.
 type snapshotData struct {
-	Members         []Member `json:"Members"`
-	CompressedState []byte   `json:"Machine"` // the state machine's, by DEFLATE: it has to fit into a datagram
+	Members []Member `json:"Members"`
+	// CompressedState is the state machine's snapshot, compressed by DEFLATE as it has to fit into a datagram.
+	CompressedState []byte `json:"Machine"`
 }
 
-// decodeDurable decodes what a disk holds; nothing gives the zero state.
+// decodeDurable decodes the contents of a disk. An empty disk gives the zero state.
 func decodeDurable(disk []byte) (state durableState, err error) {
 	if len(disk) == 0 {
 		return state, nil
@@ -56,7 +57,7 @@
 	return state, nil
 }
 
-// encodeDurable encodes all that this voter stores. Nothing of it fails, as all is in memory.
+// encodeDurable encodes all that this voter stores. It ignores errors, as everything is in memory and can't fail.
 func (v *Voter) encodeDurable() []byte {
 	state := durableState{
 		Version:     durableVersion,
@@ -82,7 +83,7 @@
 	return data
 }
 
-// restoreDurable has this voter go on with what its disk holds, as one more start of the same member.
+// restoreDurable continues from the contents of this voter's disk, as another start of the same member.
 func (v *Voter) restoreDurable(state durableState) error {
 	v.self.Disk = state.Self.Disk
 	v.boot = state.Boot + 1
@@ -106,7 +107,7 @@
 	}
 	hasSnapshot := !raft.IsEmptySnap(snapshot)
 	if !hasSnapshot && raft.IsEmptyHardState(hardState) && len(entries) == 0 {
-		return nil // it belonged to no cluster
+		return nil // the voter belonged to no cluster
 	}
 	if hasSnapshot {
 		if err := v.log.storage.ApplySnapshot(snapshot); err != nil {
@@ -116,7 +117,7 @@
 			return err
 		}
 	}
-	v.log.storage.SetHardState(hardState) // in memory: it doesn't fail
+	v.log.storage.SetHardState(hardState) // doesn't fail, as the storage is in memory
 	if err := v.log.storage.Append(entries); err != nil {
 		return fmt.Errorf("store entries: %w", err)
 	}
@@ -134,13 +135,14 @@
 	return entries, nil
 }
 
-// encodeSnapshot encodes the state machine as it is, with these members.
+// encodeSnapshot encodes the current state of the state machine, together with these members.
 func (v *Voter) encodeSnapshot(members []Member) []byte {
-	data, _ := json.Marshal(snapshotData{Members: members, CompressedState: v.compressState()}) // of plain values
+	// Marshal doesn't fail for plain values.
+	data, _ := json.Marshal(snapshotData{Members: members, CompressedState: v.compressState()})
 	return data
 }
 
-// restoreSnapshot replaces members and state machine by a snapshot's.
+// restoreSnapshot replaces the members and the state of the state machine by those of a snapshot.
 func (v *Voter) restoreSnapshot(snapshot raftpb.Snapshot) error {
 	var data snapshotData
 	if err := json.Unmarshal(snapshot.Data, &data); err != nil {
@@ -163,17 +165,17 @@
 	return nil
 }
 
-// compressState encodes the state machine for a snapshot.
+// compressState encodes and compresses the state of the state machine for a snapshot.
 func (v *Voter) compressState() []byte {
 	var compressed bytes.Buffer
 	writer, _ := flate.NewWriter(&compressed, flate.BestCompression) // fails only for an unknown level
-	writer.Write(v.stateMachine.Snapshot())                          // into memory: it doesn't fail
+	writer.Write(v.stateMachine.Snapshot())                          // doesn't fail, as it writes to memory
 	writer.Close()
 	return compressed.Bytes()
 }
 
-// compactLog replaces the applied entries by a snapshot where there are at least so many, so that neither
-// memory nor disk grows.
+// compactLog replaces the applied entries by a snapshot if there are more of them than the threshold, so that
+// memory and disk usage stay bounded.
 func (v *Voter) compactLog(threshold uint64) {
 	first, err := v.log.storage.FirstIndex()
 	if err != nil || v.log.appliedIndex < first+threshold {
@@ -187,6 +189,6 @@
 	if _, err := v.log.storage.CreateSnapshot(v.log.appliedIndex, &v.log.confState, data); err != nil {
 		return
 	}
-	v.log.storage.Compact(v.log.appliedIndex) // of entries that are there
+	v.log.storage.Compact(v.log.appliedIndex) // doesn't fail, as the entries are present
 	v.output.dirty = true
 }
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -1,11 +1,11 @@
-// Package consensus replicates one list of numbered entries over a few voters, and gives their leader a lease.
-// The agreement itself is Raft's (go.etcd.io/raft). This package adds what Raft leaves to its caller: who is
-// a voter, by the disk on which it stores its votes (identity.go, replacement.go); storage and snapshots
-// (storage.go); the messages between voters (message.go); and for how long a leader may rely on leading
-// (lease.go).
+// Package consensus replicates a log of numbered entries among a few voters, and gives their leader a lease.
+// The consensus algorithm is Raft (go.etcd.io/raft). This package adds what Raft leaves to its caller: the
+// identity of a voter, which depends on the disk that stores its votes (identity.go, replacement.go); storage
+// and snapshots (storage.go); the messages between voters (message.go); and the time for which a leader may
+// rely on being the leader (lease.go).
 //
-// The package has no I/O and no clock. Messages and times come in by method calls; Ready returns what is to
-// be stored and sent. Messages go out only after the state returned with them is durable, which the caller
+// The package has no I/O and no clock. Messages and times are passed to its methods; Ready returns what is to
+// be stored and sent. Messages may be sent only after the state returned with them is durable, which the caller
 // confirms by Advance. Times are milliseconds on any clock that never goes back.
 package consensus
 
@@ -19,13 +19,13 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Raft's clock. The election timeout itself is drawn by Raft, from electionTicks up to twice as many.
+// Raft's clock and its flow control. Raft draws each election timeout between electionTicks and twice as many.
 const (
 	tickMillis       = 50.0
-	heartbeatTicks   = 2  // between two heartbeats of the leader
-	electionTicks    = 12 // without a heartbeat, after which another may be voted for
-	maxCatchUpTicks  = 2 * electionTicks
-	maxInflightSends = 16 // append messages to one follower that await its answer
+	heartbeatTicks   = 2                 // ticks between two heartbeats of the leader
+	electionTicks    = 12                // ticks without a heartbeat after which a voter may vote for another leader
+	maxCatchUpTicks  = 2 * electionTicks // most ticks made up for after a suspension of the process
+	maxInflightSends = 16                // most unanswered append messages to one follower
 )
 
 // Errors of New.
@@ -34,46 +34,48 @@
 	ErrUnreadableDisk = errors.New("unreadable state on disk")
 )
 
-// StateMachine is what the entries are applied to, in the same order at all voters.
+// StateMachine is what committed entries are applied to, in the same order on all voters.
 type StateMachine interface {
-	// Apply applies the entry of that number. Numbers grow, with gaps.
+	// Apply applies the entry with the given number. Numbers increase, with gaps.
 	Apply(number uint64, data []byte)
 	// Snapshot encodes the whole state.
 	Snapshot() []byte
-	// Restore replaces the whole state by an encoded one.
+	// Restore replaces the whole state by one that Snapshot encoded.
 	Restore(data []byte) error
 }
 
-// Voter is one replica of the list. It isn't safe for concurrent use.
+// Voter is one replica of the log. It isn't safe for concurrent use.
 type Voter struct {
-	self         Member
-	configured   []Member // all voters of the configuration file: names and addresses, without disks
-	boot         uint64   // starts on this disk, this one included
-	incarnation  uint64   // drawn at each start
-	founders     []Member // those that bootstrapped the cluster; empty: this voter belongs to none yet
+	self        Member
+	configured  []Member // all voters in the configuration file, with names and addresses but without disks
+	boot        uint64   // number of starts on this disk, including this one
+	incarnation uint64   // random number, drawn at each start
+	// founders are the members that bootstrapped the cluster or, at a voter that joined later, its voters at that
+	// time; empty if this voter belongs to no cluster yet.
+	founders     []Member
 	stateMachine StateMachine
 	rng          *rand.Rand
 	faults       plantedFaults
 
 	log         replicatedLog
-	tickedAt    float64 // up to when Raft's clock has gone on
+	tickedAt    float64 // time up to which Raft's clock has advanced
 	identity    identityCheck
 	replacement replacement
 	lease       leaderLease
 	output      output
 }
 
-// replicatedLog is Raft's state at this voter, and how far it is applied.
+// replicatedLog is Raft's state on this voter, and how far the log is applied.
 type replicatedLog struct {
-	node         *raft.RawNode // nil: this voter belongs to no cluster yet
+	node         *raft.RawNode // nil if this voter belongs to no cluster yet
 	storage      *raft.MemoryStorage
-	members      map[uint64]Member // voters and learners, by Raft's number
+	members      map[uint64]Member // voters and learners, by Raft ID
 	confState    raftpb.ConfState
 	appliedIndex uint64
 }
 
-// New starts a voter: its own name and address, those of all voters, and what its disk holds (nil: nothing).
-// Its errors are ErrNotConfigured and ErrUnreadableDisk.
+// New starts a voter, given its own name and address, those of all voters, and the contents of its disk (nil:
+// empty). Its errors are ErrNotConfigured and ErrUnreadableDisk.
 func New(now float64, self Member, configured []Member, disk []byte, stateMachine StateMachine,
 	rng *rand.Rand) (*Voter, error) {
 	v := &Voter{
@@ -92,7 +94,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("consensus: start voter %q: %w: %w", self.Name, ErrUnreadableDisk, err)
 	}
-	if state.Self.Name != self.Name || state.Self.Disk == "" { // nothing, or another voter's
+	if state.Self.Name != self.Name || state.Self.Disk == "" { // an empty disk, or another voter's
 		v.resetToNewDisk()
 		return v, nil
 	}
@@ -103,8 +105,8 @@
 	return v, nil
 }
 
-// resetToNewDisk gives this voter a new identity: a disk of a new name, from which no vote was ever cast. A
-// save that is in progress completes before the new identity is written.
+// resetToNewDisk gives this voter a new identity: a new disk ID, under which no vote was ever cast. A save that
+// is in progress completes before the new identity is written.
 func (v *Voter) resetToNewDisk() {
 	v.self.Disk = fmt.Sprintf("%016x", v.rng.Uint64())
 	v.boot = 1
@@ -116,15 +118,15 @@
 	v.output.dirty = true
 }
 
-// resetPeers forgets what was learnt of other voters, apart from their claims.
+// resetPeers forgets what was learnt of other voters, except for their claims.
 func (v *Voter) resetPeers() {
 	v.log.members = map[uint64]Member{}
-	v.identity.answers = map[string]identityAnswer{}
-	v.replacement.candidates = map[string]identityAnswer{}
+	v.identity.answers = map[string]receivedMessage{}
+	v.replacement.candidates = map[string]receivedMessage{}
 	v.lease.reset()
 }
 
-// startRaft starts Raft on what the storage holds.
+// startRaft starts Raft on the contents of the storage.
 func (v *Voter) startRaft() error {
 	node, err := raft.NewRawNode(&raft.Config{
 		ID:                        v.self.ID(),
@@ -147,7 +149,7 @@
 	return nil
 }
 
-// Tick advances the voter to that time. It is to be called some times per tickMillis.
+// Tick advances the voter to the given time. It should be called several times per tickMillis.
 func (v *Voter) Tick(now float64) {
 	v.queryIdentity(now)
 	v.tickRaft(now)
@@ -160,8 +162,8 @@
 	v.replaceMembers(now)
 }
 
-// tickRaft advances Raft's clock. A voter whose process was suspended makes up for maxCatchUpTicks only, as
-// more of them mean nothing more.
+// tickRaft advances Raft's clock. After a suspension of its process, a voter makes up for about maxCatchUpTicks
+// ticks only, as more of them would change nothing further.
 func (v *Voter) tickRaft(now float64) {
 	for ticks := 0; now >= v.tickedAt+tickMillis; ticks++ {
 		v.tickedAt += tickMillis
@@ -174,8 +176,8 @@
 	}
 }
 
-// Receive processes another voter's message. One that is malformed, or of nobody who is configured, changes
-// nothing.
+// Receive processes another voter's message. A message that is malformed, or from a sender that is not
+// configured, changes nothing.
 func (v *Voter) Receive(now float64, data []byte) {
 	m, err := decodeMessage(data)
 	if err != nil || m.From.Name == v.self.Name || !v.isConfigured(m.From.Name) {
@@ -187,17 +189,18 @@
 	case m.IsIdentityQuery:
 		v.answerIdentityQuery(now, m)
 	default:
-		v.identity.answers[m.From.Name] = identityAnswer{receivedAt: now, message: m}
+		v.identity.answers[m.From.Name] = receivedMessage{receivedAt: now, message: m}
 		v.evaluateAnswers(now)
 	}
 }
 
-// isConfigured tells whether the configuration file names that voter.
+// isConfigured reports whether the configuration file contains a voter of that name.
 func (v *Voter) isConfigured(name string) bool {
 	return slices.ContainsFunc(v.configured, func(m Member) bool { return m.Name == name })
 }
 
-// addressOf returns a member's address by the configuration file: it may have moved since it was admitted.
+// addressOf returns a member's address from the configuration file, as it may have changed since the member
+// was admitted.
 func (v *Voter) addressOf(m Member) string {
 	for _, configured := range v.configured {
 		if configured.Name == m.Name {
@@ -207,13 +210,13 @@
 	return m.Address
 }
 
-// isLeader tells whether Raft holds this voter for the leader. Another may have been elected meanwhile:
+// isLeader reports whether Raft considers this voter the leader. Another may have been elected meanwhile;
 // HasLease rules that out.
 func (v *Voter) isLeader() bool {
 	return v.log.node != nil && v.log.node.BasicStatus().RaftState == raft.StateLeader
 }
 
-// leader returns the leader as far as this voter knows; the zero Member: none is known.
+// leader returns the leader as far as this voter knows, or the zero Member if none is known.
 func (v *Voter) leader() Member {
 	if v.log.node == nil {
 		return Member{}
@@ -221,7 +224,7 @@
 	return v.log.members[v.log.node.BasicStatus().Lead]
 }
 
-// LeaderAddress returns the leader's address by the configuration file; empty: none is known.
+// LeaderAddress returns the leader's address from the configuration file, or "" if no leader is known.
 func (v *Voter) LeaderAddress() string {
 	leader := v.leader()
 	if leader.Name == "" {
