--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -70,7 +70,7 @@
 	inFlight   []inFlightMessage
 	severed    map[[2]int]bool // links that deliver nothing, by sender and receiver
 	loss       float64         // fraction of messages that are lost
-	delay      float64         // one-way delay, without jitter
+	delay      float64         // one-way delay in milliseconds, without jitter
 	jitter     float64         // largest random delay added to a message, as a multiple of delay
 	shouldDrop func(to int, data []byte) bool
 	faults     plantedFaults
--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -290,7 +290,7 @@
 }
 
 // TestPlantedFaultsAreDetected guards against checks that can't fail: it switches on each planted fault, and the
-// checks have to detect it. Without planted faults, the same schedules must pass.
+// checks have to detect it. Without a planted fault, runEarlyVotes must not find a violation.
 func TestPlantedFaultsAreDetected(t *testing.T) {
 	for name, test := range map[string]struct {
 		faults plantedFaults
--- a/internal/consensus/identity.go
+++ b/internal/consensus/identity.go
@@ -17,7 +17,7 @@
 const (
 	identityQueryIntervalMillis = 200.0                      // between two queries about this voter's own identity
 	maxAnswerAgeMillis          = 1000.0                     // older answers and queries are ignored
-	confirmDelayMillis          = electionTicks * tickMillis // between a voter's start and its taking part in Raft
+	confirmDelayMillis          = electionTicks * tickMillis // shortest time from a start until the voter may take part
 )
 
 // identityClaim says how far a member's state has advanced, by its own account or as others know it.
--- a/internal/coordinator/announcement.go
+++ b/internal/coordinator/announcement.go
@@ -7,14 +7,14 @@
 	"valeshift/internal/failover"
 )
 
-// receivedAnnouncement is what the leader has announced to this coordinator.
+// receivedAnnouncement is the leader's announcement as this coordinator received it.
 type receivedAnnouncement struct {
 	failover.Announcement
-	receivedAt float64 // -Inf: never
+	receivedAt float64 // time of receipt; -Inf: no announcement was received
 }
 
-// isNewerThan tells whether an announcement received now goes beyond another: by its number or, with the same
-// number, by when its leader knew that it leads.
+// isNewerThan reports whether an announcement is newer than another: it has a higher number or, with the same
+// number, its leader renewed the lease later.
 func (r receivedAnnouncement) isNewerThan(other receivedAnnouncement) bool {
 	if r.Number != other.Number {
 		return r.Number > other.Number
@@ -22,15 +22,15 @@
 	return r.receivedAt-r.AgeMillis > other.receivedAt-other.AgeMillis
 }
 
-// encodedZones are the zones of the last announcement, encoded once for each decision, as hundreds of relays
-// ask for it.
+// encodedZones holds the encoded zones of the last announcement. They are encoded once for each decision, as
+// hundreds of relays ask for the announcement.
 type encodedZones struct {
-	data   []byte // nil: none yet
-	number uint64 // of the announcement
+	data   []byte // zones in JSON; nil: none encoded yet
+	number uint64 // number of the announcement that they belong to
 }
 
-// ReceiveObservations processes what a relay observed, or another coordinator's question where there is no
-// data, and returns the announcement that answers it. Malformed observations are an error.
+// ReceiveObservations processes a relay's observations, or another coordinator's request for the announcement,
+// which has no data. It returns the announcement to answer with. Malformed observations are an error.
 func (c *Core) ReceiveObservations(now float64, data []byte) (announcement []byte, err error) {
 	if len(data) > 0 {
 		observations, err := failover.DecodeObservations(data)
@@ -45,15 +45,15 @@
 // encodeAnnouncement encodes an announcement as JSON.
 func (c *Core) encodeAnnouncement(a failover.Announcement) []byte {
 	if c.encoded.data == nil || a.Number != c.encoded.number || len(a.Zones) == 0 {
-		c.encoded.data, _ = json.Marshal(a.Zones) // of plain values
+		c.encoded.data, _ = json.Marshal(a.Zones) // doesn't fail for plain values
 		c.encoded.number = a.Number
 	}
 	return fmt.Appendf(nil, `{"Number":%d,"Age":%g,"Leads":%t,"Zones":%s}`,
 		a.Number, a.AgeMillis, a.FromLeader, c.encoded.data)
 }
 
-// ReceiveAnnouncement processes the leader's announcement, where another leads. A malformed or older one
-// changes nothing.
+// ReceiveAnnouncement processes the announcement of another coordinator that leads. A malformed or older
+// announcement changes nothing.
 func (c *Core) ReceiveAnnouncement(now float64, data []byte) {
 	received := receivedAnnouncement{receivedAt: now}
 	if err := json.Unmarshal(data, &received.Announcement); err != nil || !(received.AgeMillis >= 0) {
@@ -64,8 +64,8 @@
 	}
 }
 
-// AnnouncementSource returns the address of the leader that this coordinator has to ask for the announcement;
-// empty: it leads itself, or knows no leader.
+// AnnouncementSource returns the address of the leader that this coordinator has to ask for the announcement. It
+// is empty if this coordinator leads itself or knows no leader.
 func (c *Core) AnnouncementSource(now float64) string {
 	if c.voter.HasLease(now) {
 		return ""
@@ -73,8 +73,8 @@
 	return c.voter.LeaderAddress()
 }
 
-// Announcement returns the decision that holds, as far as this coordinator knows: its own while it leads, else
-// what the leader announced. Its age is -1 where no decision is known to hold.
+// Announcement returns the decision in force, as far as this coordinator knows: its own while it leads, and
+// otherwise what the leader announced. The age is -1 if no decision is known to be in force.
 func (c *Core) Announcement(now float64) failover.Announcement {
 	if c.voter.HasLease(now) {
 		return failover.Announcement{
--- a/internal/coordinator/config.go
+++ b/internal/coordinator/config.go
@@ -19,10 +19,10 @@
 
 // Config is a coordinator's configuration file, in TOML.
 type Config struct {
-	Name         string        `toml:"name"`     // of this voter, one of those below
-	AdminAddress string        `toml:"ops"`      // address:port of the HTTP API for operators
-	KeyFile      string        `toml:"key-file"` // whose text relays and voters share
-	Folder       string        `toml:"folder"`   // where this voter stores its votes
+	Name         string        `toml:"name"`     // name of this voter, one of Voters
+	AdminAddress string        `toml:"ops"`      // address:port on which the HTTP API for operators listens
+	KeyFile      string        `toml:"key-file"` // path of the file with the key that relays and voters share
+	Folder       string        `toml:"folder"`   // folder in which this voter stores its votes
 	Voters       []VoterConfig `toml:"voter"`
 	Zones        []ZoneConfig  `toml:"zone"`
 }
@@ -30,29 +30,29 @@
 // VoterConfig is one of the voters.
 type VoterConfig struct {
 	Name    string `toml:"name"`
-	Address string `toml:"address"` // address:port, UDP, as the others and the relays reach it
+	Address string `toml:"address"` // UDP address:port at which other voters and relays reach it
 }
 
-// ZoneConfig is one of the zones that are decided on.
+// ZoneConfig is one of the zones that the coordinators decide on.
 type ZoneConfig struct {
 	Name   string `toml:"name"`
 	Region string `toml:"region"`
 }
 
-// FieldError is a value that a field of the configuration file can't have.
+// FieldError reports an invalid value in a field of the configuration file.
 type FieldError struct {
-	Field    string // as the file spells it, with the index in a list
+	Field    string // name of the field in the file, with the index if it is in a list
 	Expected string
 	Got      string
 }
 
-// Error names the field, what it may hold and what it holds.
+// Error returns the name of the field, what it may contain and what it contains.
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("%s: %s expected, got %s", e.Field, e.Expected, e.Got)
 }
 
-// LoadConfig reads a configuration file. A field with a wrong value is a *FieldError; other errors name the
-// place in the file.
+// LoadConfig reads a configuration file. The error for an invalid value is a *FieldError; other errors in the
+// contents name the position in the file.
 func LoadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -60,7 +60,7 @@
 	}
 	c := &Config{}
 	if err := config.DecodeStrict(text, c); err != nil {
-		return nil, fmt.Errorf("%s:%w", path, err) // it begins with line and column
+		return nil, fmt.Errorf("%s:%w", path, err) // the error begins with line and column
 	}
 	if err := c.validate(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -68,8 +68,8 @@
 	return c, nil
 }
 
-// Reload reads the file again, for its zones: a change of any other field takes a restart, and is an error
-// that names it.
+// Reload reads the file again for changes to the zones. A change to any other field needs a restart, and is an
+// error that names the field.
 func (c *Config) Reload(path string) (*Config, error) {
 	next, err := LoadConfig(path)
 	if err != nil {
@@ -92,7 +92,7 @@
 	return next, nil
 }
 
-// validate checks the values; its error is a *FieldError.
+// validate checks the values of all fields. Its error is a *FieldError.
 func (c *Config) validate() error {
 	if n := len(c.Voters); n%2 == 0 || n > maxVoters {
 		return &FieldError{"voter", fmt.Sprintf("1, 3, 5 or %d", maxVoters), fmt.Sprint(n)}
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// Topology returns who this voter is, who all voters are, and which zones are decided on.
+// Topology returns this voter, all voters, and the zones to decide on.
 func (c *Config) Topology() (self consensus.Member, voters []consensus.Member, zones []failover.Zone) {
 	for _, v := range c.Voters {
 		member := consensus.Member{Name: v.Name, Address: v.Address}
--- a/internal/coordinator/config_test.go
+++ b/internal/coordinator/config_test.go
@@ -38,7 +38,7 @@
 
 func TestLoadConfigNamesTheField(t *testing.T) {
 	for name, test := range map[string]struct {
-		from, to  string // replaced in the valid file
+		from, to  string // text in the valid file, and its replacement
 		field     string
 		wantsText string
 	}{
--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -1,8 +1,8 @@
-// Package coordinator is one failover coordinator as a whole: it receives what relays observe of zones, agrees
-// with the other coordinators on what follows from that (packages failover and consensus), and announces the
-// decisions to whoever asks. Core holds all state and does no I/O, so that it runs under virtual time; Node
-// drives it on a socket, a store and HTTP. No relay's session ever waits for a coordinator. Times without a
-// unit are milliseconds.
+// Package coordinator implements a failover coordinator. It receives the relays' observations of zones, agrees
+// with the other coordinators on decisions (packages failover and consensus), and announces these to relays and
+// coordinators that ask. Core holds all state and does no I/O, so that it can run under virtual time; Node runs
+// it on a socket, a store and HTTP. No relay's session ever waits for a coordinator. Times without a unit are
+// milliseconds.
 package coordinator
 
 import (
@@ -16,30 +16,30 @@
 )
 
 const (
-	policyIntervalMillis  = 100.0
-	proposalTimeoutMillis = 1000.0 // for a proposal to be decided, before another is made
+	policyIntervalMillis  = 100.0  // between two evaluations of the policy
+	proposalTimeoutMillis = 1000.0 // longest wait for the decision on a proposal, before another is made
 )
 
 // Core is one coordinator without its I/O. It isn't safe for concurrent use.
 type Core struct {
 	voter            *consensus.Voter
-	decisions        *failover.DecisionLog // what the voters have agreed on
+	decisions        *failover.DecisionLog // decisions that the voters have agreed on
 	policy           *failover.Policy
-	clockOffset      float64 // Unix time less the time that comes in
-	evaluatedAt      float64 // when the policy was evaluated last; -Inf: never
+	clockOffset      float64 // Unix time minus the time passed in by the caller
+	evaluatedAt      float64 // time of the last evaluation of the policy; -Inf: never
 	proposal         policyProposal
-	expiryProposedAt map[string]float64   // by the order's ID
-	fromLeader       receivedAnnouncement // where another leads
+	expiryProposedAt map[string]float64   // times of the last proposals to expire orders, by order ID
+	fromLeader       receivedAnnouncement // last announcement of another coordinator that leads
 	encoded          encodedZones
 }
 
-// policyProposal is a proposal of the policy that is not decided yet.
+// policyProposal is the policy's proposal that awaits a decision.
 type policyProposal struct {
-	madeAt float64 // +Inf: there is none
-	after  uint64  // number of the last decision then
+	madeAt float64 // time of the proposal; +Inf: none awaits a decision
+	after  uint64  // number of the last decision at that time
 }
 
-// New starts a coordinator on what its disk holds (nil: nothing). Its errors are those of consensus.New.
+// New starts a coordinator on the contents of its disk (nil: empty). Its errors are those of consensus.New.
 func New(now float64, self consensus.Member, voters []consensus.Member, zones []failover.Zone, disk []byte,
 	rng *rand.Rand) (*Core, error) {
 	c := &Core{
@@ -58,8 +58,8 @@
 	return c, nil
 }
 
-// Tick advances the coordinator to that time. Unix time, by the machine's clock, is for the expiry of orders
-// and for the history.
+// Tick advances the coordinator to the given time. Unix time, by the machine's clock, is used for the expiry of
+// orders and in the history.
 func (c *Core) Tick(now, unixMillis float64) {
 	c.clockOffset = unixMillis - now
 	c.voter.Tick(now)
@@ -75,19 +75,19 @@
 	c.proposePolicy(now)
 }
 
-// proposeExpiries proposes the end of each order that has expired.
+// proposeExpiries proposes to end each order that has expired.
 func (c *Core) proposeExpiries(now, unixMillis float64) {
 	for _, id := range c.decisions.ExpiredOrderIDs(unixMillis) {
 		if now <= c.expiryProposedAt[id]+proposalTimeoutMillis {
 			continue
 		}
 		c.expiryProposedAt[id] = now
-		// What is refused now is proposed again after the timeout.
+		// A proposal that is refused now is made again after the timeout.
 		c.propose(now, failover.Command{ExpiredOrderID: id, Cause: failover.CauseOrderExpired})
 	}
 }
 
-// proposePolicy proposes what the policy would change, unless an earlier proposal awaits its decision.
+// proposePolicy proposes the changes that the policy asks for, unless an earlier proposal awaits its decision.
 func (c *Core) proposePolicy(now float64) {
 	if !math.IsInf(c.proposal.madeAt, 1) {
 		return
@@ -99,10 +99,10 @@
 	c.proposal = policyProposal{madeAt: now, after: c.lastDecisionNumber()}
 }
 
-// SetZones sets the zones that are decided on from now on, once this coordinator leads.
+// SetZones replaces the zones to decide on. This takes effect while this coordinator leads.
 func (c *Core) SetZones(zones []failover.Zone) { c.policy.SetZones(zones) }
 
-// lastDecisionNumber returns the number of the last decision, a rejected one included; 0: there is none.
+// lastDecisionNumber returns the number of the last decision, including rejected ones; 0: there is none.
 func (c *Core) lastDecisionNumber() uint64 {
 	history := c.decisions.History
 	if len(history) == 0 {
@@ -121,9 +121,8 @@
 	return c.voter.Propose(now, data)
 }
 
-// SubmitOrder proposes an operator's order; DecisionOnOrder tells what has become of it. An order that was
-// decided before is not proposed again. Only the leader accepts orders: the errors are those of
-// consensus.Voter.Propose.
+// SubmitOrder proposes an operator order; DecisionOnOrder returns its result. An order that was decided before is
+// not proposed again. Only the leader accepts orders. The errors are those of consensus.Voter.Propose.
 func (c *Core) SubmitOrder(now float64, order failover.OperatorOrder) error {
 	if _, isDecided := c.decisions.DecisionOnOrder(order.ID); isDecided {
 		return nil
@@ -131,34 +130,34 @@
 	return c.propose(now, failover.Command{Order: &order, Cause: failover.CauseOrdered(order)})
 }
 
-// DecisionOnOrder returns what was decided on the order of that ID; false: nothing yet.
+// DecisionOnOrder returns the decision on the order with the given ID; false: there is none yet.
 func (c *Core) DecisionOnOrder(id string) (failover.Decision, bool) {
 	return c.decisions.DecisionOnOrder(id)
 }
 
-// ReceiveMessage processes a message between voters.
+// ReceiveMessage processes a message from another voter.
 func (c *Core) ReceiveMessage(now float64, data []byte) { c.voter.Receive(now, data) }
 
 // Ready returns what is to be stored and sent now, as consensus.Voter.Ready does.
 func (c *Core) Ready() consensus.Ready { return c.voter.Ready() }
 
-// Advance confirms that what Ready returned is durable.
+// Advance confirms that the state returned by Ready is durable.
 func (c *Core) Advance() { c.voter.Advance() }
 
-// HasLease tells whether this coordinator leads and no other can.
+// HasLease reports whether this coordinator leads and no other can.
 func (c *Core) HasLease(now float64) bool { return c.voter.HasLease(now) }
 
-// Status is what operators are told of a coordinator.
+// Status is the state of a coordinator as operators see it.
 type Status struct {
 	consensus.Status
 	HasLease       bool                     `json:"Leads"`
-	DecisionNumber uint64                   `json:"Number"` // of the last that was not rejected
-	Zones          []failover.Zone          `json:"Zones"`  // as they hold, orders included
+	DecisionNumber uint64                   `json:"Number"` // number of the last decision that was not rejected
+	Zones          []failover.Zone          `json:"Zones"`  // zones as now in force, with orders applied
 	Orders         []failover.OperatorOrder `json:"Orders"`
 }
 
-// Status returns how things stand at this coordinator. Its orders are those of the core: they are to be read
-// before the core's next call.
+// Status returns this coordinator's current state. Its orders are not copied, so they have to be read before the
+// next call of a method of the core.
 func (c *Core) Status(now float64) Status {
 	return Status{
 		Status:         c.voter.Status(),
@@ -169,6 +168,6 @@
 	}
 }
 
-// History returns the latest decisions, the oldest first. They are the core's: to be read before its next
-// call.
+// History returns the latest decisions, oldest first. They are not copied, so they have to be read before the
+// next call of a method of the core.
 func (c *Core) History() []failover.Decision { return c.decisions.History }
--- a/internal/coordinator/core_test.go
+++ b/internal/coordinator/core_test.go
@@ -13,7 +13,7 @@
 
 const startUnixMillis = 1e12
 
-// newSingleCoordinator returns a coordinator that has no others and leads, and the time it has come to.
+// newSingleCoordinator returns a coordinator that is the only voter and leads, and its current time.
 func newSingleCoordinator(t testing.TB, zoneCount int) (core *Core, now float64) {
 	t.Helper()
 	var zones []failover.Zone
@@ -30,7 +30,7 @@
 	return core, now
 }
 
-// advance ticks a coordinator whose disk saves at once.
+// advance ticks a coordinator whose saves are durable at once.
 func advance(core *Core, now float64) {
 	core.Tick(now, startUnixMillis+now)
 	saveAll(core)
@@ -42,7 +42,7 @@
 	}
 }
 
-// encodeObservations returns what a relay sends where all zones do well.
+// encodeObservations returns the observations that a relay sends while all zones are healthy.
 func encodeObservations(relay, zoneCount int) []byte {
 	observations := failover.Observations{
 		Relay:  fmt.Sprint("relay-", relay),
@@ -61,7 +61,8 @@
 	return observations.Encode()
 }
 
-// BenchmarkThreeHundredRelays is a second of a leader, with 300 relays that each send observations twice.
+// BenchmarkThreeHundredRelays measures one simulated second of a leader with 300 relays, each of which sends its
+// observations twice.
 func BenchmarkThreeHundredRelays(b *testing.B) {
 	core, now := newSingleCoordinator(b, 6)
 	var encoded [][]byte
@@ -81,7 +82,8 @@
 	}
 }
 
-// FuzzReceive has arbitrary data come in each kind of datagram: nothing impossible of it is believed.
+// FuzzReceive passes arbitrary data as each kind of datagram. The coordinator must keep its lease, and no data may
+// divert traffic from a zone. Observations that are accepted must survive another encoding.
 func FuzzReceive(f *testing.F) {
 	f.Add(encodeObservations(1, 6))
 	impossible := failover.Observations{
--- a/internal/coordinator/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -23,8 +23,8 @@
 	"valeshift/internal/store"
 )
 
-// golden reads a file that an earlier build has written. The files are never written anew: what they hold
-// lies on disks and is read by operators' programs, relays and voters of that build.
+// golden reads a file that an earlier build has written. The files are never regenerated, as data in the same
+// form is stored on disks and read by operators' programs, relays and voters of that build.
 func golden(t *testing.T, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", "golden", name))
@@ -32,8 +32,8 @@
 	return data
 }
 
-// startOnGoldenFolder starts a coordinator without others, whose folder an earlier build has written, on a copy
-// of that folder, and waits until it leads.
+// startOnGoldenFolder starts a coordinator that is the only voter on a copy of a folder that an earlier build has
+// written, and waits until it leads.
 func startOnGoldenFolder(t *testing.T) (node *Node, address string) {
 	t.Helper()
 	folder := t.TempDir()
@@ -66,7 +66,7 @@
 	return s
 }
 
-// TestStartOnGoldenFolder finds an earlier build's log, decisions, orders and identity again.
+// TestStartOnGoldenFolder checks that a coordinator restores an earlier build's log, decisions, orders and identity.
 func TestStartOnGoldenFolder(t *testing.T) {
 	var before Status
 	require.NoError(t, json.Unmarshal(golden(t, "status-answer.json"), &before))
@@ -83,7 +83,7 @@
 	assert.Equal(t, string(golden(t, "history-answer.json")), get(t, node, "/history").Body.String())
 }
 
-// TestGoldenAnswers reads what operators' programs were answered, and writes the same bytes back.
+// TestGoldenAnswers decodes an earlier build's answers to operators' programs, and encodes them to the same bytes.
 func TestGoldenAnswers(t *testing.T) {
 	for name, into := range map[string]any{
 		"status-answer.json":  &Status{},
@@ -101,7 +101,7 @@
 	}
 }
 
-// TestGoldenStatusValues checks that each name of the status stands for what it stood for.
+// TestGoldenStatusValues checks that each name in an earlier build's status is decoded into the right field.
 func TestGoldenStatusValues(t *testing.T) {
 	self := consensus.Member{Name: "v", Disk: "8b7c8cc158c6a34b", Address: "127.0.11.1:17100"}
 	var s Status
@@ -120,7 +120,7 @@
 	assert.Len(t, s.Orders, 2)
 }
 
-// TestOrderOverHTTP checks the answers to orders by their codes, which operators' programs go by.
+// TestOrderOverHTTP checks the status codes of answers to orders, as operators' programs depend on them.
 func TestOrderOverHTTP(t *testing.T) {
 	node, _ := startOnGoldenFolder(t)
 	for _, test := range []struct {
@@ -145,14 +145,14 @@
 	}
 }
 
-// TestGoldenDatagrams sends a voter what an earlier build's relays and voters sent.
+// TestGoldenDatagrams sends a coordinator the datagrams of an earlier build's relays and voters.
 func TestGoldenDatagrams(t *testing.T) {
 	_, address := startOnGoldenFolder(t)
 	for _, test := range []struct {
 		name     string
 		answered bool
 	}{
-		{"datagram-message.bin", false}, // not a member's: nobody answers it
+		{"datagram-message.bin", false}, // its sender is not a member, so it is not answered
 		{"datagram-observations.bin", true},
 		{"datagram-question.bin", true},
 	} {
@@ -188,7 +188,7 @@
 	}
 }
 
-// TestGoldenAnnouncements writes the announcements that relays are answered with, and reads them.
+// TestGoldenAnnouncements decodes an earlier build's announcements, and encodes them to the same bytes.
 func TestGoldenAnnouncements(t *testing.T) {
 	for name, announcement := range map[string]failover.Announcement{
 		"announcement.json": {Number: 7, AgeMillis: 12.5, FromLeader: true, Zones: []failover.Zone{{
@@ -213,7 +213,7 @@
 	}
 }
 
-// TestGoldenConfig reads a configuration file with each key that there is.
+// TestGoldenConfig reads a configuration file that contains every key.
 func TestGoldenConfig(t *testing.T) {
 	loaded, err := LoadConfig(filepath.Join("testdata", "golden", "coordinator.toml"))
 	require.NoError(t, err)
--- a/internal/coordinator/http.go
+++ b/internal/coordinator/http.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	orderTimeout      = 2 * time.Second // for an order to be durable at a majority
-	orderPollInterval = 10 * time.Millisecond
-	maxOrderBytes     = 4 << 10
+	orderTimeout      = 2 * time.Second       // longest wait for an order to be durable at a majority
+	orderPollInterval = 10 * time.Millisecond // between two checks whether an order is decided
+	maxOrderBytes     = 4 << 10               // limit of an order's HTTP body
 )
 
-// ErrNotDurable tells that an order has no majority yet. It may come to hold all the same: the same order
-// submitted again, under its ID, tells.
+// ErrNotDurable means that an order is not durable at a majority yet. It may still take effect; to find out,
+// submit the same order again under the same ID.
 var ErrNotDurable = errors.New("not durable at a majority")
 
 // Handler returns the HTTP API for operators: GET /status, GET /history and POST /order.
@@ -38,13 +38,13 @@
 	n.read(func(_ float64, core *Core) { writeJSON(w, core.History()) })
 }
 
-// serveOrder decodes an order and answers what has become of it: 200 with the decision, 400 malformed, 409
-// rejected, 421 another coordinator leads, 503 not durable at a majority.
+// serveOrder submits an order and answers with its result: 200 and the decision, 400 malformed, 409 rejected,
+// 421 another coordinator leads, 503 not durable at a majority, or not accepted for another reason.
 func (n *Node) serveOrder(w http.ResponseWriter, request *http.Request) {
 	var order failover.OperatorOrder
 	body := http.MaxBytesReader(w, request.Body, maxOrderBytes)
 	if err := json.NewDecoder(body).Decode(&order); err != nil || order.ID == "" {
-		http.Error(w, "an order with an ID expected", http.StatusBadRequest)
+		http.Error(w, "the body must be an order in JSON with an ID", http.StatusBadRequest)
 		return
 	}
 	decision, err := n.SubmitOrder(request.Context(), order)
@@ -60,13 +60,13 @@
 	}
 }
 
-// writeJSON answers 200 with a value. The caller of the API is gone where it can't be written.
+// writeJSON answers 200 with a value. A write error is ignored, as it means that the client is gone.
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(value)
 }
 
-// SubmitOrder has an operator's order decided, and returns the decision once it is durable at a majority. The
+// SubmitOrder submits an operator order, and returns the decision on it once that is durable at a majority. The
 // errors are ErrNotDurable and those of consensus.Voter.Propose.
 func (n *Node) SubmitOrder(ctx context.Context, order failover.OperatorOrder) (failover.Decision, error) {
 	var err error
@@ -77,7 +77,7 @@
 	return n.awaitDecision(ctx, order.ID)
 }
 
-// awaitDecision returns the decision on an order, once it is there.
+// awaitDecision waits for the decision on an order. Its error is ErrNotDurable.
 func (n *Node) awaitDecision(ctx context.Context, orderID string) (failover.Decision, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
--- a/internal/coordinator/main_test.go
+++ b/internal/coordinator/main_test.go
@@ -6,7 +6,7 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain fails when a test leaves a goroutine behind.
+// TestMain fails if a test leaves a goroutine running.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m)
 }
--- a/internal/coordinator/node.go
+++ b/internal/coordinator/node.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	tickInterval             = 10 * time.Millisecond
-	announcementPollInterval = 250 * time.Millisecond // between questions to the leader, where another leads
+	tickInterval             = 10 * time.Millisecond  // between two ticks of the core
+	announcementPollInterval = 250 * time.Millisecond // between two requests for the leader's announcement
 )
 
-// Node is one coordinator on a UDP socket and a store. Its methods may be called by any goroutine.
+// Node runs a coordinator on a UDP socket and a store. Its methods are safe for concurrent use.
 type Node struct {
 	log       *slog.Logger
 	key       []byte
@@ -30,22 +30,22 @@
 	conn      *net.UDPConn
 	store     *store.Store
 
-	mutex sync.Mutex // over the core; never held while the disk is awaited
+	mutex sync.Mutex // guards core; never held while waiting for the disk
 	core  *Core
-	saves chan consensus.Ready // to saveLoop; one at most, as nothing more is ready before it is saved
+	saves chan consensus.Ready // states for saveLoop; holds at most one, as the core returns the next only after a save
 
 	stop       context.CancelFunc
-	goroutines sync.WaitGroup // tickLoop, receiveLoop and saveLoop; Stop waits for them
+	goroutines sync.WaitGroup // tickLoop, receiveLoop and saveLoop, which Stop waits for
 }
 
-// Start starts a coordinator that listens at its own address and stores its votes in that folder.
+// Start starts a coordinator that listens on the address of self and stores its votes in the given folder.
 func Start(self consensus.Member, voters []consensus.Member, zones []failover.Zone, key []byte, folder store.FS,
 	log *slog.Logger) (*Node, error) {
 	rng, err := newRand()
 	if err != nil {
 		return nil, err
 	}
-	votes, found, err := store.Open(folder, self.Name, maxStoreBytes)
+	voteStore, found, err := store.Open(folder, self.Name, maxStoreBytes)
 	if err != nil {
 		return nil, fmt.Errorf("open folder: %w", err)
 	}
@@ -56,17 +56,17 @@
 		log:       log,
 		key:       key,
 		startedAt: time.Now(),
-		store:     votes,
+		store:     voteStore,
 		saves:     make(chan consensus.Ready, 1),
 	}
-	record, _ := votes.Get(store.KindConsensus, "")
+	record, _ := voteStore.Get(store.KindConsensus, "")
 	n.core, err = New(n.now(), self, voters, zones, record.Body, rng)
 	if err != nil {
-		return nil, errors.Join(err, votes.Close())
+		return nil, errors.Join(err, voteStore.Close())
 	}
 	n.conn, err = listen(self.Address)
 	if err != nil {
-		return nil, errors.Join(err, votes.Close())
+		return nil, errors.Join(err, voteStore.Close())
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	n.stop = stop
@@ -76,7 +76,7 @@
 	return n, nil
 }
 
-// newRand returns a random source with a seed of the operating system.
+// newRand returns a random number generator that is seeded by the operating system.
 func newRand() (*rand.Rand, error) {
 	var seed [8]byte
 	if _, err := cryptorand.Read(seed[:]); err != nil {
@@ -85,7 +85,7 @@
 	return rand.New(rand.NewSource(int64(binary.LittleEndian.Uint64(seed[:])))), nil
 }
 
-// Stop ends the coordinator and waits until it has ended. It is to be called once.
+// Stop stops the coordinator and waits until its goroutines have ended. It must be called only once.
 func (n *Node) Stop() {
 	n.stop()
 	n.conn.Close()
@@ -95,18 +95,19 @@
 	}
 }
 
-// SetZones sets the zones that are decided on from now on.
+// SetZones replaces the zones to decide on.
 func (n *Node) SetZones(zones []failover.Zone) {
 	n.update(func(_ float64, core *Core) { core.SetZones(zones) })
 }
 
-// now returns the core's time: milliseconds since the start, from 1 on.
+// now returns the time for the core: milliseconds since the start, beginning at 1.
 func (n *Node) now() float64 { return 1 + float64(time.Since(n.startedAt))/float64(time.Millisecond) }
 
-// unixMillis returns the time by the machine's clock.
+// unixMillis returns the Unix time by the machine's clock, in milliseconds.
 func unixMillis() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
-// update has the core change, and carries out what follows. It never waits for the disk.
+// update calls change with the core, then sends the core's messages and hands its state to saveLoop. It never
+// waits for the disk.
 func (n *Node) update(change func(now float64, core *Core)) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -114,7 +115,7 @@
 	for {
 		ready := n.core.Ready()
 		if ready.DurableState != nil {
-			n.saves <- ready // there is room, as nothing more is ready before it is saved
+			n.saves <- ready // doesn't block: the core returns the next state only after this one is saved
 			return
 		}
 		if len(ready.Messages) == 0 {
@@ -124,14 +125,14 @@
 	}
 }
 
-// read has the core looked at.
-func (n *Node) read(look func(now float64, core *Core)) {
+// read calls inspect with the core, which must not change it.
+func (n *Node) read(inspect func(now float64, core *Core)) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	look(n.now(), n.core)
+	inspect(n.now(), n.core)
 }
 
-// tickLoop advances the core, and asks the leader for its announcement where another leads.
+// tickLoop advances the core, and asks the leader for its announcement while another coordinator leads.
 func (n *Node) tickLoop(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
--- a/internal/coordinator/process_harness_test.go
+++ b/internal/coordinator/process_harness_test.go
@@ -29,8 +29,8 @@
 
 var zoneNames = []string{"a", "b", "c", "d", "e", "f"}
 
-// voterProcess is one coordinator's process, with a folder as its disk and an emulated path of its own to each
-// other.
+// voterProcess is the process of one coordinator, with a folder as its disk and an emulated network path to each of
+// the others.
 type voterProcess struct {
 	t            *testing.T
 	name         string
@@ -38,13 +38,13 @@
 	binary       string
 	adminAddress string
 	udpAddress   string
-	proxyHost    string // where the near ends of its paths listen
+	proxyHost    string // IP address on which the near ends of its paths listen
 	configPath   string
-	paths        map[int]*netem.Proxy // to the others
-	cmd          *exec.Cmd            // nil: it doesn't run
+	paths        map[int]*netem.Proxy // emulated paths to the other voters, by index
+	cmd          *exec.Cmd            // nil while the process is not running
 }
 
-// startVoters starts coordinators that are built with a disk which loses what was not synced by a kill.
+// startVoters starts coordinators. They are built with a disk that loses on a kill what was not synced.
 func startVoters(t *testing.T, count int) (all []*voterProcess) {
 	t.Helper()
 	dir := t.TempDir()
@@ -78,7 +78,7 @@
 	return all
 }
 
-// claimLoopback claims a loopback network of this test's own.
+// claimLoopback claims a loopback network that only this test uses.
 func claimLoopback(t *testing.T) *procstat.LoopbackNetwork {
 	t.Helper()
 	network, err := procstat.ClaimLoopbackNetwork()
@@ -91,7 +91,7 @@
 
 func (v *voterProcess) logPath() string { return filepath.Join(v.dir, "log") }
 
-// writeConfig writes the configuration of voter i, which reaches each other by a path of its own.
+// writeConfig writes the configuration of voter i, which reaches each of the others through an emulated path.
 func (v *voterProcess) writeConfig(i int, all []*voterProcess) {
 	v.t.Helper()
 	text := fmt.Sprintf("name = %q\nops = %q\nkey-file = %q\nfolder = %q\n", v.name, v.adminAddress,
@@ -110,7 +110,7 @@
 	require.NoError(v.t, os.WriteFile(v.configPath, []byte(text), 0o600))
 }
 
-// openPath opens the emulated path from voter i to another, and returns its near end.
+// openPath opens the emulated path from voter i to voter k, and returns the address of its near end.
 func (v *voterProcess) openPath(i, k int, other *voterProcess) (address string) {
 	v.t.Helper()
 	path, err := netem.New(v.proxyHost, other.udpAddress, rand.New(rand.NewSource(int64(10*i+k))))
@@ -138,8 +138,9 @@
 	}
 }
 
-// sever has nothing pass from this voter to those given, or back.
-func (v *voterProcess) sever(all []*voterProcess, others []int, there, back bool) {
+// setCuts cuts or restores the paths between this voter and the given ones: there sets whether nothing passes to
+// them, and back whether nothing passes from them.
+func (v *voterProcess) setCuts(all []*voterProcess, others []int, there, back bool) {
 	own := slices.Index(all, v)
 	for _, k := range others {
 		if k != own {
@@ -151,7 +152,7 @@
 
 var client = http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// get reads an answer of the HTTP API.
+// get sends a GET request to the HTTP API and decodes the answer.
 func (v *voterProcess) get(path string, into any) error {
 	response, err := client.Get("http://" + v.adminAddress + path)
 	if err != nil {
@@ -161,7 +162,7 @@
 	return json.NewDecoder(response.Body).Decode(into)
 }
 
-// submitOrder gives this voter an operator's order; code 0: there was no answer.
+// submitOrder submits an operator order to this voter. Code 0 means that there was no answer.
 func (v *voterProcess) submitOrder(id, zone, action string) (code int, text string) {
 	body, _ := json.Marshal(failover.OperatorOrder{
 		ID:       id,
@@ -179,7 +180,8 @@
 	return response.StatusCode, string(answer)
 }
 
-// awaitLeader waits for a leader among those given, or among all.
+// awaitLeader waits for a leader among the given voters (or among all voters, if none are given) and returns its
+// index.
 func awaitLeader(t *testing.T, all []*voterProcess, among ...int) int {
 	t.Helper()
 	for until := time.Now().Add(15 * time.Second); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
@@ -197,34 +199,34 @@
 		text, _ := os.ReadFile(v.logPath())
 		t.Logf("%s: %s", v.name, text)
 	}
-	require.Fail(t, "nobody leads")
+	require.Fail(t, "no voter leads")
 	return -1
 }
 
-// others returns the voters but one.
-func others(count, but int) (rest []int) {
+// others returns the indexes of all voters except one.
+func others(count, except int) (rest []int) {
 	for i := range count {
-		if i != but {
+		if i != except {
 			rest = append(rest, i)
 		}
 	}
 	return rest
 }
 
-// simulatedRelays send observations to all voters, and follow what these announce.
+// simulatedRelays are relays that send observations to all voters and follow the announcements.
 type simulatedRelays struct {
 	t     *testing.T
 	count int
 
 	mutex         sync.Mutex
-	failingZones  string            // the names of those where most attempts fail
-	announced     map[uint64]string // zones that are not home, by the announcement's number
-	highestNumber map[int]uint64    // by relay
-	following     map[int]string    // as announced, by relay
+	failingZones  string            // names of the zones in which most attempts fail, one letter each
+	announced     map[uint64]string // zones that are not home, by the number of the announcement
+	highestNumber map[int]uint64    // highest announced number, by relay
+	following     map[int]string    // zones that are not home in the announcement that a relay follows, by relay
 	violations    []string
 }
 
-// startRelays starts relays, which end with the test.
+// startRelays starts relays that stop at the end of the test.
 func startRelays(t *testing.T, count int, voters []*voterProcess) *simulatedRelays {
 	t.Helper()
 	r := &simulatedRelays{
@@ -246,7 +248,7 @@
 	return r
 }
 
-// run is one relay.
+// run runs one relay until stopped is closed.
 func (r *simulatedRelays) run(voters []*voterProcess, i int, stopped <-chan struct{}) {
 	conn, err := net.ListenUDP("udp", nil)
 	if err != nil {
@@ -262,7 +264,7 @@
 		observations := r.observe(i)
 		body := append([]byte{failover.ObservationsDatagram}, observations.Encode()...)
 		sealed := membership.Seal([]byte(key), body)
-		for _, voter := range voters { // to all of them: one is the leader
+		for _, voter := range voters { // to all of them, as the leader is among them
 			address, _ := net.ResolveUDPAddr("udp", voter.udpAddress)
 			conn.WriteToUDP(sealed, address)
 		}
@@ -270,7 +272,7 @@
 	}
 }
 
-// observe returns what a relay sees now.
+// observe returns a relay's current observations.
 func (r *simulatedRelays) observe(i int) failover.Observations {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -290,7 +292,7 @@
 	return observations
 }
 
-// receiveAll receives announcements until none has come for a while.
+// receiveAll receives announcements for 50 ms.
 func (r *simulatedRelays) receiveAll(conn *net.UDPConn, i int) {
 	conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	buffer := make([]byte, maxDatagramBytes)
@@ -310,7 +312,8 @@
 	}
 }
 
-// follow checks that a number stands for one decision, and has the relay follow it unless it is older.
+// follow checks that all announcements with the same number have the same content, and makes the relay follow the
+// announcement unless it follows a newer one.
 func (r *simulatedRelays) follow(i int, announcement failover.Announcement) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -323,7 +326,7 @@
 	text := strings.Join(away, ", ")
 	number := announcement.Number
 	if earlier, isKnown := r.announced[number]; isKnown && earlier != text {
-		r.violations = append(r.violations, fmt.Sprintf("%d is %q and %q", number, earlier, text))
+		r.violations = append(r.violations, fmt.Sprintf("decision %d is both %q and %q", number, earlier, text))
 	}
 	r.announced[number] = text
 	if number >= r.highestNumber[i] {
@@ -332,14 +335,14 @@
 	}
 }
 
-// setFailingZones sets where most attempts fail from now on.
+// setFailingZones sets the zones in which most attempts fail from now on.
 func (r *simulatedRelays) setFailingZones(zones string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.failingZones = zones
 }
 
-// highestAnnounced returns the highest number that was announced.
+// highestAnnounced returns the highest number announced so far.
 func (r *simulatedRelays) highestAnnounced() (highest uint64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -349,7 +352,7 @@
 	return highest
 }
 
-// countFollowing returns how many relays follow that.
+// countFollowing returns how many relays follow the wanted announcement.
 func (r *simulatedRelays) countFollowing(want string) (count int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -361,7 +364,7 @@
 	return count
 }
 
-// awaitFollowed waits until all relays follow that, and returns how long it took.
+// awaitFollowed waits until all relays follow the wanted announcement, and returns how long that took.
 func (r *simulatedRelays) awaitFollowed(want string) time.Duration {
 	r.t.Helper()
 	from := time.Now()
@@ -373,6 +376,6 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	require.Fail(r.t, "not followed: "+want, "%v", r.following)
+	require.Fail(r.t, "not followed by all relays: "+want, "%v", r.following)
 	return 0
 }
--- a/internal/coordinator/processes_test.go
+++ b/internal/coordinator/processes_test.go
@@ -18,15 +18,17 @@
 	"valeshift/internal/failover"
 )
 
-// processScenario is five coordinators' processes and relays that watch what they announce. Its steps follow
-// one another: each begins with what the one before has left.
+// processScenario is five coordinator processes, and relays that follow their announcements. Its steps depend on one
+// another: each starts from the state that the previous one left.
 type processScenario struct {
 	t      *testing.T
 	voters []*voterProcess
 	relays *simulatedRelays
 }
 
-// TestVotersByProcesses has happen to five coordinators all that can break between them.
+// TestVotersByProcesses injects faults into five coordinator processes one after the other: failing zones, killed,
+// suspended and isolated leaders, lost and outdated disks, and loss of power. Orders have to keep their effect, and
+// all histories have to be equal at the end.
 func TestVotersByProcesses(t *testing.T) {
 	s := &processScenario{t: t, voters: startVoters(t, 5)}
 	s.relays = startRelays(t, 18, s.voters)
@@ -52,15 +54,15 @@
 	return awaitLeader(s.t, s.voters)
 }
 
-// requireOrder has an order accepted.
-func (s *processScenario) requireOrder(voter int, id, zone, action string) {
+// requireOrderAccepted submits an order that has to be accepted.
+func (s *processScenario) requireOrderAccepted(voter int, id, zone, action string) {
 	s.t.Helper()
 	code, text := s.voters[voter].submitOrder(id, zone, action)
 	require.Equal(s.t, http.StatusOK, code, text)
 }
 
-// assertNoOrder has an order not accepted, whatever the reason.
-func (s *processScenario) assertNoOrder(voter int, id, zone, action string) {
+// assertOrderNotAccepted submits an order that must not be accepted, for whatever reason.
+func (s *processScenario) assertOrderNotAccepted(voter int, id, zone, action string) {
 	s.t.Helper()
 	code, text := s.voters[voter].submitOrder(id, zone, action)
 	assert.NotEqual(s.t, http.StatusOK, code, text)
@@ -75,7 +77,7 @@
 func (s *processScenario) loseZone() {
 	s.relays.setFailingZones("b")
 	took := s.relays.awaitFollowed("b emptied")
-	s.t.Logf("a lost zone is followed by all after %v", took)
+	s.t.Logf("all relays follow the loss of a zone after %v", took)
 	assert.Less(s.t, took, 3*time.Second)
 }
 
@@ -83,15 +85,15 @@
 	leader := s.leader()
 	code, text := s.voters[(leader+1)%5].submitOrder("o1", "c", "empty")
 	assert.Equal(s.t, http.StatusMisdirectedRequest, code, text)
-	s.requireOrder(leader, "o1", "c", "empty")
+	s.requireOrderAccepted(leader, "o1", "c", "empty")
 	code, text = s.voters[leader].submitOrder("o1", "c", "empty")
-	assert.Equal(s.t, http.StatusOK, code, "submitted twice: "+text)
+	assert.Equal(s.t, http.StatusOK, code, "the same order submitted again: "+text)
 	code, text = s.voters[leader].submitOrder("o2", "nowhere", "empty")
 	assert.Equal(s.t, http.StatusConflict, code, text)
 	s.relays.awaitFollowed("b emptied, c emptied")
 }
 
-// submitContradictingOrders submits two orders at once: the later number holds, at all voters.
+// submitContradictingOrders submits two contradicting orders at once. The one that was decided last must be in force.
 func (s *processScenario) submitContradictingOrders() {
 	leader := s.leader()
 	var codes [2]int
@@ -107,10 +109,10 @@
 		failover.ActionEmpty:  "b emptied, c emptied, d emptied",
 		failover.ActionReturn: "b emptied, c emptied",
 	}[last.Action])
-	s.requireOrder(leader, "o2b", "d", "return")
+	s.requireOrderAccepted(leader, "o2b", "d", "return")
 }
 
-// killLeader kills the leader: an order that it has confirmed outlives it.
+// killLeader kills the leader. Orders that it has confirmed must stay in force.
 func (s *processScenario) killLeader() {
 	before := s.relays.highestAnnounced()
 	killed := s.leader()
@@ -121,46 +123,49 @@
 	assert.GreaterOrEqual(s.t, s.relays.highestAnnounced(), before)
 }
 
-// suspendLeader suspends the leader, which wakes up believing that it leads.
+// suspendLeader suspends the leader until another one leads. After it wakes up, it still believes that it leads, but
+// must not accept orders.
 func (s *processScenario) suspendLeader() {
 	suspended := s.leader()
 	s.voters[suspended].cmd.Process.Signal(syscall.SIGSTOP)
 	leader := awaitLeader(s.t, s.voters, others(5, suspended)...)
-	s.requireOrder(leader, "o3", "c", "return")
+	s.requireOrderAccepted(leader, "o3", "c", "return")
 	s.voters[suspended].cmd.Process.Signal(syscall.SIGCONT)
-	s.assertNoOrder(suspended, "o4", "a", "empty")
+	s.assertOrderNotAccepted(suspended, "o4", "a", "empty")
 	s.relays.awaitFollowed("b emptied")
 }
 
-// isolateLeader cuts the leader off: it accepts no orders, and the others go on.
+// isolateLeader cuts the leader off from the others in both directions. It must not accept orders then, and the
+// others have to elect a new leader.
 func (s *processScenario) isolateLeader() {
 	isolated := s.leader()
 	rest := others(5, isolated)
-	s.voters[isolated].sever(s.voters, rest, true, true)
+	s.voters[isolated].setCuts(s.voters, rest, true, true)
 	time.Sleep(700 * time.Millisecond)
-	s.assertNoOrder(isolated, "o5", "a", "empty")
+	s.assertOrderNotAccepted(isolated, "o5", "a", "empty")
 	leader := awaitLeader(s.t, s.voters, rest...)
-	s.requireOrder(leader, "o6", "d", "empty")
-	s.voters[isolated].sever(s.voters, rest, false, false)
+	s.requireOrderAccepted(leader, "o6", "d", "empty")
+	s.voters[isolated].setCuts(s.voters, rest, false, false)
 	s.relays.awaitFollowed("b emptied, d emptied")
 }
 
-// muteLeader has the leader hear all, and nobody hear it.
+// muteLeader cuts the paths from the leader to the others, while it still hears them. The others have to elect a new
+// leader.
 func (s *processScenario) muteLeader() {
 	muted := s.leader()
 	rest := others(5, muted)
-	s.voters[muted].sever(s.voters, rest, true, false)
+	s.voters[muted].setCuts(s.voters, rest, true, false)
 	leader := awaitLeader(s.t, s.voters, rest...)
-	s.requireOrder(leader, "o7", "d", "return")
-	s.voters[muted].sever(s.voters, rest, false, false)
+	s.requireOrderAccepted(leader, "o7", "d", "return")
+	s.voters[muted].setCuts(s.voters, rest, false, false)
 	s.relays.awaitFollowed("b emptied")
 }
 
-// replaceDisks starts one voter on an older copy of its disk, and another on an empty one.
+// replaceDisks restarts one voter on an older copy of its disk, and another on an empty disk.
 func (s *processScenario) replaceDisks() {
 	older := filepath.Join(s.voters[0].dir, "older")
 	require.NoError(s.t, os.CopyFS(older, os.DirFS(s.voters[0].diskPath())))
-	s.requireOrder(s.leader(), "o8", "e", "empty")
+	s.requireOrderAccepted(s.leader(), "o8", "e", "empty")
 
 	s.voters[0].kill()
 	require.NoError(s.t, os.RemoveAll(s.voters[0].diskPath()))
@@ -175,21 +180,21 @@
 	s.awaitAdmitted(1, "with a wiped disk")
 }
 
-// awaitAdmitted waits until a voter is admitted as new, and has all decisions.
+// awaitAdmitted waits until a voter is admitted as a new member and has all decisions.
 func (s *processScenario) awaitAdmitted(voter int, message string) {
 	s.t.Helper()
 	require.Eventually(s.t, func() bool {
-		var own, leaders Status
-		if s.voters[voter].get("/status", &own) != nil || s.voters[s.leader()].get("/status", &leaders) != nil {
+		var own, leaderStatus Status
+		if s.voters[voter].get("/status", &own) != nil || s.voters[s.leader()].get("/status", &leaderStatus) != nil {
 			return false
 		}
-		isVoter := slices.Contains(leaders.Voters, own.Self) && len(leaders.Voters) == 5
-		return own.DiskConfirmed && isVoter && own.DecisionNumber == leaders.DecisionNumber
+		isVoter := slices.Contains(leaderStatus.Voters, own.Self) && len(leaderStatus.Voters) == 5
+		return own.DiskConfirmed && isVoter && own.DecisionNumber == leaderStatus.DecisionNumber
 	}, 15*time.Second, 100*time.Millisecond, message)
 }
 
-// reloadZones changes the zones in all files: one that is wrong changes nothing; then one zone goes and another
-// comes, voter by voter.
+// reloadZones changes the zones in all configuration files, one voter after the other. An invalid zone must change
+// nothing; then one zone is replaced by another.
 func (s *processScenario) reloadZones() {
 	s.reload(`name = "f"`, `name = ""`, "zone.5.name")
 	s.reload(`name = ""`, `name = "g"`, "msg=zones")
@@ -206,7 +211,8 @@
 	s.relays.awaitFollowed("b emptied, e emptied")
 }
 
-// reload changes each voter's file and has it read, until its log has that text.
+// reload changes each voter's configuration file, makes the voter read it again, and waits until its log contains
+// the given text.
 func (s *processScenario) reload(from, to, logged string) {
 	s.t.Helper()
 	for _, voter := range s.voters {
@@ -222,7 +228,8 @@
 	}
 }
 
-// losePower kills all voters at once: what was confirmed holds, and the number goes on.
+// losePower kills all voters at once. After a restart, the earlier decisions must still be in force, and numbers must
+// continue to increase.
 func (s *processScenario) losePower() {
 	before := s.relays.highestAnnounced()
 	for _, voter := range s.voters {
@@ -238,7 +245,7 @@
 	assert.Greater(s.t, s.relays.highestAnnounced(), before)
 }
 
-// compareHistories has all voters tell the same decisions.
+// compareHistories checks that all voters have the same history of decisions.
 func (s *processScenario) compareHistories() {
 	var histories [5][]failover.Decision
 	require.Eventually(s.t, func() bool {
--- a/internal/coordinator/save.go
+++ b/internal/coordinator/save.go
@@ -9,11 +9,12 @@
 )
 
 const (
-	saveRetryInterval = 500 * time.Millisecond
-	maxStoreBytes     = 16 << 20
+	saveRetryInterval = 500 * time.Millisecond // between two attempts to save
+	maxStoreBytes     = 16 << 20               // limit of all live records in the store
 )
 
-// saveLoop stores what the core has ready, however long that takes, and sends its messages only then.
+// saveLoop stores each state that the core returns, however long that takes, and sends the messages returned
+// with it only once it is durable.
 func (n *Node) saveLoop(ctx context.Context) {
 	for {
 		select {
@@ -31,7 +32,7 @@
 	}
 }
 
-// saveUntilDurable saves until that succeeds; false: the node was stopped before.
+// saveUntilDurable retries until a save succeeds; false: the node was stopped before that.
 func (n *Node) saveUntilDurable(ctx context.Context, data []byte) bool {
 	for n.save(data) != nil {
 		select {
@@ -43,7 +44,7 @@
 	return true
 }
 
-// save replaces what the folder holds, and returns once that is durable.
+// save replaces the stored state, and returns once the new one is durable.
 func (n *Node) save(data []byte) error {
 	durable := make(chan error, 1)
 	record := store.Record{Kind: store.KindConsensus, Body: data}
--- a/internal/coordinator/sockets.go
+++ b/internal/coordinator/sockets.go
@@ -26,7 +26,8 @@
 	return conn, nil
 }
 
-// receiveLoop dispatches sealed datagrams until the socket is closed. Those with another key are dropped.
+// receiveLoop dispatches sealed datagrams until the socket is closed. Datagrams sealed with another key are
+// dropped.
 func (n *Node) receiveLoop() {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
@@ -57,8 +58,8 @@
 	}
 }
 
-// answerObservations answers a relay's observations, or another coordinator's question, by an announcement.
-// Malformed observations have no answer.
+// answerObservations answers a relay's observations, or another coordinator's request, with the announcement.
+// Malformed observations are not answered.
 func (n *Node) answerObservations(from *net.UDPAddr, data []byte) {
 	var announcement []byte
 	var err error
@@ -74,7 +75,7 @@
 	}
 }
 
-// sendDatagram seals and sends. What can't be sent is lost, as all of it is sent again.
+// sendDatagram seals and sends a datagram. Errors are ignored, as everything that is lost is sent again.
 func (n *Node) sendDatagram(to string, kind byte, data []byte) {
 	address, err := net.ResolveUDPAddr("udp", to)
 	if err != nil {
