--- a/balancer/assignment.go
+++ b/balancer/assignment.go
@@ -83,8 +83,8 @@
 	session.hash = b.rng.Uint64()
 	b.attempts.budget.recordSession(now)
 	b.estimateSessionLoad(session)
-	b.poller.activeShare, _ = b.pollingPlan()
-	if b.poller.activeShare < 1 && b.fleet.capacity == 0 {
+	b.poller.polledShare, _ = b.pollingPlan()
+	if b.poller.polledShare < 1 && b.fleet.capacity == 0 {
 		// The slow-start budget follows from the capacity estimate. Without an estimate, a relay's first
 		// session, often its only one, would find no budget.
 		b.refreshWeights(now)
@@ -138,7 +138,7 @@
 		sessionShare:       session.load / cmp.Or(b.fleet.capacity, math.Inf(1)),
 	}
 	priority := min(max(math.Log2(b.quotas.relativePriority(session)), -maxPriorityDoublings), maxPriorityDoublings)
-	s.limit = loadLimit - unseenLoadMargin*(1-b.poller.activeShare) + priorityLoadRange*priority
+	s.limit = loadLimit - unseenLoadMargin*(1-b.poller.polledShare) + priorityLoadRange*priority
 	if s.targetZone >= 0 { // the zone weights, the same at all relays, already decide how full a zone gets
 		s.preferredZone = s.targetZone
 		s.preferredZoneLimit = s.limit
@@ -151,8 +151,8 @@
 	return s
 }
 
-// isOpen reports whether the session may be assigned to the backend if it has room, which is not checked here.
-func (s *selection) isOpen(backend int) bool {
+// isEligible reports whether the session may be assigned to the backend if it has room, which is not checked here.
+func (s *selection) isEligible(backend int) bool {
 	b := s.balancer
 	if b.states[backend] != Ready || backend == s.avoided {
 		return false
@@ -168,7 +168,7 @@
 
 // hasRoomUnder reports whether the session may be assigned to the backend and leaves its load under the limit.
 func (s *selection) hasRoomUnder(backend int, limit float64) bool {
-	if !s.isOpen(backend) {
+	if !s.isEligible(backend) {
 		return false
 	}
 	b := s.balancer
@@ -197,7 +197,7 @@
 	if backend = b.pickRoundRobin(&s); backend >= 0 {
 		return backend, false
 	}
-	full = b.zoneRouting.allClosed() || b.roundRobin.pick(s.isOpen) >= 0
+	full = b.zoneRouting.allClosed() || b.roundRobin.pick(s.isEligible) >= 0
 	if session.warming.onlyIfFull {
 		session.warming.onlyIfFull = false
 		if s.hasRoomAt(session.warming.backend) {
--- a/balancer/load_memory.go
+++ b/balancer/load_memory.go
@@ -1,39 +1,39 @@
 package balancer
 
-// endedLoadRetention is for how many milliseconds a load is kept at least. It is kept at most twice as long, while
-// others are stored.
+// endedLoadRetention is the shortest time for which a load is kept, in milliseconds. As long as other loads are
+// stored, no load is kept for more than twice that time.
 const endedLoadRetention = 60000.0
 
-// loadMemory keeps session loads by client key for a limited time. It has two generations, of which the older is
+// sessionLoadCache keeps session loads by client key for a limited time. It has two generations, of which the older is
 // dropped as a whole, so that its size stays bounded.
-type loadMemory struct {
+type sessionLoadCache struct {
 	recent    map[uint64]float64
 	older     map[uint64]float64
-	rotatedAt float64
+	rotatedAt float64 // when recent was started
 }
 
-func (m *loadMemory) store(now float64, key uint64, load float64) {
-	if m.recent == nil || now > m.rotatedAt+endedLoadRetention {
-		m.older = m.recent
-		m.recent = map[uint64]float64{}
-		m.rotatedAt = now
+func (c *sessionLoadCache) store(now float64, key uint64, load float64) {
+	if c.recent == nil || now > c.rotatedAt+endedLoadRetention {
+		c.older = c.recent
+		c.recent = map[uint64]float64{}
+		c.rotatedAt = now
 	}
-	m.recent[key] = load
+	c.recent[key] = load
 }
 
-func (m *loadMemory) lookup(key uint64) (load float64, found bool) {
-	if load, found = m.recent[key]; found {
+func (c *sessionLoadCache) lookup(key uint64) (load float64, found bool) {
+	if load, found = c.recent[key]; found {
 		return load, true
 	}
-	load, found = m.older[key]
+	load, found = c.older[key]
 	return load, found
 }
 
 // newest returns up to count loads by key. Those of the recent generation take precedence.
-func (m *loadMemory) newest(count int) map[uint64]float64 {
+func (c *sessionLoadCache) newest(count int) map[uint64]float64 {
 	loads := map[uint64]float64{}
-	for _, half := range []map[uint64]float64{m.recent, m.older} {
-		for key, load := range half {
+	for _, generation := range []map[uint64]float64{c.recent, c.older} {
+		for key, load := range generation {
 			if _, found := loads[key]; !found && len(loads) < count {
 				loads[key] = load
 			}
--- a/balancer/load_poller.go
+++ b/balancer/load_poller.go
@@ -6,7 +6,7 @@
 type LoadPoller struct {
 	enabled     bool
 	cost        float64 // cost of one poll, as a share of a session's gain
-	activeShare float64 // share of the fleet that is polled regularly; below 1, candidates are polled for each session
+	polledShare float64 // share of the fleet that is polled regularly; below 1, candidates are polled for each session
 
 	polls          pollTimes
 	requests       pollRequests
@@ -19,7 +19,7 @@
 type pollTimes struct {
 	sentAt         []float64 // time at which the poll in flight was sent; NaN: none is in flight
 	latestAt       []float64 // time of the latest poll; -Inf: never polled, or due at once
-	selectionDraws []float64 // random numbers from 0 to 1: backends below the active share are polled regularly
+	selectionDraws []float64 // random numbers from 0 to 1: backends whose number is below polledShare are polled regularly
 }
 
 // pollRequests holds the polls that sessions wait for and that are not sent yet.
--- a/balancer/load_polling.go
+++ b/balancer/load_polling.go
@@ -31,8 +31,8 @@
 // no others are polled: otherwise the sessions of a full fleet would use up its last free capacity, and the load
 // of every backend would become too high.
 func (b *Balancer) awaitPolls(now float64, session *Session) bool {
-	b.poller.activeShare, _ = b.pollingPlan()
-	if !b.poller.enabled || b.poller.activeShare >= 1 {
+	b.poller.polledShare, _ = b.pollingPlan()
+	if !b.poller.enabled || b.poller.polledShare >= 1 {
 		return true
 	}
 	if session.polls.awaitedUntil == 0 {
--- a/balancer/quotas.go
+++ b/balancer/quotas.go
@@ -11,12 +11,12 @@
 	beyondQuotaWeight float64   // factor on the priority of sessions beyond the quota
 	relays            float64   // number of relays
 
-	openSessions    []float64  // number of open sessions at this relay, by tenant
-	classLoads      []float64  // mean session load, by class
-	classSamples    []float64  // number of sessions that count in the mean load, by class
-	meanSessionLoad float64    // mean session load of all classes
-	loadSamples     float64    // number of sessions that count in meanSessionLoad
-	endedLoads      loadMemory // loads of sessions that broke, by client key
+	openSessions    []float64        // number of open sessions at this relay, by tenant
+	classLoads      []float64        // mean session load, by class
+	classSamples    []float64        // number of sessions that count in the mean load, by class
+	meanSessionLoad float64          // mean session load of all classes
+	loadSamples     float64          // number of sessions that count in meanSessionLoad
+	endedLoads      sessionLoadCache // loads of sessions that broke, by client key
 }
 
 // NewQuotas returns Quotas without open sessions. A tenant's quota is a number of open sessions over all relays
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -120,7 +120,7 @@
 		}
 		share := b.slowStart.capacityShare(backend, now)
 		if b.isLoadObserved(backend, now) { // its reports limit what it is sent, so its budget may be wider
-			share *= 1 + (observedBudgetFactor-1)*(1-b.poller.activeShare)
+			share *= 1 + (observedBudgetFactor-1)*(1-b.poller.polledShare)
 		}
 		drawn.count++
 		drawn.capacityShare += share
@@ -152,5 +152,5 @@
 // longer ago than the overload span and the greatest age of a report.
 func (b *Balancer) isLoadObserved(backend int, now float64) bool {
 	s := b.slowStart
-	return b.poller.activeShare < 1 && now >= s.startedAt[backend]+s.OverloadSpan+b.poller.reports.maxAge
+	return b.poller.polledShare < 1 && now >= s.startedAt[backend]+s.OverloadSpan+b.poller.reports.maxAge
 }
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -105,7 +105,7 @@
 		name         string
 		onlyIfLoaded bool
 		load         float64
-		open         bool
+		eligible     bool
 	}{
 		{"usual budget, no report", false, unknown, true},
 		{"wider budget, no report", true, unknown, false},
@@ -120,7 +120,7 @@
 			session := &Session{attempt: latestAttempt{backend: noBackend}}
 			session.warming = slowStartGrant{backend: 0, onlyIfLoaded: c.onlyIfLoaded}
 			s := b.newSelection(session, start+20)
-			assert.Equal(t, c.open, s.isOpen(0))
+			assert.Equal(t, c.eligible, s.isEligible(0))
 		})
 	}
 }
@@ -133,7 +133,7 @@
 	for seed := range int64(relays) {
 		b := testFleet{Loads: []float64{0.4, 0.4, 0.4, 0}, LastStartedAt: start, Relays: 300, Seed: seed}.build(t)
 		b.refreshWeights(start)
-		b.poller.activeShare = 0
+		b.poller.polledShare = 0
 		for i := range sessions {
 			session := newSession(start + 5000 + 2000*float64(i))
 			session.load = b.quotas.meanSessionLoad
--- a/balancer/start_times.go
+++ b/balancer/start_times.go
@@ -32,14 +32,14 @@
 	b.updateTracking(backend)
 }
 
-// ShiftStartTimes adds the offset, in milliseconds, to all start times from discovery, whose clock differs from
-// this relay's. The times of restarts that this relay observed itself are on its own clock and stay unchanged.
-func (b *Balancer) ShiftStartTimes(offset float64) {
+// ShiftStartTimes adds that many milliseconds to all start times from discovery, whose clock differs from this
+// relay's. The times of restarts that this relay observed itself are on its own clock and stay unchanged.
+func (b *Balancer) ShiftStartTimes(by float64) {
 	for backend, startedAt := range b.startedAt {
 		if startedAt == 0 || b.assumedStarts[backend] {
 			continue
 		}
-		b.startedAt[backend] = startedAt + offset
+		b.startedAt[backend] = startedAt + by
 		observed := b.slowStart.startedAt[backend]
 		if !(observed > startedAt) { // otherwise this relay has observed a later restart
 			observed = math.Inf(-1)
--- a/balancer/tracker.go
+++ b/balancer/tracker.go
@@ -84,8 +84,8 @@
 }
 
 // Counts returns the number of backends on the endpoint list, including draining ones, and the number of those
-// that get no new sessions now, as they are draining or don't answer.
-func (b *Balancer) Counts() (listed, avoided int) {
+// that get no new sessions now, because they are draining or don't answer.
+func (b *Balancer) Counts() (listed, excluded int) {
 	return b.tracker.listed, b.tracker.listed - b.tracker.usable
 }
 
@@ -105,7 +105,7 @@
 	return b.tracker.warming
 }
 
-// WarmingUp returns how many of the usable backends are warming up, and the number of usable backends.
+// WarmingUp returns how many of the usable backends are in slow start, and the number of usable backends.
 func (b *Balancer) WarmingUp(now float64) (warming, usable int) {
 	for _, backend := range b.warmingBackends(now) {
 		if b.states[backend] == Ready && b.outliers.isHealthy(backend) {
--- a/balancer/weights.go
+++ b/balancer/weights.go
@@ -47,7 +47,7 @@
 // refreshWeights rebuilds the table of buckets from the load estimates if there are new ones, at most once per
 // rebuildInterval. If sessions have candidates polled, that interval does not apply.
 func (b *Balancer) refreshWeights(now float64) {
-	if !b.roundRobin.stale || (now < b.roundRobin.builtAt+rebuildInterval && b.poller.activeShare >= 1) {
+	if !b.roundRobin.stale || (now < b.roundRobin.builtAt+rebuildInterval && b.poller.polledShare >= 1) {
 		return
 	}
 	totals := b.sumFleet(now)
@@ -65,7 +65,7 @@
 // hasFreshLoad reports whether the backend's latest load report is recent enough to assign sessions by it. It
 // always is if the whole fleet is polled regularly.
 func (b *Balancer) hasFreshLoad(backend int, now float64) bool {
-	return b.poller.activeShare >= 1 || now < b.poller.reports.receivedAt[backend]+maxPollInterval
+	return b.poller.polledShare >= 1 || now < b.poller.reports.receivedAt[backend]+maxPollInterval
 }
 
 // fleetTotals are sums over the backends. All but sessions cover the ready and healthy backends only: the load
--- a/internal/dispatch/balancer.go
+++ b/internal/dispatch/balancer.go
@@ -73,11 +73,11 @@
 	SetRemoteLoad(load float64)
 
 	BackendStatus(id uint32) balancer.BackendStatus
-	// IsUnresponsive reports whether a backend that has been quiet for that many milliseconds counts as gone.
-	IsUnresponsive(id uint32, quiet float64) bool
-	// Counts returns how many backends are on the endpoint list, and how many of them get no new sessions.
+	// IsUnresponsive reports whether a backend that has been silent for that many milliseconds counts as gone.
+	IsUnresponsive(id uint32, silence float64) bool
+	// Counts returns how many backends are on the endpoint list, and how many of those get no new sessions.
 	Counts() (listed, excluded int)
-	// WarmingUp returns how many backends are usable, and how many of them are in slow start.
+	// WarmingUp returns how many of the usable backends are in slow start, and the number of usable backends.
 	WarmingUp(now float64) (warming, usable int)
 }
 
@@ -86,8 +86,9 @@
 	// SetZoneWeights sets the share of sessions meant for each zone. With no weights sessions go wherever there is
 	// room.
 	SetZoneWeights(weights []balancer.ZoneWeight)
-	// ZoneObservations returns this relay's observations of each zone, and the load of its sessions.
-	ZoneObservations(now float64) (zones []balancer.ZoneObservation, load float64)
+	// ZoneObservations returns this relay's observation of each zone, and as demand the load of its own sessions, in
+	// units of one warm backend's capacity.
+	ZoneObservations(now float64) (zones []balancer.ZoneObservation, demand float64)
 }
 
 // Drainer paces the sessions that a drain moves away, and splits the relay's budgets between its processes.
@@ -96,8 +97,8 @@
 	// sessions leaves a draining backend.
 	BackendDrainDelay(index, count int) float64
 	// ShutdownDrainDelay returns after how many milliseconds the session with that index, from 0, out of count
-	// sessions leaves this relay, which shuts down within the given number of milliseconds.
-	ShutdownDrainDelay(index, count int, within float64) float64
+	// sessions leaves this relay, which shuts down within timeLeft milliseconds.
+	ShutdownDrainDelay(index, count int, timeLeft float64) float64
 	// SetDraining sets whether a child process of this relay has taken over.
 	SetDraining(draining bool)
 	// IsReady reports whether the balancer knows enough to take over from a parent process.
