--- a/internal/relay/adminapi.go
+++ b/internal/relay/adminapi.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("ops: %w", err)
 	}
-	d.metrics = newMetricsBoard(d.machine)
+	d.metrics = newPublishedMetrics(d.machine)
 	return listener, nil
 }
 
@@ -58,7 +58,7 @@
 	d := a.driver
 	d.handle(DrainRequested{On: draining})
 	d.mutex.Lock()
-	stopping := d.machine.drain.stopping
+	stopping := d.machine.lifecycle.stopping
 	d.mutex.Unlock()
 	if stopping && !draining {
 		return errStopping
--- a/internal/relay/attempts.go
+++ b/internal/relay/attempts.go
@@ -18,7 +18,7 @@
 }
 
 func (q *sessionQueue) countServed(class int)   { q.answers[class].served++ }
-func (q *sessionQueue) countRejected(class int) { q.answers[class].refused++ }
+func (q *sessionQueue) countRejected(class int) { q.answers[class].rejected++ }
 func (q *sessionQueue) countFailed(class int)   { q.answers[class].failed++ }
 
 // balancer returns the balancer, which decides where sessions go.
@@ -104,7 +104,7 @@
 		return
 	}
 	conn := session.backendConn
-	conn.isUp = true
+	conn.isConnected = true
 	if session.state == attempting && conn.backend.isDrainingOrRestarted(conn) {
 		m.finishAttempt(session, NotSent)
 		return
@@ -171,7 +171,7 @@
 	m.EndReasons[reason]++
 	conn := session.backendConn
 	session.backendConn = nil
-	if conn.isUp {
+	if conn.isConnected {
 		m.dropConn(conn, gracefully)
 	} else {
 		m.dropConn(conn, byReset)
@@ -180,7 +180,7 @@
 		m.retryReestablish(session)
 		return
 	}
-	if !conn.isUp || reason.outcome().IsUnprocessed() {
+	if !conn.isConnected || reason.outcome().IsUnprocessed() {
 		m.releaseMarker(session)
 	}
 	m.enter(session, queued)
@@ -213,7 +213,7 @@
 	case attempting:
 		m.Abandoned++
 		m.balancer().ClientDisconnected(&session.Entry.Session)
-		if m.rules.canCancel || !session.backendConn.isUp {
+		if m.rules.canCancel || !session.backendConn.isConnected {
 			m.finishAttempt(session, ClientReset)
 		}
 	case queued:
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -48,7 +48,7 @@
 			answers = append(answers, ConnEstablished{Conn: e.Conn})
 		case *Write:
 			switch {
-			case e.Conn < firstDialedID:
+			case e.Conn < dialedIDBase:
 			case string(e.Chunks[0]) == "STATS\r\n":
 				answers = append(answers, DataReceived{Conn: e.Conn, Data: []byte("PONG x0=0.3\r\n")})
 			default:
--- a/internal/relay/closing.go
+++ b/internal/relay/closing.go
@@ -67,7 +67,7 @@
 // finishClose closes a connection whose data is all sent; a client's is shut down for sending only. The caller holds
 // d.mutex.
 func (d *driver) finishClose(c *socket) {
-	if c.conn < firstDialedID && c.polled && c.shutdownSend() {
+	if c.conn < dialedIDBase && c.polled && c.shutdownSend() {
 		c.nbConn.SetReadDeadline(time.Now().Add(lingerTimeout))
 		return
 	}
--- a/internal/relay/closing_test.go
+++ b/internal/relay/closing_test.go
@@ -124,7 +124,7 @@
 	}
 	silent, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
-	d.machine.drain.exiting = true
+	d.machine.lifecycle.exiting = true
 	d.finish()
 	_, err = net.Dial("tcp", listener.Addr().String())
 	assert.ErrorIs(t, err, syscall.ECONNREFUSED)
--- a/internal/relay/conns.go
+++ b/internal/relay/conns.go
@@ -7,9 +7,9 @@
 	"valeshift/internal/protocol"
 )
 
-// firstDialedID separates the IDs of client connections, which are lower, from those of connections that the relay
-// dials, which start one above it.
-const firstDialedID = 1 << 63
+// dialedIDBase separates the IDs of connections: those of client connections are lower, and those of connections that
+// the relay dials are higher.
+const dialedIDBase = 1 << 63
 
 // connection is a connection that is open or being dialed.
 type connection struct {
@@ -25,8 +25,8 @@
 	pings      uint8   // PING lines received before the request; at most maxPings+1
 
 	// Backend connections only.
-	isUp             bool    // the connection is established
-	awaitsMarker     bool    // the connection is up, and its request waits until the attempt marker is replicated
+	isConnected      bool    // the connection is established
+	awaitsMarker     bool    // the connection is established, and its request waits until the attempt marker is replicated
 	backendStartedAt float64 // the backend's start time as known when the connection was dialed
 }
 
@@ -34,11 +34,11 @@
 type connTable struct {
 	byID         map[uint64]*connection
 	lastDialedID uint64
-	polling      int // number of poll connections
+	pollConns    int // number of poll connections
 }
 
 func newConnTable() connTable {
-	return connTable{byID: map[uint64]*connection{}, lastDialedID: firstDialedID}
+	return connTable{byID: map[uint64]*connection{}, lastDialedID: dialedIDBase}
 }
 
 // nextDialedID returns an unused ID for a connection to a backend.
@@ -71,7 +71,7 @@
 func (m *StateMachine) addConn(conn *connection) *connection {
 	m.conns.byID[conn.id] = conn
 	if conn.session == nil {
-		m.conns.polling++
+		m.conns.pollConns++
 	}
 	m.OpenConns = len(m.conns.byID)
 	m.MaxOpenConns = max(m.MaxOpenConns, m.OpenConns)
@@ -86,7 +86,7 @@
 	m.timers.stop(&conn.deadline)
 	delete(m.conns.byID, conn.id)
 	if conn.session == nil {
-		m.conns.polling--
+		m.conns.pollConns--
 	}
 	m.OpenConns = len(m.conns.byID)
 	if how == byReset {
@@ -165,7 +165,7 @@
 		m.clientClosed(session, e)
 	case session.state == established:
 		m.backendClosed(session, e)
-	case !conn.isUp || e.Unsent:
+	case !conn.isConnected || e.Unsent:
 		m.finishAttempt(session, ConnectFailed)
 	default:
 		m.finishAttempt(session, ClosedBeforeAnswer)
--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -10,28 +10,28 @@
 	finalAnswerTime  = 400.0  // added to that, to answer what arrived last; the process may be killed 0.3 s later
 )
 
-// lifecycle is the state of the relay as a whole: ready, draining, shutting down, exiting.
-type lifecycle struct {
+// lifecycleState is the state of the relay as a whole: ready, draining, shutting down, exiting.
+type lifecycleState struct {
 	ready      bool
 	readyTimer timer // until the relay counts as ready even if discovery has not sent a list
 
-	stopping  bool    // the relay is shutting down
-	draining  bool    // the relay drains without exiting
-	startedAt float64 // Unix milliseconds at which the drain began
-	timer     timer   // until the drain is finished
-	exiting   bool    // the Exit effect was issued
+	stopping       bool    // the relay is shutting down: it drains, then exits
+	drainRequested bool    // the relay was asked to drain without exiting
+	startedAt      float64 // Unix milliseconds at which the drain began
+	timer          timer   // until the drain is finished
+	exiting        bool    // the Exit effect was issued
 }
 
-// isActive reports whether the relay is draining, with or without an exit at the end.
-func (l *lifecycle) isActive() bool { return l.stopping || l.draining }
+// isDraining reports whether the relay is draining, whether it exits at the end or not.
+func (l *lifecycleState) isDraining() bool { return l.stopping || l.drainRequested }
 
 // becomeReady announces that the relay is ready to serve, and answers the pings that came before.
 func (m *StateMachine) becomeReady() {
-	if m.drain.ready {
+	if m.lifecycle.ready {
 		return
 	}
-	m.drain.ready = true
-	m.timers.stop(&m.drain.readyTimer)
+	m.lifecycle.ready = true
+	m.timers.stop(&m.lifecycle.readyTimer)
 	m.effects.add(&AnnounceReady{})
 	for _, conn := range m.conns.clients() {
 		if conn.session.state == awaitingRequest {
@@ -47,12 +47,12 @@
 // child process is ready, all new clients are left to it at once; otherwise the last clients that this process accepts
 // would be migrated as soon as they are established.
 func (m *StateMachine) shutDown(yieldToChild bool) {
-	if m.drain.stopping {
+	if m.lifecycle.stopping {
 		return
 	}
 	m.siblings.yield(yieldToChild)
-	m.drain.stopping = true
-	m.drain.draining = false
+	m.lifecycle.stopping = true
+	m.lifecycle.drainRequested = false
 	m.startDrain()
 	wake := timer{fire: func() {}} // wakes Handle, which exits if nothing is left to do
 	m.timers.set(&wake, m.now+drainGrace)
@@ -61,16 +61,16 @@
 // setDraining drains the relay as a shutdown does, but without an exit, or ends such a drain. A shutdown takes
 // precedence.
 func (m *StateMachine) setDraining(on bool) {
-	if m.drain.stopping || m.drain.draining == on {
+	if m.lifecycle.stopping || m.lifecycle.drainRequested == on {
 		return
 	}
-	m.drain.draining = on
+	m.lifecycle.drainRequested = on
 	m.log("draining", "on", on, "established", m.Established)
 	if on {
 		m.startDrain()
 		return
 	}
-	m.timers.stop(&m.drain.timer)
+	m.timers.stop(&m.lifecycle.timer)
 	for _, backend := range m.endpoints.inOrder {
 		for i, session := range backend.sessions {
 			m.timers.stop(&session.migrationTimer)
@@ -82,7 +82,7 @@
 // startDrain schedules the migration of established sessions over the time that the balancer gives, and sets the timer
 // for finishDrain.
 func (m *StateMachine) startDrain() {
-	m.drain.startedAt = m.now
+	m.lifecycle.startedAt = m.now
 	all := m.establishedSessions()
 	for i, session := range all {
 		at := m.migrationTime(i, len(all))
@@ -94,8 +94,8 @@
 			m.requestTransfer(session)
 		}
 	}
-	m.drain.timer.fire = m.finishDrain
-	m.timers.set(&m.drain.timer, m.now+m.maxDrainTime())
+	m.lifecycle.timer.fire = m.finishDrain
+	m.timers.set(&m.lifecycle.timer, m.now+m.maxDrainTime())
 }
 
 // establishedSessions returns all established sessions, in the order in which their clients connected.
@@ -114,9 +114,10 @@
 	return min(m.rules.longestHardLimit, maxHardLimitWait) + finalAnswerTime
 }
 
-// migrationTime returns when the nth of total established sessions is migrated in a drain, in Unix milliseconds.
-func (m *StateMachine) migrationTime(nth, total int) float64 {
-	return m.drain.startedAt + drainGrace + m.balancer().ShutdownDrainDelay(nth, total, m.maxDrainTime()-drainGrace)
+// migrationTime returns when the established session with that index, from 0, out of count is migrated in a drain, in
+// Unix milliseconds.
+func (m *StateMachine) migrationTime(index, count int) float64 {
+	return m.lifecycle.startedAt + drainGrace + m.balancer().ShutdownDrainDelay(index, count, m.maxDrainTime()-drainGrace)
 }
 
 // finishDrain answers or migrates all clients that are left, and exits if the relay is shutting down.
@@ -124,7 +125,7 @@
 	for _, conn := range m.conns.clients() {
 		m.finishNow(conn)
 	}
-	if m.drain.stopping {
+	if m.lifecycle.stopping {
 		m.exit()
 	}
 }
@@ -172,15 +173,15 @@
 
 // exitWhenDone makes the process exit once a shutdown has nothing left to wait for.
 func (m *StateMachine) exitWhenDone() {
-	if m.drain.stopping && (m.siblings.yielded || m.now >= m.drain.startedAt+drainGrace) && m.isIdle() {
+	if m.lifecycle.stopping && (m.siblings.yielded || m.now >= m.lifecycle.startedAt+drainGrace) && m.isIdle() {
 		m.exit()
 	}
 }
 
 // exit issues the Exit effect, at most once.
 func (m *StateMachine) exit() {
-	if !m.drain.exiting {
-		m.drain.exiting = true
+	if !m.lifecycle.exiting {
+		m.lifecycle.exiting = true
 		m.effects.add(&Exit{})
 	}
 }
--- a/internal/relay/driver.go
+++ b/internal/relay/driver.go
@@ -27,9 +27,9 @@
 	log       *slog.Logger
 	discovery *discoveryWatch
 	engine    *nbio.Engine
-	fleet     Fleet         // nil if this relay has no storage and no peers
-	metrics   *metricsBoard // nil if there is no admin API
-	exit      chan struct{} // closed by the Exit effect
+	fleet     Fleet             // nil if this relay has no storage and no peers
+	metrics   *publishedMetrics // nil if there is no admin API
+	exit      chan struct{}     // closed by the Exit effect
 	workers   workerPool
 	transfers transferChannel // sends sessions to a child process
 	listener  *net.TCPListener
--- a/internal/relay/established.go
+++ b/internal/relay/established.go
@@ -74,7 +74,7 @@
 	case m.siblings.yielded:
 		m.requestTransfer(session)
 		m.timers.set(&session.migrationTimer, max(m.now+drainGrace, m.migrationTime(0, 1)))
-	case m.drain.isActive():
+	case m.lifecycle.isDraining():
 		m.timers.set(&session.migrationTimer, max(m.now, m.migrationTime(0, 1)))
 	case conn.backend.condition != balancer.Ready:
 		m.timers.set(&session.migrationTimer, m.now)
@@ -218,9 +218,9 @@
 }
 
 // scheduleMigration schedules the migration of a session whose backend is draining or gone, unless one is scheduled
-// already. nth is the session's position among those of the backend, from 0.
-func (m *StateMachine) scheduleMigration(backend *backend, session *session, nth int) {
+// already. index is the session's position among those of the backend, from 0.
+func (m *StateMachine) scheduleMigration(backend *backend, session *session, index int) {
 	if backend.condition != balancer.Ready && !session.migrationTimer.isSet() {
-		m.timers.set(&session.migrationTimer, m.now+m.balancer().BackendDrainDelay(nth, len(backend.sessions)))
+		m.timers.set(&session.migrationTimer, m.now+m.balancer().BackendDrainDelay(index, len(backend.sessions)))
 	}
 }
--- a/internal/relay/handoff.go
+++ b/internal/relay/handoff.go
@@ -19,9 +19,9 @@
 	childReadyTimeout = 2500.0  // for the child to become ready; the platform allows 6 s from its start
 )
 
-// processHandoff is what is known of the other process of this relay while the platform replaces one by the other. The
-// platform decides which of them serves.
-type processHandoff struct {
+// siblingProcesses holds what is known of the other process of this relay, its parent or its child, while the platform
+// replaces the parent by the child. The platform decides which of them serves.
+type siblingProcesses struct {
 	hasParent bool
 	hasChild  bool
 	yielded   bool            // all new clients are left to the child; this process accepts none
@@ -30,14 +30,14 @@
 }
 
 // yield sets whether the child takes all new clients from now on.
-func (h *processHandoff) yield(on bool) { h.yielded = on }
+func (h *siblingProcesses) yield(on bool) { h.yielded = on }
 
 // forgetDrained drops the drains that only the sibling was told of. It is called once discovery has sent the whole list
 // to this process.
-func (h *processHandoff) forgetDrained() { h.drained = nil }
+func (h *siblingProcesses) forgetDrained() { h.drained = nil }
 
 // hasSibling reports whether there is another process of this relay.
-func (h *processHandoff) hasSibling() bool { return h.hasParent || h.hasChild }
+func (h *siblingProcesses) hasSibling() bool { return h.hasParent || h.hasChild }
 
 // Handoff is the state that the parent process sends to the child. Unknown fields are ignored, so fields may be added
 // within a version; a change of a field's meaning needs a new version.
@@ -232,7 +232,7 @@
 		PartialLine:     session.backendConn.input.Pending(),
 		AwaitsReply:     session.stateTimer.isSet(),
 		LeavesInMillis:  -1,
-		Descriptors:     descriptorsPerSession*remaining + m.conns.polling + m.limits.siblingReserve(),
+		Descriptors:     descriptorsPerSession*remaining + m.conns.pollConns + m.limits.siblingReserve(),
 		Sessions:        remaining,
 		ConfirmsRelease: true,
 	}
@@ -261,7 +261,7 @@
 // receiveSession takes over an established session of the parent, together with its share of the limits. A session that
 // refers to something not known here is refused; SessionAccepted does not follow then.
 func (m *StateMachine) receiveSession(connID uint64, t *TransferredSession) {
-	if m.drain.stopping || !m.canReceive(t) {
+	if m.lifecycle.stopping || !m.canReceive(t) {
 		m.log("refused a session of the parent process", "version", t.Version, "class", t.Class,
 			"backend", t.Backend)
 		return
@@ -278,7 +278,7 @@
 	session.AffinityGroup = t.Group
 	m.SessionsReceived++
 	session.clientConn = m.addConn(&connection{id: connID, session: session, acceptedAt: m.now})
-	session.backendConn = m.addConn(&connection{id: m.conns.nextDialedID(), backend: backend, session: session, isUp: true})
+	session.backendConn = m.addConn(&connection{id: m.conns.nextDialedID(), backend: backend, session: session, isConnected: true})
 	session.backendConn.input.Restore(t.PartialLine)
 	m.addSession(session, t.ID)
 	m.balancer().SessionReceived(m.now, &session.Entry.Session, backend.id, t.Load, t.LoadMeasured)
@@ -312,7 +312,7 @@
 	handoff.Descriptors = min(descriptors, max(t.Descriptors, 0))
 	handoff.Sessions = min(sessions, max(t.Sessions, 0))
 	m.shareLimits()
-	if !m.limits.isExceededBy(m.queue.sessions+1, m.conns.polling) && m.queue.sessions < m.limits.ownSessions {
+	if !m.limits.isExceededBy(m.queue.sessions+1, m.conns.pollConns) && m.queue.sessions < m.limits.ownSessions {
 		return true
 	}
 	handoff.Descriptors = descriptors
@@ -329,7 +329,7 @@
 	switch backend := session.backendConn.backend; {
 	case t.LeavesInMillis >= 0:
 		m.timers.set(&session.migrationTimer, m.now+t.LeavesInMillis)
-	case m.drain.draining:
+	case m.lifecycle.drainRequested:
 		m.timers.set(&session.migrationTimer, max(m.now, m.migrationTime(0, 1)))
 	default:
 		m.scheduleMigration(backend, session, len(backend.sessions)-1)
--- a/internal/relay/handoff_test.go
+++ b/internal/relay/handoff_test.go
@@ -167,7 +167,7 @@
 	s.play("a session that can't be transferred is migrated", step{200, "sibling child", "send-handoff"},
 		step{1000, "stop yield", "transfer 1; pause-accept"}, step{1001, "detach 1", "detached 1"},
 		step{1002, "transferred 1 not", ""}, step{1003, "came 1 x|", "write s1 x|"})
-	for now := 1010.0; now < 1000+s.maxDrainTime() && !s.drain.exiting; now += 10 {
+	for now := 1010.0; now < 1000+s.maxDrainTime() && !s.lifecycle.exiting; now += 10 {
 		s.handle(now, "tick")
 	}
 	assert.Equal(t, uint64(1), s.Migrated)
@@ -251,7 +251,7 @@
 			s.play(c.name, step{1, "heard 1", ""}, step{105, "receive 7", "accepted 7 s1"})
 			backendSessions := s.queue.dispatcher.Balancer.BackendStatus(s.endpoints.byName["b1"].id).Sessions
 			assert.Equal(t, []int{1, 1, 1}, []int{backendSessions, s.Established, s.queue.sessions}, c.name)
-			assert.Equal(t, "in_flight 1, backends_known 1", s.published(), "in flight here, but not counted as a request")
+			assert.Equal(t, "in_flight 1, backends_known 1", s.nonZeroMetrics(), "in flight here, but not counted as a request")
 			s.handle(3000, "heard 1")
 			s.now = 105
 			s.play(c.name, c.steps...)
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -87,7 +87,7 @@
 	n, err := strconv.ParseUint(strings.TrimPrefix(word, "s"), 10, 64)
 	require.NoError(s.t, err, word)
 	if word[0] == 's' {
-		n += firstDialedID
+		n += dialedIDBase
 	}
 	return n
 }
@@ -199,8 +199,8 @@
 
 // name returns the name of a connection: a number for a client's, or s and a number for one that the relay dialed.
 func (s *harness) name(conn uint64) string {
-	if conn >= firstDialedID {
-		return fmt.Sprint("s", conn-firstDialedID)
+	if conn >= dialedIDBase {
+		return fmt.Sprint("s", conn-dialedIDBase)
 	}
 	return fmt.Sprint(conn)
 }
@@ -234,7 +234,7 @@
 		s.detached = f.Session
 		return "detached " + s.name(f.Conn)
 	case *SessionAccepted:
-		return fmt.Sprint("accepted ", s.name(f.Conn), " s", f.BackendConn-firstDialedID)
+		return fmt.Sprint("accepted ", s.name(f.Conn), " s", f.BackendConn-dialedIDBase)
 	case *SendHandoff:
 		s.siblings.handoff = f.Handoff
 		return "send-handoff"
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -123,9 +123,9 @@
 	}
 	m.Pings++
 	switch {
-	case m.drain.isActive() && !m.siblings.yielded:
+	case m.lifecycle.isDraining() && !m.siblings.yielded:
 		m.write(conn, []byte(errorAnswer))
-	case m.drain.ready:
+	case m.lifecycle.ready:
 		m.write(conn, []byte(pongAnswer))
 	}
 }
@@ -171,7 +171,7 @@
 // admit has a new session assigned, re-establishes one that names its earlier backend, or rejects the session.
 func (m *StateMachine) admit(session *session) {
 	switch {
-	case m.drain.exiting, // the process is about to end and could not finish the session
+	case m.lifecycle.exiting, // the process is about to end and could not finish the session
 		m.now >= session.Deadline: // its time ran out in the listener's backlog
 		m.Execute(session, balancer.Decision{Kind: balancer.Reject, Wait: m.rules.maxRetryAfter})
 	case len(session.request.StickyBackend) > 0:
@@ -183,7 +183,7 @@
 		m.Execute(session, balancer.Decision{Kind: balancer.Reject, Wait: m.rules.maxRetryAfter})
 	default:
 		m.lookUpReservation(session)
-		if !m.lookUpAttempts(session) {
+		if !m.lookUpForRetry(session) {
 			m.queue.dispatcher.Assign(m.now, session)
 		}
 	}
@@ -252,7 +252,7 @@
 		}
 		m.rejectClient(conn.session, Evicted, m.busyAnswer())
 	}
-	pause := m.exceedsIntakeLimits() || m.siblings.yielded || (m.siblings.hasParent && !m.drain.ready)
+	pause := m.exceedsIntakeLimits() || m.siblings.yielded || (m.siblings.hasParent && !m.lifecycle.ready)
 	if pause == m.intake.acceptPaused {
 		return
 	}
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -68,13 +68,13 @@
 
 // isExceededBy reports whether the given numbers of sessions and poll connections need more descriptors than sessions and
 // polls may use.
-func (l *descriptorLimits) isExceededBy(sessions, polling int) bool {
-	return descriptorsPerSession*sessions+polling > l.sessionDescriptors
+func (l *descriptorLimits) isExceededBy(sessions, pollConns int) bool {
+	return descriptorsPerSession*sessions+pollConns > l.sessionDescriptors
 }
 
 // isShortOfDescriptors reports whether sessions and polls need more descriptors than they may use.
 func (m *StateMachine) isShortOfDescriptors() bool {
-	return m.limits.isExceededBy(m.queue.sessions, m.conns.polling)
+	return m.limits.isExceededBy(m.queue.sessions, m.conns.pollConns)
 }
 
 // shareLimits sets this process's share of the descriptors and sessions while there is another process. A parent keeps
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -10,9 +10,9 @@
 // answerCounts counts the answers to the clients of one class. A client that left before its answer is not counted, nor is
 // one whose class is unknown.
 type answerCounts struct {
-	served  uint64 // clients that were forwarded an UP
-	refused uint64 // clients answered BUSY
-	failed  uint64 // clients with any other answer
+	served   uint64 // clients that were forwarded an UP
+	rejected uint64 // clients answered BUSY
+	failed   uint64 // clients with any other answer
 }
 
 // metricsPerClass is the number of metrics in answerCounts.
@@ -23,7 +23,7 @@
 // sessions.
 func (m *StateMachine) metricValues(values []uint64) []uint64 {
 	for _, counts := range m.queue.answers {
-		values = append(values, counts.served, counts.refused, counts.failed)
+		values = append(values, counts.served, counts.rejected, counts.failed)
 	}
 	known, excluded := m.queue.dispatcher.Balancer.Counts()
 	return append(values, m.RequestsSent, uint64(m.queue.sessions), uint64(known), uint64(excluded))
@@ -47,39 +47,39 @@
 
 // isServing reports whether the relay is ready for clients and neither draining nor shutting down.
 func (m *StateMachine) isServing() bool {
-	return m.drain.ready && !m.drain.stopping && !m.drain.draining
+	return m.lifecycle.ready && !m.lifecycle.stopping && !m.lifecycle.drainRequested
 }
 
-// metricsBoard holds the metrics that were last published. The admin API reads it without taking the driver's lock.
-type metricsBoard struct {
+// publishedMetrics holds the metrics that were last published. The admin API reads it without taking the driver's lock.
+type publishedMetrics struct {
 	metrics []admin.Metric  // names and kinds of the metrics, without values
 	values  []atomic.Uint64 // last published value of each metric
 	serving atomic.Bool     // isServing, as last published
 	scratch []uint64        // reused by publish
 }
 
-func newMetricsBoard(machine *StateMachine) *metricsBoard {
+func newPublishedMetrics(machine *StateMachine) *publishedMetrics {
 	metrics := machine.metricNames()
-	return &metricsBoard{metrics: metrics, values: make([]atomic.Uint64, len(metrics))}
+	return &publishedMetrics{metrics: metrics, values: make([]atomic.Uint64, len(metrics))}
 }
 
 // publish stores the current metrics. It is called after each event, with the driver's lock held. Values that have not
 // changed are not stored again, as a busy relay would pay for that with every line.
-func (b *metricsBoard) publish(machine *StateMachine) {
-	b.scratch = machine.metricValues(b.scratch[:0])
-	for i, value := range b.scratch {
-		if b.values[i].Load() != value {
-			b.values[i].Store(value)
+func (p *publishedMetrics) publish(machine *StateMachine) {
+	p.scratch = machine.metricValues(p.scratch[:0])
+	for i, value := range p.scratch {
+		if p.values[i].Load() != value {
+			p.values[i].Store(value)
 		}
 	}
-	b.serving.Store(machine.isServing())
+	p.serving.Store(machine.isServing())
 }
 
 // published returns the metrics with their last published values.
-func (b *metricsBoard) published() []admin.Metric {
-	metrics := slices.Clone(b.metrics)
+func (p *publishedMetrics) published() []admin.Metric {
+	metrics := slices.Clone(p.metrics)
 	for i := range metrics {
-		metrics[i].Value = b.values[i].Load()
+		metrics[i].Value = p.values[i].Load()
 	}
 	return metrics
 }
--- a/internal/relay/metrics_test.go
+++ b/internal/relay/metrics_test.go
@@ -10,16 +10,16 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// published returns the names and values of the metrics that are not 0.
-func (s *harness) published() string {
-	var published []string
+// nonZeroMetrics returns the names and values of the metrics that are not 0.
+func (s *harness) nonZeroMetrics() string {
+	var nonZeroMetrics []string
 	values := s.metricValues(nil)
 	for i, metric := range s.metricNames() {
 		if values[i] > 0 {
-			published = append(published, fmt.Sprint(metric.Name, " ", values[i]))
+			nonZeroMetrics = append(nonZeroMetrics, fmt.Sprint(metric.Name, " ", values[i]))
 		}
 	}
-	return strings.Join(published, ", ")
+	return strings.Join(nonZeroMetrics, ", ")
 }
 
 // TestMetricsOfSessions checks the metrics at each stage of a client's connection, and after each way in which it can end.
@@ -65,28 +65,28 @@
 		if strings.HasPrefix(c.event, "news") {
 			want += ", backends_excluded 1"
 		}
-		assert.Equal(t, strings.TrimPrefix(c.want+", "+want, ", "), s.published(), c.name)
+		assert.Equal(t, strings.TrimPrefix(c.want+", "+want, ", "), s.nonZeroMetrics(), c.name)
 	}
 	s := newHarness(t, nil, 0)
 	s.play("rejected without a backend", step{100, "open 1", ""}, step{100, request, ""})
 	for now := 150.0; now < 1300; now += 50 {
 		s.handle(now, "tick")
 	}
-	assert.Equal(t, "refused.feed 1", s.published())
+	assert.Equal(t, "refused.feed 1", s.nonZeroMetrics())
 }
 
 // TestMetricsOfBackends checks that draining and unresponsive backends count as excluded, and that a backend that has left
 // no longer counts as known.
 func TestMetricsOfBackends(t *testing.T) {
 	s := newHarness(t, replacing(`"probes": false`, `"probes": true`), 0, "b1=active", "b2=active", "b3=leaving")
-	assert.Equal(t, "backends_known 3, backends_excluded 1", s.published())
+	assert.Equal(t, "backends_known 3, backends_excluded 1", s.nonZeroMetrics())
 	for now := 0.0; now < 3000; now += 50 {
 		s.handle(now, "tick") // no poll connection is established
 	}
-	assert.Equal(t, "backends_known 3, backends_excluded 3", s.published())
+	assert.Equal(t, "backends_known 3, backends_excluded 3", s.nonZeroMetrics())
 	s.handle(3000, "heard 1")
 	s.handle(3001, "news 1 2 whole b2=active")
-	assert.Equal(t, "backends_known 1, backends_excluded 1", s.published())
+	assert.Equal(t, "backends_known 1, backends_excluded 1", s.nonZeroMetrics())
 }
 
 func TestLameDuck(t *testing.T) {
@@ -127,12 +127,12 @@
 	s.play("a shutdown takes precedence over drain on and off", step{1000, "drain on", ""}, step{1500, "stop", ""}, step{1600,
 		"drain off", ""},
 		step{1601, "drain on", ""})
-	assert.True(t, s.drain.stopping)
+	assert.True(t, s.lifecycle.stopping)
 	assert.False(t, s.isServing())
-	for now := 1700.0; now < 5000 && !s.drain.exiting; now += 50 {
+	for now := 1700.0; now < 5000 && !s.lifecycle.exiting; now += 50 {
 		s.handle(now, "tick")
 	}
-	assert.True(t, s.drain.exiting)
+	assert.True(t, s.lifecycle.exiting)
 	s = newHarness(t, nil, 0, "b1=active")
 	s.play("a reload while draining is applied", step{1, "drain on", ""}, step{2, "reload 10.1.0.2:85",
 		"watch 2 after 0 at 10.1.0.2:85"}, step{3, "news 2 1 whole b1=active", ""}, step{4, "drain off", ""})
@@ -143,8 +143,8 @@
 // is while its effects are carried out.
 type servingRecorder struct {
 	slog.Handler
-	currentBoard func() *metricsBoard
-	observed     []bool
+	currentMetrics func() *publishedMetrics
+	observed       []bool
 }
 
 func (h *servingRecorder) Enabled(context.Context, slog.Level) bool { return true }
@@ -152,7 +152,7 @@
 // Handle is called with the driver's lock held. It ignores the watch failures that are logged because there is no discovery.
 func (h *servingRecorder) Handle(_ context.Context, record slog.Record) error {
 	if record.Message == "draining" {
-		h.observed = append(h.observed, h.currentBoard().serving.Load())
+		h.observed = append(h.observed, h.currentMetrics().serving.Load())
 	}
 	return nil
 }
@@ -161,9 +161,9 @@
 func TestMetricsArePublishedBeforeEffects(t *testing.T) {
 	s, _ := newTestDriver(t)
 	startMachine(t, s)
-	seen := &servingRecorder{currentBoard: func() *metricsBoard { return s.metrics }}
+	seen := &servingRecorder{currentMetrics: func() *publishedMetrics { return s.metrics }}
 	s.mutex.Lock()
-	s.log, s.metrics = slog.New(seen), newMetricsBoard(s.machine)
+	s.log, s.metrics = slog.New(seen), newPublishedMetrics(s.machine)
 	s.machine.becomeReady()
 	s.mutex.Unlock()
 	s.handle(TimerFired{})
--- a/internal/relay/polling.go
+++ b/internal/relay/polling.go
@@ -30,7 +30,7 @@
 	if backend.pollConn == nil {
 		backend.pollConn = m.dial(backend, nil)
 		backend.pollConn.deadline.fire = func() { m.failPoll(backend) }
-	} else if backend.pollConn.isUp {
+	} else if backend.pollConn.isConnected {
 		m.sendPoll(backend)
 	}
 	m.timers.set(&backend.pollConn.deadline, m.now+pollTimeoutFactor*m.rules.connectTimeout)
@@ -47,7 +47,7 @@
 
 // pollConnEstablished sends the poll that was waiting for its connection.
 func (m *StateMachine) pollConnEstablished(conn *connection) {
-	conn.isUp = true
+	conn.isConnected = true
 	if conn.backend.pollPending {
 		m.sendPoll(conn.backend)
 	}
--- a/internal/relay/random_test.go
+++ b/internal/relay/random_test.go
@@ -71,7 +71,7 @@
 func (r *randomRun) step() {
 	// Timers fire one by one, each at its own time.
 	until := r.now + r.rng.ExpFloat64()*30
-	for r.timers.setFor < until {
+	for r.timers.nextWake < until {
 		r.tick()
 	}
 	r.now = until
@@ -111,7 +111,7 @@
 
 // tick advances the time to the next timer and fires it.
 func (r *randomRun) tick() {
-	r.now = max(r.now, r.timers.setFor)
+	r.now = max(r.now, r.timers.nextWake)
 	r.send("tick")
 }
 
@@ -198,7 +198,7 @@
 		r.open[words[1]] = true
 		session := r.conns.byID[r.conn(words[1])].session
 		require.False(r.t, session != nil && session.clientConn == nil, "seed %d: %s for a client that left", r.seed, effect)
-		require.False(r.t, session != nil && r.drain.exiting, "seed %d: %s after the exit was decided", r.seed, effect)
+		require.False(r.t, session != nil && r.lifecycle.exiting, "seed %d: %s after the exit was decided", r.seed, effect)
 	case "watch":
 		fmt.Sscan(words[1], &r.watchID)
 	case "end", "reset":
@@ -254,10 +254,10 @@
 func (r *randomRun) shutDown() {
 	r.t.Helper()
 	r.send("stop")
-	for r.now < 1e6 && !r.drain.exiting {
+	for r.now < 1e6 && !r.lifecycle.exiting {
 		r.tick()
 	}
-	require.True(r.t, r.drain.exiting, "seed %d: the relay does not exit", r.seed)
+	require.True(r.t, r.lifecycle.exiting, "seed %d: the relay does not exit", r.seed)
 	for _, client := range slices.Sorted(maps.Keys(r.open)) {
 		if _, sentRequest := r.answerBy[client]; client[0] != 's' && !sentRequest && r.rng.Intn(2) == 0 {
 			r.answerBy[client] = r.now + 1000
--- a/internal/relay/replication.go
+++ b/internal/relay/replication.go
@@ -218,9 +218,9 @@
 
 // Lookups before a retry is assigned.
 
-// lookUpAttempts looks up, for a client that says it has tried or been established before, the marker of its earlier
+// lookUpForRetry looks up, for a client that says it has tried or been established before, the marker of its earlier
 // attempt and the backend of its earlier session or its group. It reports whether the session waits for the results.
-func (m *StateMachine) lookUpAttempts(session *session) bool {
+func (m *StateMachine) lookUpForRetry(session *session) bool {
 	if !session.request.IsRetry || !m.replication.enabled {
 		return false
 	}
--- a/internal/relay/statemachine.go
+++ b/internal/relay/statemachine.go
@@ -28,8 +28,8 @@
 	queue       sessionQueue     // attempts.go
 	endpoints   endpointSet      // endpoints.go
 	watch       endpointWatch    // watch.go
-	drain       lifecycle        // drain.go
-	siblings    processHandoff   // handoff.go
+	lifecycle   lifecycleState   // drain.go
+	siblings    siblingProcesses // handoff.go
 	replication replicationState // replication.go
 
 	illegalTransitions int // session state changes not listed in sessionTransitions; session.go
@@ -67,7 +67,7 @@
 		queue:       sessionQueue{byID: map[string]*session{}, answers: make([]answerCounts, len(rules.hardLimits))},
 		endpoints:   newEndpointSet(rules.zones),
 		watch:       newEndpointWatch(config.Discovery),
-		siblings:    processHandoff{hasParent: config.HasParent, handoff: config.Handoff},
+		siblings:    siblingProcesses{hasParent: config.HasParent, handoff: config.Handoff},
 		effects:     &effectBuffer{},
 		lastEffects: &effectBuffer{},
 	}
@@ -88,12 +88,12 @@
 func (m *StateMachine) startTimers() {
 	m.watch.silenceTimer.fire = m.watchTimedOut
 	m.watch.renewTimer.fire = m.Subscribe
-	m.drain.readyTimer.fire = m.becomeReady
+	m.lifecycle.readyTimer.fire = m.becomeReady
 	m.intake.evictionTimer.fire = func() {} // firing it is enough: limitIntake runs after every event
 	if m.siblings.hasParent {
-		m.timers.set(&m.drain.readyTimer, m.now+childReadyTimeout)
+		m.timers.set(&m.lifecycle.readyTimer, m.now+childReadyTimeout)
 	} else {
-		m.timers.set(&m.drain.readyTimer, m.now+readyTimeout)
+		m.timers.set(&m.lifecycle.readyTimer, m.now+readyTimeout)
 	}
 }
 
@@ -129,7 +129,7 @@
 func (m *StateMachine) dispatch(event Event) {
 	switch e := event.(type) {
 	case TimerFired:
-		m.timers.woken()
+		m.timers.wakeFired()
 	case ProcessSuspended: // already handled by resumeAfterSuspend
 	case ConnAccepted:
 		m.acceptClient(e.Conn)
@@ -195,14 +195,14 @@
 // checkReady marks the relay as ready once discovery has sent the endpoint list. While there is a parent process, the
 // balancer must be ready as well.
 func (m *StateMachine) checkReady() {
-	if m.endpoints.received && !m.drain.ready && (!m.siblings.hasParent || m.balancer().IsReady(m.now)) {
+	if m.endpoints.received && !m.lifecycle.ready && (!m.siblings.hasParent || m.balancer().IsReady(m.now)) {
 		m.becomeReady()
 	}
 }
 
 // scheduleWake requests a TimerFired event at the given time, in Unix milliseconds, unless an earlier one is already due.
 func (m *StateMachine) scheduleWake(at float64) {
-	if m.timers.wakeAt(at) {
+	if m.timers.needsWake(at) {
 		m.effects.setTimer(at)
 	}
 }
--- a/internal/relay/timers.go
+++ b/internal/relay/timers.go
@@ -47,13 +47,13 @@
 	return t
 }
 
-// timerQueue holds all timers that are set, and the time at which the state machine has asked to be woken.
+// timerQueue holds all timers that are set, and the time for which the state machine has requested TimerFired.
 type timerQueue struct {
-	heap   timerHeap
-	setFor float64 // Unix milliseconds of the last SetTimer, if TimerFired has not come for it; +Inf: none
+	heap     timerHeap
+	nextWake float64 // Unix milliseconds of the last SetTimer, if TimerFired has not come for it; +Inf: none
 }
 
-func newTimerQueue() timerQueue { return timerQueue{setFor: math.Inf(1)} }
+func newTimerQueue() timerQueue { return timerQueue{nextWake: math.Inf(1)} }
 
 // set makes the timer fire at the given time, in Unix milliseconds, and replaces any earlier setting.
 func (q *timerQueue) set(t *timer, at float64) {
@@ -79,18 +79,18 @@
 	}
 }
 
-// wakeAt reports whether a SetTimer is needed for the state machine to be woken by the given time, and records it as
-// issued. None is needed if one for the same or an earlier time has yet to fire.
-func (q *timerQueue) wakeAt(at float64) bool {
-	if at >= q.setFor {
+// needsWake reports whether a SetTimer is needed for TimerFired to come by the given time. If so, it records the SetTimer
+// as issued. None is needed if one for the same or an earlier time has yet to fire.
+func (q *timerQueue) needsWake(at float64) bool {
+	if at >= q.nextWake {
 		return false
 	}
-	q.setFor = at
+	q.nextWake = at
 	return true
 }
 
-// woken records that the last SetTimer has fired.
-func (q *timerQueue) woken() { q.setFor = math.Inf(1) }
+// wakeFired records that TimerFired has come for the last SetTimer.
+func (q *timerQueue) wakeFired() { q.nextWake = math.Inf(1) }
 
 // next returns when the first timer fires, in Unix milliseconds; +Inf: none is set.
 func (q *timerQueue) next() float64 {
