--- a/balancer/endpoint_set.go
+++ b/balancer/endpoint_set.go
@@ -50,8 +50,8 @@
 
 // endpointUpdate is the state of the list update that is being applied.
 type endpointUpdate struct {
-	mentioned []bool // whether each backend was mentioned since BeginEndpointUpdate
-	isFull    bool   // whether backends that are not mentioned are gone
+	mentioned  []bool // whether each backend was mentioned since BeginEndpointUpdate
+	isComplete bool   // whether backends that are not mentioned are gone
 }
 
 // NewEndpointSet returns an empty set. If the list must be watched, a watch that is silent for watchTimeout
@@ -81,9 +81,9 @@
 	e.update.mentioned = append(e.update.mentioned, false)
 }
 
-// BeginEndpointUpdate begins an update of the list. A full update mentions every backend on the list.
-func (b *Balancer) BeginEndpointUpdate(full bool) {
-	b.update.isFull = full
+// BeginEndpointUpdate begins an update of the list. A complete update mentions every backend on the list.
+func (b *Balancer) BeginEndpointUpdate(complete bool) {
+	b.update.isComplete = complete
 	clear(b.update.mentioned)
 }
 
@@ -108,9 +108,9 @@
 	b.updateTracking(backend)
 }
 
-// EndEndpointUpdate ends the update. After a full one, backends that it did not mention are gone.
+// EndEndpointUpdate ends the update. After a complete one, backends that it did not mention are gone.
 func (b *Balancer) EndEndpointUpdate(now float64) {
-	if b.update.isFull {
+	if b.update.isComplete {
 		b.removeUnmentioned()
 	}
 	if !b.listReceived {
@@ -188,18 +188,18 @@
 type BackendStatus struct {
 	Sessions   int     // number of this relay's sessions on it, including those being established
 	ReportedAt float64 // time of its latest load report; -Inf: never
-	IsAvoided  bool    // whether it gets no new sessions, as it is not ready or does not answer
+	IsExcluded bool    // whether it gets no new sessions, as it is not ready or does not answer
 }
 
 // BackendStatus returns what is known of the backend.
 func (b *Balancer) BackendStatus(id uint32) BackendStatus {
 	backend, known := b.indexByID[id]
 	if !known {
-		return BackendStatus{ReportedAt: math.Inf(-1), IsAvoided: true}
+		return BackendStatus{ReportedAt: math.Inf(-1), IsExcluded: true}
 	}
 	return BackendStatus{
 		Sessions:   b.usage.counts[backend],
 		ReportedAt: b.poller.reports.receivedAt[backend],
-		IsAvoided:  b.states[backend] != Ready || !b.outliers.isHealthy(backend),
+		IsExcluded: b.states[backend] != Ready || !b.outliers.isHealthy(backend),
 	}
 }
--- a/balancer/endpoint_set_test.go
+++ b/balancer/endpoint_set_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A backend that is draining, gone or missing from a full update gets no sessions.
+// A backend that is draining, gone or missing from a complete update gets no sessions.
 func TestDrainingBackendsGetNoSessions(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -21,7 +21,7 @@
 			b.BeginEndpointUpdate(false)
 			b.UpdateEndpoint(Endpoint{ID: 1, State: Gone, Weight: 1})
 		}},
-		{"missing from a full update", func(b *Balancer) {
+		{"missing from a complete update", func(b *Balancer) {
 			b.BeginEndpointUpdate(true)
 			b.UpdateEndpoint(Endpoint{ID: 2, Zone: 1, State: Ready, Cell: 1, Weight: 1})
 		}},
--- a/balancer/reservations.go
+++ b/balancer/reservations.go
@@ -15,7 +15,7 @@
 	return b.admission.RetryAfter(b.attempts.maxRetryAfter, session.Key, now, b.rng.Float64())
 }
 
-// Reservations returns the times at which rejected clients were told to return, by client key.
+// Reservations returns the times at which rejected clients were told to retry, by client key.
 func (b *Balancer) Reservations(now float64) map[uint64]float64 {
 	return b.admission.Reservations(now, maxStoredKeys)
 }
--- a/balancer/weights.go
+++ b/balancer/weights.go
@@ -68,9 +68,9 @@
 	return b.poller.polledShare >= 1 || now < b.poller.reports.receivedAt[backend]+maxPollInterval
 }
 
-// fleetTotals are sums over the backends. All but sessions cover the ready and healthy backends only: the load
-// of sessions on draining backends, divided by the other backends' loads, would make the capacity estimate too
-// high.
+// fleetTotals are sums over the backends. All fields except sessions cover the ready and healthy backends only:
+// the load of sessions on draining backends, divided by the other backends' loads, would make the capacity
+// estimate too high.
 type fleetTotals struct {
 	sessions       float64 // number of this relay's sessions, on all backends
 	ready          float64 // number of ready and healthy backends
--- a/internal/dispatch/balancer.go
+++ b/internal/dispatch/balancer.go
@@ -41,8 +41,8 @@
 	// ClientDisconnected records that the client has left, and reports whether an attempt's outcome is still to
 	// come.
 	ClientDisconnected(session *balancer.Session) bool
-	// RecordEarlierAttempt records, before the first Assign, that an attempt from another relay may have been
-	// executed at that backend and time.
+	// RecordEarlierAttempt records, before the first Assign, that an attempt of the client at another relay may have
+	// been executed at that backend and time.
 	RecordEarlierAttempt(session *balancer.Session, id uint32, at float64)
 	// PreferBackend sets, before the first Assign, the backend at which the session or its affinity group was
 	// established. It is only a hint.
@@ -51,9 +51,9 @@
 
 // EndpointObserver is notified of changes of the endpoint list and of the backends' load reports.
 type EndpointObserver interface {
-	// BeginEndpointUpdate, UpdateEndpoint and EndEndpointUpdate apply an update of the list. A full update
+	// BeginEndpointUpdate, UpdateEndpoint and EndEndpointUpdate apply an update of the list. A complete update
 	// removes all endpoints that it does not contain.
-	BeginEndpointUpdate(full bool)
+	BeginEndpointUpdate(complete bool)
 	UpdateEndpoint(endpoint balancer.Endpoint)
 	EndEndpointUpdate(now float64)
 	WatchFailed(now float64)
@@ -115,7 +115,7 @@
 	// SetRecovering sets whether the fleet is recovering from a full outage, and this relay's share of the
 	// capacity of backends in slow start.
 	SetRecovering(recovering bool, share float64)
-	// AssumeRetriesSpent counts the free retries as spent: the relay's last incarnation may have used them.
+	// AssumeRetriesSpent counts the free retries as spent: the relay's previous incarnation may have spent them.
 	AssumeRetriesSpent(now float64)
 	// Reservations, RestoreReservations and DropReservation manage when rejected clients were told to retry, by
 	// key.
--- a/internal/fleet/capacity.go
+++ b/internal/fleet/capacity.go
@@ -46,7 +46,7 @@
 // isCapacityMeasurable tells whether there is enough to measure a backend's capacity by.
 func (c *Core) isCapacityMeasurable(now float64, s *relay.Snapshot) bool {
 	isSettled := c.plan.Phase() == recovery.Normal && c.plan.Status(now).PhaseMillis >= settledAfter
-	return isSettled && float64(c.relayStatus.Sessions) >= minMeasuredSessions && s.EstimatedLoad > minMeasuredLoad
+	return isSettled && float64(c.relayStatus.Sessions) >= minMeasuredSessions && s.TotalReportedLoad > minMeasuredLoad
 }
 
 // measureCapacity measures a backend's capacity by the whole fleet: this relay's load, scaled from its own
@@ -58,5 +58,5 @@
 	for _, m := range c.aliveMembers(now) {
 		all += float64(m.Sessions)
 	}
-	return s.OwnLoad * all / own / s.EstimatedLoad
+	return s.OwnLoad * all / own / s.TotalReportedLoad
 }
--- a/internal/relay/attempts.go
+++ b/internal/relay/attempts.go
@@ -9,7 +9,7 @@
 	"valeshift/internal/protocol"
 )
 
-// sessionQueue holds every session from its request to its end, and the dispatcher that puts sessions to the balancer.
+// sessionQueue holds every session from its request to its end, and the dispatcher that asks the balancer where each goes.
 type sessionQueue struct {
 	dispatcher *dispatch.Dispatcher[*session]
 	byID       map[string]*session // by the ID in the request
@@ -87,8 +87,8 @@
 	m.dialForSession(session, backend, m.rules.connectTimeout)
 }
 
-// dialForSession dials the backend. The attempt fails if the connection is not up within that many milliseconds, or by
-// the session's deadline if that comes first.
+// dialForSession dials the backend. The attempt fails if the connection is not established within that many milliseconds,
+// or by the session's deadline if that comes first.
 func (m *StateMachine) dialForSession(session *session, backend *backend, within float64) {
 	conn := m.dial(backend, session)
 	session.backendConn = conn
@@ -97,7 +97,7 @@
 	m.replicateMarker(session)
 }
 
-// sendRequest sends the request over the backend's connection, which is up, unless the attempt's marker must be
+// sendRequest sends the request over the backend's connection, which is established, unless the attempt's marker must be
 // replicated first. An attempt whose backend now drains or has restarted ends with nothing sent.
 func (m *StateMachine) sendRequest(session *session) {
 	if m.deferForMarker(session) {
--- a/internal/relay/closing.go
+++ b/internal/relay/closing.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	flushTimeout  = 2 * time.Second // for a peer to receive what was written before the close
-	lingerTimeout = time.Second     // for a client to close after its connection was shut down for sending
+	flushTimeout  = 2 * time.Second // longest wait for a peer to receive what was written before the close
+	lingerTimeout = time.Second     // longest wait for a client to close after its connection was shut down for sending
 
 	maxClosing              = 1024 // closing connections at a time; fewer if descriptors are short
 	spareClosingDescriptors = 8    // descriptors for closing connections, beyond the limit for open ones
 
 	// At the end of the process:
-	acceptEndTimeout   = 150 * time.Millisecond // for the accept loop to end, if processes share the listening socket
-	backlogTimeout     = 100 * time.Millisecond // for accepting what is in the listener's backlog
-	backlogIdleTimeout = 10 * time.Millisecond  // without a new connection, after which the backlog counts as empty
-	finalWriteTimeout  = 200 * time.Millisecond // for clients to receive the last answers
-	finalCloseTimeout  = 50 * time.Millisecond  // for the last sessions to end, and later for clients to close
-	finalCheckInterval = time.Millisecond       // between two checks whether that has happened
+	acceptEndTimeout   = 150 * time.Millisecond // longest wait for the accept loop to end, if processes share the socket
+	backlogTimeout     = 100 * time.Millisecond // longest time to accept what is in the listener's backlog
+	backlogIdleTimeout = 10 * time.Millisecond  // time without a new connection after which the backlog counts as empty
+	finalWriteTimeout  = 200 * time.Millisecond // longest wait for clients to receive the last answers
+	finalCloseTimeout  = 50 * time.Millisecond  // longest wait for the last sessions to end, and later for clients to close
+	finalCheckInterval = time.Millisecond       // time between two checks of what is waited for
 )
 
 // closeOrReset closes or resets a connection, or cancels its dial. The caller holds d.mutex.
@@ -139,7 +139,7 @@
 }
 
 // closeListener closes the listener after accepting the connections in its backlog: the kernel has accepted them
-// already, so their clients must get an answer. The state machine is done by now, and rejects every new client. If a
+// already, so their clients must get an answer. The state machine has issued Exit, and rejects every new client. If a
 // child process shares the listener, the backlog is left to the child.
 func (d *driver) closeListener() {
 	d.mutex.Lock()
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -40,22 +40,22 @@
 	}
 }
 
-// start opens a watch in place of the previous one. Late events of the previous watch carry its number, by which the
-// state machine drops them. The goroutine ends soon after the watch is stopped; its last event is WatchFailed.
-func (d *discoveryWatch) start(address string, number, after uint64) {
+// start opens a watch with that ID in place of the previous one. Late events of the previous watch carry its own ID, by
+// which the state machine drops them. The goroutine ends soon after the watch is stopped; its last event is WatchFailed.
+func (d *discoveryWatch) start(address string, id, after uint64) {
 	d.stop()
 	ctx, cancel := context.WithCancel(context.Background())
 	d.stop = cancel
 	go func() {
-		err := d.follow(ctx, address, number, after)
+		err := d.follow(ctx, address, id, after)
 		cancel()
-		d.handle(WatchFailed{Watch: number, Err: err})
+		d.handle(WatchFailed{Watch: id, Err: err})
 	}()
 }
 
 // follow passes on changes after the given version, and returns why the watch has ended. Errors begin with "watch", or
 // with "list" if the list itself is malformed.
-func (d *discoveryWatch) follow(ctx context.Context, address string, number, after uint64) error {
+func (d *discoveryWatch) follow(ctx context.Context, address string, id, after uint64) error {
 	url := "http://" + address + "/api/targets?watch=1&after=" + strconv.FormatUint(after, 10)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -73,7 +73,7 @@
 	stream := jsonstream.NewScanner(response.Body)
 	for stream.Scan() {
 		if len(stream.Object()) == 0 {
-			d.handle(WatchHeartbeat{Watch: number})
+			d.handle(WatchHeartbeat{Watch: id})
 			continue
 		}
 		update, err := parseEndpointUpdate(stream.Object())
@@ -81,7 +81,7 @@
 			return err
 		}
 		update.DiscoveryTime = clock.now()
-		d.handle(EndpointsUpdated{Watch: number, Update: update})
+		d.handle(EndpointsUpdated{Watch: id, Update: update})
 	}
 	return streamError(stream.Err())
 }
--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -4,10 +4,10 @@
 
 // Times are in milliseconds.
 const (
-	readyTimeout     = 1000.0 // after the start; the relay then serves even if discovery has not sent a list
-	drainGrace       = 500.0  // after the start of a drain, in which new clients still arrive
+	readyTimeout     = 1000.0 // time from the start after which the relay serves even if discovery has not sent a list
+	drainGrace       = 500.0  // time from the start of a drain in which new clients still arrive
 	maxHardLimitWait = 3000.0 // most that a drain waits for the longest hard limit of a request
-	finalAnswerTime  = 400.0  // added to that, to answer what arrived last; the process may be killed 0.3 s later
+	finalAnswerTime  = 400.0  // added to that wait, to answer the last requests; the process may be killed 0.3 s later
 )
 
 // lifecycleState is the state of the relay as a whole: ready, draining, shutting down, exiting.
--- a/internal/relay/driver.go
+++ b/internal/relay/driver.go
@@ -75,7 +75,7 @@
 type Fleet interface {
 	// Start starts the fleet's goroutines, which call the functions passed in: handle passes an event to the relay;
 	// status and snapshot return the relay's status and the state to be kept for its next start; zoneObservations
-	// returns what the relay has observed of each zone, and the load of its sessions.
+	// returns what the relay has observed of each zone, and as demand the load of its sessions.
 	Start(now float64, handle func(Event), status func() Status, snapshot func() *Snapshot,
 		zoneObservations func() (map[string]balancer.ZoneObservation, float64)) error
 	// SetDraining takes an operator's order to drain the relay or to return it to service, and waits for a bounded time
@@ -307,7 +307,7 @@
 	return d.machine.Snapshot()
 }
 
-func (d *driver) zoneObservations() (zones map[string]balancer.ZoneObservation, load float64) {
+func (d *driver) zoneObservations() (zones map[string]balancer.ZoneObservation, demand float64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.machine.ZoneObservations(d.now())
@@ -322,6 +322,6 @@
 	counters.Log(d.log, why)
 	for _, b := range backends {
 		d.log.Info("backend", "name", b.Name, "standing", b.Established, "trying", b.Attempts, "booked", b.Reserved,
-			"report age ms", math.Round(b.ReportAgeMillis), "out", b.Ejected)
+			"report age ms", math.Round(b.ReportAgeMillis), "out", b.Excluded)
 	}
 }
--- a/internal/relay/effects.go
+++ b/internal/relay/effects.go
@@ -7,12 +7,12 @@
 // of Handle, and have to be copied to be kept longer.
 type Effect interface{ isEffect() }
 
-// Effects on connections. Conn is the connection's number.
+// Effects on connections. Conn is the connection's ID.
 type (
 	// Dial connects to a backend. ConnEstablished or ConnClosed follows.
 	Dial struct {
 		Conn      uint64
-		ForClient uint64 // number of the client connection that the backend is dialed for; 0: none
+		ForClient uint64 // ID of the client connection that the backend is dialed for; 0: none
 		Address   string
 	}
 
@@ -56,7 +56,7 @@
 
 // Effects on the watch of the endpoint list.
 type (
-	// StartWatch starts a watch, numbered Watch, of the list at the address. It replaces any other watch.
+	// StartWatch starts a watch, with the ID Watch, of the list at the address. It replaces any other watch.
 	StartWatch struct {
 		Watch   uint64
 		After   uint64 // version after which changes are requested; 0: the whole list
@@ -90,7 +90,7 @@
 	// SessionAccepted answers SessionReceived: this process has taken the session over.
 	SessionAccepted struct {
 		Conn        uint64
-		BackendConn uint64 // number of the connection to the session's backend
+		BackendConn uint64 // ID of the connection to the session's backend
 	}
 )
 
@@ -98,7 +98,7 @@
 type ReplicationRequest struct {
 	Operation ReplicationOperation
 	Record    RecordKind
-	Conn      uint64 // number of the connection that the record or the answer belongs to
+	Conn      uint64 // ID of the connection that the record or the answer belongs to
 	Key       uint64 // key of the client or its group
 	// At is a time in Unix milliseconds: for a reservation, when the client is to retry; for an attempt marker, until
 	// when it is held; for a lookup, until when its answer is awaited.
--- a/internal/relay/established.go
+++ b/internal/relay/established.go
@@ -13,11 +13,11 @@
 const (
 	reestablishTimeout        = 38000.0 // ms to reestablish a session from before the start; it counts as lost 2 s later
 	reestablishInterval       = 500.0   // ms between two tries to reestablish a session
-	reestablishConnectTimeout = 4       // times the connect timeout for such a try, as the backend may still be starting
+	reestablishConnectTimeout = 4       // multiple of the connect timeout for such a try: the backend may still be starting
 	replyTimeout              = 4000.0  // ms for a reply to a client's line; a client must be moved within 7 s of silence
-	clientIdleTimeout         = 20000.0 // ms without data from a client: ten of its lines are missing
+	clientIdleTimeout         = 20000.0 // ms without data after which a client is migrated: ten of its lines are missing
 	announcedEndTimeout       = 500.0   // ms for a backend to close after BYE or MOVE; the protocol allows one second
-	transferRecheckInterval   = 50.0    // ms until a migration is tried again, where the session was being handed off
+	transferRecheckInterval   = 50.0    // ms until a migration is tried again that was due while the session was handed off
 )
 
 const moveAnswer = "MOVE\r\n"
@@ -199,8 +199,8 @@
 }
 
 // migrateFromSilent migrates the sessions of a backend that answers neither polls nor clients' lines, if the balancer
-// takes it for lost. Unanswered polls alone are not enough, as a backend may stop answering polls and serve on: a
-// client's line must be waiting for a reply, too.
+// counts it as gone. Unanswered polls alone are not enough, as a backend may stop answering polls and still serve its
+// sessions: a client's line must be waiting for a reply, too.
 func (m *StateMachine) migrateFromSilent(backend *backend) {
 	silence := 0.0
 	for _, session := range backend.sessions {
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -3,11 +3,11 @@
 // Event is something that happened on a connection, on the watch of the endpoint list, in the process or in the fleet.
 // StateMachine.Handle handles events one at a time.
 //
-// Connections and watches have numbers that are never reused, so an event of one that has already ended is recognized by
-// its number and dropped. All times are in Unix milliseconds by this machine's clock, and all durations in milliseconds.
+// Connections and watches have IDs that are never reused, so an event of one that has already ended is recognized by its
+// ID and dropped. All times are in Unix milliseconds by this machine's clock, and all durations in milliseconds.
 type Event interface{ isEvent() }
 
-// Events of connections. Conn is the connection's number.
+// Events of connections. Conn is the connection's ID.
 type (
 	// ConnAccepted reports that a client's connection was accepted.
 	ConnAccepted struct{ Conn uint64 }
@@ -18,9 +18,11 @@
 	// DataReceived carries received bytes. Data must stay unchanged until the effects of the event have been carried
 	// out; it is not used after that.
 	DataReceived struct {
-		Conn   uint64
-		Data   []byte
-		Waited float64 // milliseconds since the last of a client's first bytes arrived, in the backlog or unread; 0 for later data
+		Conn uint64
+		Data []byte
+		// Waited is for how many milliseconds a client's first data, counted from its last byte, waited in the listener's
+		// backlog or unread; 0 for all later data and for data from backends.
+		Waited float64
 	}
 
 	// ConnClosed reports that a connection has ended, or could not be established.
@@ -35,7 +37,7 @@
 	TimerFired struct{}
 )
 
-// Events of the watch of the endpoint list. Watch is the number from StartWatch.
+// Events of the watch of the endpoint list. Watch is the watch's ID, from StartWatch.
 type (
 	// EndpointsUpdated carries the endpoint list or changes to it.
 	EndpointsUpdated struct {
@@ -129,9 +131,10 @@
 	// zones of its sessions itself.
 	ZoneWeightsChanged struct{ Weights []ZoneWeight }
 
-	// RemoteLoadChanged reports how much load the other relays have placed that load estimates may not include yet.
+	// RemoteLoadChanged reports the load of the sessions that the other relays have assigned and that the backends' reports
+	// may not include yet.
 	RemoteLoadChanged struct {
-		Load float64 // load placed by other relays; below 0: unknown
+		Load float64 // sum over all other relays; below 0: unknown
 	}
 
 	// ReplicationEnabled reports that other relays hold records for this one from now on.
--- a/internal/relay/handoff.go
+++ b/internal/relay/handoff.go
@@ -16,7 +16,7 @@
 const (
 	handoffVersion    = 1
 	maxHandoffAge     = 10000.0 // oldest handoff that is used, and the furthest ahead that its time may be
-	childReadyTimeout = 2500.0  // for the child to become ready; the platform allows 6 s from its start
+	childReadyTimeout = 2500.0  // time from its start after which a child serves in any case; the platform allows 6 s
 )
 
 // siblingProcesses holds what is known of the other process of this relay, its parent or its child, while the platform
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -81,7 +81,7 @@
 	return list
 }
 
-// conn returns the number of the connection with that name.
+// conn returns the ID of the connection with that name.
 func (s *harness) conn(word string) uint64 {
 	s.t.Helper()
 	n, err := strconv.ParseUint(strings.TrimPrefix(word, "s"), 10, 64)
--- a/internal/relay/random_test.go
+++ b/internal/relay/random_test.go
@@ -40,7 +40,7 @@
 	now  float64
 
 	clientCount int // clients that have connected so far
-	watchID     int // number of the open watch
+	watchID     int // ID of the open watch
 	listVersion int // version of the last endpoint list
 	open        map[string]bool
 	connected   map[string]bool    // established backend connections
--- a/internal/relay/reasons.go
+++ b/internal/relay/reasons.go
@@ -8,8 +8,8 @@
 
 // The reasons: first why attempts end, then why established sessions end, then the ends on the client's side.
 const (
-	NotSent            EndReason = iota // the backend drains or restarted after it was chosen: nothing was sent
-	ConnectFailed                       // refused, not up in time, or broken before the whole request was sent
+	NotSent            EndReason = iota // the backend began to drain, or restarted, after it was chosen: nothing was sent
+	ConnectFailed                       // connection refused, not established in time, or broken before the whole request was sent
 	BackendBusy                         // the backend answered BUSY
 	BackendError                        // the backend answered ERR
 	MalformedAnswer                     // the backend sent a line that the protocol does not allow
--- a/internal/relay/replication.go
+++ b/internal/relay/replication.go
@@ -1,8 +1,8 @@
 package relay
 
-// This file has other relays hold records for this one. A client that is told to come again while the whole fleet
-// recovers finds its reservation at any relay, even if the relay that told it is lost. An attempt that is not safe to
-// repeat is marked before its request is sent, so that a retry of the client, at any relay, does not run it again.
+// This file has other relays hold records for this one. A client that is told to retry later, while the whole fleet
+// recovers, finds its reservation at any relay, even if the relay that rejected it is lost. An attempt that is not safe
+// to repeat is marked before its request is sent, so that a retry of the client, at any relay, does not run it again.
 // Where a client is established is held as a hint. Package replication stores and finds the records.
 
 // RecordKind is the kind of a record that other relays hold.
@@ -10,14 +10,14 @@
 
 // The kinds of records.
 const (
-	ReservationRecord RecordKind = iota // a client was told to come again at a certain time
+	ReservationRecord RecordKind = iota // a client was told to retry at a certain time
 	AttemptRecord                       // an attempt marker: a client's attempt may run, or have run, at a backend
 	AffinityRecord                      // a hint: a client, or its affinity group, is established at a backend
 )
 
 const (
-	replicationTimeout = 8.0  // ms that an answer or a request waits at most for other relays to hold a record
-	lookupTimeout      = 50.0 // ms that a retry waits at most to learn of an earlier attempt
+	replicationTimeout = 8.0  // most ms that an answer or a request waits for other relays to hold a record
+	lookupTimeout      = 50.0 // most ms that a retry waits to learn of an earlier attempt
 	lookupTimeShare    = 0.25 // share of a retry's remaining time that it may wait for a lookup
 	minRejectionWait   = 1.0  // ms, the shortest wait that a client is told after its rejection was replicated
 )
@@ -25,7 +25,7 @@
 // replicationState is what this relay replicates at other relays.
 type replicationState struct {
 	enabled         bool    // other relays hold records for this one
-	affinity        bool    // among them where clients and groups are established
+	affinity        bool    // the records include where clients and groups are established
 	markerRetention float64 // ms that a marker is held beyond its session's deadline; 0: no attempt is marked
 	recovering      bool    // the whole fleet recovers from a full outage
 }
@@ -85,7 +85,7 @@
 	}
 	m.queue.dispatcher.Forget(session)
 	m.enter(session, replicating)
-	session.deadline = m.now + wait // when its client is to come again
+	session.deadline = m.now + wait // when its client is to retry
 	connID := session.clientConn.id
 	session.stateTimer.fire = func() { m.recordReplicated(connID, false) }
 	m.timers.set(&session.stateTimer, m.now+replicationTimeout)
--- a/internal/relay/rules.go
+++ b/internal/relay/rules.go
@@ -12,7 +12,7 @@
 type sessionRules struct {
 	classes          map[string]int // class indexes by name
 	tenants          map[string]int // tenant indexes by name
-	zones            map[string]int // zone indexes by name, for the zones named in the settings
+	zones            map[string]int // the balancer's zone numbers by name, for the zones named in the settings
 	hardLimits       []float64      // hard limit of each class
 	longestHardLimit float64        // largest hard limit of any class
 	nonIdempotent    []bool         // for each class: an attempt that may have run must not simply be retried
@@ -49,18 +49,18 @@
 
 // tenant returns the index of a tenant, and whether the settings name it. All tenants that they don't name share the
 // index after the last named one.
-func (r *sessionRules) tenant(name string) (number int, known bool) {
-	number, known = r.tenants[name]
+func (r *sessionRules) tenant(name string) (index int, known bool) {
+	index, known = r.tenants[name]
 	if !known {
-		number = len(r.tenants)
+		index = len(r.tenants)
 	}
-	return number, known
+	return index, known
 }
 
 // nameOf returns the name that has the index, or the empty string if there is none.
-func nameOf(names map[string]int, number int) string {
-	for name, n := range names {
-		if n == number {
+func nameOf(names map[string]int, index int) string {
+	for name, i := range names {
+		if i == index {
 			return name
 		}
 	}
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -56,10 +56,10 @@
 	id          string
 	request     protocol.Request
 	clientConn  *connection // nil: the client has left
-	backendConn *connection // of the attempt in flight or of the established session; nil: there is neither
+	backendConn *connection // used by the attempt in flight or the established session; nil: there is neither
 
 	// deadline is when the attempt in flight, or reestablishing, is given up, in Unix milliseconds. While a rejection is
-	// being replicated, it is when the client is to come again.
+	// being replicated, it is when the client is to retry.
 	deadline   float64
 	stateTimer timer // ends a lookup, a replication or a wait for data, or starts the next try to reestablish
 
--- a/internal/relay/snapshot.go
+++ b/internal/relay/snapshot.go
@@ -24,11 +24,11 @@
 	Classes     map[string]ClassLoad `json:"Categories"`
 	RetryAt     map[uint64]float64   `json:"Back"` // when each client is to retry, in Unix milliseconds, by its key
 
-	// OwnLoad is the load of this relay's sessions on backends that are not warming up, EstimatedLoad the sum of those
-	// backends' load estimates. From these, and from the number of sessions of each relay, the fleet computes the capacity
-	// of a backend.
-	OwnLoad       float64 `json:"-"`
-	EstimatedLoad float64 `json:"-"`
+	// OwnLoad is the load of this relay's sessions on backends that are not warming up, as far as reports include it, and
+	// TotalReportedLoad is the sum of the loads that those backends report. From these, and from the number of sessions of
+	// each relay, the fleet computes the capacity of a backend.
+	OwnLoad           float64 `json:"-"`
+	TotalReportedLoad float64 `json:"-"`
 
 	// EndpointsAssumed says that no relay has confirmed the list with discovery since its start, so that the backends are
 	// assumed to have just started.
@@ -78,13 +78,13 @@
 func (m *StateMachine) Snapshot() *Snapshot {
 	estimates := m.balancer().Estimates()
 	s := &Snapshot{
-		Version:       snapshotVersion,
-		Capacity:      estimates.Capacity,
-		MeanLoad:      estimates.MeanSessionLoad,
-		OwnLoad:       estimates.OwnLoad,
-		EstimatedLoad: estimates.ReportedLoad,
-		Classes:       map[string]ClassLoad{},
-		RetryAt:       m.balancer().Reservations(m.now),
+		Version:           snapshotVersion,
+		Capacity:          estimates.Capacity,
+		MeanLoad:          estimates.MeanSessionLoad,
+		OwnLoad:           estimates.OwnLoad,
+		TotalReportedLoad: estimates.ReportedLoad,
+		Classes:           map[string]ClassLoad{},
+		RetryAt:           m.balancer().Reservations(m.now),
 	}
 	for name, i := range m.rules.classes {
 		if i < len(estimates.ClassLoads) {
--- a/internal/relay/status.go
+++ b/internal/relay/status.go
@@ -15,7 +15,7 @@
 	Sessions             int     // sessions, from request to end
 	WarmingUp            int     // backends that are warming up
 	Usable               int     // backends that can be assigned sessions
-	UnreportedLoad       float64 // load placed on backends that load estimates may not include yet
+	UnreportedLoad       float64 // load of assigned sessions that the backends' reports may not include yet
 	DiscoveryClockOffset float64 // milliseconds that discovery's clock is ahead, to half a second; NaN: unknown
 }
 
@@ -42,7 +42,7 @@
 	Attempts        int     // attempts on the relay's connections
 	Reserved        int     // sessions and attempts that the balancer counts; equals Established plus Attempts
 	ReportAgeMillis float64 // time since the last load report
-	Ejected         bool    // the balancer assigns it no new sessions
+	Excluded        bool    // the balancer assigns it no new sessions
 }
 
 // BackendStatuses returns the status of every backend, sorted by name. It must not be called while an event is handled.
@@ -62,7 +62,7 @@
 			Attempts:        attempts[backend],
 			Reserved:        status.Sessions,
 			ReportAgeMillis: now - status.ReportedAt,
-			Ejected:         status.IsAvoided,
+			Excluded:        status.IsExcluded,
 		})
 	}
 	slices.SortFunc(statuses, func(a, b BackendStatus) int { return cmp.Compare(a.Name, b.Name) })
--- a/internal/relay/suspend.go
+++ b/internal/relay/suspend.go
@@ -8,7 +8,7 @@
 // Times are in milliseconds.
 const (
 	minTimerLateness = 1000.0 // lateness of a timer from which the process counts as suspended
-	resumeReadTime   = 150.0  // after a suspension, to read the data that arrived meanwhile
+	resumeReadTime   = 150.0  // time after a suspension in which the data that arrived meanwhile is read
 
 	livenessInterval = 150.0 // longest time between two observations
 	// minSuspensionGap is the gap between two observations from which the process counts as suspended. A drain that
--- a/internal/relay/watch.go
+++ b/internal/relay/watch.go
@@ -22,7 +22,7 @@
 	addressIsNew bool  // a reload changed the address, and the discovery there has not sent the list yet
 	renewTimer   timer // until discovery is asked again
 
-	id           uint64 // number of the open watch; 0: none
+	id           uint64 // ID of the open watch; 0: none
 	lastID       uint64
 	after        uint64 // version after which the open watch asked for changes; 0: the whole list
 	answered     bool   // the open watch has brought at least one line
--- a/internal/relay/zones.go
+++ b/internal/relay/zones.go
@@ -23,8 +23,8 @@
 	m.log("zone weights changed", "zones", len(weights))
 }
 
-// ZoneObservations returns what this relay has observed of each zone since its start, and the load of its sessions. It
-// must be called between events, not during one.
+// ZoneObservations returns what this relay has observed of each zone since its start, and as demand the load of its
+// sessions, in units of one warm backend's capacity. It must be called between events, not during one.
 func (m *StateMachine) ZoneObservations(now float64) (byZone map[string]balancer.ZoneObservation, demand float64) {
 	all, demand := m.balancer().ZoneObservations(now)
 	byZone = map[string]balancer.ZoneObservation{}
--- a/internal/testbed/baseline/endpoints.go
+++ b/internal/testbed/baseline/endpoints.go
@@ -79,10 +79,10 @@
 func (p *Policy) BackendStatus(id uint32) balancer.BackendStatus {
 	index, isListed := p.endpoints.indices[id]
 	if !isListed {
-		return balancer.BackendStatus{ReportedAt: math.Inf(-1), IsAvoided: true}
+		return balancer.BackendStatus{ReportedAt: math.Inf(-1), IsExcluded: true}
 	}
 	e := p.endpoints.all[index]
-	return balancer.BackendStatus{Sessions: e.sessions, ReportedAt: math.Inf(-1), IsAvoided: !e.isReady}
+	return balancer.BackendStatus{Sessions: e.sessions, ReportedAt: math.Inf(-1), IsExcluded: !e.isReady}
 }
 
 // Counts returns how many backends were listed, and how many of them get no session.
