--- a/internal/relay/snapshot.go
+++ b/internal/relay/snapshot.go
@@ -93,7 +93,7 @@
 	}
 	if m.endpoints.confirmed {
 		s.Endpoints = m.endpoints.current()
-		s.ConfirmedAt = m.watch.heardAt
+		s.ConfirmedAt = m.watch.lastLineAt
 	}
 	return s
 }
--- a/internal/relay/watch.go
+++ b/internal/relay/watch.go
@@ -10,9 +10,9 @@
 	heartbeatTimeout = 2800.0
 	// firstLineTimeout is the longest wait for the first line. Discovery handles calls in turn, so a call that is given
 	// up early loses its place in the queue. Together with renewInterval it leaves time for a second call within the 4 s
-	// in which the relay must hear from a discovery that a reload named.
+	// in which the relay must have an answer from a discovery service whose address a reload has set.
 	firstLineTimeout = 3300.0
-	renewInterval    = 250.0  // wait before a discovery that a reload named is asked again
+	renewInterval    = 250.0  // wait before a discovery service whose address a reload has set is asked again
 	minClockSkew     = 1500.0 // smallest clock difference that is corrected; discovery dates its answers in whole seconds
 )
 
@@ -28,7 +28,7 @@
 	answered     bool   // the open watch has brought at least one line
 	silenceTimer timer  // until a watch without a new line counts as timed out
 
-	heardAt     float64 // Unix milliseconds at which discovery last sent a line
+	lastLineAt  float64 // Unix milliseconds at which discovery last sent a line
 	clockOffset float64 // milliseconds by which discovery's clock was last found ahead of this relay's; NaN: not known
 }
 
@@ -64,7 +64,7 @@
 	if e.Watch != m.watch.id {
 		return
 	}
-	m.discoveryHeard()
+	m.recordWatchLine()
 	if e.Update.DiscoveryTime > 0 {
 		m.watch.clockOffset = e.Update.DiscoveryTime - m.now
 		m.correctClockSkew()
@@ -115,7 +115,7 @@
 	if e.Watch != m.watch.id {
 		return
 	}
-	m.discoveryHeard()
+	m.recordWatchLine()
 	if m.watch.after > 0 {
 		m.endpoints.confirm()
 	}
@@ -128,10 +128,10 @@
 	}
 }
 
-// discoveryHeard records that the watch has brought a line, and restarts its timeout.
-func (m *StateMachine) discoveryHeard() {
+// recordWatchLine records that the watch has brought a line, and restarts its timeout.
+func (m *StateMachine) recordWatchLine() {
 	m.timers.set(&m.watch.silenceTimer, m.now+heartbeatTimeout)
-	m.watch.heardAt = m.now
+	m.watch.lastLineAt = m.now
 	m.watch.answered = true
 }
 
@@ -149,8 +149,8 @@
 }
 
 // watchFailed closes the watch and has the balancer schedule the next one. The balancer's backoff can exceed the time
-// in which the relay must hear from a discovery that a reload named, and in which the child process hears of changes;
-// in both cases the watch is restarted after renewInterval.
+// in which the relay must have an answer from a discovery service whose address a reload has set, and the time in which
+// the child process is notified of changes; in both cases the watch is restarted after renewInterval.
 func (m *StateMachine) watchFailed(why string) {
 	m.log("watch failed", "why", why)
 	m.watch.id = 0
