--- a/internal/relay/attempts.go
+++ b/internal/relay/attempts.go
@@ -9,7 +9,7 @@
 	"valeshift/internal/protocol"
 )
 
-// sessionQueue holds every session from its request to its end, and the dispatcher that puts sessions to the balancer.
+// sessionQueue holds every session from its request to its end, and the dispatcher that asks the balancer where each goes.
 type sessionQueue struct {
 	dispatcher *dispatch.Dispatcher[*session]
 	byID       map[string]*session // by the ID in the request
@@ -18,7 +18,7 @@
 }
 
 func (q *sessionQueue) countServed(class int)   { q.answers[class].served++ }
-func (q *sessionQueue) countRejected(class int) { q.answers[class].refused++ }
+func (q *sessionQueue) countRejected(class int) { q.answers[class].rejected++ }
 func (q *sessionQueue) countFailed(class int)   { q.answers[class].failed++ }
 
 // balancer returns the balancer, which decides where sessions go.
@@ -87,8 +87,8 @@
 	m.dialForSession(session, backend, m.rules.connectTimeout)
 }
 
-// dialForSession dials the backend. The attempt fails if the connection is not up within that many milliseconds, or by
-// the session's deadline if that comes first.
+// dialForSession dials the backend. The attempt fails if the connection is not established within that many milliseconds,
+// or by the session's deadline if that comes first.
 func (m *StateMachine) dialForSession(session *session, backend *backend, within float64) {
 	conn := m.dial(backend, session)
 	session.backendConn = conn
@@ -97,14 +97,14 @@
 	m.replicateMarker(session)
 }
 
-// sendRequest sends the request over the backend's connection, which is up, unless the attempt's marker must be
+// sendRequest sends the request over the backend's connection, which is established, unless the attempt's marker must be
 // replicated first. An attempt whose backend now drains or has restarted ends with nothing sent.
 func (m *StateMachine) sendRequest(session *session) {
 	if m.deferForMarker(session) {
 		return
 	}
 	conn := session.backendConn
-	conn.isUp = true
+	conn.isConnected = true
 	if session.state == attempting && conn.backend.isDrainingOrRestarted(conn) {
 		m.finishAttempt(session, NotSent)
 		return
@@ -171,7 +171,7 @@
 	m.EndReasons[reason]++
 	conn := session.backendConn
 	session.backendConn = nil
-	if conn.isUp {
+	if conn.isConnected {
 		m.dropConn(conn, gracefully)
 	} else {
 		m.dropConn(conn, byReset)
@@ -180,7 +180,7 @@
 		m.retryReestablish(session)
 		return
 	}
-	if !conn.isUp || reason.outcome().IsUnprocessed() {
+	if !conn.isConnected || reason.outcome().IsUnprocessed() {
 		m.releaseMarker(session)
 	}
 	m.enter(session, queued)
@@ -213,7 +213,7 @@
 	case attempting:
 		m.Abandoned++
 		m.balancer().ClientDisconnected(&session.Entry.Session)
-		if m.rules.canCancel || !session.backendConn.isUp {
+		if m.rules.canCancel || !session.backendConn.isConnected {
 			m.finishAttempt(session, ClientReset)
 		}
 	case queued:
