--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -14,7 +14,7 @@
 var (
 	errTooLong      = errors.New("message is too long for a datagram")
 	errNoDisk       = errors.New("sender has no disk ID")
-	errOtherSender  = errors.New("Raft message has another sender")
+	errOtherSender  = errors.New("message and its Raft message have different senders")
 	errRaftEncoding = errors.New("malformed Raft message")
 )
 
