--- a/internal/fleet/action.go
+++ b/internal/fleet/action.go
@@ -7,53 +7,53 @@
 	"valeshift/internal/store"
 )
 
-// Action is one thing that Core asks its driver to do. One of Send, Query, Persist, OrderReplicated, Event and
-// Log is set.
+// Action is one thing that Core asks its driver to do. Exactly one of Send, Query, Persist, OrderReplicated, Event
+// and Log is set.
 type Action struct {
-	// Send is a datagram. It may be lost.
+	// Send is a datagram to send. Core copes with its loss.
 	Send *membership.Datagram
-	// Query is to be put to another relay. Core.ReceiveAnswer takes what comes of it, an error too.
+	// Query is a query to send to another relay. Core.ReceiveAnswer takes the answer or the error.
 	Query *Query
-	// Persist is to be written to the disk. Where AwaitsPersistence, Core.FinishPersist takes what came of it.
+	// Persist is a record to write to the disk. If AwaitsPersistence is true, Core.FinishPersist takes the result.
 	Persist *store.Record
-	// ConfirmDecision is the number of the coordinators' decision that Persist stores; 0: it stores none.
+	// ConfirmDecision is the number of the coordinators' decision that Persist stores; 0 if it stores none.
 	ConfirmDecision uint64
-	// ReplicationWrite is the replica that Persist stores; nil: it stores none.
+	// ReplicationWrite is the replica that Persist stores; nil if it stores none.
 	ReplicationWrite *replication.Write
-	// Event is for the relay.
+	// Event is an event to deliver to the relay.
 	Event relay.Event
-	// OrderReplicated answers Core.ReplicateOrder.
+	// OrderReplicated is the outcome of an earlier Core.ReplicateOrder.
 	OrderReplicated *OrderReplicated
-	// Log is a line for the log.
+	// Log is a line to write to the log.
 	Log string
 }
 
-// Query asks the relay of that name, at that TCP address, for its snapshot.
+// Query asks another relay for its snapshot.
 type Query struct {
 	Name    string
-	Address string
+	Address string // host:port, for TCP
 }
 
-// AwaitsPersistence tells whether Core waits for what becomes of a.Persist.
+// AwaitsPersistence reports whether Core has to be told by FinishPersist how the write of a.Persist ended.
 func (a Action) AwaitsPersistence() bool {
 	return a.ConfirmDecision > 0 || a.ReplicationWrite != nil
 }
 
-// FinishPersist takes that an action's record is durable, or why it can't be.
+// FinishPersist takes the result of writing an action's record: nil once the record is durable, else the error.
 func (c *Core) FinishPersist(now float64, a Action, err error) []Action {
 	switch {
-	case a.ConfirmDecision > 0: // a disk that fails must not keep the relay from following it
+	case a.ConfirmDecision > 0: // even after an error: a failed disk must not keep the relay from following the decision
 		c.ConfirmDecisionPersisted(now, a.ConfirmDecision)
-	case a.ReplicationWrite != nil && err == nil: // a replica that isn't durable is never acknowledged
+	case a.ReplicationWrite != nil && err == nil: // a replica is acknowledged only once it is durable
 		return c.CompleteReplicationWrite(now, a.ReplicationWrite)
 	}
 	return nil
 }
 
-// logActions is one log line.
+// logActions returns the action that logs a line.
 func logActions(line string) []Action { return []Action{{Log: line}} }
 
-// sendActions sends each datagram.
+// sendActions returns an action for each datagram, which sends it.
 func sendActions(datagrams []membership.Datagram) []Action {
 	var actions []Action
 	for _, d := range datagrams {
--- a/internal/fleet/coordinator.go
+++ b/internal/fleet/coordinator.go
@@ -13,41 +13,41 @@
 	"valeshift/internal/store"
 )
 
-// This file is a relay's side of the coordinators: it reports to them what it sees of zones, receives what
-// they decided, and has the relay's sessions go by it. Nothing waits for a coordinator: without announcements
-// the relay decides alone.
+// This file is the relay's side of the exchange with the coordinators: it reports the relay's observations of zones
+// to them, receives their decisions and applies those to the relay's sessions. Nothing waits for a coordinator:
+// without announcements the relay decides alone.
 
 const (
 	reportInterval = 500.0  // ms between two reports of observations
 	reportWindow   = 1200.0 // ms that a report covers
-	leaderTimeout  = 1200.0 // ms without an announcement of the leader, before all coordinators are asked
+	leaderTimeout  = 1200.0 // ms without an announcement of the leader, after which reports go to all coordinators
 )
 
-// noLeader stands for a leader that is not known.
+// noLeader is the value of coordinatorClient.leader while no leader is known.
 const noLeader = -1
 
-// coordinatorClient is a relay's side of the decisions on zones.
+// coordinatorClient reports a relay's observations to the coordinators and follows their decisions on zones.
 type coordinatorClient struct {
-	relay        string
-	zone         string // the relay's own
-	key          []byte
+	relay        string   // name of this relay
+	zone         string   // name of this relay's zone
+	key          []byte   // datagrams are sealed with it
 	voters       []string // addresses of the coordinators
 	follower     *failover.Follower
 	nextReportAt float64
-	leader       int // index of the voter that said last that it leads; noLeader: none did
-	leaderSeenAt float64
-	samples      []zoneSample       // within reportWindow, the oldest first
-	zoneWeights  []relay.ZoneWeight // that the relay goes by
+	leader       int                // index of the voter that last announced itself as leader, or noLeader
+	leaderSeenAt float64            // time of the last announcement of that leader
+	samples      []zoneSample       // samples that reports are computed from, the oldest first
+	zoneWeights  []relay.ZoneWeight // weights that the relay was last notified of
 }
 
-// zoneSample is what the relay has seen of all zones from its start to a time.
+// zoneSample is what the relay has observed of all zones from its start until the time at.
 type zoneSample struct {
 	at    float64
 	zones map[string]balancer.ZoneObservation
 }
 
-// FollowCoordinators has the relay follow what the coordinators at the given addresses decide. It is called
-// before anything is received.
+// FollowCoordinators makes the relay follow the decisions of the coordinators at the given addresses. It must be
+// called before any datagram is received.
 func (c *Core) FollowCoordinators(relay, zone string, voters []string, key []byte, rng *rand.Rand) {
 	c.coordinators = &coordinatorClient{
 		relay:    relay,
@@ -64,9 +64,9 @@
 	return c.coordinators != nil && now >= c.coordinators.nextReportAt
 }
 
-// SendObservations takes what the relay has seen of zones since its start, and the demand that its sessions
-// make. It returns the report of the last moments, to the coordinator that leads, or to all of them while no
-// leader is known.
+// SendObservations takes what the relay has observed of zones since its start, and the demand of its sessions. It
+// returns datagrams that report the observations of the last reportWindow: one to the leader, or one to each
+// coordinator while no leader is known.
 func (c *Core) SendObservations(now float64, zones map[string]balancer.ZoneObservation,
 	demand float64) (actions []Action) {
 	client := c.coordinators
@@ -84,7 +84,7 @@
 	return actions
 }
 
-// addSample adds a sample, and drops those that no report needs any more.
+// addSample adds a sample, and drops those that no later report needs.
 func (client *coordinatorClient) addSample(now float64, zones map[string]balancer.ZoneObservation) {
 	client.samples = append(client.samples, zoneSample{at: now, zones: zones})
 	for len(client.samples) > 2 && client.samples[1].at <= now-reportWindow {
@@ -92,7 +92,7 @@
 	}
 }
 
-// report is what has changed since the oldest sample.
+// report returns the observations since the oldest sample.
 func (client *coordinatorClient) report(zones map[string]balancer.ZoneObservation,
 	demand float64) failover.Observations {
 	report := failover.Observations{
@@ -116,8 +116,8 @@
 	return report
 }
 
-// receiveAnnouncement takes a datagram that a coordinator sent; false if its sender is none. What can't be
-// read is dropped.
+// receiveAnnouncement handles a datagram from a coordinator. It returns false if the sender is not a coordinator. A
+// datagram that can't be authenticated or decoded is dropped.
 func (c *Core) receiveAnnouncement(now float64, from string, data []byte) ([]Action, bool) {
 	client := c.coordinators
 	if client == nil {
@@ -135,14 +135,14 @@
 		client.leader = sender
 		client.leaderSeenAt = now
 	}
-	if c.hasDisk && !c.diskRead { // the number that it followed before its start is not known yet
+	if c.hasDisk && !c.diskRead { // the number of the decision followed before this start is not known yet
 		return nil, true
 	}
 	persist := client.follower.Receive(now, announcement)
 	if persist == nil {
 		return nil, true
 	}
-	if !c.diskRead { // there is no usable disk: other relays' snapshots are all there is
+	if !c.diskRead { // there is no usable disk to store the decision on, so it is followed at once
 		client.follower.ConfirmPersisted(now, announcement.Number)
 		return nil, true
 	}
@@ -161,14 +161,14 @@
 	return announcement, err == nil
 }
 
-// ConfirmDecisionPersisted says that the decision with that number is on disk, or that it can't be written.
+// ConfirmDecisionPersisted is called once the decision with the given number is durable, or can't be written.
 func (c *Core) ConfirmDecisionPersisted(now float64, number uint64) {
 	if c.coordinators != nil {
 		c.coordinators.follower.ConfirmPersisted(now, number)
 	}
 }
 
-// updateZoneWeights has the relay go by the decision that holds now, if that gives other weights than before.
+// updateZoneWeights notifies the relay of the zone weights of the current decision, if they have changed.
 func (c *Core) updateZoneWeights(now float64) []Action {
 	client := c.coordinators
 	if client == nil {
@@ -186,7 +186,8 @@
 	}
 }
 
-// zoneWeights tells where sessions that come to the own zone are to go; none if nothing is decided about it.
+// zoneWeights returns the weights by which sessions that arrive in the relay's own zone are assigned to zones; nil
+// if there is no decision about its zone.
 func zoneWeights(zones []failover.Zone, own string) (weights []relay.ZoneWeight) {
 	ownIndex := slices.IndexFunc(zones, func(z failover.Zone) bool { return z.Name == own })
 	if ownIndex < 0 {
@@ -195,7 +196,7 @@
 	for i, zone := range zones {
 		weight := relay.ZoneWeight{
 			Zone: zone.Name,
-			// A zone that returns takes what other zones have no capacity for: its backends' own limits hold.
+			// A returning zone accepts overflow of other zones too, as the limits of its backends still apply.
 			AcceptsOverflow: zone.State == failover.Home || zone.State == failover.Returning,
 		}
 		if i == ownIndex {
@@ -211,12 +212,12 @@
 	return weights
 }
 
-// CoordinatorStatus is what a relay tells operators of the decisions.
+// CoordinatorStatus is the part of Status about the coordinators' decisions.
 type CoordinatorStatus struct {
-	Number           uint64             `json:"Number"`  // the highest that it has followed
-	Followed         bool               `json:"Held"`    // false: the relay decides alone
-	RenewalDueMillis float64            `json:"Renewed"` // from now; negative: it was not renewed in time
-	Leader           string             `json:"Leads"`   // address of the coordinator that said last that it leads
+	Number           uint64             `json:"Number"`  // number of the latest decision that this relay has followed
+	Followed         bool               `json:"Held"`    // a decision is followed now; false: the relay decides alone
+	RenewalDueMillis float64            `json:"Renewed"` // ms until the decision has to be renewed; negative: overdue
+	Leader           string             `json:"Leads"`   // address of the coordinator that last announced that it leads
 	ZoneWeights      []relay.ZoneWeight `json:"Zones"`
 }
 
@@ -230,7 +231,7 @@
 	status := &CoordinatorStatus{
 		Number:           number,
 		Followed:         zones != nil,
-		RenewalDueMillis: max(renewedUntil-now, -1), // -1 too if it was never renewed
+		RenewalDueMillis: max(renewedUntil-now, -1), // also -1 if there was never a renewal
 		ZoneWeights:      zoneWeights(zones, client.zone),
 	}
 	if client.leader != noLeader {
--- a/internal/fleet/coordinator_golden_test.go
+++ b/internal/fleet/coordinator_golden_test.go
@@ -11,8 +11,8 @@
 	"valeshift/internal/relay"
 )
 
-// What operators' tools read of a relay's side of the decisions, as the build wrote it before its fields had
-// tags.
+// The JSON form of CoordinatorStatus, which operators' tools read. The golden file was written by a build before the
+// fields had tags.
 func TestCoordinatorStatusGolden(t *testing.T) {
 	want := CoordinatorStatus{Number: 42, Followed: true, RenewalDueMillis: 1250.5, Leader: "10.0.0.1:7946",
 		ZoneWeights: []relay.ZoneWeight{
--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -1,13 +1,13 @@
-// Package fleet is one relay's part in a fleet of relays: what it stores on its disk, what it exchanges with
-// the other relays, how it recovers after a start and which operator order it is under. The relay learns of
-// all that by events.
+// Package fleet implements one relay's part in a fleet of relays: what it stores on its disk, what it exchanges
+// with the other relays and the coordinators, how it recovers after a start and which operator order is in effect.
+// The relay's state machine is notified of all that by events.
 //
 // Core holds the state and does no I/O, so that the simulation runs it unchanged. Node drives a Core with
-// sockets, a store and timers. Neither lies on a session's path: the relay's lock is taken for one event at a
-// time, and neither a disk nor a peer is waited for under it.
+// sockets, a store and timers. Sessions never wait for either: the relay's lock is taken for one event at a time,
+// and is never held while a disk or a peer is waited for.
 //
-// Times are milliseconds. A parameter called now is of this relay's own clock, which does not jump while the
-// relay runs; times that are stored or sent are of the fleet's clock, which is ahead of it by
+// Times are in milliseconds. A parameter called now is a time of this relay's own clock, which does not jump while
+// the relay runs; times that are stored or sent are of the fleet's clock, which is ahead of it by
 // Core.fleetClockOffset.
 package fleet
 
@@ -19,12 +19,12 @@
 	"valeshift/internal/relay"
 )
 
-// Core is the state of one relay's part in the fleet. Its methods take what has happened and return what is to
-// be done, in that order. It is not safe for concurrent use.
+// Core is the state of one relay's part in the fleet. Its methods take what has happened and return the actions that
+// the caller has to execute, in that order. It is not safe for concurrent use.
 type Core struct {
 	plan        *recovery.Plan
-	membership  *membership.View // nil: no other relay is named
-	relayStatus relay.Status     // of the last tick
+	membership  *membership.View // nil if there are no other relays
+	relayStatus relay.Status     // the relay's status as of the last tick
 
 	diskState
 	operatorOrder
@@ -34,12 +34,12 @@
 	rejections rejectionRate
 	remoteLoad remoteLoad
 
-	coordinators *coordinatorClient // nil: no voters are named
-	replication  *replicationState  // nil: nothing is replicated
+	coordinators *coordinatorClient // nil if no voters are configured
+	replication  *replicationState  // nil if replication is disabled
 }
 
-// New starts a relay's part in the fleet. Without an address in own there are no other relays; without a disk,
-// nothing is stored. With a disk, Restore has to be called once it has been read.
+// New returns the Core of a relay that starts now. Without an address in own there are no other relays; without a
+// disk, nothing is stored. With a disk, Restore has to be called once the disk has been read.
 func New(now float64, own membership.MemberState, seeds []string, key []byte, hasDisk bool,
 	rng *rand.Rand) *Core {
 	hasPeers := own.Address != ""
@@ -56,8 +56,8 @@
 	return c
 }
 
-// Tick advances all that depends on time. The wall clock is the machine's, in Unix milliseconds; status is the
-// relay's as of now.
+// Tick does all work that depends on time. wallClock is the machine's clock, in Unix milliseconds; status is the
+// relay's status as of now.
 func (c *Core) Tick(now, wallClock float64, status relay.Status) []Action {
 	status.RejectedLastSecond = c.rejections.update(now, status.Rejected)
 	c.relayStatus = status
@@ -69,7 +69,7 @@
 	return append(actions, c.gossip(now)...)
 }
 
-// ReceiveDatagram takes a datagram of a coordinator or of another relay.
+// ReceiveDatagram handles a datagram from a coordinator or another relay, whose address is from.
 func (c *Core) ReceiveDatagram(now float64, from string, data []byte) []Action {
 	if actions, isAnnouncement := c.receiveAnnouncement(now, from, data); isAnnouncement {
 		return actions
@@ -84,16 +84,17 @@
 	return append(actions, c.adoptRememberedState(now)...)
 }
 
-// advanceRecovery has the recovery plan go on.
+// advanceRecovery advances the recovery plan.
 func (c *Core) advanceRecovery(now float64) []Action {
 	var peers []recovery.Peer
-	if c.plan.Phase() != recovery.Normal { // the plan looks at them in no other phase
+	if c.plan.Phase() != recovery.Normal { // the plan does not use peers in the normal phase
 		peers = c.recoveryPeers(now)
 	}
 	return c.planActions(c.plan.Advance(now, peers, c.relayStatus))
 }
 
-// planActions turns the recovery plan's actions into Core's.
+// planActions converts the recovery plan's actions to Core's. A query to a relay that is no longer a member is
+// dropped.
 func (c *Core) planActions(planned []recovery.Action) []Action {
 	var actions []Action
 	for _, a := range planned {
@@ -112,7 +113,8 @@
 	return actions
 }
 
-// byOwnClock returns the event with its times by this relay's own clock: snapshots are stored by the fleet's.
+// byOwnClock returns the event with the retry times of a restored snapshot converted from the fleet's clock, which
+// snapshots are stored with, to this relay's own clock.
 func (c *Core) byOwnClock(event relay.Event) relay.Event {
 	restored, isRestored := event.(relay.StateRestored)
 	if !isRestored {
@@ -122,18 +124,18 @@
 }
 
 const (
-	rejectionInterval = 500.0 // over which rejected clients are counted
-	smoothing         = 0.3   // the weight of a new sample in a moving average
+	rejectionInterval = 500.0 // ms over which rejected clients are counted for one sample
+	smoothing         = 0.3   // weight of a new sample in a moving average
 )
 
-// rejectionRate is a moving average of how many clients the relay rejects in a second.
+// rejectionRate is a moving average of the number of clients that the relay rejects per second.
 type rejectionRate struct {
 	perSecond float64
-	counted   int // rejected up to countedAt
-	countedAt float64
+	counted   int     // clients rejected from the relay's start until countedAt
+	countedAt float64 // time of the last sample
 }
 
-// update takes how many clients were rejected since the relay's start, and returns the rate.
+// update takes the number of clients rejected since the relay's start, and returns the rate per second.
 func (r *rejectionRate) update(now float64, rejected int) int {
 	if now >= r.countedAt+rejectionInterval {
 		sample := float64(rejected-r.counted) * 1000 / (now - r.countedAt)
--- a/internal/fleet/core_test.go
+++ b/internal/fleet/core_test.go
@@ -16,11 +16,12 @@
 
 const (
 	now  = 1e12
-	hour = 3.6e6 // ms
+	hour = 3.6e6 // in ms
 )
 
-// coreAmong returns the core of a relay that has heard of so many others, each as prepare makes it.
-func coreAmong(others int, prepare func(i int, other *membership.View)) *Core {
+// newCoreWithMembers returns the core of a relay that has received datagrams of the given number of other relays.
+// prepare sets up each of them.
+func newCoreWithMembers(others int, prepare func(i int, other *membership.View)) *Core {
 	key := []byte("a key that all share")
 	own := membership.MemberState{Name: "own", Address: "own"}
 	core := New(now, own, nil, key, false, rand.New(rand.NewSource(1)))
@@ -35,16 +36,17 @@
 	return core
 }
 
-// A relay reads backends' start times by discovery's clock, else by the median of its own and the others'.
+// A relay interprets backends' start times by discovery's clock, or if that is unknown by the median of its machine's
+// clock and those of the other relays.
 func TestClock(t *testing.T) {
 	undated := math.NaN()
 	for _, c := range []struct {
 		name        string
-		wallAhead   float64 // the machine's clock, of the relay's own
-		others      []float64
-		discovery   float64
-		ahead       float64
-		isCorrected bool
+		wallAhead   float64   // ms that the machine's clock is ahead of the relay's own clock
+		others      []float64 // ms that the other relays' machines' clocks are ahead of their own clocks
+		discovery   float64   // ms that discovery's clock is ahead of the relay's own clock; NaN if unknown
+		ahead       float64   // wanted: ms that the relay's own clock is ahead of the fleet's
+		isCorrected bool      // wanted: the relay is notified of that
 	}{
 		{"alone, and right", 0, nil, undated, 0, false},
 		{"alone, and its machine's clock was set back by an hour", -hour, nil, undated, hour, true},
@@ -58,7 +60,9 @@
 		{"discovery goes before all", 0, []float64{0, 0, 0}, -hour, hour, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			core := coreAmong(len(c.others), func(i int, other *membership.View) { other.ClockOffset = c.others[i] })
+			core := newCoreWithMembers(len(c.others), func(i int, other *membership.View) {
+				other.ClockOffset = c.others[i]
+			})
 			isCorrected := false
 			for _, a := range core.Tick(now+50, now+50+c.wallAhead, relay.Status{DiscoveryClockOffset: c.discovery}) {
 				if measured, isMeasured := a.Event.(relay.ClockSkewMeasured); isMeasured {
@@ -72,9 +76,9 @@
 	}
 }
 
-// startOn starts a life of a relay whose clock is that far ahead, on that disk. It returns the retry times that the
-// relay is told, too.
-func startOn(t *testing.T, disk *store.MemoryFS, ahead float64) (*Core, *store.Store, map[uint64]float64) {
+// startWithDisk starts a relay with the content of a disk; the relay's clock is the given number of milliseconds ahead
+// of the fleet's. It also returns the retry times that the relay is notified of.
+func startWithDisk(t *testing.T, disk *store.MemoryFS, ahead float64) (*Core, *store.Store, map[uint64]float64) {
 	t.Helper()
 	began := now + ahead
 	status := relay.Status{DiscoveryClockOffset: -ahead}
@@ -92,26 +96,27 @@
 	return core, s, nil
 }
 
-// A retry time is stored by the fleet's clock, so that it holds for a life whose clock is another.
+// A retry time is stored as a time of the fleet's clock, so that it is right after a restart with another local clock.
 func TestRetryTimesOverClocks(t *testing.T) {
 	disk := store.NewMemoryFS()
-	core, s, _ := startOn(t, disk, hour)
+	core, s, _ := startWithDisk(t, disk, hour)
 	snapshot := &relay.Snapshot{Version: 1, Capacity: 1, MeanLoad: 1,
 		RetryAt: map[uint64]float64{7: now + hour + 500}}
 	s.Put(core.RecordSnapshot(now+hour, snapshot), nil)
 	assert.NoError(t, s.Flush())
 	assert.NoError(t, s.Close())
-	_, _, retryAt := startOn(t, disk, -2*hour)
+	_, _, retryAt := startWithDisk(t, disk, -2*hour)
 	assert.InDelta(t, now-2*hour+500, retryAt[7], 1)
 }
 
-// What the others have assigned is by their own words; one that is wrong counts for three medians at the most.
+// The remote load is the sum of the loads that the other relays announce; a wrong one counts for at most three times
+// the median.
 func TestRemoteLoad(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		own    float64
-		others []uint64
-		want   float64
+		own    float64  // load that this relay has assigned
+		others []uint64 // loads that the other relays announce
+		want   float64  // remote load that the relay is notified of
 	}{
 		{"alone", 100, nil, noRemoteRelays},
 		{"the sum of the others", 100, []uint64{50, 70}, 120},
@@ -120,7 +125,7 @@
 		{"its own is wrong", 1e12, []uint64{100, 200}, 300},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			core := coreAmong(len(c.others), func(i int, other *membership.View) {
+			core := newCoreWithMembers(len(c.others), func(i int, other *membership.View) {
 				state := other.LocalState()
 				state.PlacedLoad = c.others[i]
 				other.SetLocalState(state)
--- a/internal/fleet/disk.go
+++ b/internal/fleet/disk.go
@@ -10,26 +10,27 @@
 )
 
 const (
-	snapshotCheckInterval = 500 * time.Millisecond
-	diskRetryInterval     = 2 * time.Second // after a failed flush
+	snapshotCheckInterval = 500 * time.Millisecond // between two checks whether a snapshot is due
+	diskRetryInterval     = 2 * time.Second        // between a failed flush and the next one
 )
 
-// errNoDisk tells that there is no store to put a record into.
-var errNoDisk = errors.New("there is no disk to store it on")
+// errNoDisk is the error for a record that is put while no store is open: no disk is configured, it has not been
+// read yet, or it can't be used.
+var errNoDisk = errors.New("the disk is not open")
 
-// disk is a node's folder, and its store once that is open.
+// disk is a node's folder, and the store in it once that is open.
 type disk struct {
-	folder   store.FS // nil: there is none
-	maxBytes int
-	written  chan struct{} // has room for one: there is something to flush
+	folder         store.FS      // nil if no disk is configured
+	maxBytes       int           // size limit of the store
+	flushRequested chan struct{} // capacity 1; filled while there are records to flush
 
-	mutex sync.Mutex // over store
+	mutex sync.Mutex // guards store
 	store *store.Store
 }
 
-func (d *disk) isNamed() bool { return d.folder != nil }
+func (d *disk) isConfigured() bool { return d.folder != nil }
 
-// open reads the folder, however long that takes; records can be put from then on.
+// open reads the folder and opens the store, which has no time limit. Records can be put once it has returned.
 func (d *disk) open(owner string) (*store.Store, store.Recovery, error) {
 	s, found, err := store.Open(d.folder, owner, d.maxBytes)
 	if err != nil {
@@ -41,7 +42,8 @@
 	return s, found, nil
 }
 
-// put has a record written soon. Finish, where not nil, is called once it is durable, or with why it is not.
+// put queues a record to be written and requests a flush. finish may be nil; else it is called with nil once the
+// record is durable, or with the error.
 func (d *disk) put(record store.Record, finish func(error)) {
 	d.mutex.Lock()
 	s := d.store
@@ -54,16 +56,16 @@
 	}
 	s.Put(record, finish)
 	select {
-	case d.written <- struct{}{}:
+	case d.flushRequested <- struct{}{}:
 	default:
 	}
 }
 
-// runDisk reads the disk, and writes what is put from then on.
+// runDisk opens the store, then writes the records that are put until the context is done, and closes the store.
 func (n *Node) runDisk(ctx context.Context) {
 	s, found, err := n.disk.open(n.name)
 	if err != nil {
-		n.log.Error("the disk can't be used, nothing is stored", "err", err)
+		n.log.Error("the disk can't be used: nothing is stored", "err", err)
 	}
 	n.update(func(core *Core) []Action { return core.Restore(n.clock.now(), s, found, err) })
 	if err != nil {
@@ -72,11 +74,12 @@
 	n.flushUntilDone(ctx, s)
 	n.persistSnapshot(s)
 	if err := s.Close(); err != nil {
-		n.log.Warn("closing the disk's store", "err", err)
+		n.log.Warn("closing the disk's store failed", "err", err)
 	}
 }
 
-// flushUntilDone flushes what is put, and puts a snapshot each time one is due.
+// flushUntilDone flushes records as they are put, and puts a snapshot whenever one is due. After a failed flush it
+// does not flush for diskRetryInterval.
 func (n *Node) flushUntilDone(ctx context.Context, s *store.Store) {
 	snapshotCheck := time.NewTicker(snapshotCheckInterval)
 	defer snapshotCheck.Stop()
@@ -85,7 +88,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.disk.written:
+		case <-n.disk.flushRequested:
 		case <-snapshotCheck.C:
 			if n.isSnapshotDue() {
 				n.persistSnapshot(s)
@@ -96,7 +99,7 @@
 		}
 		if err := s.Flush(); err != nil {
 			failedAt = time.Now()
-			n.log.Warn("flushing the disk: nothing is stored for now", "err", err)
+			n.log.Warn("flushing the disk failed: nothing is stored until a flush succeeds", "err", err)
 		}
 	}
 }
@@ -107,7 +110,7 @@
 	return n.core.IsSnapshotDue(n.clock.now())
 }
 
-// persistSnapshot puts the relay's snapshot as of now.
+// persistSnapshot puts the relay's current snapshot.
 func (n *Node) persistSnapshot(s *store.Store) {
 	snapshot := n.relay.snapshot()
 	n.mutex.Lock()
@@ -115,7 +118,7 @@
 	n.mutex.Unlock()
 	s.Put(record, func(err error) {
 		if errors.Is(err, store.ErrFull) {
-			n.log.Warn("the snapshot is larger than the disk may hold", "bytes", len(record.Body))
+			n.log.Warn("the snapshot does not fit into the disk's size limit", "bytes", len(record.Body))
 		}
 	})
 }
--- a/internal/fleet/former_folder_test.go
+++ b/internal/fleet/former_folder_test.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	folderNow      = now + 4000 // when the folder under testdata was written
-	folderOwner    = "r1"
-	folderKey      = "a key that all share"
-	folderDecision = 21
+	folderNow      = now + 4000             // time at which testdata/folder was written
+	folderOwner    = "r1"                   // name of the relay that wrote it
+	folderKey      = "a key that all share" // its fleet's key
+	folderDecision = 21                     // number of the coordinators' decision that it followed
 )
 
-// network has some relays exchange datagrams without sockets. Each has a store.
+// network is some relays, each with a store, that exchange datagrams by direct calls instead of sockets.
 type network struct {
 	t      *testing.T
 	names  []string
@@ -35,7 +35,7 @@
 	stores map[string]*store.Store
 }
 
-// execute does what a relay's core asks for.
+// execute executes the actions of a relay's core. Queries fail.
 func (n *network) execute(now float64, name string, actions []Action) {
 	core := n.cores[name]
 	for _, a := range actions {
@@ -50,7 +50,7 @@
 	}
 }
 
-// put writes a record, and requires that it is durable.
+// put writes a record, requires that it becomes durable, and calls finish then.
 func (n *network) put(name string, record store.Record, finish func()) {
 	n.stores[name].Put(record, func(err error) {
 		require.NoError(n.t, err)
@@ -59,7 +59,7 @@
 	require.NoError(n.t, n.stores[name].Flush())
 }
 
-// run advances all relays, and returns the time after that.
+// run ticks all relays every 10 ms from one time to another, and returns the latter.
 func (n *network) run(from, to float64) float64 {
 	for ; from < to; from += 10 {
 		for _, name := range n.names {
@@ -69,7 +69,7 @@
 	return to
 }
 
-// start begins a life of each relay, on its disk.
+// start starts each relay with the content of its disk.
 func (n *network) start(disks map[string]store.FS) {
 	n.t.Helper()
 	key := []byte(folderKey)
@@ -96,21 +96,21 @@
 	}
 }
 
-// order gives a relay an operators' order.
+// order gives an operator's order to a relay.
 func (n *network) order(now float64, name string, draining bool) {
 	record, actions := n.cores[name].SetDraining(now, draining)
 	n.execute(now, name, actions)
 	n.put(name, record, func() {})
 }
 
-// replicateOrder has others hold a relay's order.
+// replicateOrder replicates a relay's order to the others.
 func (n *network) replicateOrder(now float64, name string) {
 	_, actions := n.cores[name].ReplicateOrder(now)
 	n.execute(now, name, actions)
 }
 
-// writeFolder has relay r1 start three times, be drained by an operator, store other relays' records and orders and
-// follow a decision of the coordinators.
+// writeFolder writes the folder of relay r1: r1 starts three times, is drained by an operator, stores records and
+// orders of other relays, and follows a decision of the coordinators.
 func writeFolder(t *testing.T, folder string) {
 	t.Helper()
 	n := &network{t: t, names: []string{folderOwner, "r2", "r3"}, cores: map[string]*Core{},
@@ -149,7 +149,8 @@
 	n.stop()
 }
 
-// A relay that starts on the folder of a former build, and of this one, finds all that was left to it.
+// A relay restores its whole state from a folder that this build has written, and from one of an earlier build:
+// testdata/folder.
 func TestStartOnFormerFolder(t *testing.T) {
 	written := t.TempDir()
 	writeFolder(t, written)
@@ -178,7 +179,7 @@
 	}
 }
 
-// startNode starts a relay's node on a folder. The test's end stops it.
+// startNode starts a relay's node with a copy of a folder as its disk. It is stopped when the test ends.
 func startNode(t *testing.T, folder string) (*Node, <-chan relay.Event) {
 	t.Helper()
 	keyFile := filepath.Join(t.TempDir(), "key")
@@ -206,7 +207,7 @@
 	return node, events
 }
 
-// requireRestored waits until the relay has been told of its order and its snapshot, and compares that.
+// requireRestored waits until the relay has been notified of its order and its snapshot, and checks both.
 func requireRestored(t *testing.T, events <-chan relay.Event) {
 	t.Helper()
 	var restored *relay.Snapshot
@@ -222,7 +223,7 @@
 				isDraining = e.On
 			}
 		case <-timeout:
-			require.FailNow(t, "not restored in time", "snapshot %v, draining %t", restored, isDraining)
+			require.FailNow(t, "state not restored within 10 s", "snapshot %v, draining %t", restored, isDraining)
 		}
 	}
 	want := fullSnapshot()
@@ -235,13 +236,13 @@
 
 func assertStatus(t *testing.T, s Status) {
 	t.Helper()
-	assert.Equal(t, uint64(4), s.Boot, "the start after the third")
+	assert.Equal(t, uint64(4), s.Boot, "the folder was written by three starts, this is the fourth")
 	assert.Equal(t, uint64(3), s.Order)
 	assert.True(t, s.Draining)
 	assert.Empty(t, s.DiskFault)
-	assert.Equal(t, uint64(folderDecision), s.Coordinators.Number, "the decision below which none is followed")
-	assert.Equal(t, 2, s.Replication.Kinds["places"].Stored, "reservations")
-	assert.Equal(t, 2, s.Replication.Kinds["orders"].Stored, "its own order and another's")
+	assert.Equal(t, uint64(folderDecision), s.Coordinators.Number, "no decision with a lower number may be followed")
+	assert.Equal(t, 2, s.Replication.Kinds["places"].Stored, "stored reservations")
+	assert.Equal(t, 2, s.Replication.Kinds["orders"].Stored, "stored orders: its own and another relay's")
 	assert.Equal(t, 1, s.Replication.Kinds["marks"].Stored)
 }
 
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -21,22 +21,24 @@
 	"valeshift/internal/store"
 )
 
-// The golden files are of the build of commit 32b198a: other builds of a fleet read and write the same bytes.
-var update = flag.Bool("update", false, "write the golden files anew: only where a form is changed on purpose")
+// update rewrites the golden files, which the build of commit 32b198a wrote. Relays of different builds in one fleet
+// read and write these bytes, so the files change only when a format is changed on purpose.
+var update = flag.Bool("update", false, "rewrite the golden files: only when a format is changed on purpose")
 
-// golden reads a golden file, or writes it.
-func golden(t *testing.T, name string, now []byte) []byte {
+// golden returns the content of a golden file, which it first rewrites if update is set.
+func golden(t *testing.T, name string, written []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
 	if *update {
-		require.NoError(t, os.WriteFile(path, now, 0o600))
+		require.NoError(t, os.WriteFile(path, written, 0o600))
 	}
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
 	return text
 }
 
-// fullSnapshot has no field at its zero value, and nothing that is not stored.
+// fullSnapshot returns a snapshot in which every field that is stored has a value other than zero, and no other field
+// has one.
 func fullSnapshot() *relay.Snapshot {
 	return &relay.Snapshot{Version: 1, ConfirmedAt: now - 2500, Capacity: 4.25e6, MeanLoad: 41000.5,
 		Classes: map[string]relay.ClassLoad{"chat": {Load: 40000.5, Weight: 12.5},
@@ -49,12 +51,14 @@
 				Invalid: "another"}}}}
 }
 
-// newLoneCore returns the core of a relay without others or a disk, whose start has come to its end.
+// newLoneCore returns the core of a relay without other relays or a disk, which started long enough ago for its
+// recovery to have ended.
 func newLoneCore() *Core {
 	return New(now-60000, membership.MemberState{}, nil, nil, false, rand.New(rand.NewSource(1)))
 }
 
-// What is stored and what one relay answers another, byte by byte.
+// The records that are stored, and the answer to another relay's query, have the same bytes as in the golden files and
+// can be read from them.
 func TestGoldenForms(t *testing.T) {
 	for _, c := range []struct {
 		file  string
@@ -99,7 +103,7 @@
 			want.ConfirmedAt = 0
 			want.RetryAt = nil
 			want.Endpoints.Endpoints[1].Status = "leaving"
-			assert.Equal(t, want, got, "told 2.5 s ago: as good as discovery's own")
+			assert.Equal(t, want, got, "an endpoint list that discovery confirmed 2.5 s ago is used like a new one")
 		}},
 	} {
 		t.Run(c.file, func(t *testing.T) {
@@ -111,7 +115,7 @@
 	}
 }
 
-// fullStatus has no field at its zero value.
+// fullStatus returns a status in which no field has its zero value.
 func fullStatus() Status {
 	return Status{
 		Recovery: recovery.Status{
@@ -183,7 +187,7 @@
 	}
 }
 
-// What GET /_fleet tells, with all its parts.
+// The JSON form of Status, which GET /_fleet returns, with all its parts.
 func TestGoldenStatus(t *testing.T) {
 	written, err := json.Marshal(fullStatus())
 	require.NoError(t, err)
@@ -194,16 +198,16 @@
 	assert.Equal(t, fullStatus(), read)
 }
 
-// One relay's query to another and its answer, as they pass over TCP: nonce, text and seal.
+// The bytes of a relay's query to another one, and of its answer, as sent over TCP: nonce, text and seal.
 func TestGoldenQuery(t *testing.T) {
 	key := []byte("a key that all share")
-	var asked [nonceBytes]byte
-	copy(asked[:], "a nonce, sixteen")
-	question := golden(t, "question.bin", membership.Seal(key, asked[:]))
-	assert.Equal(t, membership.Seal(key, asked[:]), question)
+	var nonce [nonceBytes]byte
+	copy(nonce[:], "a nonce, sixteen")
+	query := golden(t, "question.bin", membership.Seal(key, nonce[:]))
+	assert.Equal(t, membership.Seal(key, nonce[:]), query)
 
 	snapshot := fullSnapshot()
-	snapshot.Endpoints = nil // how long ago they were confirmed would depend on the time of the test
+	snapshot.Endpoints = nil // with endpoints, the answer has the time since they were confirmed, which varies
 	core := newLoneCore()
 	n := &Node{key: key, core: core, clock: nodeClock{startMillis: now, startedAt: time.Now()},
 		relay: relayHooks{snapshot: func() *relay.Snapshot {
@@ -224,7 +228,7 @@
 	conn, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
 	defer conn.Close()
-	_, err = conn.Write(question)
+	_, err = conn.Write(query)
 	require.NoError(t, err)
 	written, err := io.ReadAll(conn)
 	require.NoError(t, err)
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -8,19 +8,22 @@
 	"valeshift/internal/relay"
 )
 
-// This file is what the relay tells other relays of itself, and what it makes of what they say.
+// This file connects the membership to the rest of Core: the state that this relay announces to other relays, and
+// what it derives from theirs.
 
 const (
-	remoteLoadInterval = 200.0 // between two notifications; news from another relay takes as long
-	// maxMedianMultiple bounds what one relay's word on its load counts for, in multiples of the median.
+	// remoteLoadInterval is the time between two notifications in ms, about as long as another relay's state takes to
+	// arrive here.
+	remoteLoadInterval = 200.0
+	// maxMedianMultiple limits the load that is counted for one other relay, in multiples of the median.
 	maxMedianMultiple = 3.0
-	// noRemoteRelays is the remote load where no other relay is alive.
+	// noRemoteRelays is the value of the remote load while no other relay is alive.
 	noRemoteRelays = -1.0
-	// duplicateMillis is how long a second process under this relay's name is reported after its last datagram.
-	duplicateMillis = 10000.0
+	// duplicateReportMillis is how long after its last datagram a second process with this relay's name is reported.
+	duplicateReportMillis = 10000.0
 )
 
-// gossip says what this relay is like now, and exchanges it with other relays.
+// gossip updates the state that this relay announces, and exchanges member states with other relays.
 func (c *Core) gossip(now float64) []Action {
 	if c.membership == nil {
 		return nil
@@ -41,15 +44,15 @@
 	return append(actions, sendActions(c.membership.Tick(now))...)
 }
 
-// adoptRememberedState follows what other relays remember of this one: a boot above its own, as its disk was
-// lost or is an older one, or an operator order later than its own.
+// adoptRememberedState adopts what other relays remember of this one: a higher boot number, if this relay's disk was
+// lost or replaced by an older copy, or a later operator order.
 func (c *Core) adoptRememberedState(now float64) []Action {
 	var actions []Action
 	state := c.membership.LocalState()
 	if state.Boot > c.boot && c.diskRead {
 		c.boot = state.Boot
 		if c.replication != nil {
-			c.replication.diskIsOlder = true
+			c.replication.isDiskStale = true
 		}
 		actions = append(actions, c.persistBoot(now))
 	}
@@ -66,7 +69,7 @@
 	})
 }
 
-// recoveryPeers returns the other relays that are alive, as the recovery plan needs them.
+// recoveryPeers returns the other relays that are alive, in the form that the recovery plan takes.
 func (c *Core) recoveryPeers(now float64) []recovery.Peer {
 	var peers []recovery.Peer
 	for _, m := range c.aliveMembers(now) {
@@ -81,7 +84,7 @@
 	return peers
 }
 
-// findMember finds another relay by its name. It is called only where there are others.
+// findMember finds another relay by its name. It must not be called without a membership.
 func (c *Core) findMember(name string) (membership.Member, bool) {
 	members := c.membership.Members(c.relayStatus.Now)
 	i := slices.IndexFunc(members, func(m membership.Member) bool { return m.Name == name })
@@ -91,19 +94,20 @@
 	return members[i], true
 }
 
-// hasDuplicate tells whether another process was heard under this relay's name of late.
+// hasDuplicate reports whether a datagram of another process with this relay's name arrived within the last
+// duplicateReportMillis.
 func (c *Core) hasDuplicate(now float64) bool {
 	seenAt := c.membership.DuplicateSeenAt
-	return seenAt > 0 && now < seenAt+duplicateMillis
+	return seenAt > 0 && now < seenAt+duplicateReportMillis
 }
 
 // remoteLoad is the load that other relays have assigned and that load reports may not show yet.
 type remoteLoad struct {
-	notified float64 // as the relay was last told
-	dueAt    float64
+	notified float64 // load that the relay was last notified of, or noRemoteRelays
+	dueAt    float64 // time of the next update
 }
 
-// updateRemoteLoad tells the relay what load the others have assigned, by their own words, where that changed.
+// updateRemoteLoad notifies the relay of the load that the other relays say they have assigned, if it has changed.
 func (c *Core) updateRemoteLoad(now, ownLoad float64) []Action {
 	if now < c.remoteLoad.dueAt {
 		return nil
@@ -117,8 +121,8 @@
 	return []Action{{Event: relay.RemoteLoadChanged{Load: load}}}
 }
 
-// sumRemoteLoad sums what the others say they have assigned. Each counts for a few times the median at the
-// most: one relay that is wrong must not make all backends look full.
+// sumRemoteLoad returns the sum of the loads that the other relays say they have assigned. Each of them is counted
+// up to maxMedianMultiple times the median, so that one relay with a wrong load can't make all backends look full.
 func sumRemoteLoad(ownLoad float64, others []membership.Member) float64 {
 	if len(others) == 0 {
 		return noRemoteRelays
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -16,11 +16,11 @@
 	"valeshift/internal/store"
 )
 
-// tickInterval is between two ticks of a node's core.
+// tickInterval is the time between two ticks of a node's core.
 const tickInterval = 50 * time.Millisecond
 
-// MaxDescriptors is how many file descriptors a node may hold: two sockets, the connections of those that query
-// it and of those that it queries, and the disk's files.
+// MaxDescriptors is the maximum number of file descriptors that a node uses: two sockets, the connections of relays
+// that query it, those to relays that it queries, and the disk's files.
 const MaxDescriptors = 2 + maxConcurrentQueries + 4 + 4
 
 // Node drives a Core with sockets, a store and timers. It implements relay.Fleet.
@@ -32,7 +32,7 @@
 	clock  nodeClock
 	relay  relayHooks
 
-	mutex sync.Mutex // over core; never held while the relay, a peer or the disk is waited for
+	mutex sync.Mutex // guards core; never held while the relay, a peer or the disk is waited for
 	core  *Core
 
 	sockets     sockets
@@ -42,7 +42,7 @@
 	tasks       taskGroup
 }
 
-// relayHooks ask the relay for its state, and tell it what has happened.
+// relayHooks are the functions by which a node notifies the relay of events and reads the relay's state.
 type relayHooks struct {
 	notify           func(relay.Event)
 	status           func() relay.Status
@@ -50,13 +50,14 @@
 	zoneObservations func() (map[string]balancer.ZoneObservation, float64)
 }
 
-// nodeClock is the relay's own clock, in milliseconds, and the machine's.
+// nodeClock provides the relay's own clock and the machine's.
 type nodeClock struct {
-	startedAt   time.Time // when the relay's clock showed startMillis
-	startMillis float64
-	machine     func() time.Time
+	startedAt   time.Time        // time when the relay's clock was at startMillis
+	startMillis float64          // the relay's clock at startedAt, in ms
+	machine     func() time.Time // reads the machine's clock
 }
 
+// now returns the relay's own clock, in milliseconds.
 func (c *nodeClock) now() float64 {
 	return c.startMillis + float64(time.Since(c.startedAt))/float64(time.Millisecond)
 }
@@ -64,15 +65,15 @@
 // wall returns the machine's clock, in Unix milliseconds.
 func (c *nodeClock) wall() float64 { return float64(c.machine().UnixMicro()) / 1000 }
 
-// NewNode prepares the node of the relay of that name. A nil config names no other relays; a nil folder, no disk.
-// The disk may hold up to maxDiskBytes.
+// NewNode returns the node of the relay with the given name; Start starts it. With a nil config there are no other
+// relays, with a nil folder there is no disk. maxDiskBytes limits the size of the store on the disk.
 func NewNode(name string, config *Config, folder store.FS, maxDiskBytes int, machineClock func() time.Time,
 	log *slog.Logger) (*Node, error) {
 	n := &Node{
 		name:  name,
 		log:   log,
 		clock: nodeClock{machine: machineClock},
-		disk:  disk{folder: folder, maxBytes: maxDiskBytes, written: make(chan struct{}, 1)},
+		disk:  disk{folder: folder, maxBytes: maxDiskBytes, flushRequested: make(chan struct{}, 1)},
 		tasks: newTaskGroup(),
 	}
 	if config != nil {
@@ -86,8 +87,9 @@
 	return n, nil
 }
 
-// Start begins at that time of the relay's clock. Notify gives the relay an event; the other functions ask it
-// for its status, its snapshot and what it has observed of zones. Stop ends what Start began.
+// Start opens the sockets and starts the node's goroutines; now is the present time of the relay's clock. notify
+// delivers an event to the relay; the other functions return the relay's status, its snapshot, and its observations of
+// zones with the demand of its sessions. Stop ends the goroutines and closes the sockets.
 func (n *Node) Start(now float64, notify func(relay.Event), status func() relay.Status,
 	snapshot func() *relay.Snapshot,
 	zoneObservations func() (map[string]balancer.ZoneObservation, float64)) error {
@@ -108,10 +110,10 @@
 	return nil
 }
 
-// randomSeeds is what a life draws at its start.
+// randomSeeds are the random numbers drawn at each start of a relay.
 type randomSeeds struct {
 	incarnation uint64
-	rng         int64
+	rng         int64 // seed of the random source of Core
 }
 
 func drawSeeds() (randomSeeds, error) {
@@ -125,12 +127,13 @@
 	}, nil
 }
 
-// startCore makes the core as the config wants it, and tells the relay of it.
+// startCore creates the core from the config, and notifies the relay that it is a new incarnation and whether
+// replication is enabled.
 func (n *Node) startCore(now float64, seeds randomSeeds) {
 	own := membership.MemberState{Name: n.name, Zone: n.config.Zone, Region: n.config.Region,
 		Address: n.config.Listen, Incarnation: seeds.incarnation}
 	rng := mathrand.New(mathrand.NewSource(seeds.rng))
-	n.core = New(now, own, n.config.Seeds, n.key, n.disk.isNamed(), rng)
+	n.core = New(now, own, n.config.Seeds, n.key, n.disk.isConfigured(), rng)
 	if n.core.membership != nil {
 		n.core.membership.SeedsOnly = n.config.SeedsOnly
 	}
@@ -156,19 +159,20 @@
 		n.tasks.start(n.receiveDatagrams)
 		n.tasks.start(n.acceptQueries)
 	}
-	if n.disk.isNamed() {
+	if n.disk.isConfigured() {
 		n.tasks.start(n.runDisk)
 	}
 }
 
-// Stop ends the node. The snapshot is written once more.
+// Stop closes the sockets, ends the node's goroutines and waits for them. If the disk is in use, the snapshot is
+// written a last time.
 func (n *Node) Stop() {
 	n.tasks.cancel()
 	n.sockets.close()
 	n.tasks.wait()
 }
 
-// runTicks advances the core.
+// runTicks ticks the core every tickInterval, and sends observations to the coordinators, until the context is done.
 func (n *Node) runTicks(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -184,7 +188,7 @@
 	}
 }
 
-// sendObservations tells the coordinators what was observed of zones, where that is due.
+// sendObservations sends the relay's observations of zones to the coordinators if they are due.
 func (n *Node) sendObservations() {
 	n.mutex.Lock()
 	isDue := n.core.IsObservationDue(n.clock.now())
@@ -196,17 +200,17 @@
 	n.update(func(core *Core) []Action { return core.SendObservations(n.clock.now(), zones, demand) })
 }
 
-// receiveDatagrams takes datagrams until the socket is closed.
+// receiveDatagrams passes datagrams to the core until the socket is closed.
 func (n *Node) receiveDatagrams(context.Context) {
 	n.sockets.receive(func(from string, data []byte) {
 		n.update(func(core *Core) []Action { return core.ReceiveDatagram(n.clock.now(), from, data) })
 	})
 }
 
-// update has the core take something, and executes what follows.
-func (n *Node) update(take func(core *Core) []Action) {
+// update applies a change to the core and executes the resulting actions.
+func (n *Node) update(apply func(core *Core) []Action) {
 	n.mutex.Lock()
-	actions := take(n.core)
+	actions := apply(n.core)
 	if n.replication.isEnabled() {
 		now := n.clock.now()
 		n.replication.bringForward(now + n.core.ReplicationDelay(now))
@@ -217,7 +221,7 @@
 	}
 }
 
-// execute does what the core asks for.
+// execute executes an action of the core.
 func (n *Node) execute(a Action) {
 	switch {
 	case a.Send != nil:
@@ -236,7 +240,7 @@
 	}
 }
 
-// persist has an action's record written, and tells the core what came of it where it waits for that.
+// persist puts an action's record on the disk, and passes the result to the core if the core awaits it.
 func (n *Node) persist(a Action) {
 	var finish func(error)
 	if a.AwaitsPersistence() {
@@ -247,8 +251,8 @@
 	n.disk.put(*a.Persist, finish)
 }
 
-// ReplicationPage returns one part of the records that this relay holds for others, to be encoded as JSON; nil
-// where it holds none for any.
+// ReplicationPage returns one part of the records that this relay stores, to be encoded as JSON; nil if replication
+// is disabled.
 func (n *Node) ReplicationPage(part int) any {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -258,7 +262,7 @@
 	return nil
 }
 
-// Status returns a Status.
+// Status returns the relay's Status, to be encoded as JSON.
 func (n *Node) Status() any {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/fleet/node_orders.go
+++ b/internal/fleet/node_orders.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// orderTimeout is how long an operator waits for an order to be durable, and again for its replicas.
+// orderTimeout is how long SetDraining waits for an order to be durable, and then again for it to be replicated.
 const orderTimeout = time.Second
 
-// What an operator is told of an order that is in effect, and not as safe as it is to be.
+// Errors for an order that is in effect, but is not yet stored as safely as it is meant to be.
 var (
-	errOrderNotDurable    = errors.New("the order is in effect, and not on the disk yet")
-	errOrderNotReplicated = errors.New("the order is in effect, and on this machine's disk alone for now")
+	errOrderNotDurable    = errors.New("the order is in effect, but it is not on the disk yet")
+	errOrderNotReplicated = errors.New("the order is in effect, but it is only on this machine's disk so far")
 )
 
-// SetDraining takes an operator's order. It returns once the order is durable and replicated, where there is a
-// disk and replicas are made. With an error the order is in effect all the same: the error says what is missing.
+// SetDraining puts an operator's order into effect, and returns once the order is durable, if there is a disk, and
+// replicated, if replication is enabled. The order is in effect even if an error is returned: the error says what is
+// missing for the order to survive a restart or the loss of the disk.
 func (n *Node) SetDraining(draining bool) error {
 	n.mutex.Lock()
 	record, actions := n.core.SetDraining(n.clock.now(), draining)
 	n.mutex.Unlock()
 	n.update(func(*Core) []Action { return actions })
-	if !n.disk.isNamed() {
+	if !n.disk.isConfigured() {
 		return nil
 	}
 	durable := make(chan error, 1)
@@ -31,7 +32,7 @@
 	select {
 	case err := <-durable:
 		if err != nil {
-			return fmt.Errorf("storing the order: it is in effect until the next start only: %w", err)
+			return fmt.Errorf("the order is in effect, but only until the next start, as it could not be stored: %w", err)
 		}
 	case <-time.After(orderTimeout):
 		return errOrderNotDurable
@@ -42,7 +43,7 @@
 	return n.replicateOrder()
 }
 
-// replicateOrder waits until as many relays hold the order as copies are made.
+// replicateOrder replicates the order, and waits until all its replicas have stored it.
 func (n *Node) replicateOrder() error {
 	replicated := make(chan bool, 1)
 	n.update(func(core *Core) []Action {
@@ -60,13 +61,13 @@
 	return errOrderNotReplicated
 }
 
-// orderWaiters are those that wait for an order to be replicated, by its token. The zero value is none.
+// orderWaiters are the channels of callers that wait for an order to be replicated. The zero value is empty.
 type orderWaiters struct {
 	mutex   sync.Mutex
-	byToken map[uint64]chan<- bool
+	byToken map[uint64]chan<- bool // by the token of Core.ReplicateOrder
 }
 
-// add has complete tell a waiter, whose channel has room for one.
+// add registers a channel that complete sends the outcome to. The channel needs a buffer of one.
 func (w *orderWaiters) add(token uint64, waiter chan<- bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -76,7 +77,7 @@
 	w.byToken[token] = waiter
 }
 
-// complete tells who waits for that order.
+// complete sends the outcome to the caller that waits for it, if any.
 func (w *orderWaiters) complete(o OrderReplicated) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/fleet/node_replication.go
+++ b/internal/fleet/node_replication.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// maxPendingReplications is how many of the relay's requests may wait to be handled, and how many best-effort
-	// records to be replicated again.
+	// maxPendingReplications is the maximum number of the relay's requests that wait to be handled, and of best-effort
+	// records that wait to be replicated again.
 	maxPendingReplications = 4096
-	maxReplicationWait     = 1e6 // ms, of one setting of the timer
+	maxReplicationWait     = 1e6 // the longest time that the timer is set for, in ms
 )
 
-// replicationQueue is what the relay wants replicated, and when replication has to go on. The zero value is
-// disabled.
+// replicationQueue holds the relay's pending replication requests, and the time of the next Core.TickReplication. The
+// zero value is disabled.
 type replicationQueue struct {
 	requests     chan relay.ReplicationRequest
-	dueAtChanged chan struct{} // has room for one
-	dueAt        float64       // of the relay's clock; under Node.mutex
+	dueAtChanged chan struct{} // capacity 1; filled when dueAt was brought forward
+	dueAt        float64       // time of the relay's clock; guarded by Node.mutex
 }
 
 func newReplicationQueue() replicationQueue {
@@ -33,7 +33,7 @@
 
 func (q *replicationQueue) isEnabled() bool { return q.requests != nil }
 
-// bringForward has replication go on at that time, where it isn't due before. Node.mutex is held.
+// bringForward sets the time of the next Core.TickReplication, unless that is due earlier. Node.mutex must be held.
 func (q *replicationQueue) bringForward(dueAt float64) {
 	if dueAt >= q.dueAt {
 		return
@@ -45,9 +45,9 @@
 	}
 }
 
-// Replicate handles a request of the relay: to replicate a record, to look one up or to release one. It is called
-// under the relay's lock and waits for nothing: where too many are pending, the request is dropped, and the relay
-// goes on without.
+// Replicate queues a request of the relay to replicate a record, look one up or release one. It is called under the
+// relay's lock and never blocks: if maxPendingReplications requests are pending, this one is dropped, and the relay
+// continues without its outcome.
 func (n *Node) Replicate(r relay.ReplicationRequest) {
 	select {
 	case n.replication.requests <- r:
@@ -55,8 +55,8 @@
 	}
 }
 
-// runReplication handles the relay's requests, and has replication go on when it is due: ticks are too far apart
-// for what takes some milliseconds.
+// runReplication handles the relay's requests, and calls Core.TickReplication when that is due: the interval of the
+// core's ticks is too long for operations that take a few milliseconds.
 func (n *Node) runReplication(ctx context.Context) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -77,7 +77,7 @@
 	}
 }
 
-// replicationWait returns how long it is until replication is due.
+// replicationWait returns the time until the next Core.TickReplication, at most maxReplicationWait.
 func (n *Node) replicationWait() time.Duration {
 	n.mutex.Lock()
 	wait := n.replication.dueAt - n.clock.now()
--- a/internal/fleet/orders.go
+++ b/internal/fleet/orders.go
@@ -8,20 +8,20 @@
 	"valeshift/internal/store"
 )
 
-// operatorOrder is the operators' last order to this relay: to drain, or to take clients again.
+// operatorOrder is the operators' latest order to this relay: to drain, or to accept clients again.
 type operatorOrder struct {
-	orderNumber uint64 // 0: none was ever given
+	orderNumber uint64 // 0 if there was never an order
 	draining    bool
 }
 
-// storedOrder is an order as it is stored on the disk and replicated at other relays.
+// storedOrder is an order in the form that is stored on the disk and replicated to other relays.
 type storedOrder struct {
 	Number   uint64 `json:"Number"`
 	Draining bool   `json:"Lame"`
 }
 
-// SetDraining takes an operator's order, which is in effect at once, and returns its record: the order may be
-// acknowledged once that is durable.
+// SetDraining puts an operator's order into effect at once, and returns its record. The order may be acknowledged
+// once the record is durable.
 func (c *Core) SetDraining(now float64, draining bool) (store.Record, []Action) {
 	number := c.orderNumber + 1
 	if c.membership != nil {
@@ -48,8 +48,8 @@
 	return []Action{{Event: relay.DrainRequested{On: draining}}}
 }
 
-// adoptOrder takes an order to this relay that others remember, where it is later than the one in effect, or of
-// the same number and the stricter.
+// adoptOrder puts into effect an order to this relay that other relays remember, if it is later than the present one,
+// or has the same number and is stricter: draining instead of not.
 func (c *Core) adoptOrder(now float64, number uint64, draining bool) []Action {
 	isStricter := draining && !c.draining
 	if number < c.orderNumber || (number == c.orderNumber && !isStricter) {
@@ -61,7 +61,7 @@
 	return append(actions, Action{Persist: &record})
 }
 
-// restoreOrder takes the order that the disk has, unless a later one is in effect.
+// restoreOrder puts the order on the disk into effect, unless a later one is in effect.
 func (c *Core) restoreOrder(s *store.Store) []Action {
 	record, isStored := s.Get(store.KindOrder, "")
 	if !isStored {
@@ -74,8 +74,8 @@
 	return c.applyOrder(order.Number, order.Draining)
 }
 
-// orderRecord is the record of the order in effect.
+// orderRecord returns the record of the order in effect.
 func (c *Core) orderRecord(now float64) store.Record {
-	body, _ := json.Marshal(storedOrder{Number: c.orderNumber, Draining: c.draining}) // plain values: no error
+	body, _ := json.Marshal(storedOrder{Number: c.orderNumber, Draining: c.draining}) // can't fail with these types
 	return store.Record{Kind: store.KindOrder, Boot: c.boot, UnixMillis: now, Body: body}
 }
--- a/internal/fleet/processes_test.go
+++ b/internal/fleet/processes_test.go
@@ -21,11 +21,11 @@
 	"valeshift/internal/testbed/procstat"
 )
 
-// machine is one relay process with a folder as its disk.
+// machine is a relay process with a folder as its disk.
 type machine struct {
 	t             *testing.T
-	loopback      *procstat.LoopbackNetwork // of all machines of the test
-	number        int
+	loopback      *procstat.LoopbackNetwork // the network of all machines of the test
+	number        int                       // index among the test's machines
 	dir           string
 	binary        string
 	gossipAddress string
@@ -33,10 +33,10 @@
 	seeds         []string
 	key           string
 	cmd           *exec.Cmd
-	faults        string  // of its disk
-	aheadMillis   float64 // its clock, of the right time
+	faults        string  // faults that are injected into its disk
+	aheadMillis   float64 // ms that its clock is ahead of the real time
 	zone          string
-	moreConfig    string // at the end of its operators' file
+	moreConfig    string // text appended to its operators' file
 	log           *os.File
 }
 
@@ -46,7 +46,7 @@
 "localities":["a"],"categories":[{"name":"chat","gain":1,"effect":"idempotent","promised-time-ms":500,
 "hard-limit-ms":2000,"group":"all","repeat-window-ms":10000}],"parties":[{"name":"all"}]}`
 
-// newMachines prepares relays that know of each other. None is started yet.
+// newMachines prepares relays that have the first three of them as seeds. None is started yet.
 func newMachines(t *testing.T, count int) (all []*machine) {
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "valeshift")
@@ -133,7 +133,7 @@
 	return answer.StatusCode
 }
 
-// command runs the program with those arguments and the machines' admin addresses.
+// command runs the valeshift program with the arguments followed by the admin addresses of the targets.
 func (m *machine) command(targets []*machine, arguments ...string) (string, error) {
 	for _, target := range targets {
 		arguments = append(arguments, target.adminAddress)
@@ -142,15 +142,15 @@
 	return string(text), err
 }
 
-// eventually waits until every machine given is as it should be.
-func eventually(t *testing.T, all []*machine, what string, isReached func(m *machine, s Status) bool) {
+// eventually waits until the condition holds for every one of the machines. The test fails after 20 s.
+func eventually(t *testing.T, all []*machine, what string, isSatisfied func(m *machine, s Status) bool) {
 	t.Helper()
 	var last []string
 	var missing []*machine
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
 		last, missing = nil, nil
 		for _, m := range all {
-			if s, err := m.status(); err != nil || !isReached(m, s) {
+			if s, err := m.status(); err != nil || !isSatisfied(m, s) {
 				text, _ := json.Marshal(s)
 				last = append(last, fmt.Sprintf("relay-%d: %v %s", m.number, err, text))
 				missing = append(missing, m)
@@ -161,9 +161,9 @@
 		}
 	}
 	for _, m := range missing {
-		t.Logf("log of relay-%d:\n%s", m.number, logged{m})
+		t.Logf("log of relay-%d:\n%s", m.number, lazyLog{m})
 	}
-	t.Fatalf("%s: never came\n%s", what, strings.Join(last, "\n"))
+	t.Fatalf("%s: not reached within 20 s\n%s", what, strings.Join(last, "\n"))
 }
 
 func countAlive(s Status) (n int) {
@@ -181,20 +181,21 @@
 	}
 }
 
-// Nine processes lose power at one instant and return with disks of every kind; what was promised holds, what
-// is another's is refused by its name, and nobody stays in a phase.
+// Nine processes lose power at the same time and restart, some with a disk that was wiped, belongs to another relay,
+// is full, read-only or slow. Acknowledged orders are still in effect, another relay's disk is rejected with that
+// relay's name, and no relay remains in a phase of its recovery.
 func TestNineLosePower(t *testing.T) {
 	all := newMachines(t, 9)
 	each(all, (*machine).start)
 	haveJoined := func(_ *machine, s Status) bool { return countAlive(s) == 8 && s.Recovery.Phase != "asking" }
-	eventually(t, all, "all know all", haveJoined)
+	eventually(t, all, "each relay sees the eight others alive", haveJoined)
 	for _, i := range []int{1, 2, 3, 4} {
-		require.Equal(t, http.StatusOK, all[i].order("on"), "an order is answered once it is durable")
+		require.Equal(t, http.StatusOK, all[i].order("on"), "an order is acknowledged once it is durable")
 	}
 	old := t.TempDir()
 	require.NoError(t, exec.Command("cp", "-r", all[4].disk(), old).Run())
-	require.Equal(t, http.StatusOK, all[4].order("off")) // taken back
-	eventually(t, all, "all have heard of the orders", func(_ *machine, s Status) bool {
+	require.Equal(t, http.StatusOK, all[4].order("off")) // revokes its order
+	eventually(t, all, "each relay knows the three orders", func(_ *machine, s Status) bool {
 		orders := 0
 		for _, m := range s.Members {
 			if m.Draining {
@@ -206,37 +207,37 @@
 		}
 		return orders == 3
 	})
-	each(all, (*machine).kill) // at one instant: what was not synced is gone
+	each(all, (*machine).kill) // without a shutdown: with faultdisk, what was not synced is lost as in a power loss
 	each(all[2:3], func(m *machine) {
 		require.NoError(t, os.RemoveAll(m.disk()))
 		require.NoError(t, os.MkdirAll(m.disk(), 0o700))
 	})
 	require.NoError(t, os.RemoveAll(all[5].disk()))
-	require.NoError(t, exec.Command("cp", "-r", all[6].disk(), all[5].disk()).Run()) // another machine's
+	require.NoError(t, exec.Command("cp", "-r", all[6].disk(), all[5].disk()).Run()) // the disk of another relay
 	all[6].faults, all[7].faults, all[8].faults = "full", "read-only", "slow"
 	each(all, (*machine).start)
-	eventually(t, all, "all are through asking, and know all again", haveJoined)
-	eventually(t, all, "orders hold as they were promised", func(m *machine, s Status) bool {
+	eventually(t, all, "each relay has finished querying and sees the eight others alive again", haveJoined)
+	eventually(t, all, "acknowledged orders are in effect", func(m *machine, s Status) bool {
 		switch m.number {
-		case 1, 3: // by their disks
+		case 1, 3: // restored from their disks
 			return s.Draining && s.Order == 1
-		case 2: // wiped, and all others were off too: nobody is left who could know
+		case 2: // its disk was wiped, and all others were off too, so its order is lost
 			return !s.Draining
-		case 4: // on, then off
+		case 4: // ordered to drain, then not to
 			return !s.Draining && s.Order == 2
 		case 5:
 			return strings.Contains(s.DiskFault, `another relay's: "relay-6"`)
 		}
 		return !s.Draining
 	})
-	for _, m := range all[6:8] { // a disk that keeps nothing stops nobody, and promises nothing
+	for _, m := range all[6:8] { // with a disk that can't be written, an order takes effect but is not acknowledged
 		assert.Equal(t, http.StatusConflict, m.order("on"))
 		s, err := m.status()
 		require.NoError(t, err)
 		assert.True(t, s.Draining)
 	}
 
-	// One loses its disk while the others run: they know its boots and its orders.
+	// One relay loses its disk while the others run: they remember its boot number and its order.
 	m := all[3]
 	before, err := m.status()
 	require.NoError(t, err)
@@ -244,83 +245,94 @@
 	require.NoError(t, os.RemoveAll(m.disk()))
 	require.NoError(t, os.MkdirAll(m.disk(), 0o700))
 	m.start()
-	eventually(t, all[3:4], "what the others remember", func(_ *machine, s Status) bool {
+	eventually(t, all[3:4], "order and boot number adopted from the other relays", func(_ *machine, s Status) bool {
 		return s.Draining && s.Order == 1 && s.Boot > before.Boot
 	})
-	// And one comes back with the disk as it was before its order was taken back.
+	// Another restarts with an old copy of its disk, from before its order was revoked.
 	m = all[4]
 	m.kill()
 	require.NoError(t, os.RemoveAll(m.disk()))
 	require.NoError(t, exec.Command("cp", "-r", filepath.Join(old, "disk"), m.disk()).Run())
 	m.start()
-	eventually(t, all[4:5], "an older disk revives no order", func(_ *machine, s Status) bool {
+	eventually(t, all[4:5], "an old disk does not bring back a revoked order", func(_ *machine, s Status) bool {
 		return !s.Draining && s.Order == 2 && s.Recovery.Phase != "asking"
 	})
 }
 
-// Of nine whose power returned, one has a clock an hour ahead, one an hour behind: they alone see that theirs
-// is wrong, and that it is right once it was set.
+// Of nine relays, one starts with its clock an hour ahead, one with its clock an hour behind. Only these two find that
+// their clocks are wrong, and one of them that its clock is right after it was corrected and the relay restarted.
 func TestClocksWrong(t *testing.T) {
 	all := newMachines(t, 9)
 	all[2].aheadMillis, all[5].aheadMillis = 3.6e6, -3.6e6
 	each(all, (*machine).start)
-	by := func(m *machine, s Status, ahead float64) bool {
+	sees := func(m *machine, s Status, ahead float64) bool {
 		return math.Abs(s.AheadMillis-ahead) < 2000 &&
 			countAlive(s) == 8
 	}
-	eventually(t, all, "how far each is off", func(m *machine, s Status) bool { return by(m, s, m.aheadMillis) })
-	was := map[int]float64{2: 3.6e6, 5: -3.6e6}
-	each(all, func(m *machine) { m.write("clock", "0") }) // the processes go on by the time they began with
-	eventually(t, all, "still", func(m *machine, s Status) bool { return by(m, s, was[m.number]) })
+	eventually(t, all, "each relay knows its clock's error", func(m *machine, s Status) bool {
+		return sees(m, s, m.aheadMillis)
+	})
+	aheadAtStart := map[int]float64{2: 3.6e6, 5: -3.6e6}
+	each(all, func(m *machine) { m.write("clock", "0") }) // a running relay's own clock does not follow
+	eventually(t, all, "running relays have the same error as before", func(m *machine, s Status) bool {
+		return sees(m, s, aheadAtStart[m.number])
+	})
 	all[2].kill()
 	all[2].aheadMillis = 0
 	all[2].start()
-	eventually(t, all[2:3], "right from its next start on", func(m *machine, s Status) bool {
-		return by(m, s,
+	eventually(t, all[2:3], "the clock is right after a restart", func(m *machine, s Status) bool {
+		return sees(m, s,
 			0)
 	})
 }
 
-// Relays that are stopped, strangers and twins: none of them takes the others along.
+// Other relays are not affected by a relay with another key, by one whose process is stopped by SIGSTOP and continued,
+// or by a second process with the name and disk of another.
 func TestStrangers(t *testing.T) {
 	all := newMachines(t, 9)
 	each(all[:6], (*machine).start)
 	all[6].key = "another key than theirs"
 	all[6].start()
-	eventually(t, all[:6], "six know six", func(_ *machine, s Status) bool { return countAlive(s) == 5 })
-	eventually(t, all[:3], "who has another key is refused", func(_ *machine,
+	eventually(t, all[:6], "each of six relays sees the five others alive", func(_ *machine, s Status) bool {
+		return countAlive(s) == 5
+	})
+	eventually(t, all[:3], "datagrams of the relay with another key are rejected", func(_ *machine,
 		s Status) bool {
 		return s.Datagrams.Unauthenticated > 0
 	})
 	s, err := all[6].status()
 	require.NoError(t, err)
-	assert.Empty(t, s.Members, "and hears nobody")
+	assert.Empty(t, s.Members, "a relay with another key learns of no other relay")
 
 	require.NoError(t, all[5].cmd.Process.Signal(syscall.SIGSTOP))
-	eventually(t, all[:5], "one that is stopped is gone", func(_ *machine,
+	eventually(t, all[:5], "a stopped relay is no longer alive", func(_ *machine,
 		s Status) bool {
 		return countAlive(s) == 4
 	})
 	require.NoError(t, all[5].cmd.Process.Signal(syscall.SIGCONT))
-	eventually(t, all[:6], "and back", func(_ *machine, s Status) bool { return countAlive(s) == 5 })
+	eventually(t, all[:6], "a continued relay is alive again", func(_ *machine, s Status) bool {
+		return countAlive(s) == 5
+	})
 
-	// A second process under the name and with the disk of another: it is kept from the disk, and both are told.
-	twin := *all[2]
-	twin.gossipAddress, err = twin.loopback.AssignAddress(7)
+	// A second process has the name and the disk of another: it can't open the disk, and both report a duplicate.
+	duplicate := *all[2]
+	duplicate.gossipAddress, err = duplicate.loopback.AssignAddress(7)
 	require.NoError(t, err)
-	twin.dir = filepath.Join(all[7].dir, "twin")
-	require.NoError(t, os.MkdirAll(twin.dir, 0o700))
-	require.NoError(t, os.Symlink(all[2].disk(), twin.disk()))
-	twin.cmd = nil
-	twin.start()
-	t.Cleanup(twin.kill)
-	eventually(t, []*machine{&twin}, "the twin", func(_ *machine, s Status) bool {
+	duplicate.dir = filepath.Join(all[7].dir, "twin")
+	require.NoError(t, os.MkdirAll(duplicate.dir, 0o700))
+	require.NoError(t, os.Symlink(all[2].disk(), duplicate.disk()))
+	duplicate.cmd = nil
+	duplicate.start()
+	t.Cleanup(duplicate.kill)
+	eventually(t, []*machine{&duplicate}, "the second process is told of the first", func(_ *machine, s Status) bool {
 		return s.HasDuplicate && strings.Contains(s.DiskFault, "held by another process")
 	})
-	eventually(t, all[2:3], "and its double", func(_ *machine, s Status) bool { return s.HasDuplicate && s.DiskFault == "" })
+	eventually(t, all[2:3], "the first process is told of the second", func(_ *machine, s Status) bool {
+		return s.HasDuplicate && s.DiskFault == ""
+	})
 }
 
-// A port that is taken is named, and the relay does not start without its peers.
+// If the port for other relays is in use, the relay does not start, and its log names the setting.
 func TestPortTaken(t *testing.T) {
 	all := newMachines(t, 1)
 	l, err := net.Listen("tcp", all[0].gossipAddress)
@@ -334,9 +346,9 @@
 	assert.Contains(t, string(text), "peers.listen")
 }
 
-// An operators' order that was answered lies at three machines of three zones: it outlives the machine that
-// took it with its disk and the memory of all others, and a relay that is to be switched off hands over what
-// it holds.
+// An operator's order that was acknowledged is stored on three machines in three zones. It survives the loss of the
+// disk of the machine that received it, together with a restart of all relays. A relay that is to be switched off
+// first hands over the records that it stores.
 func TestOrdersOutliveTheirMachine(t *testing.T) {
 	all := newMachines(t, 9)
 	start := func() {
@@ -345,16 +357,16 @@
 			m.start()
 		}
 	}
-	until := func(what string, all []*machine, want func(s Status) bool) {
+	waitFor := func(what string, all []*machine, want func(s Status) bool) {
 		t.Helper()
 		eventually(t, all, what, func(_ *machine, s Status) bool { return want(s) })
 	}
-	fit := func(s Status) bool {
+	isReady := func(s Status) bool {
 		return s.Replication != nil && s.Replication.HasEnoughMembers && len(s.Members) == 8 && s.Recovery.Phase != "asking" &&
 			s.Recovery.Phase != "reading"
 	}
 	start()
-	until("fit", all, fit)
+	waitFor("all relays are recovered and have enough members for all copies", all, isReady)
 	require.Equal(t, http.StatusOK, all[4].order("on"))
 	holders := func() (n []int) {
 		for _, m := range all {
@@ -374,41 +386,41 @@
 	text, err = all[0].command(all, "holdings")
 	assert.NoError(t, err, "%s", text)
 	assert.Regexp(t, `orders +3 +3 +0 +0`, text)
-	for _, m := range all { // all memory is gone, and the disk of the machine that took it
+	for _, m := range all { // all memory is lost, and then the disk of the machine that received the order
 		m.kill()
 	}
 	require.NoError(t, os.RemoveAll(all[4].disk()))
 	require.NoError(t, os.MkdirAll(all[4].disk(), 0o700))
 	start()
-	until("it is back", all[4:5], func(s Status) bool { return s.Draining && s.Order >= 1 })
-	until("fit", all, fit)
+	waitFor("the order is in effect again", all[4:5], func(s Status) bool { return s.Draining && s.Order >= 1 })
+	waitFor("all relays are recovered and have enough members for all copies again", all, isReady)
 
-	leaves := all[holders()[0]] // one that holds it leaves: it is handed over
-	if leaves == all[4] {
-		leaves = all[holders()[1]]
+	leaving := all[holders()[0]] // a relay that stores the order leaves, and hands it over
+	if leaving == all[4] {
+		leaving = all[holders()[1]]
 	}
-	text, err = leaves.command([]*machine{leaves}, "fleet", "leave", "--within", "20s")
-	require.NoError(t, err, "%s; %s", text, logged{leaves})
+	text, err = leaving.command([]*machine{leaving}, "fleet", "leave", "--within", "20s")
+	require.NoError(t, err, "%s; %s", text, lazyLog{leaving})
 	assert.Contains(t, text, "it can be switched off")
-	leaves.kill()
+	leaving.kill()
 	text, err = all[0].command(slices.DeleteFunc(slices.Clone(all),
-		func(m *machine) bool { return m == leaves }),
+		func(m *machine) bool { return m == leaving }),
 		"holdings", "verify")
 	assert.NoError(t, err, "%s", text)
 	assert.Contains(t, text, "orders: 2 open, 2 whole, 0 under-copied, 0 short, 0 with")
-	rest := 0
+	stored := 0
 	for _, m := range all {
 		if s, err := m.status(); err == nil {
-			rest += s.Replication.Kinds["orders"].Stored
+			stored += s.Replication.Kinds["orders"].Stored
 		}
 	}
-	assert.GreaterOrEqual(t, rest, 6, "two orders, three machines each")
+	assert.GreaterOrEqual(t, stored, 6, "two orders are stored on three machines each")
 }
 
-// logged is a machine's log, read once it is wanted.
-type logged struct{ m *machine }
+// lazyLog formats as a machine's log, which is read only when a failure message is formatted.
+type lazyLog struct{ m *machine }
 
-func (l logged) String() string {
+func (l lazyLog) String() string {
 	text, _ := os.ReadFile(l.m.path("log"))
 	return string(text)
 }
--- a/internal/fleet/query.go
+++ b/internal/fleet/query.go
@@ -14,30 +14,30 @@
 )
 
 // A query is a nonce, sealed with the fleet's key, on a TCP connection of its own. The answer is the same nonce
-// followed by the text, sealed as well, so that it answers this query only.
+// followed by the text, sealed too, so that an answer can't be replayed for another query.
 
 const (
-	queryTimeout         = 500 * time.Millisecond // for the whole of a query, at either end
+	queryTimeout         = 500 * time.Millisecond // limit for a whole query, on both sides
 	maxAnswerBytes       = 8 << 20
-	maxConcurrentQueries = 8 // answered at once: peers that hang must not take all descriptors
+	maxConcurrentQueries = 8 // queries answered at the same time, so that hanging peers can't use up all descriptors
 	nonceBytes           = 16
-	acceptRetryInterval  = 50 * time.Millisecond
+	acceptRetryInterval  = 50 * time.Millisecond // between a failed accept and the next one
 )
 
-// errForeignAnswer tells that an answer's nonce is not the query's.
-var errForeignAnswer = errors.New("the answer is to another query")
+// errNonceMismatch reports an answer with a nonce other than the query's.
+var errNonceMismatch = errors.New("the answer is to another query")
 
-// query asks another relay for its snapshot.
+// query asks another relay for its snapshot, and passes the answer or the error to the core.
 func (n *Node) query(ctx context.Context, q Query) {
-	text, err := exchange(ctx, n.key, q.Address)
+	text, err := sendQuery(ctx, n.key, q.Address)
 	n.update(func(core *Core) []Action {
 		core.ReceiveAnswer(q.Name, text, err)
 		return nil
 	})
 }
 
-// exchange puts a query to an address, and returns the text of its answer.
-func exchange(ctx context.Context, key []byte, address string) ([]byte, error) {
+// sendQuery sends a query to an address and returns the text of the answer.
+func sendQuery(ctx context.Context, key []byte, address string) ([]byte, error) {
 	dialer := net.Dialer{Timeout: queryTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -61,13 +61,13 @@
 		return nil, err
 	}
 	if len(body) < nonceBytes || [nonceBytes]byte(body) != nonce {
-		return nil, errForeignAnswer
+		return nil, errNonceMismatch
 	}
 	return body[nonceBytes:], nil
 }
 
-// acceptQueries answers other relays' queries until the socket is closed. Beyond so many at once, connections
-// are closed unanswered.
+// acceptQueries answers other relays' queries until the socket is closed. While maxConcurrentQueries are being
+// answered, further connections are closed without an answer.
 func (n *Node) acceptQueries(ctx context.Context) {
 	slots := make(chan struct{}, maxConcurrentQueries)
 	for {
@@ -75,7 +75,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // out of descriptors, as a rule
+		if err != nil { // usually out of file descriptors
 			sleep(ctx, acceptRetryInterval)
 			continue
 		}
@@ -91,7 +91,7 @@
 	}
 }
 
-// sleep returns after the duration, or once the context is done.
+// sleep returns after the duration, or earlier if the context is done.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -101,7 +101,8 @@
 	}
 }
 
-// answerQuery reads one query, answers it and closes the connection. Who has not the key gets no answer.
+// answerQuery reads one query, answers it and closes the connection. A query that is not sealed with the fleet's key
+// gets no answer.
 func (n *Node) answerQuery(conn net.Conn) {
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(queryTimeout))
@@ -117,6 +118,6 @@
 	n.mutex.Lock()
 	text := n.core.AnswerQuery(n.clock.now(), snapshot)
 	n.mutex.Unlock()
-	conn.Write(membership.Seal(n.key, append(nonce, text...))) // a peer that is gone needs no answer
-	conn.(*net.TCPConn).CloseWrite()                           // the answer's end is told before the connection is closed
+	conn.Write(membership.Seal(n.key, append(nonce, text...))) // on an error the peer is gone and needs no answer
+	conn.(*net.TCPConn).CloseWrite()                           // marks the answer's end before the connection is closed
 }
--- a/internal/fleet/replicated_order.go
+++ b/internal/fleet/replicated_order.go
@@ -8,41 +8,41 @@
 	"valeshift/internal/replication"
 )
 
-// This file replicates the operator's latest order to this relay, so that it is still known if the disk is lost.
+// This file replicates the operators' latest order to this relay, so that it is still known if the disk is lost.
 
 const (
-	orderLifetimeMillis      = 3e6 // unless it is replicated anew
-	orderTimeoutMillis       = 800.0
-	orderIntervalMillis      = 2000.0 // between two looks at the order's replicas
-	orderLookupTimeoutMillis = 1000.0
-	maxOrderLookups          = 10 // at the start, as relays that store the order may start later
-	orderDiscards            = 3  // discard messages to the replicas of a superseded order
+	orderLifetimeMillis         = 3e6 // after which an order's replicas expire, unless it is replicated again
+	orderReplicateTimeoutMillis = 800.0
+	orderIntervalMillis         = 2000.0 // between two checks of the order's replicas
+	orderLookupTimeoutMillis    = 1000.0
+	maxOrderLookups             = 10 // lookups after a start; several, as relays that store the order may start later
+	maxOrderDiscards            = 3  // times that the replicas of a superseded order are told to discard it
 )
 
 // OrderReplicated is the outcome of ReplicateOrder.
 type OrderReplicated struct {
 	Token uint64
-	OK    bool // all replicas have stored it
+	OK    bool // whether all replicas have stored the order
 }
 
 // orderReplication is the state of the order's replication.
 type orderReplication struct {
-	tokens       map[uint64]bool // of replications and lookups under way
-	lookups      int             // so far
-	nextAt       float64         // when the order is looked up or replicated again, at the soonest
-	replicated   replication.Record
-	superseded   replication.Record // what was replicated before: its replicas are to discard it
-	discardsLeft int
+	tokens       map[uint64]bool    // tokens of the replications and lookups in progress
+	lookups      int                // number of lookups since the start
+	nextAt       float64            // time of the next check of the order's replicas
+	replicated   replication.Record // the record that was replicated last
+	superseded   replication.Record // the record replicated before that, which its replicas are told to discard
+	discardsLeft int                // times that the replicas of superseded are still to be told
 }
 
 func newOrderReplication() orderReplication {
 	return orderReplication{tokens: map[uint64]bool{}}
 }
 
-// ReplicateOrder replicates the order that this relay was given last. An OrderReplicated with the token follows.
+// ReplicateOrder starts to replicate this relay's latest order. A later action has an OrderReplicated with the token.
 func (c *Core) ReplicateOrder(now float64) (token uint64, actions []Action) {
 	state := c.replication
-	body, _ := json.Marshal(storedOrder{c.orderNumber, c.draining}) // of plain values: it can't fail
+	body, _ := json.Marshal(storedOrder{c.orderNumber, c.draining}) // can't fail with these types
 	record := replication.Record{
 		Kind:      replication.OperatorOrder,
 		Key:       c.membership.LocalState().Name,
@@ -50,14 +50,14 @@
 		ExpiresAt: c.fleetTime(now) + orderLifetimeMillis,
 		Body:      body,
 	}
-	token, requested := state.replicator.Replicate(c.fleetTime(now), record, orderTimeoutMillis)
+	token, requested := state.replicator.Replicate(c.fleetTime(now), record, orderReplicateTimeoutMillis)
 	state.order.tokens[token] = true
 	state.order.nextAt = now + orderIntervalMillis
 	return token, c.applyReplicationActions(now, requested)
 }
 
-// maintainOrder looks up what others store of this relay's orders, discards superseded ones, and replicates the
-// latest anew where that is needed: one of them every few seconds.
+// maintainOrder looks up this relay's orders at other relays, has superseded ones discarded, and replicates the latest
+// again if that is needed. It does one of these per orderIntervalMillis.
 func (c *Core) maintainOrder(now float64) []Action {
 	state := c.replication
 	order := &state.order
@@ -79,7 +79,7 @@
 	}
 }
 
-// lookUpOrder asks others for an order that this relay's disk has lost.
+// lookUpOrder asks other relays for an order that may have been lost with this relay's disk.
 func (c *Core) lookUpOrder(now float64) []Action {
 	state := c.replication
 	state.order.lookups++
@@ -89,7 +89,7 @@
 	return c.applyReplicationActions(now, actions)
 }
 
-// isOrderReplicated reports whether the latest order is replicated, has half of its lifetime left, and all its
+// isOrderReplicated reports whether the latest order is replicated, at least half of its lifetime is left, and all its
 // replicas are alive and not draining.
 func (c *Core) isOrderReplicated(now float64) bool {
 	replicated := &c.replication.order.replicated
@@ -110,7 +110,7 @@
 	delete(c.replication.order.tokens, outcome.Token)
 	succeeded := outcome.Err == nil
 	actions := []Action{{OrderReplicated: &OrderReplicated{outcome.Token, succeeded}}}
-	isReplication := outcome.Record.Owner != "" // a lookup that fails has no owner
+	isReplication := outcome.Record.Owner != "" // the record of a failed lookup has no owner
 	if !succeeded && isReplication {
 		actions = append(actions, Action{Log: "replicating the operator order: " + outcome.Err.Error()})
 	}
@@ -118,7 +118,7 @@
 		return actions
 	}
 	var order storedOrder
-	if json.Unmarshal(outcome.Record.Body, &order) == nil { // later than this relay's, where its disk has lost one
+	if json.Unmarshal(outcome.Record.Body, &order) == nil { // may be later than this relay's, if its disk was lost
 		actions = append(actions, c.adoptOrder(now, order.Number, order.Draining)...)
 	}
 	if outcome.Record.Owner == c.membership.LocalState().Name && outcome.Record.Version == c.orderNumber {
@@ -127,10 +127,11 @@
 	return actions
 }
 
-// setReplicated remembers what was replicated last. Other replicas of what was before are to discard it.
+// setReplicated records what was replicated last. If that is a new record, the replicas of the one before it are told
+// to discard it.
 func (o *orderReplication) setReplicated(record replication.Record) {
 	o.superseded = o.replicated
-	o.discardsLeft = orderDiscards
+	o.discardsLeft = maxOrderDiscards
 	if o.replicated.ID == record.ID {
 		o.discardsLeft = 0
 	}
--- a/internal/fleet/replicated_records.go
+++ b/internal/fleet/replicated_records.go
@@ -8,20 +8,20 @@
 	"valeshift/internal/replication"
 )
 
-// This file is the records that the relay's state machine has replicated for its clients: reservations, attempt
-// markers and affinities. Lookups are about the same.
+// This file replicates the records that the relay's state machine keeps for its clients, and looks them up:
+// reservations, attempt markers and affinities.
 
 const (
-	replicateTimeoutMillis = 200.0  // after which the replicas of a durable record discard it
-	replyMarginMillis      = 1.0    // of the time that a session awaits a lookup, for the outcome to reach it
-	affinityLifetimeMillis = 3.0e6  // unless it is revoked before
-	reservationGraceMillis = 700.0  // a reservation is valid so long after its time, as admission counts it
-	sweepIntervalMillis    = 5000.0 // between two sweeps of expired records
-	retryIntervalMillis    = 2000.0 // between two attempts to replicate affinities that failed
-	retryBatch             = 500    // affinities at a time
+	replicateTimeoutMillis = 200.0  // after which replication of a durable record fails and its replicas discard it
+	replyMarginMillis      = 1.0    // by which a lookup ends before the session stops waiting, so that the outcome reaches it
+	affinityLifetimeMillis = 3.0e6  // after which an affinity expires, unless it is revoked earlier
+	reservationGraceMillis = 700.0  // a reservation stays valid this long after its time, as in package admission
+	sweepIntervalMillis    = 5000.0 // between two removals of expired records
+	retryIntervalMillis    = 2000.0 // between two batches of affinities whose replication failed and is retried
+	retryBatchSize         = 500    // maximum number of affinities in a batch
 )
 
-// replicationKinds are the replicator's kinds for the relay's.
+// replicationKinds maps the relay's kinds of records to the replicator's.
 var replicationKinds = [...]replication.Kind{
 	relay.ReservationRecord: replication.Reservation,
 	relay.AttemptRecord:     replication.AttemptMarker,
@@ -30,33 +30,33 @@
 
 // pendingRecord is a replication whose outcome a connection awaits.
 type pendingRecord struct {
-	conn      uint64
-	startedAt float64
+	conn      uint64  // the relay's number of the connection
+	startedAt float64 // time of the relay's clock
 }
 
-// revocableKey is what the relay revokes a record by.
+// revocableKey identifies a record that the relay may revoke.
 type revocableKey struct {
 	kind relay.RecordKind
 	conn uint64
 }
 
-// revocableExpiry says when a revocable record expires, by this relay's clock.
+// revocableExpiry is the time, of this relay's clock, at which a revocable record expires.
 type revocableExpiry struct {
 	revocableKey
 	expiresAt float64
 }
 
-// recordReplication is the state of the relay's own records and lookups.
+// recordReplication is the state of the replications and lookups that the relay's state machine has requested.
 type recordReplication struct {
-	pending    map[uint64]pendingRecord            // replications whose outcome is awaited, by token
-	affinities map[uint64]relay.ReplicationRequest // replications whose outcome nobody awaits, by token
-	lookups    map[uint64]relay.ReplicationRequest // by token
+	pending    map[uint64]pendingRecord            // replications whose outcome a connection awaits, by token
+	affinities map[uint64]relay.ReplicationRequest // replications whose outcome no connection awaits, by token
+	lookups    map[uint64]relay.ReplicationRequest // lookups in progress, by token
 
-	retries     []relay.ReplicationRequest // affinities that were not replicated
+	retries     []relay.ReplicationRequest // affinities whose replication failed and is to be retried
 	nextRetryAt float64
 
-	revocable   map[revocableKey]uint64 // tokens
-	expiries    []revocableExpiry       // of the revocable records, as they came
+	revocable   map[revocableKey]uint64 // tokens of the replications of records that may be revoked
+	expiries    []revocableExpiry       // expiry times of the revocable records, in the order in which they were added
 	nextSweepAt float64
 }
 
@@ -69,10 +69,10 @@
 	}
 }
 
-// recordKey is the replicator's key for a client's or group's.
+// recordKey returns the replicator's key for the key of a client or an affinity group.
 func recordKey(key uint64) string { return fmt.Sprintf("%016x", key) }
 
-// HandleReplicationRequest does what the relay's state machine asks for: Replicate, Lookup or Release.
+// HandleReplicationRequest handles a request of the relay's state machine to replicate, look up or release a record.
 func (c *Core) HandleReplicationRequest(now float64, request relay.ReplicationRequest) []Action {
 	if c.replication == nil {
 		return nil
@@ -95,8 +95,8 @@
 	return c.applyReplicationActions(now, state.replicator.Revoke(c.fleetTime(now), token))
 }
 
-// lookUpRecord acquires a reservation, or looks up a marker or affinity until shortly before the time until which
-// the session waits.
+// lookUpRecord acquires a reservation, or looks up a marker or an affinity. The lookup times out replyMarginMillis
+// before the session stops waiting for it.
 func (c *Core) lookUpRecord(now float64, request relay.ReplicationRequest) []Action {
 	state := c.replication
 	fleetNow := c.fleetTime(now)
@@ -129,8 +129,8 @@
 	return c.applyReplicationActions(now, actions)
 }
 
-// newRecord returns the record that a request of the relay asks to replicate. The request's time is that of a
-// reservation, or the expiry of a marker.
+// newRecord returns the record that the relay asks to replicate. The request's time is the time of a reservation, or
+// the expiry time of a marker.
 func (c *Core) newRecord(now float64, request relay.ReplicationRequest) replication.Record {
 	fleetNow := c.fleetTime(now)
 	record := replication.Record{
@@ -153,7 +153,8 @@
 	return record
 }
 
-// addRevocable remembers a record that may be revoked. One that is replicated again expires no sooner for it.
+// addRevocable adds a record that may be revoked. If it is replicated again, it can be revoked by its new token, until
+// the expiry time of its first replication.
 func (r *recordReplication) addRevocable(key revocableKey, token uint64, expiresAt float64) {
 	if _, known := r.revocable[key]; !known {
 		r.expiries = append(r.expiries, revocableExpiry{key, expiresAt})
@@ -161,7 +162,8 @@
 	r.revocable[key] = token
 }
 
-// removeExpired forgets, every few seconds, the records that can't be revoked any more.
+// removeExpired removes, every sweepIntervalMillis, the revocable records that have expired, and the expiry times of
+// those that were revoked.
 func (r *recordReplication) removeExpired(now float64) {
 	if now < r.nextSweepAt {
 		return
@@ -177,26 +179,27 @@
 	})
 }
 
-// retryAffinities replicates again the affinities that others didn't store, while their sessions are established.
+// retryAffinities replicates again the affinities whose replication failed, unless they have expired or were revoked
+// because their sessions ended.
 func (c *Core) retryAffinities(now float64) []Action {
 	records := &c.replication.records
 	if now < records.nextRetryAt {
 		return nil
 	}
 	records.nextRetryAt = now + retryIntervalMillis
-	n := min(len(records.retries), retryBatch)
+	n := min(len(records.retries), retryBatchSize)
 	var actions []Action
 	for _, request := range records.retries[:n] {
 		if _, known := records.revocable[revocableKey{request.Record, request.Conn}]; known {
 			actions = append(actions, c.HandleReplicationRequest(now, request)...)
 		}
 	}
-	records.retries = slices.Clone(records.retries[n:]) // those that failed again just now included
+	records.retries = slices.Clone(records.retries[n:]) // includes those that have just failed again
 	return actions
 }
 
-// handleRecordOutcome notifies the relay's state machine of the end of a replication or lookup. It is not notified
-// of a reservation that wasn't found.
+// handleRecordOutcome notifies the relay's state machine of the outcome of a replication or lookup. It is not notified
+// if a reservation was not found, or of the outcome of replicating an affinity.
 func (c *Core) handleRecordOutcome(now float64, outcome *replication.Outcome) []Action {
 	records := &c.replication.records
 	succeeded := outcome.Err == nil
--- a/internal/fleet/replication_golden_test.go
+++ b/internal/fleet/replication_golden_test.go
@@ -13,11 +13,12 @@
 	"valeshift/internal/replication"
 )
 
-// What /_fleet has under Holdings, as the build before the fields had tags wrote it.
+// The JSON form of ReplicationStatus, which /_fleet has under Holdings. The golden file was written by a build before
+// the fields had tags.
 func TestGoldenReplicationStatus(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", "holdings-status.json"))
 	require.NoError(t, err)
-	golden := strings.TrimSpace(string(text))
+	goldenJSON := strings.TrimSpace(string(text))
 	want := ReplicationStatus{
 		Kinds: map[string]replication.KindStatus{
 			"marks":  {Stored: 1, Open: 2, UnderReplicated: 3, BelowQuorum: 4},
@@ -32,9 +33,9 @@
 		P99Millis: 12.5,
 	}
 	var read ReplicationStatus
-	require.NoError(t, json.Unmarshal([]byte(golden), &read))
+	require.NoError(t, json.Unmarshal([]byte(goldenJSON), &read))
 	assert.Equal(t, want, read)
-	again, err := json.Marshal(want)
+	written, err := json.Marshal(want)
 	require.NoError(t, err)
-	assert.Equal(t, golden, string(again))
+	assert.Equal(t, goldenJSON, string(written))
 }
--- a/internal/fleet/restore.go
+++ b/internal/fleet/restore.go
@@ -8,12 +8,12 @@
 	"valeshift/internal/store"
 )
 
-// diskState is what is known of this relay's disk.
+// diskState is the state of this relay's disk.
 type diskState struct {
-	hasDisk   bool
-	diskRead  bool   // Restore has taken what was on it
-	diskFault string // what operators are told is wrong with it; empty: nothing
-	boot      uint64 // the number of this start, as it was stored; 0: not known yet
+	hasDisk   bool   // a disk is configured, and reading it has not failed
+	diskRead  bool   // Restore has restored what was on the disk
+	diskFault string // what is wrong with the disk, for operators; empty if nothing is
+	boot      uint64 // number of this start of the relay, which is stored; 0 until it is known
 }
 
 func newDiskState(hasDisk bool) diskState {
@@ -23,8 +23,8 @@
 	return diskState{diskFault: "none is named"}
 }
 
-// Restore takes what the store had at the start, or why there is none. An order on it is in effect at once;
-// the rest is for the recovery plan to judge.
+// Restore restores the state from the store that was opened at the start, or takes the error that prevented that. A
+// stored order is in effect at once; whether the stored snapshot is used is up to the recovery plan.
 func (c *Core) Restore(now float64, s *store.Store, found store.Recovery, err error) []Action {
 	if err != nil {
 		c.hasDisk = false
@@ -42,7 +42,7 @@
 	return append(actions, c.planActions(c.plan.ReceiveDisk(now, c.restoreSnapshot(s)))...)
 }
 
-// reportDamage logs what of the disk could not be read.
+// reportDamage sets the disk's fault, and logs it if some of the disk's data could not be read.
 func (c *Core) reportDamage(found store.Recovery) []Action {
 	c.diskFault = ""
 	if found.Damaged == 0 && found.TornBytes == 0 {
@@ -52,7 +52,7 @@
 	return logActions("disk: " + c.diskFault)
 }
 
-// startBoot numbers this start above all that the disk and the other relays know of.
+// startBoot gives this start a boot number above those that the disk and the other relays know.
 func (c *Core) startBoot(now float64, lastBoot uint64) Action {
 	c.boot = lastBoot + 1
 	if c.membership != nil {
@@ -62,13 +62,15 @@
 	return c.persistBoot(now)
 }
 
-// persistBoot stores the number of this start. A record without a body would take the former one back.
+// persistBoot stores the boot number of this start. The body must not be empty: a record without one deletes the
+// stored record.
 func (c *Core) persistBoot(now float64) Action {
 	record := &store.Record{Kind: store.KindBoot, Boot: c.boot, UnixMillis: now, Body: []byte("x")}
 	return Action{Persist: record}
 }
 
-// restoreSnapshot reads the snapshot that the disk has. It stands in for what this relay doesn't know itself.
+// restoreSnapshot reads the snapshot on the disk. Its values are used in later snapshots for what this relay has not
+// learned itself yet.
 func (c *Core) restoreSnapshot(s *store.Store) recovery.DiskResult {
 	record, isStored := s.Get(store.KindSnapshot, "")
 	if !isStored {
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -8,19 +8,20 @@
 	"valeshift/internal/store"
 )
 
-// snapshotInterval is between two writings of the snapshot.
+// snapshotInterval is the time between two snapshots that are written, in ms.
 const snapshotInterval = 1000.0
 
-// snapshotState is the snapshot that this relay stores and answers queries with.
+// snapshotState is the snapshot that this relay last stored, from which later snapshots and answers to queries are
+// completed.
 type snapshotState struct {
-	last  *relay.Snapshot // the latest that was worth storing
-	dueAt float64         // the next writing
+	last  *relay.Snapshot // the latest snapshot that was stored or restored from the disk
+	dueAt float64         // time of the next write
 }
 
-// isEmpty tells whether nothing is known yet.
+// isEmpty reports whether the snapshot has neither endpoints nor a capacity yet.
 func (s *snapshotState) isEmpty() bool { return s.last.Endpoints == nil && s.last.Capacity == 0 }
 
-// IsSnapshotDue tells whether a snapshot is to be written now; if so, the next is due an interval later.
+// IsSnapshotDue reports whether a snapshot is due now. If so, it schedules the next one a snapshotInterval later.
 func (c *Core) IsSnapshotDue(now float64) bool {
 	if now < c.snapshots.dueAt || c.plan.Phase() < recovery.Admitting {
 		return false
@@ -29,8 +30,9 @@
 	return true
 }
 
-// RecordSnapshot takes the relay's snapshot and returns the record to store. What this life hasn't learnt yet is
-// filled in from the one before: a relay that dies young must not leave less than it found.
+// RecordSnapshot returns the record that stores the relay's snapshot. Endpoints and estimates that the relay has not
+// learned since its start are filled in from the last snapshot: a relay that stops soon after its start must not leave
+// less on the disk than it found there.
 func (c *Core) RecordSnapshot(now float64, s *relay.Snapshot) store.Record {
 	last := c.snapshots.last
 	if s.Endpoints == nil || len(s.Endpoints.Endpoints) == 0 {
@@ -39,11 +41,12 @@
 	}
 	c.completeEstimates(now, s)
 	c.snapshots.last = s
-	body, _ := shiftRetryTimes(s, c.fleetClockOffset).Encode() // plain values: no error
+	body, _ := shiftRetryTimes(s, c.fleetClockOffset).Encode() // can't fail with these types
 	return store.Record{Kind: store.KindSnapshot, Boot: c.boot, UnixMillis: now, Body: body}
 }
 
-// completeEstimates fills in the estimates that this life hasn't made yet.
+// completeEstimates fills in, from the last snapshot, the estimates that the relay has not made since its start, and
+// sets the capacity to the fleet's estimate.
 func (c *Core) completeEstimates(now float64, s *relay.Snapshot) {
 	if s.Capacity == 0 {
 		last := c.snapshots.last
@@ -54,16 +57,18 @@
 	s.Capacity = c.estimateCapacity(now, s)
 }
 
-// neverConfirmed is a queryAnswer's ConfirmedAgoMillis where discovery hasn't confirmed the endpoints in this life.
+// neverConfirmed is a queryAnswer's ConfirmedAgoMillis if discovery has not confirmed the endpoints since the relay's
+// start.
 const neverConfirmed = -1.0
 
-// queryAnswer is what a relay answers another that queries it.
+// queryAnswer is a relay's answer to a query of another relay.
 type queryAnswer struct {
 	Snapshot           *relay.Snapshot `json:"Kept"`
-	ConfirmedAgoMillis float64         `json:"ToldAgo"` // since discovery confirmed the endpoints
+	ConfirmedAgoMillis float64         `json:"ToldAgo"` // ms since discovery confirmed the endpoints, or neverConfirmed
 }
 
-// AnswerQuery returns the answer to another relay's query, from the relay's snapshot as of now.
+// AnswerQuery returns the answer to another relay's query, made from this relay's present snapshot. It changes the
+// snapshot.
 func (c *Core) AnswerQuery(now float64, s *relay.Snapshot) []byte {
 	answer := queryAnswer{Snapshot: s, ConfirmedAgoMillis: neverConfirmed}
 	if s.Endpoints != nil {
@@ -72,12 +77,12 @@
 		s.Endpoints = c.snapshots.last.Endpoints
 	}
 	c.completeEstimates(now, s)
-	s.RetryAt = nil                 // only clients of this relay come back to it
-	text, _ := json.Marshal(answer) // plain values: no error
+	s.RetryAt = nil                 // of no use to others: these clients come back to this relay only
+	text, _ := json.Marshal(answer) // can't fail with these types
 	return text
 }
 
-// ReceiveAnswer takes what the relay of that name answered to a query, or why it did not.
+// ReceiveAnswer takes the answer of the relay with the given name to a query, or the error if the query failed.
 func (c *Core) ReceiveAnswer(name string, text []byte, err error) {
 	source := recovery.Source{Name: name}
 	if err == nil {
@@ -90,7 +95,7 @@
 	c.plan.ReceiveAnswer(source, "")
 }
 
-// parseAnswer reads the answer of the relay of that name.
+// parseAnswer decodes an answer of the relay with the given name.
 func parseAnswer(name string, text []byte) (recovery.Source, error) {
 	source := recovery.Source{Name: name}
 	var answer struct {
--- a/internal/fleet/sockets.go
+++ b/internal/fleet/sockets.go
@@ -7,16 +7,16 @@
 	"valeshift/internal/membership"
 )
 
-// maxDatagramBytes is of a coordinator's announcement on many zones.
+// maxDatagramBytes is the size of the receive buffer. A coordinator's announcement about many zones fits into it.
 const maxDatagramBytes = 32 << 10
 
-// sockets are where other relays and coordinators reach a node. The zero value is none.
+// sockets are a node's sockets for other relays and coordinators. The zero value has none.
 type sockets struct {
 	datagrams *net.UDPConn
-	queries   net.Listener
+	queries   net.Listener // for TCP connections of relays that query this one
 }
 
-// listen opens both sockets at that address.
+// listen opens both sockets at the address.
 func listen(address string) (sockets, error) {
 	udpAddress, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -36,7 +36,7 @@
 
 func (s *sockets) areOpen() bool { return s.datagrams != nil }
 
-// close ends receive, and the accepting of queries.
+// close closes the sockets, which ends receive and the loop that accepts queries.
 func (s *sockets) close() {
 	if s.areOpen() {
 		s.datagrams.Close()
@@ -44,15 +44,16 @@
 	}
 }
 
-// send sends a datagram. An error is a loss: whatever is lost is said again.
+// send sends a datagram. An error is ignored like a loss on the network, as every protocol here sends again what was
+// lost.
 func (s *sockets) send(d *membership.Datagram) {
 	if to, err := net.ResolveUDPAddr("udp", d.To); err == nil {
 		s.datagrams.WriteToUDP(d.Data, to)
 	}
 }
 
-// receive gives take each datagram, until the socket is closed. The data are valid during the call only.
-func (s *sockets) receive(take func(from string, data []byte)) {
+// receive calls handle for each datagram until the socket is closed. The data is valid only during the call.
+func (s *sockets) receive(handle func(from string, data []byte)) {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
 		size, from, err := s.datagrams.ReadFromUDP(buffer)
@@ -60,7 +61,7 @@
 			return
 		}
 		if err == nil {
-			take(from.String(), buffer[:size])
+			handle(from.String(), buffer[:size])
 		}
 	}
 }
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -5,19 +5,19 @@
 	"valeshift/internal/recovery"
 )
 
-// Status is what GET /_fleet returns and `valeshift fleet` shows.
+// Status is the state of the fleet as this relay sees it, which GET /_fleet returns and `valeshift fleet` shows.
 type Status struct {
 	Recovery           recovery.Status    `json:"Recovery"`
 	Boot               uint64             `json:"Boot"`
 	Order              uint64             `json:"Order"`
 	Draining           bool               `json:"Lame"`
-	DiskFault          string             `json:"Disk"`    // what is wrong with the disk; empty: nothing
-	RejectedLastSecond int                `json:"Waiting"` // clients
+	DiskFault          string             `json:"Disk"`    // what is wrong with the disk; empty if nothing is
+	RejectedLastSecond int                `json:"Waiting"` // clients rejected per second, a moving average
 	Sessions           int                `json:"Links"`
-	WarmingUp          int                `json:"Cold"` // backends, of those that are usable
-	Usable             int                `json:"Usable"`
-	AheadMillis        float64            `json:"Ahead"` // this relay's clock, of the fleet's
-	HasDuplicate       bool               `json:"Twin"`  // another process runs under this relay's name
+	WarmingUp          int                `json:"Cold"`   // number of usable backends that are warming up
+	Usable             int                `json:"Usable"` // number of backends that get sessions
+	AheadMillis        float64            `json:"Ahead"`  // ms that this relay's clock is ahead of the fleet's
+	HasDuplicate       bool               `json:"Twin"`   // another process runs under this relay's name
 	Members            []MemberStatus     `json:"Members"`
 	Datagrams          membership.Counts  `json:"Wire"`
 	Coordinators       *CoordinatorStatus `json:"Council,omitempty"`
@@ -32,15 +32,15 @@
 	State              string  `json:"State"`
 	Phase              string  `json:"Phase"`
 	Boot               uint64  `json:"Boot"`
-	EndpointsVersion   uint64  `json:"List"`
-	AgeMillis          float64 `json:"Age"`   // since its start
-	SilentMillis       float64 `json:"Quiet"` // since news of it
-	RejectedLastSecond uint32  `json:"Waiting"`
+	EndpointsVersion   uint64  `json:"List"`    // version of its endpoint list
+	AgeMillis          float64 `json:"Age"`     // ms since its start
+	SilentMillis       float64 `json:"Quiet"`   // ms since this relay last received a new state of it
+	RejectedLastSecond uint32  `json:"Waiting"` // clients rejected per second, a moving average
 	Sessions           uint32  `json:"Links"`
 	Draining           bool    `json:"Lame"`
 }
 
-// Status returns the state of this relay and of the others as it sees them.
+// Status returns the state of this relay, and of the other relays as this one sees them.
 func (c *Core) Status(now float64) Status {
 	s := Status{
 		Recovery:           c.plan.Status(now),
@@ -69,7 +69,7 @@
 }
 
 func memberStatus(now float64, m membership.Member) MemberStatus {
-	phase := recovery.Phase(min(m.Phase, uint8(recovery.Normal))) // a later build may know more phases
+	phase := recovery.Phase(min(m.Phase, uint8(recovery.Normal))) // a relay of a later build may have further phases
 	return MemberStatus{
 		Name:               m.Name,
 		Zone:               m.Zone,
--- a/internal/fleet/tasks.go
+++ b/internal/fleet/tasks.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// taskGroup owns goroutines. Each gets a context that cancel ends, and has to return soon after that.
+// taskGroup runs goroutines. Each gets a context that cancel ends, and must return soon after that.
 type taskGroup struct {
 	ctx     context.Context
 	cancel  context.CancelFunc
@@ -26,5 +26,5 @@
 	}()
 }
 
-// wait returns once all tasks have returned. Only tasks may start others meanwhile.
+// wait returns once all tasks have returned. Meanwhile only running tasks may start further ones.
 func (g *taskGroup) wait() { g.running.Wait() }
