--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -47,7 +47,7 @@
 			file, err := Parse([]byte(tt.text))
 			if tt.err != "" {
 				assert.ErrorContains(t, err, tt.err)
-				assertNamesItsPlace(t, err)
+				assertHasPosition(t, err)
 				assert.Nil(t, file)
 				return
 			}
@@ -57,8 +57,8 @@
 	}
 }
 
-// assertNamesItsPlace checks that the error has a position or a field.
-func assertNamesItsPlace(t *testing.T, err error) {
+// assertHasPosition checks that the error has a line and column, or names a field.
+func assertHasPosition(t *testing.T, err error) {
 	t.Helper()
 	var position *PositionError
 	var field *FieldError
@@ -69,15 +69,15 @@
 	case errors.As(err, &field):
 		assert.NotEmpty(t, field.Field)
 	default:
-		assert.Fail(t, "neither a position nor a field", "%v", err)
+		assert.Fail(t, "error has neither a position nor a field", "%v", err)
 	}
 }
 
-// The file in the repository can be used, and names the defaults.
+// The sample file in the repository, deploy/operator.toml, is valid and equals the defaults.
 func TestLoad(t *testing.T) {
 	f, err := Load("../../deploy/operator.toml")
 	require.NoError(t, err)
-	f.Peers.Seeds, f.Coordinators.Voters = nil, nil // empty ones in the file
+	f.Peers.Seeds, f.Coordinators.Voters = nil, nil // these are empty lists in the file, and nil by default
 	assert.Equal(t, Default(), f)
 	f, err = Load("")
 	require.NoError(t, err)
@@ -94,7 +94,7 @@
 	assert.ErrorContains(t, err, path+": disk.most-mb: no less than 0 expected, got -1")
 }
 
-// A log in use follows a change, with the attributes and groups that it was given before.
+// A slog.Logger in use follows a change of the configuration, and keeps the attributes and groups it was given before.
 func TestLoggerFollowsItsConfiguration(t *testing.T) {
 	var out bytes.Buffer
 	logger := NewLogger(&out, Log{})
@@ -113,7 +113,7 @@
 	f.Add([]byte("[[log]]\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if file, err := Parse(text); (file == nil) == (err == nil) {
-			t.Fatal("one of file and error expected")
+			t.Fatal("Parse must return either a file or an error")
 		}
 	})
 }
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -9,13 +9,12 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// PositionError reports what the text of a TOML file can't be: a line and column, both from 1 on, a field where
-// there is one, and the problem.
+// PositionError reports a problem at a position in a TOML file.
 type PositionError struct {
-	Line    int
-	Column  int
-	Field   string
-	Problem string
+	Line    int    // line number, from 1
+	Column  int    // column number, from 1
+	Field   string // dotted path of the field; empty if the problem is not in a field
+	Problem string // what is wrong there
 }
 
 // Error returns "line:column: field: problem".
@@ -26,12 +25,12 @@
 	return fmt.Sprintf("%d:%d: %s: %s", e.Line, e.Column, e.Field, e.Problem)
 }
 
-// DecodeStrict decodes TOML into a struct. An unknown field is an error: a mistyped name would otherwise be
-// without effect, and unnoticed. Its errors are a PositionError wherever the decoder names a position.
-func DecodeStrict(text []byte, into any) error {
+// DecodeStrict decodes TOML into a struct. An unknown field is an error, as a mistyped name would otherwise be ignored
+// and go unnoticed. The error is a *PositionError if the decoder reports a position.
+func DecodeStrict(text []byte, target any) error {
 	decoder := toml.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
-	err := decoder.Decode(into)
+	err := decoder.Decode(target)
 	var unknownFields *toml.StrictMissingError
 	if errors.As(err, &unknownFields) && len(unknownFields.Errors) > 0 {
 		return newPositionError(&unknownFields.Errors[0], "no such field")
@@ -48,8 +47,8 @@
 	return &PositionError{Line: line, Column: column, Field: strings.Join(err.Key(), "."), Problem: problem}
 }
 
-// atPath puts the file's path before the error, as compilers do: "path:line:column: ...".
-func atPath(path string, err error) error {
+// withPath prefixes the error with the file's path, in the format of compilers: "path:line:column: ...".
+func withPath(path string, err error) error {
 	var positioned *PositionError
 	if errors.As(err, &positioned) {
 		return fmt.Errorf("%s:%w", path, err)
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Every field of the operators' file keeps its key, and the values of testdata/golden/full.toml are read.
+// The keys of all fields stay as they are in testdata/golden/full.toml, whose values are all read.
 func TestGoldenFileIsRead(t *testing.T) {
 	f, err := Load("testdata/golden/full.toml")
 	require.NoError(t, err)
--- a/internal/config/logger.go
+++ b/internal/config/logger.go
@@ -8,20 +8,21 @@
 	"sync/atomic"
 )
 
-// Logger is a log whose format and level can be changed while it is in use, as SIGHUP has the file read again.
+// Logger is a log whose format and level can be changed while it is in use: SIGHUP makes the relay read the operators'
+// file again.
 type Logger struct {
 	writer  io.Writer
 	current atomic.Pointer[slog.Handler]
 }
 
-// NewLogger returns a logger that writes as the section says.
+// NewLogger returns a logger that writes to the writer, as configured by the section.
 func NewLogger(writer io.Writer, section Log) *Logger {
 	logger := &Logger{writer: writer}
 	logger.Configure(section)
 	return logger
 }
 
-// Configure has all later records follow the section.
+// Configure makes all later records follow the section.
 func (l *Logger) Configure(section Log) {
 	options := &slog.HandlerOptions{Level: section.Level, AddSource: section.Source}
 	var handler slog.Handler = slog.NewTextHandler(l.writer, options)
@@ -31,16 +32,17 @@
 	l.current.Store(&handler)
 }
 
-// Slog returns the log for those who write to it.
+// Slog returns a slog.Logger that writes to this log.
 func (l *Logger) Slog() *slog.Logger { return slog.New(&currentHandler{logger: l}) }
 
-// currentHandler writes each record by the handler that the logger has by then, with the attributes and groups
-// that this one was given.
+// currentHandler is a slog.Handler that passes each record to the logger's current handler, with the attributes and
+// groups that this handler was given.
 type currentHandler struct {
 	logger   *Logger
-	wrappers []func(slog.Handler) slog.Handler
+	wrappers []func(slog.Handler) slog.Handler // each adds attributes or a group, in the order of the calls
 }
 
+// resolve returns the logger's current handler with this handler's attributes and groups.
 func (h *currentHandler) resolve() slog.Handler {
 	resolved := *h.logger.current.Load()
 	for _, wrap := range h.wrappers {
@@ -69,7 +71,8 @@
 	return h.with(func(handler slog.Handler) slog.Handler { return handler.WithGroup(name) })
 }
 
-// with returns a handler of its own: several may be made from one.
+// with returns a new handler with one more wrapper. The wrappers are copied, as several handlers may be derived from
+// one.
 func (h *currentHandler) with(wrap func(slog.Handler) slog.Handler) slog.Handler {
 	wrappers := append(slices.Clip(h.wrappers), wrap)
 	return &currentHandler{logger: h.logger, wrappers: wrappers}
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	maxNameBytes         = 64 // of a zone or region
+	maxNameBytes         = 64 // length limit of the name of a zone or region
 	maxCopies            = 7
 	defaultDiskMegabytes = 64
 )
 
-// FieldError reports a field whose value can't be, alone or beside the other fields.
+// FieldError reports a field whose value is invalid by itself or together with other fields.
 type FieldError struct {
-	Field   string
-	Problem string // what was expected, and what the file has
+	Field   string // dotted path of the field
+	Problem string // what was expected and what the file has
 }
 
 // Error returns "field: problem".
@@ -24,7 +24,7 @@
 	return &FieldError{Field: field, Problem: fmt.Sprintf(format, arguments...)}
 }
 
-// validate checks the sections one by one, and beside each other. Its errors are a FieldError.
+// validate checks each section, and that the sections fit together. Errors are a *FieldError.
 func (f *File) validate() error {
 	if err := f.Peers.validate(); err != nil {
 		return err
@@ -38,8 +38,8 @@
 	return f.Disk.validate()
 }
 
-// fillIn sets what follows from other fields.
-func (f *File) fillIn() {
+// setDerivedDefaults sets defaults that depend on other fields.
+func (f *File) setDerivedDefaults() {
 	if f.Disk.Folder != "" && f.Disk.MaxMegabytes == 0 {
 		f.Disk.MaxMegabytes = defaultDiskMegabytes
 	}
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -5,35 +5,34 @@
 	"time"
 )
 
-// Milliseconds is a length of time, written like "250ms" in the file.
+// Milliseconds is a duration in milliseconds, written like "250ms" in the file.
 type Milliseconds float64
 
-const maxLength = time.Minute
+const maxDuration = time.Minute
 
-// UnmarshalText reads a length from 0 to a minute.
+// UnmarshalText reads a duration from 0 to maxDuration.
 func (m *Milliseconds) UnmarshalText(text []byte) error {
-	milliseconds, ok := ParseMilliseconds(text, maxLength)
+	milliseconds, ok := ParseMilliseconds(text, maxDuration)
 	if !ok {
-		return fmt.Errorf("a length from 0 to %s expected, such as \"250ms\", got %q", maxLength, text)
+		return fmt.Errorf("a duration from 0 to %s expected, such as \"250ms\", got %q", maxDuration, text)
 	}
 	*m = Milliseconds(milliseconds)
 	return nil
 }
 
-// ParseMilliseconds reads a length of time such as "250ms". It reports false where the text is no length from 0
-// to the limit.
+// ParseMilliseconds reads a duration such as "250ms". ok is false if the text is not a duration from 0 to the limit.
 func ParseMilliseconds(text []byte, limit time.Duration) (milliseconds float64, ok bool) {
-	length, err := time.ParseDuration(string(text))
-	if err != nil || length < 0 || length > limit {
+	duration, err := time.ParseDuration(string(text))
+	if err != nil || duration < 0 || duration > limit {
 		return 0, false
 	}
-	return float64(length) / float64(time.Millisecond), true
+	return float64(duration) / float64(time.Millisecond), true
 }
 
-// Format is the form of the log's records.
+// Format is the format of log records.
 type Format uint8
 
-// The formats, in the file "text" and "json".
+// The formats, written "text" and "json" in the file.
 const (
 	FormatText Format = iota
 	FormatJSON
--- a/internal/jsonstream/jsonstream.go
+++ b/internal/jsonstream/jsonstream.go
@@ -1,6 +1,6 @@
 // Package jsonstream splits a byte stream into JSON objects and blank lines, whatever the layout of the objects:
-// one a line, indented over several lines, or several on one line. It checks nesting only, so that an object that
-// can never end is found at once; whether an object is valid JSON is for its decoder to find out.
+// one per line, indented over several lines, or several on one line. It checks only that brackets match, so that an
+// object that can never end is detected at once; whether an object is valid JSON is left to its decoder.
 package jsonstream
 
 import (
@@ -9,25 +9,25 @@
 	"io"
 )
 
-// ErrNotObject reports that the stream holds something else than objects and white space.
+// ErrNotObject reports that the stream has something other than objects and white space.
 var ErrNotObject = errors.New("a JSON object expected")
 
-// ErrNesting reports a bracket that closes another kind of bracket.
+// ErrNesting reports a closing bracket of another kind than the innermost open bracket.
 var ErrNesting = errors.New("brackets that do not match")
 
-// MaxObjectBytes is the size from which on an object ends the stream with bufio.ErrTooLong.
+// MaxObjectBytes limits the size of objects: one of this size or larger ends the stream with bufio.ErrTooLong.
 const MaxObjectBytes = 16 << 20
 
 const initialBufferBytes = 4096
 
-// Scanner reads one object or blank line after the other.
+// Scanner reads objects and blank lines one by one.
 type Scanner struct {
 	tokens      *bufio.Scanner
-	scanned     int    // bytes of the pending object that were examined already
-	closers     []byte // the brackets that close the open ones, the innermost last
-	inString    bool
-	escaped     bool // the next byte of the string stands for itself
-	objectEnded bool // an object ended on the current line, so that the line's end is no blank line
+	scanned     int    // number of bytes of the pending object that were examined already
+	closers     []byte // closing brackets that match the open ones, the innermost last
+	inString    bool   // the next byte is within a string
+	escaped     bool   // the next byte follows a backslash in a string
+	objectEnded bool   // an object ended on the current line, so that the rest of the line is not a blank line
 }
 
 // NewScanner returns a scanner that reads from r.
@@ -41,14 +41,15 @@
 // Scan advances to the next object or blank line, and reports whether there is one.
 func (s *Scanner) Scan() bool { return s.tokens.Scan() }
 
-// Object returns what the last Scan found, empty for a blank line. It is valid until the next Scan.
+// Object returns the object that the last Scan found, or an empty slice for a blank line. It is valid until the next
+// Scan.
 func (s *Scanner) Object() []byte { return s.tokens.Bytes() }
 
-// Err returns why Scan found nothing more: nil at the end of the stream, io.ErrUnexpectedEOF where that came
-// within an object, ErrNotObject, ErrNesting, bufio.ErrTooLong, or the reader's error.
+// Err returns the error that ended Scan: nil at the end of the stream, io.ErrUnexpectedEOF if the stream ended within
+// an object, ErrNotObject, ErrNesting, bufio.ErrTooLong, or the reader's error.
 func (s *Scanner) Err() error { return s.tokens.Err() }
 
-// split is a bufio.SplitFunc that remembers how far it got, so that each byte is examined once.
+// split is a bufio.SplitFunc that keeps its position in the pending object, so that each byte is examined only once.
 func (s *Scanner) split(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	start := 0
 	if len(s.closers) == 0 {
@@ -76,7 +77,7 @@
 	return start, nil, nil
 }
 
-// skipSpace passes over white space before an object, up to the end of a blank line.
+// skipSpace skips white space up to the next object or the end of a blank line.
 func (s *Scanner) skipSpace(data []byte) (skipped int, blankLine bool, err error) {
 	for i, c := range data {
 		switch c {
@@ -96,7 +97,7 @@
 	return len(data), false, nil
 }
 
-// consume examines one byte of an object, and reports whether it completes it.
+// consume examines one byte of an object, and reports whether that byte completes the object.
 func (s *Scanner) consume(c byte) (complete bool, err error) {
 	switch {
 	case s.escaped:
@@ -116,7 +117,7 @@
 	return false, nil
 }
 
-// closeBracket reports whether the bracket closes the object's first one.
+// closeBracket handles a closing bracket, and reports whether it closes the outermost one.
 func (s *Scanner) closeBracket(c byte) (outermost bool, err error) {
 	innermost := len(s.closers) - 1
 	if s.closers[innermost] != c {
--- a/internal/jsonstream/jsonstream_test.go
+++ b/internal/jsonstream/jsonstream_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// read returns what the stream holds, blank lines as empty texts.
-func read(r io.Reader) (all []string, err error) {
+// readAll returns the objects and blank lines of the stream, with "" for a blank line.
+func readAll(r io.Reader) (all []string, err error) {
 	s := NewScanner(r)
 	for s.Scan() {
 		all = append(all, string(s.Object()))
@@ -44,7 +44,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			for reading, r := range map[string]io.Reader{"at once": strings.NewReader(tt.text),
 				"byte by byte": iotest.OneByteReader(strings.NewReader(tt.text))} {
-				all, err := read(r)
+				all, err := readAll(r)
 				assert.Equal(t, tt.want, all, reading)
 				assert.ErrorIs(t, err, tt.err, reading)
 			}
@@ -52,7 +52,7 @@
 	}
 }
 
-// A blank line is returned as soon as it has come, as it shows that a watch is alive.
+// A blank line is returned as soon as it has arrived, as a watch uses blank lines to show that it is alive.
 func TestBlankLineIsNotHeldBack(t *testing.T) {
 	r, w := io.Pipe()
 	defer w.Close()
@@ -68,16 +68,16 @@
 	f.Add([]byte("{\"a\":[{}]}\n\n{}"), []byte(`{"index":1}`))
 	f.Add([]byte(`{"a":"\"}"}`), []byte("{\n}"))
 	f.Fuzz(func(t *testing.T, text, object []byte) {
-		whole, wholeErr := read(bytes.NewReader(text))
-		pieces, piecesErr := read(iotest.OneByteReader(bytes.NewReader(text)))
-		assert.Equal(t, whole, pieces, "the same, however it comes")
+		whole, wholeErr := readAll(bytes.NewReader(text))
+		pieces, piecesErr := readAll(iotest.OneByteReader(bytes.NewReader(text)))
+		assert.Equal(t, whole, pieces, "the result must not depend on how the bytes are split into reads")
 		assert.Equal(t, wholeErr, piecesErr)
 		object = bytes.TrimSpace(object)
 		if !json.Valid(object) || !bytes.HasPrefix(object, []byte("{")) {
 			return
 		}
-		all, err := read(bytes.NewReader(object))
+		all, err := readAll(bytes.NewReader(object))
 		assert.NoError(t, err)
-		assert.Equal(t, []string{string(object)}, all, "what is valid is found whole")
+		assert.Equal(t, []string{string(object)}, all, "a valid object must be returned unchanged")
 	})
 }
--- a/internal/settings/balancer.go
+++ b/internal/settings/balancer.go
@@ -10,7 +10,7 @@
 	"valeshift/balancer"
 )
 
-// Settings of the retry budget. They come all or not at all.
+// Settings of the retry budget. Either all of them are set or none.
 const (
 	freeRetriesPath = "contract.free-resends"
 	retryRatioPath  = "contract.extra-share"
@@ -19,8 +19,8 @@
 
 const tenantQuotasPath = "family-info.tenant-quota-connections"
 
-// BuildBalancer builds the balancer of one relay, which draws from a source of that seed. The settings are read
-// in a fixed order, as the error names the first one that is wrong.
+// BuildBalancer builds the balancer of one relay, with a random source of the given seed. The settings are read in a
+// fixed order, so that the error always names the same one if several are wrong.
 func (r *Reader) BuildBalancer(seed uint64) (*balancer.Balancer, error) {
 	relays := max(1, r.Count("replicas-of-me"))
 	classes := r.classes()
@@ -75,7 +75,7 @@
 	return class
 }
 
-// tenantQuotas returns how many sessions each tenant may hold; 0 where none is listed for it.
+// tenantQuotas returns the session quota of each tenant; 0 for a tenant that the list has no quota for.
 func (r *Reader) tenantQuotas() []float64 {
 	quotas := make([]float64, r.countOrZero("parties.count"))
 	list := r.Text(tenantQuotasPath)
@@ -115,7 +115,8 @@
 	})
 }
 
-// retryBudget returns nil where attempts beyond a session's first are not bounded together.
+// retryBudget returns nil if the settings have no retry budget, so that retries of all sessions together are not
+// limited.
 func (r *Reader) retryBudget() *balancer.RetryBudget {
 	if !r.hasAny(freeRetriesPath, retryRatioPath, retryWindowPath) {
 		return nil
--- a/internal/settings/flatten.go
+++ b/internal/settings/flatten.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Flatten puts nested JSON under the paths that the pairs of the wire use. A list of records has its length
-// under "count" and each record under its index; a list of plain values is joined by commas.
+// Flatten converts nested JSON to values by path, with the same paths as settings sent as pairs. A list of objects has
+// its length under "count" and each object under its index; a list of plain values is joined by commas.
 func Flatten(nested []byte) (map[string]string, error) {
 	decoder := json.NewDecoder(bytes.NewReader(nested))
 	decoder.UseNumber() // a float would lose digits of large numbers
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -1,6 +1,6 @@
-// Package settings reads the settings of the balancer and builds one from them. Settings are values under
-// paths, from the pairs of the wire or from flattened JSON, so that the relay and the simulation build the same
-// balancer. The package keeps nothing itself.
+// Package settings reads the settings of the balancer and builds one from them. Settings are values by path, which
+// come as pairs on the wire or from flattened JSON, so that the relay and the simulation build the same balancer. The
+// package has no state of its own.
 package settings
 
 import (
@@ -10,31 +10,31 @@
 	"strings"
 )
 
-const maxCount = 1e6 // more than any setting counts; bounds what a wrong one allocates
+const maxCount = 1e6 // above any valid count; limits the memory that a wrong setting makes the reader allocate
 
-// Reader reads settings by path, and remembers the first one that was needed and is missing or wrong. A value
-// that can't be read is the type's zero value; the caller checks Err once all is read.
+// Reader reads settings by path, and records the first error: a required setting that is missing or wrong. Methods
+// return the zero value for a setting that can't be read; the caller checks Err once it has read all settings.
 type Reader struct {
 	values map[string]string
 	err    error
 }
 
-// NewReader reads from values by path.
+// NewReader returns a reader of values by path.
 func NewReader(values map[string]string) *Reader { return &Reader{values: values} }
 
-// Error reports a setting that is missing or not of its kind.
+// Error reports a setting that is missing or not a valid value of its type.
 type Error struct {
 	Path     string
 	Expected string
-	Got      string // empty where the setting is missing
+	Got      string // the setting's text; empty if the setting is missing
 }
 
-// Error names the setting by its path.
+// Error returns a message with the setting's path.
 func (e *Error) Error() string {
 	return fmt.Sprintf("settings: %s: %s expected, got %q", e.Path, e.Expected, e.Got)
 }
 
-// Err returns an *Error for the first setting that was missing or wrong; nil where there is none.
+// Err returns an *Error for the first setting that was missing or wrong; nil if there is none.
 func (r *Reader) Err() error { return r.err }
 
 func (r *Reader) fail(path, expected string) {
@@ -43,10 +43,10 @@
 	}
 }
 
-// Text returns a setting as it stands, empty where it is missing.
+// Text returns a setting's text; empty if the setting is missing.
 func (r *Reader) Text(path string) string { return r.values[path] }
 
-// Float reads a number from 0 on.
+// Float reads a finite number that is not negative.
 func (r *Reader) Float(path string) float64 {
 	value, err := strconv.ParseFloat(r.values[path], 64)
 	if err != nil || math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
@@ -56,15 +56,15 @@
 	return value
 }
 
-// FloatOr reads a number from 0 on, or returns the other where the setting is missing.
-func (r *Reader) FloatOr(path string, otherwise float64) float64 {
+// FloatOr is like Float, but returns the fallback if the setting is missing.
+func (r *Reader) FloatOr(path string, fallback float64) float64 {
 	if _, ok := r.values[path]; !ok {
-		return otherwise
+		return fallback
 	}
 	return r.Float(path)
 }
 
-// Count reads a whole number.
+// Count reads a whole number from 0 to maxCount.
 func (r *Reader) Count(path string) int {
 	value := r.Float(path)
 	if value != math.Trunc(value) || value > maxCount {
@@ -87,7 +87,7 @@
 	}
 }
 
-// Enum reads one of the words, and returns its index.
+// Enum reads one of the words and returns its index.
 func (r *Reader) Enum(path string, words ...string) int {
 	for i, word := range words {
 		if r.values[path] == word {
@@ -98,8 +98,8 @@
 	return 0
 }
 
-// RecordIndexes reads the names of a list of records, and returns the index of each, which is its number in the
-// balancer.
+// RecordIndexes reads the names in a list of objects, and returns the index of each name, which is the object's number
+// in the balancer.
 func (r *Reader) RecordIndexes(path string) map[string]int {
 	names := make([]string, r.countOrZero(path+".count"))
 	for i := range names {
@@ -108,12 +108,12 @@
 	return indexes(names)
 }
 
-// ListIndexes reads a plain list of names, and returns the index of each.
+// ListIndexes reads a list of names separated by commas, and returns the index of each.
 func (r *Reader) ListIndexes(path string) map[string]int {
 	return indexes(strings.Split(r.values[path], ","))
 }
 
-// countOrZero reads how long an optional list is.
+// countOrZero reads the length of an optional list: 0 if it is missing, and at most maxCount.
 func (r *Reader) countOrZero(path string) int {
 	return int(min(r.FloatOr(path, 0), maxCount))
 }
@@ -126,16 +126,16 @@
 	return indexByName
 }
 
-// ReportFields returns which values a load report has; none where no backend reports.
+// ReportFields returns the names of the fields of a load report; nil if backends send no load reports.
 func (r *Reader) ReportFields() []string {
-	const nobodyReports = 0
-	if r.Enum("stats.how", "none", "answers", "probe") == nobodyReports {
+	const noReports = 0
+	if r.Enum("stats.how", "none", "answers", "probe") == noReports {
 		return nil
 	}
 	return strings.Split(r.values["stats.fields"], ",")
 }
 
-// MaxRetryAfter returns the longest Retry-After that clients follow, in milliseconds; 0 where they follow none.
+// MaxRetryAfter returns the longest Retry-After that clients follow, in milliseconds; 0 if they follow none.
 func (r *Reader) MaxRetryAfter() float64 {
 	if !r.Bool("limits.retry-after") {
 		return 0
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Nested JSON and the wire's pairs are the same settings.
+// Nested JSON is flattened to the same settings as pairs on the wire.
 func TestFlatten(t *testing.T) {
 	for _, tt := range []struct {
 		text string
@@ -67,7 +67,7 @@
 	}
 }
 
-// The settings of the retry budget come all or not at all.
+// The settings of the retry budget are either all set or none.
 func TestRetryBudgetSettings(t *testing.T) {
 	const free, ratio, window = "contract.free-resends", "contract.extra-share", "contract.extra-window-ms"
 	for _, tt := range []struct {
