--- a/internal/fleet/former_folder_test.go
+++ b/internal/fleet/former_folder_test.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	folderNow      = now + 4000             // time at which testdata/folder was written
-	folderOwner    = "r1"                   // name of the relay that wrote it
-	folderKey      = "a key that all share" // its fleet's key
-	folderDecision = 21                     // number of the coordinators' decision that it followed
+	folderNow      = now + 4000             // time at which writeFolder stops its relays
+	folderOwner    = "r1"                   // name of the relay that the folder belongs to
+	folderKey      = "a key that all share" // key of that relay's fleet
+	folderDecision = 21                     // number of the coordinators' decision that the relay followed
 )
 
 // network is some relays, each with a store, that exchange datagrams by direct calls instead of sockets.
--- a/internal/fleet/processes_test.go
+++ b/internal/fleet/processes_test.go
@@ -26,15 +26,15 @@
 	t             *testing.T
 	loopback      *procstat.LoopbackNetwork // the network of all machines of the test
 	number        int                       // index among the test's machines
-	dir           string
-	binary        string
-	gossipAddress string
-	adminAddress  string
-	seeds         []string
-	key           string
-	cmd           *exec.Cmd
-	faults        string  // faults that are injected into its disk
-	aheadMillis   float64 // ms that its clock is ahead of the real time
+	dir           string                    // folder of its files and its disk
+	binary        string                    // path of the valeshift program
+	gossipAddress string                    // where other relays reach it
+	adminAddress  string                    // where its admin API listens
+	seeds         []string                  // gossip addresses of some of the machines
+	key           string                    // its fleet's key
+	cmd           *exec.Cmd                 // nil while it does not run
+	faults        string                    // faults that are injected into its disk
+	aheadMillis   float64                   // ms that its clock is ahead of the real time
 	zone          string
 	moreConfig    string // text appended to its operators' file
 	log           *os.File
