--- a/internal/testbed/model/backend_sessions.go
+++ b/internal/testbed/model/backend_sessions.go
@@ -9,7 +9,7 @@
 	"valeshift/internal/protocol"
 )
 
-// The verbs of the text protocol, of lines that start with one.
+// Verbs of the text protocol. A verb is the first word of a line.
 const (
 	verbOpen     = "OPEN"
 	verbPing     = "PING"
@@ -21,45 +21,45 @@
 	verbLoad     = "LOAD"
 	verbError    = "ERR"
 	verbSyntax   = "SYNTAX"
-	verbMessage  = "M" // a client's line: its number, and when it was sent
-	verbResponse = "R" // a backend's: its number, when it was sent, and the number of the client's line
+	verbMessage  = "M" // line of a client: its number and the time sent
+	verbResponse = "R" // line of a backend: its number, the time sent, and the number of the line that it answers
 )
 
-// The names under which clients of the testbed say in a request what their session is. Relays pass them on
-// unread.
+// Attributes of a request by which clients of the testbed describe their session to the backend. Relays pass them
+// on unread.
 const (
-	requestLoad     = "w" // thousandths of a core
-	requestInterval = "e" // milliseconds between two lines
+	requestLoad     = "w" // load of the session, in thousandths of a core
+	requestInterval = "e" // time between two lines of the client, in ms
 )
 
-// backendConn is a backend's connection, with the session on it once a request has come.
+// backendConn is a connection to a backend, and the session on it once a request has been received.
 type backendConn struct {
 	conn         uint64
 	splitter     protocol.LineSplitter
-	id           string // of the session; empty: no request has come
-	attempting   bool   // a request has come and is not answered
+	id           string // session ID; empty until a request has been received
+	attempting   bool   // a request has been received and not answered yet
 	established  bool
-	isOpen       bool    // a request has come, and the connection is still there
-	load         float64 // thousandths of a core
-	lineInterval float64
-	linesSent    int
-	queuedLines  int // of the client, whose work waits or is being done
+	isOpen       bool    // a request has been received and the connection has not ended
+	load         float64 // load of the session, in thousandths of a core
+	lineInterval float64 // time between two lines of the client, in ms
+	linesSent    int     // number of lines sent to the client
+	queuedLines  int     // number of the client's lines whose work is not done
 }
 
-// OnAccept is called with a connection of a relay.
+// OnAccept is called when a relay has opened a connection.
 func (b *Backend) OnAccept(conn uint64) { b.conns[conn] = &backendConn{conn: conn} }
 
-// OnConnect is never called: backends dial nobody.
+// OnConnect is never called: backends open no connections.
 func (b *Backend) OnConnect(uint64) {}
 
 // OnClose is called when a relay has ended a connection.
 func (b *Backend) OnClose(conn uint64, _ bool) {
 	if c := b.conns[conn]; c != nil {
-		b.forget(c)
+		b.removeConn(c)
 	}
 }
 
-// OnData is called with what a relay sends.
+// OnData is called with data from a relay.
 func (b *Backend) OnData(conn uint64, data []byte) {
 	for {
 		c := b.conns[conn]
@@ -96,7 +96,7 @@
 
 func (b *Backend) send(c *backendConn, text string) { b.host.Write(c.conn, []byte(text)) }
 
-// disconnect ends a connection from this side.
+// disconnect ends a connection from the backend's side.
 func (b *Backend) disconnect(c *backendConn, reset bool) {
 	if reset {
 		b.host.Reset(c.conn)
@@ -106,11 +106,11 @@
 	if c.established {
 		b.observer.ClosedByBackend(b.host.Now(), c.id, b.Name)
 	}
-	b.forget(c)
+	b.removeConn(c)
 }
 
-// forget drops a connection that has ended.
-func (b *Backend) forget(c *backendConn) {
+// removeConn removes a connection that has ended, with its attempt or session.
+func (b *Backend) removeConn(c *backendConn) {
 	delete(b.conns, c.conn)
 	if c.attempting {
 		c.attempting = false
@@ -124,8 +124,8 @@
 	c.isOpen = false
 }
 
-// reportLoad answers with the last load report, which is made anew when it is too old. A backend that is
-// stalled answers once it works again.
+// reportLoad answers a poll or a health check with the latest load report, and first makes a new one if that is
+// older than MaxReportAge. A stalled backend answers once it works again.
 func (b *Backend) reportLoad(c *backendConn) {
 	if now := b.host.Now(); now >= b.report.at+b.MaxReportAge {
 		b.report = b.measureLoad(now)
@@ -137,13 +137,13 @@
 		}
 	}
 	if b.faults.stalled {
-		b.work(statusWork, answer)
+		b.work(loadReportWork, answer)
 		return
 	}
 	answer()
 }
 
-// measureLoad makes a load report, with its noise.
+// measureLoad returns a new load report with random noise.
 func (b *Backend) measureLoad(now float64) loadReport {
 	utilization := max(b.Utilization(now)*(1+b.ReportNoise*b.rng.NormFloat64()), 0)
 	return loadReport{
@@ -154,7 +154,7 @@
 	}
 }
 
-// handleRequest begins an attempt: the session is established once its set-up work and its turn at the session
+// handleRequest starts an attempt. The session is established once its set-up work and then its turn at the session
 // store are done.
 func (b *Backend) handleRequest(c *backendConn, line []byte) {
 	now := b.host.Now()
@@ -181,7 +181,7 @@
 		return
 	}
 	if isCold && b.addSlowStartLoad(now, c.load/1000, capacity) {
-		b.fallOver()
+		b.failOverloaded()
 		return
 	}
 	b.work(b.SetupWork, func() {
@@ -193,8 +193,8 @@
 	})
 }
 
-// sessionDemand reads from a request the session's load, in thousandths of a core, and the interval of its
-// lines.
+// sessionDemand reads the load of a session, in thousandths of a core, and its line interval, in ms, from a
+// request.
 func sessionDemand(request []byte) (load, lineInterval float64) {
 	attributes := protocol.TrimLineEnd(request[bytes.LastIndexByte(request, ' ')+1:])
 	for attribute := range bytes.SplitSeq(attributes, []byte(",")) {
@@ -209,7 +209,7 @@
 	return load, lineInterval
 }
 
-// establish answers UP to a request whose set-up is done.
+// establish executes a request whose set-up is done, and answers UP.
 func (b *Backend) establish(c *backendConn) {
 	if !c.isOpen || c.established {
 		return
@@ -230,15 +230,15 @@
 	b.send(c, "\r\n")
 }
 
-// handleMessage answers a client's line once its work is done. While several lines of a session wait, further
-// ones cost nothing: the work of a backend that falls behind stays bounded.
+// handleMessage answers a client's line once its work is done. While maxQueuedLines lines of a session are waiting,
+// further ones need no work, so that the backlog of a backend that falls behind stays bounded.
 func (b *Backend) handleMessage(c *backendConn, rest []byte) {
 	numberText, sentAtText, _ := bytes.Cut(rest, []byte(" "))
 	number, _ := strconv.Atoi(string(numberText))
 	sentAt, _ := strconv.ParseFloat(string(sentAtText), 64)
 	b.observer.LineReceived(b.host.Now(), c.id, false, number, sentAt)
 	amount := c.load / 1000 * c.lineInterval
-	if c.queuedLines >= maxLineQueue {
+	if c.queuedLines >= maxQueuedLines {
 		amount = 0
 	}
 	c.queuedLines++
--- a/internal/testbed/model/client.go
+++ b/internal/testbed/model/client.go
@@ -8,67 +8,67 @@
 )
 
 const (
-	connectTimeout   = 3000.0
-	answerGrace      = 60.0    // that a client waits beyond its limit: the answer takes its time on the way
-	networkCrossings = 4.0     // of a request and its answer, between client, relay and backend
-	redialDelay      = 100.0   // after a relay that refuses, or says nothing
-	reconnectDelay   = 150.0   // after a session that was lost
-	errorDelay       = 2000.0  // before a client asks again for what may have run
-	silenceTimeout   = 10000.0 // without a line, after which a client gives its session up
-	lingerTime       = 20.0    // for which a client listens on after a final answer
-	usefulAnswerTime = 1000.0  // after which the answer to a line is of no use
-	lastLineGrace    = 200.0   // for the answer to a client's last line
-
-	// A retry's delay is drawn from this range around its mean.
+	connectTimeout   = 3000.0  // time that a client waits for its connection to be established, in ms
+	answerGrace      = 60.0    // time that a client waits beyond its limit, as the answer takes time on its way, in ms
+	networkCrossings = 4.0     // times that a request and its answer cross the network between client, relay and backend
+	redialDelay      = 100.0   // mean time until a client dials again that found no relay or got no answer, in ms
+	reconnectDelay   = 150.0   // mean time until a client dials again after it has lost its session, in ms
+	errorDelay       = 2000.0  // mean time until a client repeats a request that may have been executed, in ms
+	silenceTimeout   = 10000.0 // time without a line after which a client gives its session up, in ms
+	lingerTime       = 20.0    // time for which a client keeps reading after a final answer, in ms
+	maxUsefulLatency = 1000.0  // latency up to which the answer to a line counts as served, in ms
+	lastLineGrace    = 200.0   // time that a client waits for the answer to its last line, in ms
+
+	// A client's delay until it dials is drawn from a range of this width around its mean, as a share of the mean.
 	retryJitter = 0.4
 )
 
-// clientStage is what a client is doing.
+// clientStage says what a client is doing.
 type clientStage uint8
 
 const (
-	clientIdle clientStage = iota // without a connection: it comes again later
+	clientIdle clientStage = iota // it has no connection and dials again later
 	clientDialing
-	clientWaiting // for the answer to its request
+	clientWaiting // it waits for the answer to its request
 	clientEstablished
 	clientGone
 )
 
-// client is one client, over all its sessions.
+// client is one client, with all its sessions one after the other.
 type client struct {
 	traffic          *experiment.Traffic
 	zone             int
 	key              string
-	group            string // affinity group; empty: none
-	load             float64
+	group            string  // affinity group; empty: none
+	load             float64 // load of its session, in thousandths of a core
 	honorsRetryAfter bool
-	leavesAt         float64
-	index            int // in Workload.clients
-
-	stage       clientStage
-	timer       int     // number of the timer that counts; former ones do nothing
-	wantedAt    float64 // since when it wants a session: when it was due, or when it lost the last one
-	isRetry     bool    // its last request had no success
-	isReconnect bool    // it has had a session
-	errands     int     // that are done
-
-	conn     uint64 // 0: none
-	relay    int
+	leavesAt         float64 // time at which it leaves for good
+	index            int     // position in Workload.clients
+
+	stage               clientStage
+	timer               int     // number of the pending timer; earlier ones do nothing when they fire
+	wantedAt            float64 // time since which it wants a session: its arrival, or the loss of its last session
+	isRetry             bool    // its last request did not succeed
+	isReconnect         bool    // it has had a session before
+	completedOperations int     // number of its operations that were answered UP; see Observer.RequestSent
+
+	conn     uint64 // connection to a relay; 0: none
+	relay    int    // number of the relay that it dialed last
 	splitter protocol.LineSplitter
 
-	session clientSession // the present one, or the last
+	session clientSession // its present session, or its last one
 }
 
 // clientSession is what a client knows of one session.
 type clientSession struct {
-	id            string
-	linesSent     int
-	awaiting      []float64 // when the lines were due whose answer has not come
-	firstAwaiting int       // number of the first of those
-	lastHeardAt   float64
+	id              string
+	linesSent       int       // number of lines sent
+	unansweredDue   []float64 // times at which the lines from firstUnanswered on were due
+	firstUnanswered int       // number of the first line that has no answer yet
+	lastHeardAt     float64   // time at which the last line was received
 }
 
-// connect has the client dial the relay that the load balancer deals it to.
+// connect dials a relay that the load balancer chooses for the client.
 func (w *Workload) connect(c *client) {
 	if c.stage == clientGone || w.closed {
 		return
@@ -86,7 +86,7 @@
 	w.giveUpAfter(c, connectTimeout)
 }
 
-// giveUpAfter has the client give up dialing or waiting after that time.
+// giveUpAfter makes the client give up dialing or waiting for an answer after the given time.
 func (w *Workload) giveUpAfter(c *client, wait float64) {
 	c.timer++
 	timer := c.timer
@@ -103,14 +103,14 @@
 	}
 	if c.stage == clientWaiting {
 		w.Answers[answerNone]++
-		w.at(w.host.Now()).Unanswered++
+		w.secondAt(w.host.Now()).Unanswered++
 	}
 	w.disconnect(c)
 	c.isRetry = true
 	w.retryAfter(c, redialDelay)
 }
 
-// retryAfter has the client connect again after about that time.
+// retryAfter makes the client connect again after about the given time.
 func (w *Workload) retryAfter(c *client, delay float64) {
 	c.stage = clientIdle
 	c.timer++
@@ -122,14 +122,14 @@
 	})
 }
 
-// reconnect has a client come again that lost its session.
+// reconnect makes a client connect again that has lost its session.
 func (w *Workload) reconnect(c *client) {
 	c.isReconnect = true
 	c.wantedAt = w.host.Now()
 	w.retryAfter(c, reconnectDelay)
 }
 
-// detach takes the connection away from the client, and returns it.
+// detach removes the connection from the client and returns it.
 func (w *Workload) detach(c *client) (conn uint64) {
 	conn = c.conn
 	delete(w.conns, conn)
@@ -137,7 +137,7 @@
 	return conn
 }
 
-// disconnect ends the client's connection from its own side.
+// disconnect ends the client's connection from the client's side.
 func (w *Workload) disconnect(c *client) {
 	if c.conn == 0 {
 		return
@@ -151,8 +151,8 @@
 	w.host.Close(w.detach(c))
 }
 
-// finish has the client leave for good.
-func (w *Workload) finish(c *client) {
+// leave makes the client leave for good.
+func (w *Workload) leave(c *client) {
 	if c.stage == clientGone {
 		return
 	}
@@ -164,33 +164,33 @@
 	w.clients = w.clients[:len(w.clients)-1]
 }
 
-// scheduleLine has the client send its next line when that is due, and all further ones until it leaves. A line
+// scheduleLine schedules the client's next line and, after it, all further ones until the client leaves. A line
 // counts as offered whether or not the client has a session.
 func (w *Workload) scheduleLine(c *client, due float64) {
 	if due >= c.leavesAt || due >= w.endsAt {
 		leaveAt := min(c.leavesAt, w.endsAt) + lastLineGrace
-		w.host.After(leaveAt-w.host.Now(), func() { w.finish(c) })
+		w.host.After(leaveAt-w.host.Now(), func() { w.leave(c) })
 		return
 	}
 	w.host.After(due-w.host.Now(), func() {
 		if c.stage == clientGone {
 			return
 		}
-		w.at(due).Offered += c.lineWeight()
+		w.secondAt(due).Offered += c.lineWeight()
 		if c.stage == clientEstablished {
 			w.MaxLag = max(w.MaxLag, w.host.Now()-due)
-			w.sendLineOrGiveUp(c, due)
+			w.sendLineOrReconnect(c, due)
 		}
 		w.scheduleLine(c, due+float64(c.traffic.LineInterval))
 	})
 }
 
-// lineWeight is what one line counts for: the priority weight, for the time until the next line.
+// lineWeight returns the weight of one line in the metrics: the priority weight for the time until the next line.
 func (c *client) lineWeight() float64 {
 	return c.traffic.PriorityWeight * float64(c.traffic.LineInterval) / 1000
 }
 
-func (w *Workload) sendLineOrGiveUp(c *client, due float64) {
+func (w *Workload) sendLineOrReconnect(c *client, due float64) {
 	if w.host.Now()-c.session.lastHeardAt > silenceTimeout {
 		w.disconnect(c)
 		w.reconnect(c)
@@ -201,7 +201,7 @@
 
 func (w *Workload) sendLine(c *client, due float64) {
 	c.session.linesSent++
-	c.session.awaiting = append(c.session.awaiting, due)
+	c.session.unansweredDue = append(c.session.unansweredDue, due)
 	now := w.host.Now()
 	text := append(make([]byte, 0, 32), verbMessage+" "...)
 	text = strconv.AppendInt(text, int64(c.session.linesSent), 10)
--- a/internal/testbed/model/client_connection.go
+++ b/internal/testbed/model/client_connection.go
@@ -9,12 +9,12 @@
 	"valeshift/internal/testbed/experiment"
 )
 
-// OnAccept is never called: nobody dials clients.
+// OnAccept is never called: nobody opens connections to clients.
 func (w *Workload) OnAccept(uint64) {}
 
-// OnConnect sends the request of the client whose connection is established.
+// OnConnect sends the request of the client whose connection is established, or a health check.
 func (w *Workload) OnConnect(conn uint64) {
-	if w.balancer.isCheck(conn) {
+	if w.balancer.isHealthCheck(conn) {
 		w.host.Write(conn, []byte(verbPing+"\r\n"))
 		return
 	}
@@ -24,19 +24,19 @@
 }
 
 func (w *Workload) sendRequest(c *client) {
-	w.lastID++
-	c.session = clientSession{id: strconv.FormatUint(w.lastID*idSpread, 16), firstAwaiting: 1}
+	w.sessionCount++
+	c.session = clientSession{id: strconv.FormatUint(w.sessionCount*idMultiplier, 16), firstUnanswered: 1}
 	c.stage = clientWaiting
 	timeout := float64(c.traffic.HardLimit)
 	w.Requests++
-	errand := c.key + "/" + strconv.Itoa(c.errands)
-	w.observer.RequestSent(w.host.Now(), c.session.id, errand, c.relay, c.traffic.Effect, timeout)
+	operation := c.key + "/" + strconv.Itoa(c.completedOperations)
+	w.observer.RequestSent(w.host.Now(), c.session.id, operation, c.relay, c.traffic.Effect, timeout)
 	w.host.Write(c.conn, []byte(c.request(timeout)))
 	network := w.experiment.Network
 	w.giveUpAfter(c, timeout+answerGrace+networkCrossings*float64(network.Delay+network.Jitter))
 }
 
-// request returns the first line of a session.
+// request returns the first line that the client sends, which asks for a session.
 func (c *client) request(timeout float64) string {
 	request := fmt.Sprintf("%s %s %s c=%s,t=%s,d=%.0f,%s=%.3f,%s=%.0f", verbOpen, c.session.id, c.key,
 		c.traffic.Class, c.traffic.Tenant, timeout, requestLoad, c.load,
@@ -53,10 +53,10 @@
 	return request + "\r\n"
 }
 
-// OnClose is called when a relay has ended a connection, or refused it.
+// OnClose is called when a relay has ended or refused a connection.
 func (w *Workload) OnClose(conn uint64, reset bool) {
-	if w.balancer.isCheck(conn) {
-		delete(w.balancer.checks, conn)
+	if w.balancer.isHealthCheck(conn) {
+		delete(w.balancer.healthChecks, conn)
 		return
 	}
 	c := w.conns[conn]
@@ -67,14 +67,14 @@
 	now := w.host.Now()
 	switch c.stage {
 	case clientDialing:
-		w.reportRejectionByReplacing(c)
+		w.reportReplacementRejection(c)
 		c.isRetry = true
 		w.retryAfter(c, redialDelay)
 	case clientWaiting:
-		w.reportRejectionByReplacing(c)
+		w.reportReplacementRejection(c)
 		w.observer.ClosedByRelay(now, c.session.id, reset)
 		w.Answers[answerDisconnected]++
-		w.at(now).Disconnected++
+		w.secondAt(now).Disconnected++
 		c.isRetry = true
 		w.retryAfter(c, redialDelay)
 	case clientEstablished:
@@ -84,16 +84,17 @@
 	}
 }
 
-// reportRejectionByReplacing reports that a client was not let in, where its relay is being replaced.
-func (w *Workload) reportRejectionByReplacing(c *client) {
+// reportReplacementRejection reports that a client was not let in, if its relay is being replaced and must let all
+// in.
+func (w *Workload) reportReplacementRejection(c *client) {
 	if w.balancer.relays[c.relay].isReplacing {
 		w.observer.ReplacementRejected(w.host.Now(), c.relay)
 	}
 }
 
-// OnData is called with what a relay sends.
+// OnData is called with data from a relay.
 func (w *Workload) OnData(conn uint64, data []byte) {
-	if w.balancer.isCheck(conn) {
+	if w.balancer.isHealthCheck(conn) {
 		if bytes.HasPrefix(data, []byte(verbPong)) {
 			w.balancer.checkSucceeded(conn)
 		}
@@ -118,29 +119,29 @@
 	}
 }
 
-// handleAnswer takes the answer to a request.
+// handleAnswer handles the answer to a request.
 func (w *Workload) handleAnswer(c *client, verb string, arguments []byte) {
 	now := w.host.Now()
 	w.observer.ResponseReceived(now, c.session.id, verb)
 	w.Answers[verb]++
 	if verb == verbUp {
-		w.at(now).Established++
+		w.secondAt(now).Established++
 		w.Established++
 		recordMillis(w.SetupLatency[c.traffic.Class], now-c.wantedAt)
 		c.stage = clientEstablished
 		c.isRetry = false
 		c.session.lastHeardAt = now
-		c.errands++
+		c.completedOperations++
 		return
 	}
 	delay := float64(c.traffic.RetryDelay)
 	if verb == verbBusy {
-		w.at(now).Rejected++
+		w.secondAt(now).Rejected++
 		if retryAfter, err := strconv.ParseFloat(string(arguments), 64); err == nil && c.honorsRetryAfter {
 			delay = retryAfter
 		}
 	} else {
-		w.at(now).Errored++
+		w.secondAt(now).Errored++
 		if c.traffic.Effect != experiment.EffectReplayable {
 			delay = errorDelay
 		}
@@ -150,8 +151,8 @@
 	w.retryAfter(c, delay)
 }
 
-// linger listens for a moment for what comes behind a final answer, which must be nothing, and ends the
-// connection then. The client itself goes on without it.
+// linger keeps reading for lingerTime after a final answer, behind which nothing may come, and then ends the
+// connection. The client itself goes on without it.
 func (w *Workload) linger(c *client) {
 	conn := w.detach(c)
 	listener := &client{traffic: c.traffic, session: clientSession{id: c.session.id}, conn: conn, stage: clientGone}
@@ -164,7 +165,7 @@
 	})
 }
 
-// handleLine takes a line that comes after the answer to a request.
+// handleLine handles a line that comes after the answer to a request.
 func (w *Workload) handleLine(c *client, verb string, arguments []byte) {
 	now := w.host.Now()
 	c.session.lastHeardAt = now
@@ -183,7 +184,7 @@
 	}
 }
 
-// handleResponse takes a backend's line and counts the client's line that it answers.
+// handleResponse handles a line of the backend and records the latency of the client's line that it answers.
 func (w *Workload) handleResponse(c *client, arguments []byte) {
 	now := w.host.Now()
 	numberText, rest, _ := bytes.Cut(arguments, []byte(" "))
@@ -195,26 +196,26 @@
 	if err != nil {
 		return
 	}
-	due, isAwaited := c.session.takeAwaited(answered)
-	if !isAwaited || c.stage == clientGone {
+	due, isUnanswered := c.session.takeUnanswered(answered)
+	if !isUnanswered || c.stage == clientGone {
 		return
 	}
 	latency := now - due
 	recordMillis(w.LineLatency[c.traffic.Class], latency)
-	if latency <= usefulAnswerTime {
-		w.at(due).Served += c.lineWeight()
+	if latency <= maxUsefulLatency {
+		w.secondAt(due).Served += c.lineWeight()
 	}
 }
 
-// takeAwaited returns when the line of that number was due, whose answer has come. Lines before it are answered
-// no more.
-func (s *clientSession) takeAwaited(number int) (due float64, isAwaited bool) {
-	i := number - s.firstAwaiting
-	if i < 0 || i >= len(s.awaiting) {
+// takeUnanswered returns when the line of that number was due, whose answer has been received. Lines before it
+// count as never answered.
+func (s *clientSession) takeUnanswered(number int) (due float64, isUnanswered bool) {
+	i := number - s.firstUnanswered
+	if i < 0 || i >= len(s.unansweredDue) {
 		return 0, false
 	}
-	due = s.awaiting[i]
-	s.awaiting = s.awaiting[i+1:]
-	s.firstAwaiting = number + 1
+	due = s.unansweredDue[i]
+	s.unansweredDue = s.unansweredDue[i+1:]
+	s.firstUnanswered = number + 1
 	return due, true
 }
--- a/internal/testbed/model/cpu.go
+++ b/internal/testbed/model/cpu.go
@@ -3,48 +3,50 @@
 import "container/heap"
 
 const (
-	// maxLook is the longest time until the next look at the jobs. A backend in slow start gets faster meanwhile, so the
-	// time of a job's end is not known long before.
-	maxLook = 1000.0
-	// minLook keeps a look from being due sooner than the clock can tell.
-	minLook = 0.001
-
-	minWorkRate  = 1e-9 // against a division by zero
-	doneEpsilon  = 1e-9 // of work that a job may lack and still be done
-	statusWork   = 0.01 // of answering a poll or a health check, where the backend is stalled
-	maxLineQueue = 3    // lines of a session whose work counts; further ones cost nothing
+	// maxTimerDelay is the longest time until the jobs are checked again, in ms. A backend in slow start gets
+	// faster meanwhile, so the end of a job can't be computed far ahead.
+	maxTimerDelay = 1000.0
+	// minTimerDelay is the shortest time until the jobs are checked again, in ms. The clock may not resolve a
+	// shorter one.
+	minTimerDelay = 0.001
+
+	minWorkRate    = 1e-9 // lower bound of a work rate by which is divided, against a division by zero
+	doneEpsilon    = 1e-9 // work that a finished job may lack because of rounding, in ms of a core of speed 1
+	loadReportWork = 0.01 // work of answering a poll or a health check once a stall has ended, in ms of a core of speed 1
+	maxQueuedLines = 3    // lines of a session that wait at the same time with work to do; further ones need no work
 )
 
-// cpu is a backend's work: jobs that share its cores evenly. Its clock runs in work per job, the slower the
-// more jobs share the cores, so that each job ends at a point of that clock which is known when it begins.
+// cpu is the work of a backend: jobs that share its cores evenly. Its clock counts the work that each job has
+// received, so it runs the slower the more jobs share the cores. The value of the clock at which a job ends is
+// therefore known when the job starts.
 type cpu struct {
 	jobs       jobHeap
-	workClock  float64 // work that each job has had by reckonedAt
-	reckonedAt float64
-	nextSeq    int
-	look       int // number of the look at the jobs that is due; former ones do nothing
+	workClock  float64 // work that each job has received up to advancedAt, in ms of a core of speed 1
+	advancedAt float64 // time of the last update of workClock
+	lastSeq    int     // sequence number of the latest job
+	timer      int     // number of the pending timer; earlier ones do nothing when they fire
 }
 
-// job is work on the cores.
+// job is a piece of work for the cores.
 type job struct {
-	endsAt float64 // on the work clock
-	seq    int     // of two that end at once, the one that began first does so first
-	done   func()
+	endsAt float64 // value of the work clock at which the job ends
+	seq    int     // sequence number; of two jobs that end together, the one with the lower number ends first
+	done   func()  // called when the job has ended
 }
 
-// dropAll drops all jobs, unfinished.
+// dropAll drops all jobs without finishing them.
 func (c *cpu) dropAll() {
 	c.jobs = nil
-	c.look++
+	c.timer++
 }
 
-// jobHeap has the job that ends next at its top.
+// jobHeap is a heap.Interface with the job that ends next at the top.
 type jobHeap []job
 
-// Len is for package heap, as all methods of the type are.
+// Len returns the number of jobs.
 func (h jobHeap) Len() int { return len(h) }
 
-// Less tells whether job i ends before job j.
+// Less reports whether job i ends before job j.
 func (h jobHeap) Less(i, j int) bool {
 	if h[i].endsAt != h[j].endsAt {
 		return h[i].endsAt < h[j].endsAt
@@ -67,7 +69,7 @@
 	return popped
 }
 
-// workRate is how much work each job gets in a millisecond.
+// workRate returns the work that each job receives per millisecond, in ms of a core of speed 1.
 func (b *Backend) workRate(now float64) float64 {
 	count := float64(len(b.cpu.jobs))
 	if count == 0 || b.faults.stalled {
@@ -76,50 +78,50 @@
 	return min(b.Speed*b.faults.speedFactor*b.capacityShare(now), b.Capacity(now)/count)
 }
 
-// reckonWork brings the work clock up to now, at the present rate.
-func (b *Backend) reckonWork() {
+// advanceWorkClock advances the work clock to the present time at the present rate.
+func (b *Backend) advanceWorkClock() {
 	now := b.host.Now()
-	b.cpu.workClock += (now - b.cpu.reckonedAt) * b.workRate(now)
-	b.cpu.reckonedAt = now
+	b.cpu.workClock += (now - b.cpu.advancedAt) * b.workRate(now)
+	b.cpu.advancedAt = now
 }
 
-// changeRate changes what the rate of work depends on.
+// changeRate applies a change that affects the work rate.
 func (b *Backend) changeRate(change func()) {
-	b.reckonWork()
+	b.advanceWorkClock()
 	change()
-	b.scheduleLook()
+	b.scheduleCompletion()
 }
 
-// work begins a job of that many milliseconds of a core of speed one, and calls done at its end.
+// work starts a job of the given amount of work, in ms of a core of speed 1, and calls done when the job ends.
 func (b *Backend) work(amount float64, done func()) {
-	b.reckonWork()
-	b.cpu.nextSeq++
-	heap.Push(&b.cpu.jobs, job{endsAt: b.cpu.workClock + amount, seq: b.cpu.nextSeq, done: done})
-	b.offer(amount)
-	b.scheduleLook()
+	b.advanceWorkClock()
+	b.cpu.lastSeq++
+	heap.Push(&b.cpu.jobs, job{endsAt: b.cpu.workClock + amount, seq: b.cpu.lastSeq, done: done})
+	b.addDemand(amount)
+	b.scheduleCompletion()
 }
 
-// scheduleLook looks at the jobs again when the first is done.
-func (b *Backend) scheduleLook() {
-	b.cpu.look++
+// scheduleCompletion sets the timer for the end of the next job to end.
+func (b *Backend) scheduleCompletion() {
+	b.cpu.timer++
 	if len(b.cpu.jobs) == 0 || b.faults.stalled {
 		return
 	}
-	look := b.cpu.look
+	timer := b.cpu.timer
 	remaining := b.cpu.jobs[0].endsAt - b.cpu.workClock
-	wait := max(remaining/max(b.workRate(b.host.Now()), minWorkRate), minLook)
-	b.host.After(min(wait, maxLook), func() {
-		if look == b.cpu.look {
+	wait := max(remaining/max(b.workRate(b.host.Now()), minWorkRate), minTimerDelay)
+	b.host.After(min(wait, maxTimerDelay), func() {
+		if timer == b.cpu.timer {
 			b.finishJobs()
 		}
 	})
 }
 
-// finishJobs ends the jobs that are done.
+// finishJobs ends the jobs that are done, and sets the timer for the next one.
 func (b *Backend) finishJobs() {
-	b.reckonWork()
+	b.advanceWorkClock()
 	for len(b.cpu.jobs) > 0 && b.cpu.jobs[0].endsAt <= b.cpu.workClock+doneEpsilon {
 		heap.Pop(&b.cpu.jobs).(job).done()
 	}
-	b.scheduleLook()
+	b.scheduleCompletion()
 }
--- a/internal/testbed/model/discovery.go
+++ b/internal/testbed/model/discovery.go
@@ -6,40 +6,40 @@
 	"valeshift/internal/relay"
 )
 
-// heartbeatInterval is the time between the empty lines of a watch.
+// heartbeatInterval is the time between the heartbeats of a watch, in ms.
 const heartbeatInterval = 2000.0
 
 var errDiscoveryDown = errors.New("watch: discovery is down")
 
-// EndpointWatcher is a relay's watch on the endpoint list.
+// EndpointWatcher receives what a relay's watch on the endpoint list delivers.
 type EndpointWatcher interface {
-	// OnUpdate is called with the list, or with what has changed since the last call.
+	// OnUpdate is called with the complete list, or with the changes since the last call.
 	OnUpdate(update *relay.EndpointUpdate)
-	// OnHeartbeat is called from time to time where nothing has changed.
+	// OnHeartbeat is called at regular intervals, whether or not anything has changed.
 	OnHeartbeat()
-	// OnFailure is called when the watch has ended, or could not be opened.
+	// OnFailure is called when the watch has ended or could not be opened.
 	OnFailure(err error)
 }
 
 // Discovery is the discovery service: the endpoint list, its versions and the watches on it.
 type Discovery struct {
-	// DelayMillis is how late watches are told of a change.
+	// DelayMillis is the delay in ms before watches deliver a change.
 	DelayMillis float64
 
-	host      Host
-	endpoints map[string]relay.Endpoint
-	versions  map[string]uint64 // of each endpoint's last change
-	index     uint64            // the list's version
-	watches   map[uint64]*watch
-	lastID    uint64 // of a watch
-	downCount int    // of the faults that hold the service down
+	host        Host
+	endpoints   map[string]relay.Endpoint
+	versions    map[string]uint64 // version of the list at each endpoint's last change, by name
+	index       uint64            // version of the list
+	watches     map[uint64]*watch
+	lastWatchID uint64 // ID of the latest watch
+	downCount   int    // number of active faults that keep the service down
 }
 
-// watch is one relay's watch, with what it was told.
+// watch is a relay's watch and the state of the list that it has delivered.
 type watch struct {
 	watcher EndpointWatcher
-	hasList bool
-	index   uint64
+	hasList bool   // the complete list has been delivered
+	index   uint64 // version of the list that was delivered last
 }
 
 // NewDiscovery returns a service with an empty list.
@@ -53,7 +53,7 @@
 	}
 }
 
-// SetEndpoint adds or changes an endpoint. Watches are told once the list's delay is over.
+// SetEndpoint adds or changes an endpoint. Watches deliver the change after DelayMillis.
 func (d *Discovery) SetEndpoint(endpoint relay.Endpoint) {
 	d.index++
 	d.endpoints[endpoint.Name] = endpoint
@@ -61,7 +61,7 @@
 	d.host.After(d.DelayMillis, d.updateAll)
 }
 
-// FullUpdate returns the list as it is now.
+// FullUpdate returns the present list as a complete update.
 func (d *Discovery) FullUpdate() *relay.EndpointUpdate {
 	update := &relay.EndpointUpdate{Index: d.index, Complete: true}
 	for _, name := range sortedKeys(d.endpoints) {
@@ -72,7 +72,7 @@
 	return update
 }
 
-// changesSince returns what has changed after that version.
+// changesSince returns the endpoints that have changed after the given version of the list.
 func (d *Discovery) changesSince(index uint64) *relay.EndpointUpdate {
 	update := &relay.EndpointUpdate{Index: d.index}
 	for _, name := range sortedKeys(d.endpoints) {
@@ -83,13 +83,14 @@
 	return update
 }
 
+// updateAll brings all watches up to date.
 func (d *Discovery) updateAll() {
 	for _, id := range sortedKeys(d.watches) {
 		d.update(d.watches[id])
 	}
 }
 
-// update tells a watch what it does not have.
+// update delivers to a watch what it has not delivered yet.
 func (d *Discovery) update(w *watch) {
 	var update *relay.EndpointUpdate
 	switch {
@@ -105,10 +106,11 @@
 	w.watcher.OnUpdate(update)
 }
 
-// Watch opens a watch that begins after a version; 0: with the whole list.
+// Watch opens a watch that delivers the changes after the given version of the list. With 0, or a version that the
+// list does not have yet, it begins with the complete list.
 func (d *Discovery) Watch(after uint64, watcher EndpointWatcher) (id uint64) {
-	d.lastID++
-	id = d.lastID
+	d.lastWatchID++
+	id = d.lastWatchID
 	if d.downCount > 0 {
 		d.host.After(0, func() { watcher.OnFailure(errDiscoveryDown) })
 		return id
@@ -133,11 +135,11 @@
 	})
 }
 
-// Unwatch ends a watch from the relay's side.
+// Unwatch ends a watch for the relay that opened it.
 func (d *Discovery) Unwatch(id uint64) { delete(d.watches, id) }
 
-// SetDown ends all watches and has none opened until the service is up again. It must be set up as often as it
-// was set down.
+// SetDown ends all watches and lets none be opened while the service is down. The service is up again once
+// SetDown(false) has been called as often as SetDown(true).
 func (d *Discovery) SetDown(down bool) {
 	if !down {
 		d.downCount--
@@ -155,7 +157,8 @@
 	}
 }
 
-// ResetVersions starts the list's versions again from one, as a service does that has lost its state.
+// ResetVersions restarts the versions of the list at 1 and ends all watches, like a service that has lost its
+// state.
 func (d *Discovery) ResetVersions() {
 	d.index = 1
 	for name := range d.endpoints {
--- a/internal/testbed/model/environment.go
+++ b/internal/testbed/model/environment.go
@@ -10,58 +10,59 @@
 )
 
 const (
-	sampleInterval = 250.0  // between two looks at the backends
-	failureNotice  = 3000.0 // until the endpoint list has that a backend is gone without a word
-	noZone         = -1     // the zone of hosts that are never isolated
+	sampleInterval        = 250.0  // time between two samples of the backends' utilization, in ms
+	failureDetectionDelay = 3000.0 // time until the endpoint list drops a backend that has died without notice, in ms
+	noZone                = -1     // zone of hosts that are never isolated
 )
 
-// The uses of random sources. They are part of the seeds: another name draws other numbers.
+// Labels of the sources of random numbers. They are part of the seeds: another label gives other numbers.
 const (
 	randEnvironment = "world"
 	randWorkload    = "crowd"
 	randBackend     = "server"
 )
 
-// The states of an endpoint on the list.
+// Statuses of an endpoint on the list.
 const (
 	statusActive  = "active"
 	statusLeaving = "leaving"
 	statusLeft    = "left"
 )
 
-// Environment is the fleet, the clients and the discovery service of one experiment, and its faults.
+// Environment is everything around the relays of one experiment: the backends, the clients, the discovery service
+// and the faults.
 type Environment struct {
 	Backends   []*Backend
 	Discovery  *Discovery
 	Workload   *Workload // nil until Start
 	Metrics    *Metrics
-	FaultSpans []FaultSpan // that have begun
+	FaultSpans []FaultSpan // faults that have begun
 
-	experiment     *experiment.Experiment
-	infrastructure Infrastructure
-	host           Host
-	observer       Observer
-	rng            *rand.Rand
-	sessionStore   *SessionStore
-	relays         []relayState
-	zones          map[string]string          // of the backends, by name; filled by IsSameZone
-	impairing      map[*experiment.Fault]bool // the faults that impair the network now
+	experiment        *experiment.Experiment
+	infrastructure    Infrastructure
+	host              Host
+	observer          Observer
+	rng               *rand.Rand
+	sessionStore      *SessionStore
+	relays            []relayState
+	backendZones      map[string]string          // zone of each backend, by name; filled by IsSameZone
+	activeImpairments map[*experiment.Fault]bool // faults that impair the network now
 }
 
-// relayState is what the environment knows of a relay. All but the last two start anew with each incarnation.
+// relayState is what the environment knows of a relay. All fields but the last two are reset with each incarnation.
 type relayState struct {
-	isStopping  bool // as planned
-	isDrained   bool // by operators
-	drains      int  // how often
+	isStopping  bool // it was told to shut down
+	isDrained   bool // operators have drained it
+	drainCount  int  // number of times that operators have drained it
 	isReplacing bool // another process is taking it over
-	isFrozen    bool
-	isUp        bool
-	incarnation int
+	isFrozen    bool // its process is stopped, as by SIGSTOP
+	isUp        bool // its process runs
+	incarnation int  // number of times that it has ended
 	zone        int
 }
 
-// NewEnvironment returns an environment with its backends and their list. Start starts the rest once the relays
-// are there.
+// NewEnvironment returns an environment with its backends and their endpoint list. Start starts the rest once the
+// relays run.
 func NewEnvironment(x *experiment.Experiment, infrastructure Infrastructure, host Host,
 	observer Observer) *Environment {
 	var classes []string
@@ -69,16 +70,16 @@
 		classes = append(classes, t.Class)
 	}
 	e := &Environment{
-		Discovery:      NewDiscovery(host),
-		Metrics:        NewMetrics(host.Now(), classes),
-		experiment:     x,
-		infrastructure: infrastructure,
-		host:           host,
-		observer:       observer,
-		rng:            x.Rand(randEnvironment, 0),
-		sessionStore:   NewSessionStore(x.Fleet.StoreRate),
-		zones:          map[string]string{},
-		impairing:      map[*experiment.Fault]bool{},
+		Discovery:         NewDiscovery(host),
+		Metrics:           NewMetrics(host.Now(), classes),
+		experiment:        x,
+		infrastructure:    infrastructure,
+		host:              host,
+		observer:          observer,
+		rng:               x.Rand(randEnvironment, 0),
+		sessionStore:      NewSessionStore(x.Fleet.StoreRate),
+		backendZones:      map[string]string{},
+		activeImpairments: map[*experiment.Fault]bool{},
 	}
 	for i := range x.Fleet.Backends {
 		e.addBackend(i % x.Fleet.Zones)
@@ -89,7 +90,7 @@
 	return e
 }
 
-// addBackend brings up another backend and lists it.
+// addBackend starts another backend and adds it to the endpoint list.
 func (e *Environment) addBackend(zone int) *Backend {
 	host, address := e.infrastructure.NewHost(zone)
 	fleet := e.experiment.Fleet
@@ -109,13 +110,13 @@
 		OverloadDowntime: float64(fleet.OverloadDowntime),
 	}
 	b := e.newBackend(spec, host)
-	e.list(b, statusActive)
+	e.publishEndpoint(b, statusActive)
 	return b
 }
 
 func backendName(number int) string { return fmt.Sprintf("s-%04d", number) }
 
-// newBackend has a backend answer at its address. It is not listed yet.
+// newBackend creates a backend that answers at its address. It is not on the endpoint list yet.
 func (e *Environment) newBackend(spec BackendSpec, host Host) *Backend {
 	b := NewBackend(spec, host, e.observer, e.sessionStore, e.experiment.Rand(randBackend, len(e.Backends)))
 	b.OnChange = func() { e.backendChanged(b) }
@@ -124,34 +125,34 @@
 	return b
 }
 
-// list brings a backend onto the endpoint list, or changes its status there.
-func (e *Environment) list(b *Backend, status string) {
+// publishEndpoint adds a backend to the endpoint list, or changes its status there.
+func (e *Environment) publishEndpoint(b *Backend, status string) {
 	e.Discovery.SetEndpoint(relay.Endpoint{
 		Name:      b.Name,
 		Address:   b.Address,
 		Zone:      b.Zone,
 		Status:    status,
 		Weight:    1,
-		StartedAt: b.Since,
+		StartedAt: b.StartTime,
 	})
 }
 
-// backendChanged follows a backend that has died or is back.
+// backendChanged updates the network and the endpoint list after a backend has died or started again.
 func (e *Environment) backendChanged(b *Backend) {
 	e.infrastructure.SetRefusing(b.Address, b.Dead)
 	if !b.Dead {
-		e.list(b, statusActive)
+		e.publishEndpoint(b, statusActive)
 		return
 	}
-	since := b.Since
-	e.host.After(failureNotice, func() {
-		if b.Dead && b.Since == since {
-			e.list(b, statusLeft)
+	startTime := b.StartTime
+	e.host.After(failureDetectionDelay, func() {
+		if b.Dead && b.StartTime == startTime {
+			e.publishEndpoint(b, statusLeft)
 		}
 	})
 }
 
-// Start has the clients come to the relays at the addresses, and the faults begin at their times.
+// Start makes the clients connect to the relays at the given addresses and the faults begin at their times.
 func (e *Environment) Start(addresses []string) {
 	var zones []int
 	for _, r := range e.relays {
@@ -168,7 +169,8 @@
 	e.sample()
 }
 
-// sample notes the backends' utilization, again and again until the end of the run.
+// sample records the backends' utilization and the number of sessions, every sampleInterval until the end of the
+// run.
 func (e *Environment) sample() {
 	now := e.host.Now()
 	sum, squares, highest, count := 0.0, 0.0, 0.0, 0.0
@@ -183,7 +185,7 @@
 		count++
 	}
 	if count > 0 {
-		second := e.Metrics.at(now)
+		second := e.Metrics.secondAt(now)
 		second.MeanUtilization = sum / count
 		second.MaxUtilization = max(second.MaxUtilization, highest)
 		second.UtilizationStdDev = math.Sqrt(max(squares/count-sum/count*sum/count, 0))
@@ -194,23 +196,24 @@
 	}
 }
 
-// IsSameZone tells whether a relay and a backend are in one zone.
+// IsSameZone reports whether a relay and a backend are in the same zone.
 func (e *Environment) IsSameZone(relay int, backend string) bool {
-	if _, known := e.zones[backend]; !known {
+	if _, known := e.backendZones[backend]; !known {
 		for _, b := range e.Backends {
-			e.zones[b.Name] = b.Zone
+			e.backendZones[b.Name] = b.Zone
 		}
 	}
-	return e.zones[backend] == experiment.Zone(e.relays[relay].zone)
+	return e.backendZones[backend] == experiment.Zone(e.relays[relay].zone)
 }
 
-// HasCapacity tells whether one more session can be sent to the backend with all rules kept and in good time.
+// HasCapacity reports whether one more session can be sent to the backend without breaking a rule and without a
+// long wait.
 func (e *Environment) HasCapacity(b *Backend) bool {
 	now := e.host.Now()
 	return b.isServing() && !e.sessionStore.isBusy(now) && b.hasCapacity(now)
 }
 
-// SlowStartOverloads returns how often a backend in slow start was overloaded.
+// SlowStartOverloads returns how many times backends were overloaded in slow start.
 func (e *Environment) SlowStartOverloads() (count int) {
 	for _, b := range e.Backends {
 		count += b.SlowStartOverloads
@@ -218,7 +221,7 @@
 	return count
 }
 
-// killRelay ends a relay that runs, and has it start again after a time, or never if that is infinite.
+// killRelay kills a relay that runs, and starts it again after the given time, or never if that is infinite.
 func (e *Environment) killRelay(i int, restartAfter float64) {
 	if !e.relays[i].isUp {
 		return
@@ -229,7 +232,7 @@
 	e.relayExited(i, restartAfter)
 }
 
-// RelayExited is called when a relay has ended by itself. It is started again after its time.
+// RelayExited must be called when a relay has exited by itself. The relay is started again after RestartDelay.
 func (e *Environment) RelayExited(i int) {
 	e.relayExited(i, float64(e.experiment.Relays.RestartDelay))
 }
@@ -241,7 +244,7 @@
 	wasPlanned := e.relays[i].isStopping
 	e.relays[i] = relayState{zone: e.relays[i].zone, incarnation: e.relays[i].incarnation + 1}
 	e.Workload.SetReplacing(i, false)
-	if !wasPlanned { // one that stops as planned owes all its answers before it exits
+	if !wasPlanned { // after a planned stop no answer may be missing: the observer must not excuse any
 		e.observer.RelayChanged(e.host.Now(), i, false)
 	}
 	if math.IsInf(restartAfter, 1) {
--- a/internal/testbed/model/faults.go
+++ b/internal/testbed/model/faults.go
@@ -6,17 +6,18 @@
 	"valeshift/internal/testbed/experiment"
 )
 
-// FaultSpan is a fault as it came, for the time axis of reports. Its times are of the run.
+// FaultSpan is a fault that has occurred, for the time axis of reports. From and To are milliseconds since the
+// start of the run.
 type FaultSpan struct {
 	From float64 `json:"From"`
 	To   float64 `json:"To"`
 	Text string  `json:"Text"`
 }
 
-// faultAction begins a fault. It returns what ends the fault, or nil where nothing has to be undone.
+// faultAction starts a fault. It returns a function that ends the fault, or nil if nothing has to be undone.
 type faultAction func(e *Environment, f *experiment.Fault) (undo func())
 
-// faultActions are all kinds of fault but those that impair the network between machines.
+// faultActions has all kinds of fault except those that impair the network between machines.
 var faultActions = map[experiment.FaultKind]faultAction{
 	experiment.FaultSilent:       (*Environment).silenceBackends,
 	experiment.FaultReset:        (*Environment).resetBackendConnections,
@@ -56,7 +57,7 @@
 	experiment.FaultBurst: (*Environment).raiseArrivalRate,
 }
 
-// startFault has a fault begin, and end after its time.
+// startFault records a fault, starts it and schedules its end.
 func (e *Environment) startFault(f *experiment.Fault) {
 	begin := e.host.Now() - e.Metrics.Start
 	e.FaultSpans = append(e.FaultSpans, FaultSpan{
@@ -64,12 +65,12 @@
 		To:   begin + float64(f.Duration),
 		Text: string(f.Kind),
 	})
-	if undo := e.beginFault(f); undo != nil {
+	if undo := e.applyFault(f); undo != nil {
 		e.host.After(float64(f.Duration), undo)
 	}
 }
 
-func (e *Environment) beginFault(f *experiment.Fault) (undo func()) {
+func (e *Environment) applyFault(f *experiment.Fault) (undo func()) {
 	if _, impairs := f.Impairment(); impairs {
 		return e.impairNetwork(f)
 	}
@@ -80,18 +81,18 @@
 	return action(e, f)
 }
 
-// impairNetwork has what passes between the machines that a fault names be impaired.
+// impairNetwork impairs the network between the machines that the fault names.
 func (e *Environment) impairNetwork(f *experiment.Fault) (undo func()) {
-	e.impairing[f] = true
+	e.activeImpairments[f] = true
 	e.updateImpairments()
 	return func() {
-		delete(e.impairing, f)
+		delete(e.activeImpairments, f)
 		e.updateImpairments()
 	}
 }
 
-// updateImpairments sets what the present faults do between all machines. Of several that concern one
-// direction the last in the file wins.
+// updateImpairments sets the impairments of the active faults between all machines. If several faults impair one
+// direction, the last one in the experiment file applies.
 func (e *Environment) updateImpairments() {
 	for from := experiment.Discovery; from < len(e.relays); from++ {
 		for to := experiment.Discovery; to < len(e.relays); to++ {
@@ -105,14 +106,14 @@
 func (e *Environment) impairmentBetween(from, to int) (impairment experiment.Impairment) {
 	for i := range e.experiment.Faults {
 		f := &e.experiment.Faults[i]
-		if e.impairing[f] && e.experiment.AffectsLink(f, from, to) {
+		if e.activeImpairments[f] && e.experiment.AffectsLink(f, from, to) {
 			impairment, _ = f.Impairment()
 		}
 	}
 	return impairment
 }
 
-// delayDiscovery has each change of the endpoint list be told later, by the factor in seconds.
+// delayDiscovery delays all changes of the endpoint list by the fault's factor, in seconds.
 func (e *Environment) delayDiscovery(f *experiment.Fault) (undo func()) {
 	e.Discovery.DelayMillis = f.Factor * 1000
 	return func() { e.Discovery.DelayMillis = 0 }
@@ -123,13 +124,13 @@
 	return func() { e.Discovery.SetDown(false) }
 }
 
-// hideBackends has the endpoint list leave out backends that serve.
+// hideBackends makes the endpoint list leave out backends that serve.
 func (e *Environment) hideBackends(f *experiment.Fault) (undo func()) {
-	return forEach(e.pickBackends(f.Share),
-		func(b *Backend) { e.list(b, statusLeft) },
+	return applyWithUndo(e.pickBackends(f.Share),
+		func(b *Backend) { e.publishEndpoint(b, statusLeft) },
 		func(b *Backend) {
 			if b.isServing() {
-				e.list(b, statusActive)
+				e.publishEndpoint(b, statusActive)
 			}
 		})
 }
@@ -149,7 +150,7 @@
 	return func() { e.Workload.SetRateFactor(1) }
 }
 
-// takeShare returns the first part of all, that share of them and one at the least.
+// takeShare returns the first elements of all: the given share of them, rounded, but at least one if there is any.
 func takeShare[T any](all []T, share float64) []T {
 	count := int(math.Round(share * float64(len(all))))
 	return all[:min(max(count, 1), len(all))]
--- a/internal/testbed/model/faults_backends.go
+++ b/internal/testbed/model/faults_backends.go
@@ -3,16 +3,18 @@
 import "valeshift/internal/testbed/experiment"
 
 const (
-	leaveDelay = 5000.0 // from when a backend is said to leave until it is gone, and until it is back
+	// leaveDelay is the time from the announcement that backends leave until they end, and from the end of the
+	// fault until they start again, in ms.
+	leaveDelay = 5000.0
 
-	// A backend that stalls stands still for the one time and works for the other, in turns.
-	stallFor = 300.0
-	stallGap = 700.0
+	// A backend that stalls alternates between the two.
+	stallDuration = 300.0 // time for which it does no work, in ms
+	stallPause    = 700.0 // time for which it works, in ms
 
-	maxStolenShare = 0.99 // of a backend's cores
+	maxStolenShare = 0.99 // largest share of a backend's cores that a fault takes away
 )
 
-// pickBackends draws that share of the backends that serve, one at the least.
+// pickBackends returns a random share of the serving backends, at least one if any serves.
 func (e *Environment) pickBackends(share float64) []*Backend {
 	var serving []*Backend
 	for _, b := range e.Backends {
@@ -24,7 +26,7 @@
 	return takeShare(serving, share)
 }
 
-// pickZone draws a zone and returns all its backends.
+// pickZone returns all backends of a random zone.
 func (e *Environment) pickZone() (backends []*Backend) {
 	zone := experiment.Zone(e.rng.Intn(e.experiment.Fleet.Zones))
 	for _, b := range e.Backends {
@@ -35,8 +37,8 @@
 	return backends
 }
 
-// forEach applies begin to the backends, and returns what applies end to the same ones.
-func forEach(backends []*Backend, begin, end func(*Backend)) (undo func()) {
+// applyWithUndo calls begin for each backend, and returns a function that calls end for the same backends.
+func applyWithUndo(backends []*Backend, begin, end func(*Backend)) (undo func()) {
 	for _, b := range backends {
 		begin(b)
 	}
@@ -48,7 +50,7 @@
 }
 
 func (e *Environment) silenceBackends(f *experiment.Fault) (undo func()) {
-	return forEach(e.pickBackends(f.Share),
+	return applyWithUndo(e.pickBackends(f.Share),
 		func(b *Backend) { e.setUnreachable(b, true) },
 		func(b *Backend) { e.setUnreachable(b, false) })
 }
@@ -66,13 +68,13 @@
 }
 
 func (e *Environment) refuseAtBackends(f *experiment.Fault) (undo func()) {
-	return forEach(e.pickBackends(f.Share),
+	return applyWithUndo(e.pickBackends(f.Share),
 		func(b *Backend) { e.infrastructure.SetRefusing(b.Address, true) },
 		func(b *Backend) { e.infrastructure.SetRefusing(b.Address, b.Dead) })
 }
 
 func (e *Environment) slowBackends(f *experiment.Fault) (undo func()) {
-	return forEach(e.pickBackends(f.Share),
+	return applyWithUndo(e.pickBackends(f.Share),
 		func(b *Backend) { b.SetSpeedFactor(f.Factor) },
 		func(b *Backend) { b.SetSpeedFactor(1) })
 }
@@ -84,16 +86,16 @@
 	return func() { active = false }
 }
 
-// stall has backends stand still for a moment, again and again as long as active holds.
+// stall stalls the backends for stallDuration, and again after each stallPause while *active is true.
 func (e *Environment) stall(backends []*Backend, active *bool) {
 	for _, b := range backends {
 		b.SetStalled(true)
 	}
-	e.host.After(stallFor, func() {
+	e.host.After(stallDuration, func() {
 		for _, b := range backends {
 			b.SetStalled(false)
 		}
-		e.host.After(stallGap, func() {
+		e.host.After(stallPause, func() {
 			if *active {
 				e.stall(backends, active)
 			}
@@ -110,7 +112,7 @@
 }
 
 func stealCores(backends []*Backend, share float64) (undo func()) {
-	return forEach(backends,
+	return applyWithUndo(backends,
 		func(b *Backend) { b.SetStolenShare(min(share, maxStolenShare)) },
 		func(b *Backend) { b.SetStolenShare(0) })
 }
@@ -121,18 +123,18 @@
 }
 
 func (e *Environment) drainBackends(f *experiment.Fault) (undo func()) {
-	return forEach(e.pickBackends(f.Share), e.drainBackend, func(b *Backend) {
+	return applyWithUndo(e.pickBackends(f.Share), e.drainBackend, func(b *Backend) {
 		b.Draining = false
-		e.list(b, statusActive)
+		e.publishEndpoint(b, statusActive)
 	})
 }
 
 func (e *Environment) drainBackend(b *Backend) {
 	b.Draining = true
-	e.list(b, statusLeaving)
+	e.publishEndpoint(b, statusLeaving)
 }
 
-// removeBackends has backends drain, then go, and return after the fault.
+// removeBackends makes backends drain and then end. They start again after the fault.
 func (e *Environment) removeBackends(f *experiment.Fault) (undo func()) {
 	backends := e.pickBackends(f.Share)
 	for _, b := range backends {
@@ -141,7 +143,7 @@
 	e.host.After(leaveDelay, func() {
 		for _, b := range backends {
 			e.killBackend(b)
-			e.list(b, statusLeft)
+			e.publishEndpoint(b, statusLeft)
 			b.Draining = false
 		}
 	})
@@ -154,18 +156,18 @@
 	}
 }
 
-// addBackends adds new backends, in slow start, as many as that share of the present ones.
+// addBackends adds new backends in slow start. Their number is the given share of the present ones, at least one.
 func (e *Environment) addBackends(f *experiment.Fault) (undo func()) {
 	for range max(int(f.Share*float64(len(e.Backends))), 1) {
 		b := e.addBackend(e.rng.Intn(e.experiment.Fleet.Zones))
-		b.Since = e.host.Now()
-		e.list(b, statusActive)
+		b.StartTime = e.host.Now()
+		e.publishEndpoint(b, statusActive)
 	}
 	return nil
 }
 
 func (e *Environment) restartBackends(f *experiment.Fault) (undo func()) {
-	return forEach(e.pickBackends(f.Share), e.killBackend, e.restartBackend)
+	return applyWithUndo(e.pickBackends(f.Share), e.killBackend, e.restartBackend)
 }
 
 func (e *Environment) killBackend(b *Backend) {
@@ -187,27 +189,27 @@
 	return nil
 }
 
-// replaceBackend has a new backend answer at the address of one that dies.
+// replaceBackend kills a backend and has a new one answer at its address.
 func (e *Environment) replaceBackend(old *Backend) {
 	old.Kill()
-	e.list(old, statusLeft)
+	e.publishEndpoint(old, statusLeft)
 	spec := old.BackendSpec
 	spec.Name = backendName(len(e.Backends))
 	b := e.newBackend(spec, old.host)
-	b.Since = e.host.Now()
-	e.list(b, statusActive)
+	b.StartTime = e.host.Now()
+	e.publishEndpoint(b, statusActive)
 }
 
-// failAttemptsInZone has the backends of a zone break a share of the attempts, while their health checks pass.
+// failAttemptsInZone makes the backends of a zone reset a share of the attempts, while their health checks succeed.
 func (e *Environment) failAttemptsInZone(f *experiment.Fault) (undo func()) {
-	return forEach(e.pickZone(),
+	return applyWithUndo(e.pickZone(),
 		func(b *Backend) { b.SetFailingShare(min(f.Factor, 1)) },
 		func(b *Backend) { b.SetFailingShare(0) })
 }
 
-// loseAnswers has backends do what a share of the attempts ask for, and break before they say so.
+// loseAnswers makes backends execute a share of the attempts and reset their connections before they answer.
 func (e *Environment) loseAnswers(f *experiment.Fault) (undo func()) {
-	return forEach(e.pickBackends(f.Share),
+	return applyWithUndo(e.pickBackends(f.Share),
 		func(b *Backend) { b.SetLostAnswerShare(min(f.Factor, 1)) },
 		func(b *Backend) { b.SetLostAnswerShare(0) })
 }
--- a/internal/testbed/model/faults_relays.go
+++ b/internal/testbed/model/faults_relays.go
@@ -6,10 +6,11 @@
 	"valeshift/internal/testbed/experiment"
 )
 
-// drainedAfter is when a relay that operators drain may hold no session any more.
-const drainedAfter = 4000.0
+// drainTimeout is the time after which a relay that operators drain may hold no session any more, in ms.
+const drainTimeout = 4000.0
 
-// pickRelays draws that share of the relays that serve and that no other fault has, one at the least.
+// pickRelays returns a random share of the relays that serve and that no other fault concerns, at least one if
+// there is any.
 func (e *Environment) pickRelays(share float64) []int {
 	var serving []int
 	for i := range e.relays {
@@ -22,12 +23,13 @@
 	return takeShare(serving, share)
 }
 
-// losePower has backends, relays and discovery go at one instant, and return over a spread: discovery at its
-// beginning, the others at times that are drawn.
+// losePower ends backends, relays and discovery at the same instant. Discovery returns after the fault's duration,
+// backends and relays at random times within ReturnSpread after that. As many relays as NeverReturn says do not
+// return.
 func (e *Environment) losePower(f *experiment.Fault) (undo func()) {
-	drawReturn := func() float64 { return float64(f.Duration) + e.rng.Float64()*float64(f.ReturnSpread) }
+	drawReturnDelay := func() float64 { return float64(f.Duration) + e.rng.Float64()*float64(f.ReturnSpread) }
 	for n, i := range e.pickRelays(f.Share) {
-		returnAfter := drawReturn()
+		returnAfter := drawReturnDelay()
 		if n < f.NeverReturn {
 			returnAfter = math.Inf(1)
 		}
@@ -36,7 +38,7 @@
 	}
 	for _, b := range e.pickBackends(f.Share) {
 		e.killBackend(b)
-		e.host.After(drawReturn(), func() { e.restartBackend(b) })
+		e.host.After(drawReturnDelay(), func() { e.restartBackend(b) })
 	}
 	e.Discovery.SetDown(true)
 	e.host.After(float64(f.Duration), func() { e.Discovery.SetDown(false) })
@@ -78,8 +80,8 @@
 	return nil
 }
 
-// shiftClocks has the clocks of relays' machines, also of relays that are down, be ahead by the factor in
-// seconds.
+// shiftClocks sets the clocks of relays' machines ahead by the fault's factor, in seconds. Relays that are down are
+// included.
 func (e *Environment) shiftClocks(f *experiment.Fault) (undo func()) {
 	relays := takeShare(e.rng.Perm(len(e.relays)), f.Share)
 	set := func(ahead float64) {
@@ -91,7 +93,7 @@
 	return func() { set(0) }
 }
 
-// drainRelays has operators drain relays, and take them back to work after the fault.
+// drainRelays makes operators drain relays, and end the drain after the fault.
 func (e *Environment) drainRelays(f *experiment.Fault) (undo func()) {
 	relays := e.pickRelays(f.Share)
 	for _, i := range relays {
@@ -109,24 +111,24 @@
 	}
 }
 
-// drainRelay has operators drain a relay: the load balancer sees it reject and deals it no client, and some
-// seconds later none of its sessions is left.
+// drainRelay makes operators drain a relay. The load balancer sees that the relay rejects clients and sends it no
+// more. After drainTimeout the relay may hold no session.
 func (e *Environment) drainRelay(i int) {
 	r := &e.relays[i]
 	r.isDrained = true
-	r.drains++
-	incarnation, drains := r.incarnation, r.drains
+	r.drainCount++
+	incarnation, drainCount := r.incarnation, r.drainCount
 	e.infrastructure.DrainRelay(i, true)
 	e.Workload.RemoveRelay(i, true)
-	e.host.After(drainedAfter, func() {
+	e.host.After(drainTimeout, func() {
 		r := e.relays[i]
-		if r.incarnation == incarnation && r.isDrained && r.drains == drains {
+		if r.incarnation == incarnation && r.isDrained && r.drainCount == drainCount {
 			e.observer.RelayDrained(e.host.Now(), i)
 		}
 	})
 }
 
-// replaceRelays has another process take each relay over.
+// replaceRelays starts another process of each relay, which takes the relay over.
 func (e *Environment) replaceRelays(f *experiment.Fault) (undo func()) {
 	for _, i := range e.pickRelays(f.Share) {
 		incarnation := e.relays[i].incarnation
--- a/internal/testbed/model/faults_test.go
+++ b/internal/testbed/model/faults_test.go
@@ -8,7 +8,8 @@
 	"valeshift/internal/testbed/experiment"
 )
 
-// Every kind of fault that a file can name is either done by the environment or impairs the network.
+// A kind of fault that an experiment file can name but that nothing acts on would make an experiment pass without
+// its fault. Each kind either has an action or impairs the network.
 func TestEveryFaultKindIsDone(t *testing.T) {
 	for kind := range experiment.FaultKinds {
 		t.Run(string(kind), func(t *testing.T) {
--- a/internal/testbed/model/faults_zones.go
+++ b/internal/testbed/model/faults_zones.go
@@ -2,13 +2,14 @@
 
 import "valeshift/internal/testbed/experiment"
 
-// loseZone has all backends and relays of a zone die. The backends return after the fault.
+// loseZone kills all backends and relays of a random zone. The backends start again after the fault, the relays
+// after RestartDelay.
 func (e *Environment) loseZone(*experiment.Fault) (undo func()) {
 	lost := e.rng.Intn(e.experiment.Fleet.Zones)
 	return e.loseZones(func(zone int) bool { return zone == lost })
 }
 
-// loseRegion does so with all zones of a region.
+// loseRegion does the same to all zones of a random region.
 func (e *Environment) loseRegion(*experiment.Fault) (undo func()) {
 	lost := e.experiment.Region(e.rng.Intn(e.experiment.Fleet.Zones))
 	return e.loseZones(func(zone int) bool { return e.experiment.Region(zone) == lost })
@@ -38,15 +39,16 @@
 	}
 }
 
-// isolateZone has nothing pass between a zone and the others.
+// isolateZone cuts a random zone off from the others: nothing passes between them.
 func (e *Environment) isolateZone(*experiment.Fault) (undo func()) {
 	zone := e.rng.Intn(e.experiment.Fleet.Zones)
 	e.setIsolated(zone, true)
 	return func() { e.setIsolated(zone, false) }
 }
 
-// setIsolated reports all backends as unreachable while a zone is isolated: each is so for some relays. That is
-// more than holds, so that no relay is blamed for what it can't reach.
+// setIsolated cuts a zone off or connects it again. While a zone is cut off, the observer is told that all backends
+// are unreachable, since each of them is so for some relays. That is more than is true, but no relay is blamed for
+// a backend that it can't reach.
 func (e *Environment) setIsolated(zone int, isolated bool) {
 	e.infrastructure.IsolateZone(zone, isolated)
 	for _, b := range e.Backends {
--- a/internal/testbed/model/loadbalancer.go
+++ b/internal/testbed/model/loadbalancer.go
@@ -3,17 +3,17 @@
 import "math/rand"
 
 const (
-	plannedRemovalDelay = 300.0 // for which clients are still dealt to a relay that stops as planned
-	healthCheckInterval = 100.0 // of a relay that starts
+	plannedRemovalDelay = 300.0 // time for which clients are still sent to a relay that stops or drains as planned, in ms
+	healthCheckInterval = 100.0 // time between two health checks of a relay that starts, in ms
 )
 
-// loadBalancer stands in for the load balancer that deals clients out among the relays: to those of their own
-// zone, where one serves. Its health checks go over the workload's host.
+// loadBalancer simulates the load balancer in front of the relays, which sends clients to relays of their own zone,
+// or to any relay if none of their zone is up. Its health checks use the workload's host.
 type loadBalancer struct {
-	host   Host
-	relays []targetRelay
-	checks map[uint64]int // relay by the connection of a health check
-	closed bool
+	host         Host
+	relays       []targetRelay
+	healthChecks map[uint64]int // number of the relay that is checked, by connection of the health check
+	closed       bool
 }
 
 // targetRelay is what the load balancer knows of a relay.
@@ -21,19 +21,19 @@
 	address     string
 	zone        int
 	isUp        bool
-	change      int  // number of the last change that was ordered; what was scheduled before it is void
-	isReplacing bool // nobody may be rejected meanwhile
+	generation  int  // number of the last removal or restoration; what earlier ones have scheduled is void
+	isReplacing bool // its process is being replaced, and no client may be rejected meanwhile
 }
 
 func newLoadBalancer(host Host, addresses []string, zones []int) loadBalancer {
-	l := loadBalancer{host: host, checks: map[uint64]int{}}
+	l := loadBalancer{host: host, healthChecks: map[uint64]int{}}
 	for i, address := range addresses {
 		l.relays = append(l.relays, targetRelay{address: address, zone: zones[i], isUp: true})
 	}
 	return l
 }
 
-// pick draws a relay for a client of a zone. It returns false where no relay is up.
+// pick returns a random relay for a client of the zone, or false if no relay is up.
 func (l *loadBalancer) pick(zone int, rng *rand.Rand) (relay int, ok bool) {
 	upInZone, up := 0, 0
 	for _, r := range l.relays {
@@ -64,48 +64,48 @@
 	return 0, false
 }
 
-// remove has nobody dealt to a relay any more, after a delay.
+// remove stops sending clients to a relay after a delay in ms.
 func (l *loadBalancer) remove(relay int, delay float64) {
-	l.relays[relay].change++
-	change := l.relays[relay].change
+	l.relays[relay].generation++
+	generation := l.relays[relay].generation
 	l.host.After(delay, func() {
-		if l.relays[relay].change == change {
+		if l.relays[relay].generation == generation {
 			l.relays[relay].isUp = false
 		}
 	})
 }
 
-// restore checks a relay's health until it serves, and deals clients to it from then on.
+// restore checks a relay's health until it serves, and sends clients to it again from then on.
 func (l *loadBalancer) restore(relay int) {
-	l.relays[relay].change++
+	l.relays[relay].generation++
 	l.relays[relay].isUp = false
-	l.checkHealth(relay, l.relays[relay].change)
+	l.checkHealth(relay, l.relays[relay].generation)
 }
 
-func (l *loadBalancer) checkHealth(relay, change int) {
-	if l.relays[relay].change != change || l.relays[relay].isUp || l.closed {
+func (l *loadBalancer) checkHealth(relay, generation int) {
+	if l.relays[relay].generation != generation || l.relays[relay].isUp || l.closed {
 		return
 	}
 	conn := l.host.Dial(l.relays[relay].address)
-	l.checks[conn] = relay
+	l.healthChecks[conn] = relay
 	l.host.After(healthCheckInterval, func() {
-		if l.isCheck(conn) {
-			delete(l.checks, conn)
+		if l.isHealthCheck(conn) {
+			delete(l.healthChecks, conn)
 			l.host.Close(conn)
 		}
-		l.checkHealth(relay, change)
+		l.checkHealth(relay, generation)
 	})
 }
 
-// isCheck tells whether a connection is that of a health check.
-func (l *loadBalancer) isCheck(conn uint64) bool {
-	_, isCheck := l.checks[conn]
-	return isCheck
+// isHealthCheck reports whether a connection is that of a health check.
+func (l *loadBalancer) isHealthCheck(conn uint64) bool {
+	_, isHealthCheck := l.healthChecks[conn]
+	return isHealthCheck
 }
 
 // checkSucceeded is called when a relay has answered a health check.
 func (l *loadBalancer) checkSucceeded(conn uint64) {
-	l.relays[l.checks[conn]].isUp = true
-	delete(l.checks, conn)
+	l.relays[l.healthChecks[conn]].isUp = true
+	delete(l.healthChecks, conn)
 	l.host.Close(conn)
 }
--- a/internal/testbed/model/metrics.go
+++ b/internal/testbed/model/metrics.go
@@ -7,46 +7,46 @@
 )
 
 const (
-	maxRecordedMicros = 60_000_000 // longer times are recorded as this
-	histogramDigits   = 3
+	maxRecordedMicros = 60_000_000 // one minute; longer times are recorded as this
+	histogramDigits   = 3          // significant decimal digits of recorded times
 
-	recoveryBaseline = 5000.0 // before a fault: the served share of that time is what recovery is held against
+	recoveryBaselineDuration = 5000.0 // time before a fault whose served share recovery is measured against, in ms
 )
 
-// What is counted as an answer beside the verbs that clients receive.
+// What Metrics.Answers counts for requests without an answer, beside the verbs that clients receive.
 const (
 	answerNone         = "none" // the client gave up
 	answerDisconnected = "cut"  // the connection ended before the answer
 )
 
-// Second is what was counted in one second of a run. The utilization is that of the backends that serve, as a
-// part of their capacity.
+// Second is what was counted in one second of a run. Utilization is that of the serving backends, as a share of
+// their capacity.
 type Second struct {
-	Offered           float64 `json:"Wanted"` // weight of the lines that were meant to be sent
-	Served            float64 `json:"Served"` // weight of those that were answered in time
-	Established       int     `json:"Setups"` // answers, as the next two
-	Rejected          int     `json:"Rejected"`
-	Errored           int     `json:"Errored"`
-	Unanswered        int     `json:"Unanswered"`
-	Disconnected      int     `json:"Cut"` // before an answer
-	Sessions          int     `json:"Standing"`
-	UtilizationStdDev float64 `json:"Spread"`
-	MeanUtilization   float64 `json:"MeanUtil"`
-	MaxUtilization    float64 `json:"WorstUtil"`
+	Offered           float64 `json:"Wanted"`     // weight of the lines that were due
+	Served            float64 `json:"Served"`     // weight of the lines that were answered in time
+	Established       int     `json:"Setups"`     // requests answered UP
+	Rejected          int     `json:"Rejected"`   // requests answered BUSY
+	Errored           int     `json:"Errored"`    // requests answered with another verb
+	Unanswered        int     `json:"Unanswered"` // requests that clients gave up
+	Disconnected      int     `json:"Cut"`        // requests whose connection ended before an answer
+	Sessions          int     `json:"Standing"`   // established sessions at the last sample
+	UtilizationStdDev float64 `json:"Spread"`     // standard deviation between backends at the last sample
+	MeanUtilization   float64 `json:"MeanUtil"`   // mean over the backends at the last sample
+	MaxUtilization    float64 `json:"WorstUtil"`  // highest of any backend at any sample
 }
 
-// Metrics is what a run came to, as clients saw it.
+// Metrics is the result of a run as its clients saw it.
 type Metrics struct {
-	Start        float64 // time at which the run began
+	Start        float64 // time at which the run began, in ms
 	Seconds      []Second
-	SetupLatency map[string]*hdrhistogram.Histogram // by class, in microseconds, from when a session was wanted
-	LineLatency  map[string]*hdrhistogram.Histogram // by class, in microseconds, from when a line was due
-	Requests     int
-	Answers      map[string]int // by verb, and for those that got none
-	MaxLag       float64        // the most that the testbed was late with what was due
+	SetupLatency map[string]*hdrhistogram.Histogram // time from wanting a session to UP, in microseconds, by class
+	LineLatency  map[string]*hdrhistogram.Histogram // time from when a line was due to its answer, in microseconds, by class
+	Requests     int                                // number of requests sent
+	Answers      map[string]int                     // number of answers by verb, and of requests without an answer
+	MaxLag       float64                            // longest delay of an arrival or a line by the testbed, in ms
 }
 
-// NewMetrics starts to count.
+// NewMetrics returns empty metrics for a run that begins at start.
 func NewMetrics(start float64, classes []string) *Metrics {
 	m := &Metrics{
 		Start:        start,
@@ -61,8 +61,8 @@
 	return m
 }
 
-// at returns the second that a time falls in.
-func (m *Metrics) at(now float64) *Second {
+// secondAt returns the metrics of the second that a time falls in.
+func (m *Metrics) secondAt(now float64) *Second {
 	i := max(int((now-m.Start)/1000), 0)
 	for len(m.Seconds) <= i {
 		m.Seconds = append(m.Seconds, Second{})
@@ -74,8 +74,8 @@
 	h.RecordValue(int64(min(max(millis*1000, 1), maxRecordedMicros)))
 }
 
-// ServedShare returns the part of the offered weight that was served between two times of the run; 1 where none
-// was offered.
+// ServedShare returns the share of the offered weight that was served between two times, in ms since the start of
+// the run, or 1 if none was offered.
 func (m *Metrics) ServedShare(from, to float64) float64 {
 	offered, served := 0.0, 0.0
 	for i, s := range m.Seconds {
@@ -90,10 +90,10 @@
 	return served / offered
 }
 
-// RecoveryTime returns how long after a time of the run the served share is back for good, within a tolerance
-// of what it was before an earlier time; infinite where it never is.
+// RecoveryTime returns how many milliseconds after a time of the run the served share is back for good, within a
+// tolerance of what it was before an earlier time of the run. It returns infinity if the share never is.
 func (m *Metrics) RecoveryTime(before, after, tolerance float64) float64 {
-	baseline := m.ServedShare(max(before-recoveryBaseline, 0), before)
+	baseline := m.ServedShare(max(before-recoveryBaselineDuration, 0), before)
 	recovery := math.Inf(1)
 	for i := len(m.Seconds) - 1; i >= int(after/1000); i-- {
 		s := m.Seconds[i]
--- a/internal/testbed/model/sessionstore.go
+++ b/internal/testbed/model/sessionstore.go
@@ -1,23 +1,22 @@
 package model
 
-// storeBusyAfter is how much work may wait at the session store before it counts as busy.
-const storeBusyAfter = 200.0
+// maxStoreBacklog is the work that may wait at the session store before it counts as busy, in ms.
+const maxStoreBacklog = 200.0
 
-// SessionStore is the store that all backends share. Sessions are set up through it one after the other.
+// SessionStore is the store that all backends share. It handles the set-ups of sessions one after the other.
 type SessionStore struct {
-	rate   float64 // set-ups a second; 0: they take no time
-	factor float64 // of the rate
-	freeAt float64 // when it is done with all that it was given
+	rate   float64 // set-ups per second; 0: set-ups take no time
+	factor float64 // multiplies the rate
+	freeAt float64 // time at which all set-ups given to it so far are done
 }
 
-// NewSessionStore returns a store of that many set-ups a second; 0: of any number.
+// NewSessionStore returns a store that handles that many set-ups per second; with 0 they take no time.
 func NewSessionStore(rate float64) *SessionStore { return &SessionStore{rate: rate, factor: 1} }
 
-// SetRateFactor has the store work at a part of its rate from now on. What it was given before is not done
-// later.
+// SetRateFactor multiplies the store's rate by factor from now on. Set-ups given to it before are not delayed.
 func (s *SessionStore) SetRateFactor(factor float64) { s.factor = factor }
 
-// enqueue gives the store one set-up and returns when that is done.
+// enqueue adds a set-up to the store's queue and returns when it will be done.
 func (s *SessionStore) enqueue(now float64) (doneAt float64) {
 	if s.rate <= 0 {
 		return now
@@ -26,4 +25,4 @@
 	return s.freeAt
 }
 
-func (s *SessionStore) isBusy(now float64) bool { return s.freeAt > now+storeBusyAfter }
+func (s *SessionStore) isBusy(now float64) bool { return s.freeAt > now+maxStoreBacklog }
--- a/internal/testbed/model/sorted.go
+++ b/internal/testbed/model/sorted.go
@@ -6,5 +6,6 @@
 	"slices"
 )
 
-// sortedKeys returns a map's keys in order, so that what is done for each comes in the same order in each run.
+// sortedKeys returns the keys of a map in ascending order. Iterating over them makes each run do the same in the
+// same order.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- a/internal/testbed/model/workload.go
+++ b/internal/testbed/model/workload.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	initialSpread = 2000.0 // over which the initial clients come
+	initialArrivalTime = 2000.0 // time over which the initial clients arrive, in ms
 
-	// idSpread is an odd number (2^64 by the golden ratio): multiples of it differ in all bits.
-	idSpread = 0x9e3779b97f4a7c15
+	// idMultiplier is 2^64 divided by the golden ratio, an odd number: its multiples are distinct and differ in all
+	// bits.
+	idMultiplier = 0x9e3779b97f4a7c15
 )
 
-// Workload is all clients, and the load balancer that deals them out among the relays. It is the actor for
-// their connections.
+// Workload is all clients, and the load balancer that distributes them among the relays. It is the Actor of their
+// connections.
 type Workload struct {
 	*Metrics
 	// Established is the number of sessions that are established.
@@ -28,17 +29,17 @@
 	experiment *experiment.Experiment
 	rng        *rand.Rand
 	balancer   loadBalancer
-	endsAt     float64 // of arrivals and lines
-	rateFactor float64
-	closed     bool
+	endsAt     float64 // time after which no client arrives and no line is sent
+	rateFactor float64 // multiplies the arrival rates
+	closed     bool    // no client connects any more
 
-	clients []*client          // that are not gone
-	conns   map[uint64]*client // by connection
-	lastID  uint64             // of a session, counted
+	clients      []*client          // clients that have arrived and not left
+	conns        map[uint64]*client // clients by connection
+	sessionCount uint64             // number of sessions so far, from which their IDs are made
 }
 
-// NewWorkload returns the clients of an experiment. They come to relays at the addresses, in the zones, and
-// what they see is counted in the metrics.
+// NewWorkload returns the clients of an experiment. They connect to relays at the given addresses and in the given
+// zones, and what they see is counted in the metrics.
 func NewWorkload(x *experiment.Experiment, host Host, observer Observer, metrics *Metrics, addresses []string,
 	zones []int) *Workload {
 	return &Workload{
@@ -54,13 +55,13 @@
 	}
 }
 
-// Start has the clients come.
+// Start schedules the arrivals of the clients.
 func (w *Workload) Start() {
 	now := w.host.Now()
 	for i := range w.experiment.Traffic {
 		t := &w.experiment.Traffic[i]
 		for range t.InitialClients {
-			w.addClient(t, now+w.rng.Float64()*initialSpread)
+			w.addClient(t, now+w.rng.Float64()*initialArrivalTime)
 		}
 		if t.Rate > 0 {
 			w.scheduleArrival(t, now)
@@ -68,8 +69,8 @@
 	}
 }
 
-// scheduleArrival has the next client come. Arrivals go by the times at which they are due, however late the
-// testbed is.
+// scheduleArrival schedules the next arrival. Its delay counts from when the arrival before was due, so that a late
+// testbed does not lower the rate.
 func (w *Workload) scheduleArrival(t *experiment.Traffic, due float64) {
 	due += w.rng.ExpFloat64() * 1000 / (t.Rate * w.rateFactor)
 	if due >= w.endsAt {
@@ -81,7 +82,7 @@
 	})
 }
 
-// addClient draws a client, which comes when it is due.
+// addClient draws a client's properties and schedules its arrival.
 func (w *Workload) addClient(t *experiment.Traffic, due float64) {
 	c := &client{traffic: t, load: t.Load, wantedAt: due}
 	c.zone = w.rng.Intn(w.experiment.Fleet.Zones)
@@ -92,7 +93,7 @@
 		c.load *= math.Exp(w.rng.NormFloat64()*t.LoadSpread - t.LoadSpread*t.LoadSpread/2)
 	}
 	if t.Groups > 0 {
-		c.group = strconv.FormatUint(uint64(w.rng.Intn(t.Groups))*idSpread+1, 16)
+		c.group = strconv.FormatUint(uint64(w.rng.Intn(t.Groups))*idMultiplier+1, 16)
 	}
 	w.host.After(due-w.host.Now(), func() {
 		c.index = len(w.clients)
@@ -103,10 +104,10 @@
 	})
 }
 
-// SetRateFactor has new clients come at that multiple of the rate, from the next arrival on.
+// SetRateFactor multiplies the arrival rates by factor. Arrivals that are already scheduled keep their times.
 func (w *Workload) SetRateFactor(factor float64) { w.rateFactor = factor }
 
-// ResetConnections resets the connections of that share of the established sessions.
+// ResetConnections makes that share of the established clients reset their connections and reconnect.
 func (w *Workload) ResetConnections(share float64) {
 	for _, c := range slices.Clone(w.clients) {
 		if c.stage != clientEstablished || w.rng.Float64() >= share {
@@ -120,8 +121,8 @@
 	}
 }
 
-// RemoveRelay has no client dealt to a relay any more, once the load balancer knows that it is gone or stops as
-// planned.
+// RemoveRelay makes the load balancer send no client to a relay any more once it notices that the relay is gone, or
+// stops or drains as planned.
 func (w *Workload) RemoveRelay(relay int, planned bool) {
 	delay := float64(w.experiment.Relays.DetectionDelay)
 	if planned {
@@ -130,19 +131,19 @@
 	w.balancer.remove(relay, delay)
 }
 
-// RestoreRelay has clients dealt to a relay again once it serves.
+// RestoreRelay makes the load balancer send clients to a relay again once that serves.
 func (w *Workload) RestoreRelay(relay int) { w.balancer.restore(relay) }
 
-// SetReplacing says that a relay's process is being replaced, and must let every client in, or no longer.
+// SetReplacing sets whether a relay's process is being replaced, in which case the relay must let every client in.
 func (w *Workload) SetReplacing(relay int, replacing bool) {
 	w.balancer.relays[relay].isReplacing = replacing
 }
 
-// Close ends all sessions. Nobody comes any more.
+// Close ends all sessions. No client connects any more.
 func (w *Workload) Close() {
 	w.closed = true
 	w.balancer.closed = true
 	for _, c := range slices.Clone(w.clients) {
-		w.finish(c)
+		w.leave(c)
 	}
 }
