--- a/internal/testbed/baseline/baseline_test.go
+++ b/internal/testbed/baseline/baseline_test.go
@@ -49,19 +49,19 @@
 
 func TestKindsChoose(t *testing.T) {
 	for kind, want := range map[Kind]map[uint32]int{
-		RoundRobin:       {0: 10, 1: 10, 2: 10, 3: 10},
-		FewestSessions:   {0: 10, 1: 10, 2: 10, 3: 10},
-		FewestInOwnZone:  {2: 20, 3: 20},
-		TrueLoad:         {3: 40},
-		TrueLoadInLimits: {2: 40},
+		RoundRobin:           {0: 10, 1: 10, 2: 10, 3: 10},
+		FewestSessions:       {0: 10, 1: 10, 2: 10, 3: 10},
+		FewestSessionsInZone: {2: 20, 3: 20},
+		TrueLoad:             {3: 40},
+		TrueLoadWithCapacity: {2: 40},
 	} {
 		t.Run(kind.String(), func(t *testing.T) {
 			assert.Equal(t, want, assignAll(t, newPolicy(t, kind), 40))
 		})
 	}
-	for _, kind := range []Kind{Random, BetterOfTwo} {
+	for _, kind := range []Kind{Random, PowerOfTwoChoices} {
 		t.Run(kind.String(), func(t *testing.T) {
-			assert.Len(t, assignAll(t, newPolicy(t, kind), 40), 4, "all backends get some")
+			assert.Len(t, assignAll(t, newPolicy(t, kind), 40), 4, "every backend is assigned sessions")
 		})
 	}
 }
@@ -92,12 +92,12 @@
 				next := p.AttemptFinished(1, s, c.outcome, false)
 				assert.Equal(t, want, next.Kind)
 				if next.Kind == balancer.Assign {
-					assert.NotEqual(t, before.Backend, next.Backend, "another backend than before")
+					assert.NotEqual(t, before.Backend, next.Backend, "a retry goes to another backend")
 				}
 				before = next
 			}
 			for id := range uint32(4) {
-				assert.Zero(t, p.BackendStatus(id).Sessions, "nothing is left reserved")
+				assert.Zero(t, p.BackendStatus(id).Sessions, "no session is counted any more")
 			}
 		})
 	}
@@ -108,7 +108,7 @@
 	p.BeginEndpointUpdate(true)
 	p.UpdateEndpoint(balancer.Endpoint{ID: 2, Zone: 1, State: balancer.Ready})
 	p.EndEndpointUpdate(0)
-	listed, avoided := p.Counts()
-	assert.Equal(t, [2]int{4, 3}, [2]int{listed, avoided})
+	listed, excluded := p.Counts()
+	assert.Equal(t, [2]int{4, 3}, [2]int{listed, excluded})
 	assert.Equal(t, map[uint32]int{2: 5}, assignAll(t, p, 5))
 }
--- a/internal/testbed/baseline/choose.go
+++ b/internal/testbed/baseline/choose.go
@@ -5,43 +5,43 @@
 	"slices"
 )
 
-// noEndpoint stands for no choice.
+// noEndpoint is the index that means no endpoint.
 const noEndpoint = -1
 
-// choose returns the index of the endpoint for the next attempt, noEndpoint if none is ready. The one of the
-// attempt before is left out.
-func (p *Policy) choose(before int) int {
-	p.candidates = p.appendCandidates(p.candidates[:0], before)
+// choose returns the index of the endpoint for the next attempt, or noEndpoint if there is none. The endpoint of
+// the previous attempt is left out.
+func (p *Policy) choose(previous int) int {
+	p.candidates = p.appendCandidates(p.candidates[:0], previous)
 	candidates := p.candidates
 	if len(candidates) == 0 {
 		return noEndpoint
 	}
 	switch p.config.Kind {
 	case RoundRobin:
-		p.turn++
-		return candidates[p.turn%len(candidates)]
+		p.roundRobinIndex++
+		return candidates[p.roundRobinIndex%len(candidates)]
 	case FewestSessions:
 		return p.lowest(candidates, p.ownSessions)
-	case FewestInOwnZone:
+	case FewestSessionsInZone:
 		return p.lowest(p.inOwnZone(candidates), p.ownSessions)
-	case BetterOfTwo:
+	case PowerOfTwoChoices:
 		first := p.draw(candidates)
 		second := p.draw(candidates)
 		return p.lowest([]int{first, second}, p.ownSessions)
-	case TrueLoad, TrueLoadInLimits:
+	case TrueLoad, TrueLoadWithCapacity:
 		return p.lowest(candidates, p.trueLoad)
 	default:
 		return p.draw(candidates)
 	}
 }
 
-// appendCandidates appends the endpoints that may be chosen.
-func (p *Policy) appendCandidates(candidates []int, before int) []int {
+// appendCandidates appends the indices of the endpoints that may be chosen.
+func (p *Policy) appendCandidates(candidates []int, previous int) []int {
 	for i, e := range p.endpoints.all {
-		if !e.isReady || i == before {
+		if !e.isReady || i == previous {
 			continue
 		}
-		if p.config.Kind == TrueLoadInLimits && !p.config.HasCapacity(e.id) {
+		if p.config.Kind == TrueLoadWithCapacity && !p.config.HasCapacity(e.id) {
 			continue
 		}
 		candidates = append(candidates, i)
@@ -51,27 +51,27 @@
 
 func (p *Policy) draw(candidates []int) int { return candidates[p.rng.Intn(len(candidates))] }
 
-// inOwnZone returns the candidates in the relay's zone; all of them if none is there.
+// inOwnZone returns the candidates in the relay's zone, or all candidates if there are none.
 func (p *Policy) inOwnZone(candidates []int) []int {
-	near := slices.DeleteFunc(slices.Clone(candidates), func(i int) bool {
+	inZone := slices.DeleteFunc(slices.Clone(candidates), func(i int) bool {
 		return p.endpoints.all[i].zone != p.config.Zone
 	})
-	if len(near) == 0 {
+	if len(inZone) == 0 {
 		return candidates
 	}
-	return near
+	return inZone
 }
 
-// lowest returns the candidate with the lowest figure; of equal ones a drawn one.
-func (p *Policy) lowest(candidates []int, figureOf func(endpoint int) float64) int {
+// lowest returns the candidate with the lowest score. Of equal ones it returns the first from a random start.
+func (p *Policy) lowest(candidates []int, scoreOf func(endpoint int) float64) int {
 	lowest := noEndpoint
-	lowestFigure := math.Inf(1)
+	lowestScore := math.Inf(1)
 	start := p.rng.Intn(len(candidates))
 	for i := range candidates {
 		candidate := candidates[(start+i)%len(candidates)]
-		if figure := figureOf(candidate); figure < lowestFigure {
+		if score := scoreOf(candidate); score < lowestScore {
 			lowest = candidate
-			lowestFigure = figure
+			lowestScore = score
 		}
 	}
 	return lowest
--- a/internal/testbed/baseline/unsupported.go
+++ b/internal/testbed/baseline/unsupported.go
@@ -2,8 +2,8 @@
 
 import "valeshift/balancer"
 
-// The methods below are of what baselines do not do: polls, load reports, outlier detection, recovery,
-// reservations and decisions on zones. They do nothing and return nothing.
+// The methods below belong to features that baselines do not have: polls, load reports, outlier detection,
+// recovery, reservations and decisions on zones. They change nothing and return fixed values.
 
 // PollFinished does nothing.
 func (p *Policy) PollFinished(float64, uint32, bool, []float64) {}
@@ -23,22 +23,22 @@
 // IsUnresponsive returns false.
 func (p *Policy) IsUnresponsive(uint32, float64) bool { return false }
 
-// IsReady returns true: there are no estimates to wait for.
+// IsReady returns true: a baseline has no estimates to wait for.
 func (p *Policy) IsReady(float64) bool { return true }
 
-// SetDraining does nothing: no budget of backends that warm up is to be left to another process.
+// SetDraining does nothing: baselines have no slow start budget that another process could use.
 func (p *Policy) SetDraining(bool) {}
 
-// Snapshot returns an empty one: nothing is learnt.
+// Snapshot returns an empty snapshot: baselines learn nothing.
 func (p *Policy) Snapshot(now float64) balancer.Snapshot { return balancer.Snapshot{TakenAt: now} }
 
 // Restore does nothing.
 func (p *Policy) Restore(float64, *balancer.Snapshot) error { return nil }
 
-// Estimates returns none.
+// Estimates returns no estimates.
 func (p *Policy) Estimates() balancer.Estimates { return balancer.Estimates{} }
 
-// RestoreEstimates does nothing.
+// RestoreEstimates does nothing and reports that the estimates were not used.
 func (p *Policy) RestoreEstimates(balancer.Estimates) bool { return false }
 
 // SetRecovering does nothing.
@@ -65,7 +65,7 @@
 // SetZoneWeights does nothing.
 func (p *Policy) SetZoneWeights([]balancer.ZoneWeight) {}
 
-// ZoneObservations returns none.
+// ZoneObservations returns no observations.
 func (p *Policy) ZoneObservations(float64) ([]balancer.ZoneObservation, float64) { return nil, 0 }
 
 // RecordEarlierAttempt does nothing.
@@ -77,7 +77,7 @@
 // DropReservation does nothing.
 func (p *Policy) DropReservation(uint64) {}
 
-// Reservations returns none.
+// Reservations returns no reservations.
 func (p *Policy) Reservations(float64) map[uint64]float64 { return nil }
 
 // RestoreReservations does nothing.
