--- a/internal/testbed/audit/attempts.go
+++ b/internal/testbed/audit/attempts.go
@@ -2,22 +2,23 @@
 
 import "valeshift/internal/testbed/experiment"
 
-// drainNotice is the time after the news of a drain from which nothing new may come to the backend.
-const drainNotice = 500.0
+// drainGrace is the time in ms after a relay has been told of a drain from which no new attempt may reach the
+// backend.
+const drainGrace = 500.0
 
 const statusActive = "active"
 
 // attempt is one attempt to establish a session on a backend.
 type attempt struct {
-	backend    string
-	startedAt  float64
-	finishedAt float64 // 0: it is out
-	wasDark    bool    // its backend was unreachable meanwhile, and may not have heard of its end
+	backend        string
+	startedAt      float64
+	finishedAt     float64 // time of its end; 0: it is in progress
+	wasUnreachable bool    // its backend was unreachable meanwhile and may not have noticed its end
 }
 
-func (t attempt) isOut() bool { return t.finishedAt == 0 }
+func (t attempt) isInProgress() bool { return t.finishedAt == 0 }
 
-// AttemptReceived is called when the request for a session has come to a backend.
+// AttemptReceived is called when a backend has received the request for a session.
 func (a *Auditor) AttemptReceived(now float64, id, backend string, cold bool, capacity, load float64) {
 	a.Attempts++
 	s := a.sessions[id]
@@ -26,14 +27,14 @@
 		return
 	}
 	a.countLocality(now, s.relay, backend)
-	news := a.relay(s.relay).endpoints[backend]
+	known := a.relay(s.relay).endpoints[backend]
 	state := a.backend(backend)
-	a.checkDrain(now, id, backend, news, state)
-	isToldOfThisStart := news.since > 0 && news.since >= state.startedAt
-	if cold && isToldOfThisStart {
+	a.checkDrain(now, id, backend, known, state)
+	knowsThisStart := known.startTime > 0 && known.startTime >= state.startedAt
+	if cold && knowsThisStart {
 		a.addSlowStartLoad(now, id, backend, capacity, load)
 	}
-	s.attempts = append(s.attempts, attempt{backend: backend, startedAt: now, wasDark: state.isUnreachable})
+	s.attempts = append(s.attempts, attempt{backend: backend, startedAt: now, wasUnreachable: state.isUnreachable})
 }
 
 func (a *Auditor) countLocality(now float64, relay int, backend string) {
@@ -46,20 +47,21 @@
 	}
 }
 
-// checkDrain checks that the relay had not been told for a while that the backend leaves or is gone.
-func (a *Auditor) checkDrain(now float64, id, backend string, news endpointNews, state *backendState) {
-	if news.status == "" || news.status == statusActive || now <= news.at+drainNotice+a.slack {
+// checkDrain reports an attempt on a backend that the relay has known for a while to be leaving or gone.
+func (a *Auditor) checkDrain(now float64, id, backend string, known knownEndpoint, state *backendState) {
+	if known.status == "" || known.status == statusActive || now <= known.receivedAt+drainGrace+a.slack {
 		return
 	}
-	wasOnItsWay := now < state.reachableAt+a.slack // while nothing passed to the backend
-	if !wasOnItsWay {
-		a.report(Drain, now, id, "to %s, %s for %.0f ms by what its relay was told", backend, news.status,
-			now-news.at)
+	// The attempt may have been sent before the drain, while nothing passed to the backend.
+	mayBeDelayed := now < state.reachableAt+a.slack
+	if !mayBeDelayed {
+		a.report(Drain, now, id, "to %s, %s for %.0f ms by what its relay was told", backend, known.status,
+			now-known.receivedAt)
 	}
 }
 
-// addSlowStartLoad counts what a backend in slow start is sent by relays that know of that. A session can't be split,
-// so the heaviest one of a window is not too much by itself.
+// addSlowStartLoad records the load that a backend in slow start is sent by relays that know of the slow start, and
+// reports an overload. A session can't be split, so the heaviest one of a window does not count against the limit.
 func (a *Auditor) addSlowStartLoad(now float64, id, backend string, capacity, load float64) {
 	state := a.backend(backend)
 	recent := state.slowStartLoads[:0]
@@ -86,7 +88,7 @@
 		return
 	}
 	for i := range s.attempts {
-		if s.attempts[i].backend == backend && s.attempts[i].isOut() {
+		if s.attempts[i].backend == backend && s.attempts[i].isInProgress() {
 			s.attempts[i].finishedAt = now
 			a.checkOverlap(id, s, i)
 			return
@@ -94,12 +96,13 @@
 	}
 }
 
-// checkOverlap checks an attempt that has finished against those that are still out: a pair counts once, when the first
-// of the two finishes. A backend that is unreachable hears of no end, so its attempts do not count.
+// checkOverlap checks an attempt that has finished against those that are still in progress. So each pair is
+// checked once, when the first of the two finishes. A backend that is unreachable does not notice the end of an
+// attempt, so its attempts are not checked.
 func (a *Auditor) checkOverlap(id string, s *session, finished int) {
 	t := s.attempts[finished]
 	for _, other := range s.attempts {
-		if !other.isOut() || t.wasDark || other.wasDark {
+		if !other.isInProgress() || t.wasUnreachable || other.wasUnreachable {
 			continue
 		}
 		if overlap := t.finishedAt - max(t.startedAt, other.startedAt); overlap > a.slack {
@@ -109,7 +112,7 @@
 	}
 }
 
-// EffectApplied is called when a backend has done what a session asks for.
+// EffectApplied is called when a backend has executed a session's request.
 func (a *Auditor) EffectApplied(now float64, id, backend string) {
 	s := a.sessions[id]
 	if s == nil {
@@ -120,16 +123,16 @@
 	if s.effects > 1 && isSingleUse {
 		a.report(AtMostOnce, now, id, "single-use, and done again on %s", backend)
 	}
-	client := s.errand.client
-	if client.backend != "" && s.errand.effects == 0 {
+	client := s.operation.client
+	if client.backend != "" && s.operation.effects == 0 {
 		a.Reconnects++
 		if client.backend == backend {
 			a.AffineReconnects++
 		}
 	}
 	client.backend = backend
-	s.errand.effects++
-	if s.errand.effects > 1 && s.effects == 1 && isSingleUse {
+	s.operation.effects++
+	if s.operation.effects > 1 && s.effects == 1 && isSingleUse {
 		a.RepeatedEffects++
 	}
 }
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -1,6 +1,7 @@
-// Package audit checks what relays do against the rules, by what clients, backends and discovery saw: one final
-// answer in time, no effect twice, drains respected, no backend overloaded in slow start, no line lost, duplicated or
-// held back. It sees no relay from the inside, so that a relay that is broken in any way is caught.
+// Package audit checks whether relays keep their rules, from what clients, backends and discovery see: one final
+// answer in time, no effect applied twice, drains respected, no backend overloaded in slow start, and no line lost,
+// duplicated or held back. It sees nothing of a relay's inside, so that it catches a relay that is broken in any
+// way.
 package audit
 
 import (
@@ -10,20 +11,20 @@
 	"slices"
 )
 
-// Rule is what can be broken.
+// Rule is a rule that relays must keep.
 type Rule uint8
 
 // The rules.
 const (
-	FinalAnswer  Rule = iota // exactly one, before the hard limit
-	AtMostOnce               // no effect twice, one attempt out at a time
-	Drain                    // nothing new to a backend that is said to leave or to be gone
+	FinalAnswer  Rule = iota // exactly one final answer to each request, before the hard limit
+	AtMostOnce               // no effect applied twice, and no two attempts of a session at the same time
+	Drain                    // no new attempt on a backend that is listed as leaving or gone
 	SlowStart                // no backend overloaded in slow start
-	LineDelivery             // passed on once, in order, at once; no session cut off without a MOVE
+	LineDelivery             // lines passed on once, in order and at once; no session ended without a MOVE
 	ruleCount
 )
 
-// ruleNames are the rules as reports have them.
+// ruleNames are the names of the rules in reports.
 var ruleNames = [ruleCount]string{
 	FinalAnswer:  "final answer",
 	AtMostOnce:   "twice",
@@ -32,10 +33,10 @@
 	LineDelivery: "lines",
 }
 
-// String returns the rule as reports have it.
+// String returns the name of the rule in reports.
 func (r Rule) String() string { return ruleNames[r] }
 
-// Violation is one broken rule.
+// Violation is one case of a broken rule.
 type Violation struct {
 	Rule      Rule
 	At        float64 // time in milliseconds
@@ -43,66 +44,68 @@
 	Detail    string
 }
 
-// String returns the violation as reports have it.
+// String returns the violation as a line of a report.
 func (v Violation) String() string {
 	return fmt.Sprintf("%.1f %s: %s (session %s)", v.At, v.Rule, v.Detail, v.SessionID)
 }
 
 const (
-	grace         = 50.0 // milliseconds that each time limit is longer
-	maxViolations = 200  // that are kept; all are counted
-	forgetAfter   = 30000.0
+	grace         = 50.0    // tolerance that is added to each time limit, in ms
+	maxViolations = 200     // number of violations that are kept; all are counted
+	retentionTime = 30000.0 // time for which a session that is over is kept, in ms; operations are kept twice as long
 )
 
-// Auditor is a model.Observer that checks the rules. Its times are milliseconds. It is not safe for concurrent
+// Auditor is a model.Observer that checks the rules. Its times are in milliseconds. It is not safe for concurrent
 // use.
 type Auditor struct {
-	// IsSameZone, where set, tells whether a relay and a backend are in one zone. LocatedAttempts counts the
-	// attempts from LocalityFrom on, and LocalAttempts those of them within a zone.
+	// IsSameZone, if set, reports whether a relay and a backend are in the same zone. LocatedAttempts counts the
+	// attempts from the time LocalityFrom on, and LocalAttempts those of them within one zone.
 	IsSameZone      func(relay int, backend string) bool
 	LocalityFrom    float64
 	LocalAttempts   int
 	LocatedAttempts int
 
-	Violations []Violation // the first ones
-	Counts     [ruleCount]int
-
-	Requests              int
-	Attempts              int
-	Lines                 int
-	RepeatedEffects       int // single-use effects begun again by a client's retry: no rule, but what markers are for
-	Reconnects            int // clients that lost a session before they left, and have one again
-	AffineReconnects      int // of those, at the backend where they had it
-	ReplacementRejections int // clients that a relay did not let in while it was replaced
-
-	slack            float64
-	overloadMultiple float64
-	overloadWindow   float64
-
-	sessions map[string]*session
-	errands  map[string]*errand
-	clients  map[string]*client
-	relays   map[int]*relayState
-	backends map[string]*backendState
-	sweptAt  float64
+	Violations []Violation    // the first maxViolations
+	Counts     [ruleCount]int // number of all violations, by rule
+
+	Requests int
+	Attempts int
+	Lines    int
+	// RepeatedEffects counts single-use effects that a client's retry has repeated. No rule forbids them, but
+	// attempt markers are there to prevent them.
+	RepeatedEffects       int
+	Reconnects            int // sessions that clients got after they had lost one, counted once for each operation
+	AffineReconnects      int // those of them at the backend of the client's session before
+	ReplacementRejections int // clients that a relay did not let in while it was being replaced
+
+	slack            float64 // time by which an event may be seen late, in ms
+	overloadMultiple float64 // limit in slow start, as a multiple of the present capacity
+	overloadWindow   float64 // time over which load counts for that limit, in ms
+
+	sessions   map[string]*session
+	operations map[string]*operation
+	clients    map[string]*client
+	relays     map[int]*relayState
+	backends   map[string]*backendState
+	sweptAt    float64 // time of the last sweep
 }
 
-// New returns an auditor. Slack is how much later than it happens a thing may be seen. A backend in slow start may be
-// sent a multiple of its present capacity within a window of milliseconds.
+// New returns an auditor. Slack is the time in ms by which an event may be seen later than it happens. A backend in
+// slow start may be sent overloadMultiple times its present capacity within overloadWindow, in ms.
 func New(slack, overloadMultiple, overloadWindow float64) *Auditor {
 	return &Auditor{
 		slack:            slack,
 		overloadMultiple: overloadMultiple,
 		overloadWindow:   overloadWindow,
 		sessions:         map[string]*session{},
-		errands:          map[string]*errand{},
+		operations:       map[string]*operation{},
 		clients:          map[string]*client{},
 		relays:           map[int]*relayState{},
 		backends:         map[string]*backendState{},
 	}
 }
 
-// report counts a violation, and keeps it where there is room.
+// report counts a violation, and keeps it if there are fewer than maxViolations.
 func (a *Auditor) report(rule Rule, now float64, id, format string, args ...any) {
 	a.Counts[rule]++
 	if len(a.Violations) < maxViolations {
@@ -118,7 +121,7 @@
 	return count
 }
 
-// Finish checks what is still out at the end of a run, in the order in which it was asked for.
+// Finish checks the requests and attempts that are still open at the end of a run, in the order of the requests.
 func (a *Auditor) Finish(now float64) {
 	ids := slices.SortedFunc(maps.Keys(a.sessions), func(x, y string) int {
 		return cmp.Or(cmp.Compare(a.sessions[x].requestedAt, a.sessions[y].requestedAt), cmp.Compare(x, y))
@@ -129,7 +132,7 @@
 			a.report(FinalAnswer, now, id, "no answer at the end of the run")
 		}
 		for i := range s.attempts {
-			if s.attempts[i].isOut() {
+			if s.attempts[i].isInProgress() {
 				s.attempts[i].finishedAt = now
 				a.checkOverlap(id, s, i)
 			}
@@ -137,16 +140,16 @@
 	}
 }
 
-// sweep forgets sessions and errands that are long over.
+// sweep forgets sessions and operations that have been over for long.
 func (a *Auditor) sweep(now float64) {
-	if now < a.sweptAt+forgetAfter {
+	if now < a.sweptAt+retentionTime {
 		return
 	}
 	a.sweptAt = now
 	maps.DeleteFunc(a.sessions, func(_ string, s *session) bool {
-		return s.isOver && now > s.dueAt+forgetAfter && !slices.ContainsFunc(s.attempts, attempt.isOut)
+		return s.isOver && now > s.dueAt+retentionTime && !slices.ContainsFunc(s.attempts, attempt.isInProgress)
 	})
-	maps.DeleteFunc(a.errands, func(_ string, e *errand) bool {
-		return now > e.lastRequestAt+2*forgetAfter
+	maps.DeleteFunc(a.operations, func(_ string, op *operation) bool {
+		return now > op.lastRequestAt+2*retentionTime
 	})
 }
--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -12,9 +12,9 @@
 
 var _ model.Observer = (*Auditor)(nil)
 
-// A cold backend that is sent too much is the fault of relays that were told of this start of it: not of those
-// that know a former one, or none.
-func TestColdLoadCountsOfRelaysToldOfThisStart(t *testing.T) {
+// If a backend in slow start is sent too much, only relays that were told of this start of it are to blame. Load
+// from relays that know of an earlier start, or of none, must not count as a violation.
+func TestSlowStartRuleIgnoresRelaysNotToldOfThisStart(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		since      float64 // as the relay was told; 0: never
@@ -41,7 +41,7 @@
 	}
 }
 
-// Each case is what is seen of one session that was asked for at 1000 ms with a limit of 1 s.
+// Each case lists what is seen of one session that was requested at 1000 ms with a limit of 1 s.
 func TestRules(t *testing.T) {
 	establish := func(a *Auditor) {
 		a.AttemptReceived(1001, "id", "s", false, 1, 0.1)
@@ -143,7 +143,7 @@
 	}
 }
 
-// The rules' names are keys of reports and must stay.
+// The names of the rules are keys of reports and must not change.
 func TestTextOfRulesAndViolations(t *testing.T) {
 	for rule, want := range map[Rule]string{
 		FinalAnswer:  "final answer",
--- a/internal/testbed/audit/fleet.go
+++ b/internal/testbed/audit/fleet.go
@@ -7,42 +7,42 @@
 
 // relayState is what was seen of a relay.
 type relayState struct {
-	incarnation int // number of its ends
-	diedAt      float64
-	isFrozen    bool
-	endpoints   map[string]endpointNews // that it was told of in this incarnation, by name
+	incarnation int                      // number of times that it has ended
+	diedAt      float64                  // time of its last end
+	isFrozen    bool                     // the machine has stopped its process
+	endpoints   map[string]knownEndpoint // what it was told of endpoints in this incarnation, by name
 }
 
-// endpointNews is what a relay was last told of an endpoint.
-type endpointNews struct {
-	status string // empty: nothing
-	at     float64
-	since  float64 // start of the backend
+// knownEndpoint is what a relay was last told of an endpoint.
+type knownEndpoint struct {
+	status     string  // status of the endpoint; empty: the relay was told nothing
+	receivedAt float64 // time at which the relay was told
+	startTime  float64 // start time of the backend, as the relay was told
 }
 
 // backendState is what was seen of a backend.
 type backendState struct {
 	isUnreachable      bool
-	reachableAt        float64 // when it was unreachable last
-	startedAt          float64
-	slowStartLoads     []timedLoad // in this slow start, by relays that know of it
-	overloadReportedAt float64
+	reachableAt        float64     // time at which it last became reachable again
+	startedAt          float64     // time of its last start during the run; 0: none
+	slowStartLoads     []timedLoad // loads sent to it in this slow start by relays that know of it
+	overloadReportedAt float64     // time of the last violation reported for its overload
 }
 
-// timedLoad is a load in cores that came at a time.
+// timedLoad is a load in cores and the time at which it arrived.
 type timedLoad struct{ at, load float64 }
 
-// relay returns the state of a relay, which is made at its first use.
+// relay returns the state of a relay, which it creates on first use.
 func (a *Auditor) relay(number int) *relayState {
 	r := a.relays[number]
 	if r == nil {
-		r = &relayState{endpoints: map[string]endpointNews{}}
+		r = &relayState{endpoints: map[string]knownEndpoint{}}
 		a.relays[number] = r
 	}
 	return r
 }
 
-// backend returns the state of a backend, which is made at its first use.
+// backend returns the state of a backend, which it creates on first use.
 func (a *Auditor) backend(name string) *backendState {
 	b := a.backends[name]
 	if b == nil {
@@ -52,17 +52,17 @@
 	return b
 }
 
-// EndpointUpdated is called when the endpoint list has told a relay of an endpoint.
-func (a *Auditor) EndpointUpdated(now float64, relay int, backend, status string, since float64) {
+// EndpointUpdated is called when the endpoint list has delivered an endpoint to a relay.
+func (a *Auditor) EndpointUpdated(now float64, relay int, backend, status string, startTime float64) {
 	endpoints := a.relay(relay).endpoints
-	was := endpoints[backend]
-	if was.status == status && was.since == since {
+	previous := endpoints[backend]
+	if previous.status == status && previous.startTime == startTime {
 		return
 	}
-	endpoints[backend] = endpointNews{status: status, at: now, since: since}
+	endpoints[backend] = knownEndpoint{status: status, receivedAt: now, startTime: startTime}
 }
 
-// RelayChanged is called when a relay has ended, or serves.
+// RelayChanged is called when a relay has ended or serves again.
 func (a *Auditor) RelayChanged(now float64, relay int, up bool) {
 	if up {
 		return
@@ -71,12 +71,13 @@
 	a.relays[relay] = &relayState{
 		incarnation: r.incarnation + 1,
 		diedAt:      now,
-		endpoints:   map[string]endpointNews{},
+		endpoints:   map[string]knownEndpoint{},
 	}
 }
 
-// RelayFrozen is called when the machine has stopped a relay, or has it go on. What the relay owes meanwhile is
-// excused for good, and what it was told counts from when it can read it. What it does twice still counts.
+// RelayFrozen is called when the machine has stopped a relay's process or continues it. What the relay owes
+// meanwhile is excused for good, and what it was told counts from the time when it can read it. What it does twice
+// still is a violation.
 func (a *Auditor) RelayFrozen(now float64, relay int, frozen bool) {
 	r := a.relay(relay)
 	r.isFrozen = frozen
@@ -85,9 +86,9 @@
 			s.wasFrozen = true
 		}
 	}
-	for name, news := range r.endpoints {
-		news.at = max(news.at, now)
-		r.endpoints[name] = news
+	for name, known := range r.endpoints {
+		known.receivedAt = max(known.receivedAt, now)
+		r.endpoints[name] = known
 	}
 }
 
@@ -103,15 +104,15 @@
 	}
 }
 
-// BackendStarted is called when a backend has started anew, which discovery tells of by that time.
+// BackendStarted is called when a backend has started again. Discovery gives this time as its start time.
 func (a *Auditor) BackendStarted(now float64, backend string) {
 	b := a.backend(backend)
 	b.startedAt = now
 	b.slowStartLoads = nil
 }
 
-// BackendUnreachable is called when nothing passes to a backend, or does again. The sessions on it are marked
-// for good.
+// BackendUnreachable is called when nothing passes to or from a backend any more, or does again. The sessions that
+// have attempts on it are marked for good.
 func (a *Auditor) BackendUnreachable(now float64, backend string, unreachable bool) {
 	b := a.backend(backend)
 	b.isUnreachable = unreachable
@@ -122,8 +123,8 @@
 		for i := range s.attempts {
 			t := &s.attempts[i]
 			if t.backend == backend {
-				s.wasDark = true
-				t.wasDark = t.wasDark || t.isOut()
+				s.wasUnreachable = true
+				t.wasUnreachable = t.wasUnreachable || t.isInProgress()
 			}
 		}
 	}
--- a/internal/testbed/audit/lines.go
+++ b/internal/testbed/audit/lines.go
@@ -1,9 +1,9 @@
 package audit
 
-// maxHold is how long a line may be on its way, in milliseconds.
-const maxHold = 1000.0
+// maxLineDelay is the longest time that a line may take on its way, in ms.
+const maxLineDelay = 1000.0
 
-// LineSent does nothing: what is received is checked by its number.
+// LineSent does nothing: LineReceived checks lines by their numbers.
 func (a *Auditor) LineSent(float64, string, bool, int) {}
 
 // LineReceived is called when a client or a backend has received a numbered line.
@@ -23,7 +23,7 @@
 		a.report(LineDelivery, now, id, "%d lines lost before number %d (to client %t)", number-expected, number, toClient)
 	case number < expected:
 		a.report(LineDelivery, now, id, "line %d came again (to client %t)", number, toClient)
-	case now > sentAt+maxHold+grace+a.slack && !s.wasDark && !s.wasFrozen:
+	case now > sentAt+maxLineDelay+grace+a.slack && !s.wasUnreachable && !s.wasFrozen:
 		a.report(LineDelivery, now, id, "line %d held for %.0f ms (to client %t)", number, now-sentAt, toClient)
 	}
 	*last = max(*last, number)
--- a/internal/testbed/audit/requests.go
+++ b/internal/testbed/audit/requests.go
@@ -6,7 +6,7 @@
 	"valeshift/internal/testbed/experiment"
 )
 
-// The answers that a request may get.
+// Answers that a request may get.
 const (
 	answerUp    = "UP"
 	answerBusy  = "BUSY"
@@ -17,37 +17,37 @@
 
 // session is what was seen of one session, from its request on.
 type session struct {
-	relay       int
-	incarnation int // of the relay
-	effect      experiment.Effect
-	errand      *errand
-	requestedAt float64
-	dueAt       float64
-	answer      string // empty: none yet
-	isOver      bool   // for the client
-	isMoved     bool   // the client was told to reconnect
-	isClosed    bool   // by its backend
-	wasDark     bool   // it was on a backend while that was unreachable
-	wasFrozen   bool   // its relay was stopped by the machine meanwhile
-	effects     int
-	attempts    []attempt
-	lastLines   [2]int // numbers of the last lines that were received, by direction
+	relay          int
+	incarnation    int // incarnation of the relay at the request
+	effect         experiment.Effect
+	operation      *operation
+	requestedAt    float64
+	dueAt          float64 // time by which the answer is due: the hard limit
+	answer         string  // verb of the answer; empty: none yet
+	isOver         bool    // the client's connection has ended
+	isMoved        bool    // the client was told to reconnect
+	isClosed       bool    // its backend has ended it
+	wasUnreachable bool    // a backend that it had an attempt at was unreachable
+	wasFrozen      bool    // the machine stopped its relay's process meanwhile
+	effects        int     // number of times that its request was executed
+	attempts       []attempt
+	lastLines      [2]int // numbers of the last lines received, to the backend and to the client
 }
 
-// errand is all that a client asks for until it is answered UP: one effect is meant.
-type errand struct {
+// operation is all requests of a client until one is answered UP: together they are to have one effect.
+type operation struct {
 	client        *client
-	effects       int
-	lastRequestAt float64
+	effects       int     // number of times that its requests were executed
+	lastRequestAt float64 // time of its last request
 }
 
 // client is what was seen of one client.
 type client struct {
-	backend string // where it had its last session; empty: nowhere
+	backend string // backend of its last session; empty: it had none
 }
 
-// isExcused tells whether the relay that was asked for the session has died since, or just before, when the
-// client could not know, or was stopped.
+// isExcused reports whether a session that was not answered or was cut off is excused: the relay has died since the
+// request or was stopped by the machine, or it had died just before the request, when the client could not know.
 func (a *Auditor) isExcused(s *session) bool {
 	relay := a.relay(s.relay)
 	if s.wasFrozen || relay.incarnation != s.incarnation {
@@ -56,32 +56,32 @@
 	return s.incarnation > 0 && s.requestedAt < relay.diedAt+a.slack
 }
 
-// RequestSent is called when a client has asked a relay for a session. The errand's name is the client's, a
-// slash and a number.
-func (a *Auditor) RequestSent(now float64, id, errandName string, relay int, effect experiment.Effect, wait float64) {
+// RequestSent is called when a client has requested a session from a relay. The name of the operation is the
+// client's name, a slash and a number.
+func (a *Auditor) RequestSent(now float64, id, operationName string, relay int, effect experiment.Effect, wait float64) {
 	a.sweep(now)
 	a.Requests++
 	if a.sessions[id] != nil {
 		a.report(FinalAnswer, now, id, "a client used one id twice: the testbed is at fault")
 	}
-	e := a.errand(errandName)
-	e.lastRequestAt = now
+	op := a.operation(operationName)
+	op.lastRequestAt = now
 	state := a.relay(relay)
 	a.sessions[id] = &session{
 		relay:       relay,
 		incarnation: state.incarnation,
 		effect:      effect,
-		errand:      e,
+		operation:   op,
 		requestedAt: now,
 		dueAt:       now + wait,
 		wasFrozen:   state.isFrozen,
 	}
 }
 
-func (a *Auditor) errand(name string) *errand {
-	e := a.errands[name]
-	if e != nil {
-		return e
+func (a *Auditor) operation(name string) *operation {
+	op := a.operations[name]
+	if op != nil {
+		return op
 	}
 	clientName, _, _ := strings.Cut(name, "/")
 	c := a.clients[clientName]
@@ -89,12 +89,12 @@
 		c = &client{}
 		a.clients[clientName] = c
 	}
-	e = &errand{client: c}
-	a.errands[name] = e
-	return e
+	op = &operation{client: c}
+	a.operations[name] = op
+	return op
 }
 
-// ResponseReceived is called when a client has received the first line.
+// ResponseReceived is called when a client has received the first line of a session.
 func (a *Auditor) ResponseReceived(now float64, id, verb string) {
 	s := a.sessions[id]
 	if s == nil {
@@ -113,8 +113,7 @@
 	}
 }
 
-// NoticeReceived is called when a client has received a further line that is none of the backend's numbered
-// ones.
+// NoticeReceived is called when a client has received a further line that is none of the backend's numbered ones.
 func (a *Auditor) NoticeReceived(now float64, id, verb string) {
 	s := a.sessions[id]
 	if s == nil {
@@ -138,7 +137,7 @@
 	case a.isExcused(s):
 	case s.answer == "":
 		a.report(FinalAnswer, now, id, "ended without an answer")
-	case s.answer == answerUp && !s.isMoved && !s.isClosed && !s.wasDark:
+	case s.answer == answerUp && !s.isMoved && !s.isClosed && !s.wasUnreachable:
 		a.report(LineDelivery, now, id, "cut off without MOVE while its backend serves (reset %t)", reset)
 	}
 }
