--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter runs the balancer in the simulator: it answers batches of events on standard input with replies on
-// standard output, until the input ends. It exits with 1 where the input breaks the protocol.
+// Command adapter connects the balancer to an external simulator: it answers each batch of events on standard input
+// with a reply on standard output, until the input ends. It exits with 1 if the input violates the protocol.
 package main
 
 import (
--- a/cmd/valeshift-coordinator/disk.go
+++ b/cmd/valeshift-coordinator/disk.go
@@ -4,5 +4,5 @@
 
 import "valeshift/internal/store"
 
-// folder opens a folder of the file system.
-func folder(path string) store.FS { return store.DirFS(path) }
+// openFolder returns the file system below a folder, in which the coordinator stores its state.
+func openFolder(path string) store.FS { return store.DirFS(path) }
--- a/cmd/valeshift-coordinator/disk_fault.go
+++ b/cmd/valeshift-coordinator/disk_fault.go
@@ -7,6 +7,7 @@
 	"valeshift/internal/testbed/faultdisk"
 )
 
-// folder returns the disk of the build with the tag faultdisk, which differs from the one that serves by this
-// alone: it loses what was not synced when the process is killed, and can be full, read-only or slow.
-func folder(path string) store.FS { return faultdisk.New(path) }
+// openFolder returns a disk with fault injection: it loses whatever was not synced when the process is killed, and
+// can be full, read-only or slow. This is all that sets the build with the tag faultdisk apart from the production
+// build.
+func openFolder(path string) store.FS { return faultdisk.New(path) }
--- a/cmd/valeshift-coordinator/main.go
+++ b/cmd/valeshift-coordinator/main.go
@@ -1,5 +1,5 @@
-// Command valeshift-coordinator is one of the failover coordinators, which decide together which zones serve.
-// It is a program of its own, as the packages that it is made of would make each start of a relay a quarter
+// Command valeshift-coordinator is one of the failover coordinators, which decide by consensus which zones serve.
+// It is a separate program because linking its packages into the relay would make each start of a relay a quarter
 // slower.
 package main
 
@@ -22,8 +22,8 @@
 )
 
 const (
-	callTimeout    = 5 * time.Second // for an operator's call to come, and for its answer to be taken
-	maxHeaderBytes = 4 << 10
+	callTimeout    = 5 * time.Second // time limit for reading a request to the admin API, and for writing the answer
+	maxHeaderBytes = 4 << 10         // size limit of a request's HTTP headers
 )
 
 func main() {
@@ -42,7 +42,7 @@
 	}
 }
 
-// run checks a file, where one is given to check, or serves.
+// run validates the file at checkPath if that is set, and else serves with the file at configPath.
 func run(checkPath, configPath string, log *slog.Logger, signals <-chan os.Signal) error {
 	switch {
 	case checkPath != "":
@@ -55,7 +55,7 @@
 	}
 }
 
-// serve runs a coordinator until a signal other than SIGHUP.
+// serve runs a coordinator until the process gets a signal other than SIGHUP, which reloads the file.
 func serve(configPath string, log *slog.Logger, signals <-chan os.Signal) error {
 	config, err := coordinator.LoadConfig(configPath)
 	if err != nil {
@@ -70,7 +70,7 @@
 		return fmt.Errorf("ops: %w", err)
 	}
 	self, voters, zones := config.Topology()
-	node, err := coordinator.Start(self, voters, zones, key, folder(config.Folder), log)
+	node, err := coordinator.Start(self, voters, zones, key, openFolder(config.Folder), log)
 	if err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// serveAdmin serves the HTTP API for operators until stop is called, which waits for its end.
+// serveAdmin serves the admin API until stop is called, which waits until the server has stopped.
 func serveAdmin(listener net.Listener, handler http.Handler) (stop func()) {
 	server := &http.Server{
 		Handler:        handler,
@@ -98,8 +98,8 @@
 	}
 }
 
-// reloadUntilStopped reads the file again at each SIGHUP, for its zones, and returns at any other signal. A
-// file that is wrong changes nothing.
+// reloadUntilStopped reloads the file at each SIGHUP and applies its zones, and returns at any other signal. An invalid
+// file is logged and changes nothing.
 func reloadUntilStopped(configPath string, config *coordinator.Config, node *coordinator.Node, log *slog.Logger,
 	signals <-chan os.Signal) {
 	for received := range signals {
--- a/cmd/valeshift/check.go
+++ b/cmd/valeshift/check.go
@@ -10,7 +10,7 @@
 
 type checkCommand struct{}
 
-// Run checks the configuration by the same steps as a start.
+// Run validates the configuration by the same steps as a start of the relay, and prints a summary of it.
 func (checkCommand) Run(arguments *commandLine) error {
 	configuration, err := check(arguments)
 	if err != nil {
@@ -22,6 +22,7 @@
 	return err
 }
 
+// check loads and validates both files without starting the relay.
 func check(arguments *commandLine) (*relay.Config, error) {
 	relayConfig, operatorFile, err := loadConfiguration(arguments, relay.LoadConfig)
 	if err != nil {
--- a/cmd/valeshift/fleet.go
+++ b/cmd/valeshift/fleet.go
@@ -13,12 +13,12 @@
 	"valeshift/internal/fleet"
 )
 
-// fleetCommand is "valeshift fleet". It parses its arguments by itself, as zoneCommand does.
+// fleetCommand is "valeshift fleet". It parses its own arguments, for the reason given at zoneCommand.
 type fleetCommand struct {
 	Words []string `arg:"" name:"words" optional:"" help:"Addresses, or leave and one: docs/recovery.md tells."`
 }
 
-// Run runs the subcommand.
+// Run parses the arguments and runs the subcommand that they name.
 func (c *fleetCommand) Run() error {
 	var subcommands struct {
 		Show  fleetShow  `cmd:"" name:"show" default:"withargs" help:"What relays store, and what they know of each other."`
@@ -27,34 +27,34 @@
 	return runSubcommand(&subcommands, "valeshift fleet", c.Words)
 }
 
-// fleetShow prints relays' statuses.
+// fleetShow prints the status of relays.
 type fleetShow struct {
 	Addresses []string      `arg:"" name:"addresses" help:"Where operators call the relays, address:port each."`
 	JSON      bool          `name:"json" help:"Print what each relay answers, as it is."`
 	Within    time.Duration `name:"within" default:"1s" help:"How long a relay's answer is waited for."`
 }
 
-// errNotAllAnswered tells that some relay's status could not be had.
+// errNotAllAnswered is returned when the status of at least one relay could not be fetched.
 var errNotAllAnswered = errors.New("not all relays have answered")
 
-// Run prints the status of each relay that answers, and fails where one doesn't.
+// Run prints the status of each relay that answers, and returns an error if any of them does not.
 func (c *fleetShow) Run() error {
 	client := newAdminClient(c.Within)
-	var failed error
+	var failure error
 	for _, address := range c.Addresses {
 		var status fleet.Status
 		text, err := fetchJSON(client, address, "/_fleet", &status)
 		switch {
 		case err != nil:
 			fmt.Fprintf(os.Stderr, "valeshift fleet: %s: %v\n", address, err)
-			failed = errNotAllAnswered
+			failure = errNotAllAnswered
 		case c.JSON:
 			fmt.Printf("%s\n", text)
 		default:
 			printFleetStatus(os.Stdout, address, &status)
 		}
 	}
-	return failed
+	return failure
 }
 
 // fleetLeave drains a relay.
@@ -64,11 +64,11 @@
 	Every   time.Duration `name:"every" default:"500ms" hidden:""`
 }
 
-// drainCallTimeout is for each call of a relay that drains: an order is answered once it is durable.
+// drainCallTimeout bounds each HTTP call to a draining relay, which answers an order only once it is durable.
 const drainCallTimeout = 3 * time.Second
 
-// Run orders the relay to drain, and waits until nothing depends on it: no established session, and no record that
-// it holds for others.
+// Run orders the relay to drain, and waits until nothing depends on it any more: it has no established session, and
+// stores no record for other relays.
 func (c *fleetLeave) Run() error {
 	client := newAdminClient(drainCallTimeout)
 	answer, err := c.orderDrain(client)
@@ -82,15 +82,15 @@
 		if err != nil {
 			return err
 		}
-		left := remaining(status)
-		if left.isNone() {
+		remaining := countDependents(status)
+		if remaining.isEmpty() {
 			fmt.Printf("%s: nothing depends on it any more: it can be switched off\n", c.Address)
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%s; it goes on with that", left)
+			return fmt.Errorf("%s; the relay goes on draining", remaining)
 		}
-		if text := left.String(); text != printed {
+		if text := remaining.String(); text != printed {
 			fmt.Printf("%s: %s\n", c.Address, text)
 			printed = text
 		}
@@ -98,15 +98,15 @@
 	}
 }
 
-// orderDrain gives the order, and returns what the relay answers. An answer other than 200 is printed: the order may
-// be in effect all the same, and not be as safe yet as it is to be.
+// orderDrain sends the order to drain, and returns the body of the answer. An answer other than 200 is printed and not
+// treated as an error: the order may be in effect all the same, and only not be durable yet.
 func (c *fleetLeave) orderDrain(client *http.Client) ([]byte, error) {
 	answer, err := client.Post("http://"+c.Address+"/_lameduck/on", "", nil)
 	if err != nil {
 		return nil, err
 	}
 	defer answer.Body.Close()
-	text, _ := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes)) // what came of it is printed
+	text, _ := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes)) // whatever part of the body arrived is used
 	text = bytes.TrimSpace(text)
 	if answer.StatusCode != http.StatusOK {
 		fmt.Printf("%s: %s\n", c.Address, text)
@@ -114,43 +114,44 @@
 	return text, nil
 }
 
-// fetchDraining reads the relay's status, and fails where the relay doesn't drain; answer is what it gave to the
-// order.
+// fetchDraining fetches the relay's status, and returns an error if the relay is not draining; that error quotes
+// answer, which is the relay's answer to the order.
 func (c *fleetLeave) fetchDraining(client *http.Client, answer []byte) (*fleet.Status, error) {
 	var status fleet.Status
 	if _, err := fetchJSON(client, c.Address, "/_fleet", &status); err != nil {
-		return nil, fmt.Errorf("it was told to leave, and says no more: %w", err)
+		return nil, fmt.Errorf("the relay was ordered to drain, but its status can't be fetched: %w", err)
 	}
 	if !status.Draining {
-		return nil, fmt.Errorf("it does not leave: %s", answer)
+		return nil, fmt.Errorf("the relay is not draining: %s", answer)
 	}
 	return &status, nil
 }
 
-// remainder is what still depends on a relay that drains.
-type remainder struct {
-	sessions int
-	records  int // of other relays
+// dependents counts what still depends on a draining relay.
+type dependents struct {
+	sessions int // established sessions
+	records  int // records stored for other relays
 }
 
-func remaining(s *fleet.Status) remainder {
-	left := remainder{sessions: s.Sessions}
+// countDependents reads the counts from a relay's status.
+func countDependents(s *fleet.Status) dependents {
+	count := dependents{sessions: s.Sessions}
 	if s.Replication != nil {
 		for _, kind := range s.Replication.Kinds {
-			left.records += kind.Stored
+			count.records += kind.Stored
 		}
 	}
-	return left
+	return count
 }
 
-func (r remainder) isNone() bool { return r == remainder{} }
+func (d dependents) isEmpty() bool { return d == dependents{} }
 
-// String says what is left, for people.
-func (r remainder) String() string {
-	return fmt.Sprintf("%d sessions and %d records of others are left", r.sessions, r.records)
+// String returns the counts as a message to the operator.
+func (d dependents) String() string {
+	return fmt.Sprintf("%d sessions and %d records of others are left", d.sessions, d.records)
 }
 
-// printFleetStatus prints a relay's status for people.
+// printFleetStatus prints a relay's status in a readable form.
 func printFleetStatus(to io.Writer, address string, s *fleet.Status) {
 	printRelay(to, address, s)
 	printReplication(to, s.Replication)
@@ -163,7 +164,7 @@
 	printMembers(to, s.Members)
 }
 
-// printRelay prints what a relay says of itself.
+// printRelay prints the part of the status that is about the relay itself.
 func printRelay(to io.Writer, address string, s *fleet.Status) {
 	recovery := s.Recovery
 	fmt.Fprintf(to, "%s  %s for %.1f s: %s\n", address, recovery.Phase, recovery.PhaseMillis/1000, recovery.Reason)
@@ -182,7 +183,8 @@
 	}
 }
 
-// printReplication prints what a relay holds for others, and others for it; nothing where replication is off.
+// printReplication prints how many records the relay stores for others, and how replication of its own records went.
+// It prints nothing where replication is off.
 func printReplication(to io.Writer, s *fleet.ReplicationStatus) {
 	if s == nil {
 		return
@@ -200,7 +202,7 @@
 		s.P99Millis)
 }
 
-// printMembers prints the other relays as a relay sees them.
+// printMembers prints the other members of the fleet as this relay sees them.
 func printMembers(to io.Writer, members []fleet.MemberStatus) {
 	table := tabwriter.NewWriter(to, 2, 8, 2, ' ', 0)
 	for _, m := range members {
--- a/cmd/valeshift/main.go
+++ b/cmd/valeshift/main.go
@@ -1,5 +1,6 @@
-// Command valeshift is the relay. Without arguments it serves, as the platform starts it; its subcommands check the
-// configuration, and ask relays and coordinators how they fare or give them orders.
+// Command valeshift is the relay, a load balancer for long-lived connections. Without arguments it serves, which is
+// how the platform starts it. Its subcommands check the configuration, query the status of relays and coordinators,
+// and send them orders.
 package main
 
 import (
@@ -8,9 +9,10 @@
 	"github.com/alecthomas/kong"
 )
 
+// operatorFileVariable is the environment variable that names the operators' file.
 const operatorFileVariable = "VALESHIFT_OPERATOR"
 
-// commandLine is what can be asked for. Fleet, Zone and Holdings parse their own arguments.
+// commandLine is the grammar of the command line. Fleet, Zone and Holdings parse their own arguments.
 type commandLine struct {
 	OperatorFile string `name:"operator" help:"The operators' file, in TOML. None: its defaults." placeholder:"FILE" env:"VALESHIFT_OPERATOR"`
 
@@ -24,17 +26,17 @@
 }
 
 func main() {
-	// Before all else: a signal that comes early would end the program.
+	// This comes first, as a signal that arrives before its handler is installed would end the process.
 	signals := catchSignals()
 	if err := runCommandLine(signals); err != nil {
 		os.Exit(1)
 	}
 }
 
-// runCommandLine does what the arguments ask for. The command has printed or logged its error.
+// runCommandLine runs the command that the arguments name, which prints or logs its own errors.
 func runCommandLine(signals *processSignals) error {
 	arguments := &commandLine{}
-	if len(os.Args) == 1 { // the platform's start doesn't pay for parsing
+	if len(os.Args) == 1 { // how the platform starts it: skips the cost of building a parser
 		arguments.OperatorFile = os.Getenv(operatorFileVariable)
 		return arguments.Run.Run(arguments, signals)
 	}
--- a/cmd/valeshift/replication.go
+++ b/cmd/valeshift/replication.go
@@ -15,12 +15,12 @@
 	"valeshift/internal/replication"
 )
 
-// replicationCommand is "valeshift holdings". It parses its arguments by itself, as zoneCommand does.
+// replicationCommand is "valeshift holdings". It parses its own arguments, for the reason given at zoneCommand.
 type replicationCommand struct {
 	Words []string `arg:"" name:"words" optional:"" help:"Addresses, or export or verify and addresses: docs/replication.md."`
 }
 
-// Run runs the subcommand.
+// Run parses the arguments and runs the subcommand that they name.
 func (c *replicationCommand) Run() error {
 	var subcommands struct {
 		Show   replicationSummary `cmd:"" name:"show" default:"withargs" help:"How many records of each kind relays store, and how far they are replicated."`
@@ -30,13 +30,13 @@
 	return runSubcommand(&subcommands, "valeshift holdings", c.Words)
 }
 
-// relayAddresses are the arguments of all subcommands.
+// relayAddresses has the arguments that show, export and verify share.
 type relayAddresses struct {
 	Addresses []string      `arg:"" name:"addresses" help:"Where operators call the relays, address:port each."`
 	Within    time.Duration `name:"within" default:"3s" help:"How long an answer is waited for."`
 }
 
-// fetch reads a JSON document from a relay.
+// fetch reads a JSON document from a relay's admin API.
 func (a *relayAddresses) fetch(address, path string, into any) error {
 	if _, err := fetchJSON(newAdminClient(a.Within), address, path, into); err != nil {
 		return fmt.Errorf("%s: %w", address, err)
@@ -44,19 +44,19 @@
 	return nil
 }
 
-// fetchStatus reads a relay's replication status. It fails where replication is off.
+// fetchStatus returns a relay's replication status, or an error if replication is off there.
 func (a *relayAddresses) fetchStatus(address string) (*fleet.ReplicationStatus, error) {
 	var status fleet.Status
 	if err := a.fetch(address, "/_fleet", &status); err != nil {
 		return nil, err
 	}
 	if status.Replication == nil {
-		return nil, fmt.Errorf("%s: it replicates nothing, as its operators' file names no copies", address)
+		return nil, fmt.Errorf("%s: replication is off, as its operators' file sets no holdings.copies", address)
 	}
 	return status.Replication, nil
 }
 
-// forEachPage reads all records that a relay stores, and calls visit with each page as it comes.
+// forEachPage fetches all records that a relay stores, one page per partition, and calls visit with each page.
 func (a *relayAddresses) forEachPage(address string, visit func(page *replication.Page) error) error {
 	for partition := range replication.Partitions {
 		var page replication.Page
@@ -70,15 +70,15 @@
 	return nil
 }
 
-// replicationSummary is the subcommand show.
+// replicationSummary is "valeshift holdings show", the default.
 type replicationSummary struct {
 	relayAddresses
 }
 
 // Run prints the sums over all relays.
 func (c *replicationSummary) Run() error {
-	statuses := map[string]replication.KindStatus{}
-	counts := map[string]replication.Counts{}
+	statusByKind := map[string]replication.KindStatus{}
+	countsByKind := map[string]replication.Counts{}
 	for _, address := range c.Addresses {
 		status, err := c.fetchStatus(address)
 		if err != nil {
@@ -87,21 +87,21 @@
 		if !status.HasEnoughMembers {
 			fmt.Printf("%s: not enough relays to replicate\n", address)
 		}
-		for kind, one := range status.Kinds {
-			sum := statuses[kind]
-			sum.Add(one)
-			statuses[kind] = sum
+		for kind, addend := range status.Kinds {
+			sum := statusByKind[kind]
+			sum.Add(addend)
+			statusByKind[kind] = sum
 		}
-		for kind, one := range status.Counts {
-			sum := counts[kind]
-			sum.Add(one)
-			counts[kind] = sum
+		for kind, addend := range status.Counts {
+			sum := countsByKind[kind]
+			sum.Add(addend)
+			countsByKind[kind] = sum
 		}
 	}
-	return printSummary(os.Stdout, statuses, counts)
+	return printSummary(os.Stdout, statusByKind, countsByKind)
 }
 
-// printSummary prints a line for each kind. Its columns are explained in docs/replication.md.
+// printSummary prints a table with a row for each kind of record. docs/replication.md explains its columns.
 func printSummary(to io.Writer, statuses map[string]replication.KindStatus,
 	counts map[string]replication.Counts) error {
 	table := tabwriter.NewWriter(to, 2, 8, 2, ' ', tabwriter.AlignRight)
@@ -117,18 +117,18 @@
 	return table.Flush()
 }
 
-// replicationExport is the subcommand export.
+// replicationExport is "valeshift holdings export".
 type replicationExport struct {
 	relayAddresses
 }
 
-// exportedRecord is a line of the export.
+// exportedRecord is one line of the export: a stored record and where it is stored.
 type exportedRecord struct {
-	Relay string `json:"Holder"` // that stores the record
+	Relay string `json:"Holder"` // name of the relay that stores the record
 	replication.RecordSnapshot
 }
 
-// Run prints each record.
+// Run prints each record that the relays store, as a line of JSON.
 func (c *replicationExport) Run() error {
 	out := json.NewEncoder(os.Stdout)
 	for _, address := range c.Addresses {
@@ -140,25 +140,26 @@
 	return nil
 }
 
+// exportPage writes the records of a page, one line each.
 func exportPage(out *json.Encoder, page *replication.Page) error {
 	for _, record := range page.Records {
 		if err := out.Encode(exportedRecord{page.Relay, record}); err != nil {
-			return fmt.Errorf("writing a record: %w", err)
+			return fmt.Errorf("write record: %w", err)
 		}
 	}
 	return nil
 }
 
-// replicationVerify is the subcommand verify.
+// replicationVerify is "valeshift holdings verify".
 type replicationVerify struct {
 	relayAddresses
 }
 
-// errNotVerified is the failure of verify where the relays have answered.
+// errNotVerified is returned when all relays have answered and their records don't pass the check.
 var errNotVerified = errors.New("records contradict each other or are below their quorum")
 
-// Run prints how far records are replicated. It fails where something contradicts itself, or a record is below its
-// quorum.
+// Run prints how far records are replicated. It returns an error if records contradict each other, or if one is stored
+// on fewer relays than its quorum.
 func (c *replicationVerify) Run() error {
 	var pages []replication.Page
 	for _, address := range c.Addresses {
@@ -171,18 +172,19 @@
 		}
 	}
 	reports := replication.Verify(pages)
-	isBroken := false
+	failed := false
 	for _, kind := range slices.Sorted(maps.Keys(reports)) {
 		report := reports[kind]
 		printReport(os.Stdout, kind, report)
-		isBroken = isBroken || len(report.Inconsistencies) > 0 || report.BelowQuorum > 0
+		failed = failed || len(report.Inconsistencies) > 0 || report.BelowQuorum > 0
 	}
-	if isBroken {
+	if failed {
 		return errNotVerified
 	}
 	return nil
 }
 
+// printReport prints the counts for one kind of record, and its inconsistencies.
 func printReport(to io.Writer, kind string, report *replication.Report) {
 	fmt.Fprintf(to, "%s: %d open, %d whole, %d under-copied, %d short, %d with holders that were not asked\n", kind,
 		report.Records, report.FullyReplicated, report.UnderReplicated, report.BelowQuorum, report.Unknown)
--- a/cmd/valeshift/run.go
+++ b/cmd/valeshift/run.go
@@ -15,13 +15,13 @@
 const (
 	bytesPerMB = 1 << 20
 
-	// heapShare is the part of the platform's memory limit that the garbage collector keeps the heap to.
-	heapShare = 0.6
+	// heapFraction is the part of the platform's memory limit that is set as Go's soft memory limit.
+	heapFraction = 0.6
 )
 
 type runCommand struct{}
 
-// Run serves until the process is to end. All errors are logged here, in the form that the operators chose.
+// Run serves until the relay is shut down. It logs all errors, in the format that the operators' file sets.
 func (runCommand) Run(arguments *commandLine, signals *processSignals) error {
 	logger := config.NewLogger(os.Stderr, config.Log{})
 	log := logger.Slog()
@@ -58,7 +58,8 @@
 	return err
 }
 
-// loadConfiguration reads the platform's file, by one of the relay's two functions for that, and the operators'.
+// loadConfiguration reads the platform's file, by the given function (relay.LoadConfig or relay.ReloadConfig), and the
+// operators' file.
 func loadConfiguration(arguments *commandLine, load func(getenv func(string) string) (*relay.Config, error)) (
 	*relay.Config, *config.File, error) {
 	relayConfig, err := load(os.Getenv)
@@ -72,21 +73,22 @@
 	return relayConfig, operatorFile, nil
 }
 
-// limitRuntime keeps Go's runtime to the cores and the memory that the platform gives.
+// limitRuntime sets GOMAXPROCS and Go's memory limit by the cores and the memory that the platform grants.
 func limitRuntime(relayConfig *relay.Config) {
-	// One more than the cores: while the poller is in its system call, another thread serves the rest at once.
+	// One more than the cores, so that other goroutines keep running while the poller blocks in its system call.
 	runtime.GOMAXPROCS(max(int(relayConfig.Cores), 1) + 1)
 	if relayConfig.MemoryMB <= 0 {
 		return
 	}
-	share := heapShare
-	if relayConfig.SocketFD > 0 { // two processes share the limit while one replaces the other
-		share /= 2
+	fraction := heapFraction
+	if relayConfig.SocketFD > 0 { // while a child replaces its parent, both processes share the limit
+		fraction /= 2
 	}
-	debug.SetMemoryLimit(int64(relayConfig.MemoryMB * share * bytesPerMB))
+	debug.SetMemoryLimit(int64(relayConfig.MemoryMB * fraction * bytesPerMB))
 }
 
-// newFleet returns what the operators' file says of other relays and a disk; nil where it names neither.
+// newFleet returns the relay's node in the fleet, with the membership and the disk that the operators' file
+// configures, or nil if it configures neither.
 func newFleet(relayConfig *relay.Config, operatorFile *config.File, log *slog.Logger) (relay.Fleet, error) {
 	if operatorFile.Peers.Listen == "" && operatorFile.Disk.Folder == "" {
 		return nil, nil
@@ -100,7 +102,8 @@
 		operatorFile.Disk.MaxMegabytes*bytesPerMB, clock, log)
 }
 
-// fleetConfig returns nil where the relay is to know no other.
+// fleetConfig returns the membership configuration, or nil if the operators' file sets no address to listen on for
+// other relays.
 func fleetConfig(operatorFile *config.File) *fleet.Config {
 	peers := &operatorFile.Peers
 	if peers.Listen == "" {
--- a/cmd/valeshift/signals.go
+++ b/cmd/valeshift/signals.go
@@ -8,9 +8,10 @@
 	"valeshift/internal/relay"
 )
 
-// processSignals are the signals that the relay follows, from the start of the process to its end.
+// processSignals has a channel for each action that a signal to the process triggers.
 type processSignals relay.Signals
 
+// catchSignals installs the signal handlers, which stay until the process ends.
 func catchSignals() *processSignals {
 	return &processSignals{
 		Shutdown:    notify(syscall.SIGTERM, os.Interrupt),
@@ -19,16 +20,16 @@
 	}
 }
 
-// notify returns a channel that brings each of the signals as soon as the last one was received; of those that come
-// meanwhile, one. Its goroutine ends with the process.
+// notify returns a channel that gets a value for each of the signals. While a value has not been received yet, at most
+// one more signal is queued, and others are dropped. The goroutine runs until the process ends.
 func notify(signals ...os.Signal) <-chan struct{} {
-	caught := make(chan os.Signal, 1)
-	signal.Notify(caught, signals...)
-	notified := make(chan struct{})
+	received := make(chan os.Signal, 1)
+	signal.Notify(received, signals...)
+	forwarded := make(chan struct{})
 	go func() {
-		for range caught {
-			notified <- struct{}{}
+		for range received {
+			forwarded <- struct{}{}
 		}
 	}()
-	return notified
+	return forwarded
 }
--- a/cmd/valeshift/subcommand.go
+++ b/cmd/valeshift/subcommand.go
@@ -12,16 +12,16 @@
 	"github.com/alecthomas/kong"
 )
 
-// This file is what the subcommands that call relays over HTTP share.
+// This file has what the subcommands that call a relay's admin API over HTTP share.
 
-// maxAnswerBytes is what is read of an answer.
+// maxAnswerBytes is the most that is read of an HTTP answer; the rest is cut off.
 const maxAnswerBytes = 64 << 20
 
-// errNotFound tells that a relay has nothing at the path that was asked for.
-var errNotFound = errors.New("the relay keeps nothing of that kind, as its operators' file does not name it")
+// errNotFound is returned when a relay answers 404: its operators' file does not enable what serves the path.
+var errNotFound = errors.New("the relay does not serve this, as its operators' file does not enable it")
 
-// runSubcommand parses a subcommand's own arguments into the grammar, and runs what they say. An error is printed
-// as well.
+// runSubcommand parses a subcommand's own arguments by the grammar, and runs the command that they name. It both
+// prints and returns that command's error; a parse error ends the process.
 func runSubcommand(grammar any, name string, arguments []string) error {
 	parser, err := kong.New(grammar, kong.Name(name), kong.UsageOnError())
 	if err != nil {
@@ -36,12 +36,12 @@
 	return nil
 }
 
-// newAdminClient returns a client whose calls have that long, each on a connection of its own.
+// newAdminClient returns a client that bounds each call by the timeout, and makes a new connection for each.
 func newAdminClient(timeout time.Duration) *http.Client {
 	return &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true}}
 }
 
-// fetchJSON reads a JSON document from a relay's admin address. It returns the text too.
+// fetchJSON decodes a JSON document from a relay's admin API into a value, and returns its text as well.
 func fetchJSON(client *http.Client, address, path string, into any) ([]byte, error) {
 	answer, err := client.Get("http://" + address + path)
 	if err != nil {
--- a/cmd/valeshift/version.go
+++ b/cmd/valeshift/version.go
@@ -9,7 +9,7 @@
 
 type versionCommand struct{}
 
-// Run prints the module's version, the revision where the build knows it, and Go's version.
+// Run prints the version of the module, its revision if the build recorded one, and the version of Go.
 func (versionCommand) Run() error {
 	version := "unknown"
 	revision := ""
--- a/cmd/valeshift/zone.go
+++ b/cmd/valeshift/zone.go
@@ -17,24 +17,24 @@
 )
 
 const (
-	coordinatorTimeout = 4 * time.Second // for one coordinator's answer
-	maxOrderAnswer     = 1 << 20         // bytes
-	maxStatusAnswer    = 8 << 20         // bytes
+	coordinatorTimeout = 4 * time.Second // time limit of one call to a coordinator
+	maxOrderAnswer     = 1 << 20         // most bytes read of the answer to an order
+	maxStatusAnswer    = 8 << 20         // most bytes read of a status or a history
 )
 
-// zoneCommand passes its words on to zoneArguments, whose fields are read only then: each start of the relay
-// would pay for them by a twentieth of its CPU.
+// zoneCommand is "valeshift zone". It hands its words to zoneArguments, whose fields kong inspects only then: as part
+// of commandLine they would add a twentieth to the CPU time of each start of the relay.
 type zoneCommand struct {
 	Words []string `arg:"" name:"words" optional:"" help:"What to do, and flags: docs/coordinator.md tells."`
 }
 
-// Run parses the words and does what they say.
+// Run parses the words and runs the action that they name.
 func (c *zoneCommand) Run() error {
 	return runSubcommand(&zoneArguments{}, "valeshift zone", c.Words)
 }
 
-// zoneArguments is the command line of `valeshift zone`. Action is one of failover's order actions, or shows
-// something.
+// zoneArguments is the command line of `valeshift zone`. Action is showStatus, showHistory or one of failover's order
+// actions.
 type zoneArguments struct {
 	Action       string        `arg:"" name:"do" enum:"status,history,empty,return,hold" help:"What to do."`
 	Zone         string        `arg:"" name:"zone" optional:"" help:"The zone that the order is for."`
@@ -46,17 +46,18 @@
 	OrderID      string        `name:"id" help:"ID of the order: sent again under its ID, it is applied once."`
 }
 
+// The values of zoneArguments.Action that give no order.
 const (
 	showStatus  = "status"
 	showHistory = "history"
 )
 
 var (
-	errNoLeader = errors.New("no coordinator that was asked leads")
+	errNoLeader = errors.New("none of the coordinators that were asked is the leader")
 	errNoZone   = errors.New("an order needs a zone")
 )
 
-// Run shows how things stand, or sends an order.
+// Run prints the status or the history, or sends an order.
 func (a *zoneArguments) Run() error {
 	client := &http.Client{
 		Timeout:   coordinatorTimeout,
@@ -68,7 +69,7 @@
 	return a.sendOrder(client)
 }
 
-// order makes the order, whose ID is drawn if none was given.
+// order returns the order that the arguments describe, with a random ID if none was given.
 func (a *zoneArguments) order() failover.OperatorOrder {
 	order := failover.OperatorOrder{
 		ID:       a.OrderID,
@@ -87,7 +88,8 @@
 	return order
 }
 
-// sendOrder sends the order to each coordinator in turn, until the one that leads takes it.
+// sendOrder sends the order to each coordinator in turn until the leader answers, and prints its decision. Coordinators
+// that can't be reached, or don't lead, are skipped.
 func (a *zoneArguments) sendOrder(client *http.Client) error {
 	if a.Zone == "" {
 		return errNoZone
@@ -115,15 +117,15 @@
 	return failure
 }
 
-// orderError is what a coordinator that leads answers to an order that it did not decide on, or not yet: the
-// order may hold all the same, and can be sent again under its ID.
+// orderError is the leader's answer to an order that it has not decided on, or has rejected. The order may take effect
+// all the same, and can be sent again under its ID.
 type orderError struct{ answer string }
 
-// Error returns the answer.
+// Error returns the leader's answer.
 func (e *orderError) Error() string { return e.answer }
 
-// postOrder sends the order to one coordinator. Its error is errNoLeader if that does not lead, an orderError
-// if it did not decide, and another one if it can't be reached.
+// postOrder sends the order to one coordinator. The error is errNoLeader if the coordinator does not lead, an
+// *orderError if it did not decide, and any other if it can't be reached.
 func postOrder(client *http.Client, address string, body []byte) (decision failover.Decision, err error) {
 	response, err := client.Post("http://"+address+"/order", "application/json", bytes.NewReader(body))
 	if err != nil {
@@ -144,7 +146,7 @@
 	}
 }
 
-// coordinatorStatus is what this command reads of a coordinator's status.
+// coordinatorStatus has the fields of a coordinator's status that this command prints.
 type coordinatorStatus struct {
 	Self struct {
 		Name string `json:"Name"`
@@ -157,9 +159,10 @@
 	Orders              []failover.OperatorOrder `json:"Orders"`
 }
 
-// show prints the status of each coordinator, and of the one that leads the zones and orders, or the history.
+// show prints a line for each coordinator, followed for the leader by the zones and orders, or by the history of
+// decisions. It returns errNoLeader if none of them leads.
 func (a *zoneArguments) show(client *http.Client) error {
-	isLeaderSeen := false
+	leaderFound := false
 	for _, address := range a.Coordinators {
 		var status coordinatorStatus
 		if err := getJSON(client, address, "/status", &status); err != nil {
@@ -171,7 +174,7 @@
 		if !status.HasLease {
 			continue
 		}
-		isLeaderSeen = true
+		leaderFound = true
 		if a.Action == showHistory {
 			if err := printHistory(client, address); err != nil {
 				return err
@@ -181,7 +184,7 @@
 		printZones(status.Zones)
 		printOrders(status.Orders)
 	}
-	if !isLeaderSeen {
+	if !leaderFound {
 		return errNoLeader
 	}
 	return nil
@@ -222,7 +225,7 @@
 	}
 }
 
-// getJSON reads a coordinator's answer into a value.
+// getJSON decodes a JSON document from a coordinator's admin API into a value.
 func getJSON(client *http.Client, address, path string, into any) error {
 	response, err := client.Get("http://" + address + path)
 	if err != nil {
