--- a/cmd/valeshift/command_test.go
+++ b/cmd/valeshift/command_test.go
@@ -11,48 +11,48 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Check names the field that is wrong in either file, and starts nothing.
+// The subcommand check reports the invalid field of either file.
 func TestCheck(t *testing.T) {
-	l := newDiscoveryStub(t)
-	good := l.relayConfig(0)
+	discovery := newDiscoveryStub(t)
+	good := discovery.relayConfig(0)
 	for _, c := range []struct {
 		name, config, operator, want string
 		code                         int
 	}{
-		{"good", good, "[log]\nlevel = \"warn\"\n", "ok: n0 listens on 127.0.0.1:0, discovery " + l.address, 0},
+		{"good", good, "[log]\nlevel = \"warn\"\n", "ok: n0 listens on 127.0.0.1:0, discovery " + discovery.address, 0},
 		{"platform field", strings.Replace(good, `"listen":"127.0.0.1:0"`, `"listen":"here"`, 1), "",
 			`check: listen: address:port expected, got "here"`, 1},
 		{"operators' address", strings.Replace(good, `"ops":""`, `"ops":"x"`, 1), "",
 			"check: ops: address:port or", 1},
 		{"setting", strings.Replace(good, `"most-setup-tries":3`, `"most-setup-tries":-3`, 1), "",
 			"check: settings: limits.most-setup-tries: a number expected", 1},
-		{"too few sockets", l.relayConfig(12), "", "check: limits.sockets: 38 or more expected", 1},
+		{"too few sockets", discovery.relayConfig(12), "", "check: limits.sockets: 38 or more expected", 1},
 		{"operator field", good, "[log]\nlevel = \"all\"\n", "2:9: log.level:", 1},
 		{"operator unknown", good, "[logs]\n", "1:2: logs: no such field", 1},
 	} {
 		dir := t.TempDir()
 		require.NoError(t, os.WriteFile(filepath.Join(dir, "c.json"), []byte(c.config), 0o600))
 		require.NoError(t, os.WriteFile(filepath.Join(dir, "o.toml"), []byte(c.operator), 0o600))
-		cmd := exec.Command(program, "check", "--operator", filepath.Join(dir, "o.toml"))
+		cmd := exec.Command(programPath, "check", "--operator", filepath.Join(dir, "o.toml"))
 		cmd.Env = append(os.Environ(), "RELAY_CONFIG="+filepath.Join(dir, "c.json"), "RELAY_LISTEN=",
 			"RELAY_NAME=", "RELAY_OPS=",
 			"RELAY_DISCOVERY=")
-		said, _ := cmd.CombinedOutput()
-		assert.Contains(t, string(said), c.want, c.name)
+		output, _ := cmd.CombinedOutput()
+		assert.Contains(t, string(output), c.want, c.name)
 		assert.Equal(t, c.code, cmd.ProcessState.ExitCode(), c.name)
 	}
 }
 
-// A reload takes both files or neither: the log's format changes with a valid pair, and nothing does where one of them is
-// invalid.
+// A reload applies both files or neither: the log's format and the discovery address change with a valid pair, and
+// nothing changes if one of the files is invalid.
 func TestReloadTakesBothFilesOrNeither(t *testing.T) {
 	b := newBackend(t, "b1")
-	l := newDiscoveryStub(t, b)
+	discovery := newDiscoveryStub(t, b)
 	file := filepath.Join(t.TempDir(), "operator.toml")
 	write := func(text string) { require.NoError(t, os.WriteFile(file, []byte(text), 0o600)) }
 	write("")
 	t.Setenv("VALESHIFT_OPERATOR", file)
-	r := startProcess(t, l.relayConfig(0))
+	r := startProcess(t, discovery.relayConfig(0))
 	r.address = r.awaitLog(`msg=serving .*listen=(\S+)`)[1]
 	client, server := r.establish(b)
 
--- a/cmd/valeshift/crossings_test.go
+++ b/cmd/valeshift/crossings_test.go
@@ -12,28 +12,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-// These tests force two things to happen at once, in a known order: docs/design/crossings.md lists them.
+// Each of these tests makes two events race in a known order. docs/design/crossings.md lists the pairs.
 
-// awaitCounters waits until the relay's counters say so.
+// awaitCounters makes the relay log its counters again and again until they match the pattern.
 func (r *process) awaitCounters(pattern string) {
 	r.t.Helper()
 	want := compile(`why=asked .*` + pattern)
 	for until := time.Now().Add(longWait); time.Now().Before(until); {
 		before := r.log()
 		r.signal(syscall.SIGUSR1)
-		said := ""
-		for said == "" && time.Now().Before(until) {
-			said = compile(`why=asked .*\n`).FindString(r.log()[len(before):])
+		counters := ""
+		for counters == "" && time.Now().Before(until) {
+			counters = compile(`why=asked .*\n`).FindString(r.log()[len(before):])
 			time.Sleep(time.Millisecond)
 		}
-		if want.MatchString(said) {
+		if want.MatchString(counters) {
 			return
 		}
 	}
 	require.Fail(r.t, "counters without "+pattern, r.log())
 }
 
-// sendRequest sends the first line of a request with that id.
+// sendRequest opens a connection and sends the request line of a session with that id and that deadline, in
+// milliseconds.
 func (r *process) sendRequest(id string, deadline int) *peer {
 	r.t.Helper()
 	client := r.dial()
@@ -41,7 +42,7 @@
 	return client
 }
 
-// A request that waits for a backend is not sent on once its client has left.
+// A request that waits for a backend is not forwarded once its client has disconnected.
 func TestClientLeavesWhileItsRequestWaits(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -61,13 +62,13 @@
 			r.discovery.setEndpoints(r.discovery.endpoint("b1", b.address, "active"))
 			r.sendRequest("9b", 2000)
 			_, head := b.awaitSession()
-			assert.Contains(t, head, "OPEN 9b ", "the first that comes")
+			assert.Contains(t, head, "OPEN 9b ", "the first request that arrives")
 			assert.Empty(t, b.requests)
 		})
 	}
 }
 
-// Whatever ends an attempt, none follows for a client that left meanwhile.
+// However an attempt ends, it is not retried for a client that has disconnected meanwhile.
 func TestClientLeavesBeforeItsAttemptFails(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -88,13 +89,13 @@
 			c.fail(server)
 			r.sendRequest("9b", 2000)
 			_, head := b.awaitSession()
-			assert.Contains(t, head, "OPEN 9b ", "no further attempt before it")
+			assert.Contains(t, head, "OPEN 9b ", "no retry of 9a before it")
 			r.awaitCounters(`sent.tries=2`)
 		})
 	}
 }
 
-// A request whose time is over is answered, and no attempt follows when its backend speaks at last.
+// A request is answered at its deadline, and not retried when its backend answers too late.
 func TestDeadlineBeforeTheBackendsAnswer(t *testing.T) {
 	b := newBackend(t, "b1")
 	r := startRelay(t, 0, b)
@@ -107,46 +108,46 @@
 	assert.Contains(t, head, "OPEN 9b ")
 }
 
-// A client may send in the very moment in which the relay closes its connection: the answer reaches it, and what
-// it sent goes nowhere.
+// A client may send a request at the moment at which the relay closes its idle connection. It receives the relay's
+// answer, not a reset, and the request is not forwarded.
 func TestRequestOnAConnectionThatIsClosed(t *testing.T) {
 	b := newBackend(t, "b1")
 	r := startRelay(t, 0, b)
-	resting := r.dial()
-	require.Equal(t, "ERR", resting.receive(), "it has rested for too long")
-	resting.send("OPEN 9a 7f3a c=feed,t=one,d=2000")
-	assert.Equal(t, "end", resting.receive(), "no reset")
-	resting.send("OPEN 9b 7f3a c=feed,t=one,d=2000")
-	assert.Equal(t, "end", resting.receive())
+	idle := r.dial()
+	require.Equal(t, "ERR", idle.receive(), "idle for too long")
+	idle.send("OPEN 9a 7f3a c=feed,t=one,d=2000")
+	assert.Equal(t, "end", idle.receive(), "no reset")
+	idle.send("OPEN 9b 7f3a c=feed,t=one,d=2000")
+	assert.Equal(t, "end", idle.receive())
 	r.sendRequest("9c", 2000)
 	_, head := b.awaitSession()
-	assert.Contains(t, head, "OPEN 9c ", "nothing else was sent on")
+	assert.Contains(t, head, "OPEN 9c ", "nothing else was forwarded")
 }
 
-// SIGTERM finds requests in every state; each is answered before the process ends, and the process ends.
+// SIGTERM arrives while there are requests in every state. Each is answered before the process exits.
 func TestStopFindsRequestsInEveryState(t *testing.T) {
 	b := newBackend(t, "b1")
 	r := startRelay(t, 0, b)
 	client, server := r.establish(b)
-	begun := r.sendRequest("9a", 2000)
-	tried, _ := b.awaitSession()
+	pending := r.sendRequest("9a", 2000)
+	attempted, _ := b.awaitSession()
 	half := r.dial()
 	half.Write([]byte("OPEN 9b 7f3a c=fe"))
 	r.awaitCounters(`in.heads=2`)
 	r.signal(syscall.SIGTERM)
 	r.awaitLog("msg=stopping")
-	tried.send("UP late")
-	assert.Equal(t, "UP late", begun.receive())
-	r.discovery.setEndpoints(r.discovery.endpoint("b1", b.address, "leaving")) // and a drain at the same time
+	attempted.send("UP late")
+	assert.Equal(t, "UP late", pending.receive())
+	r.discovery.setEndpoints(r.discovery.endpoint("b1", b.address, "leaving")) // the backend drains at the same time
 	assert.Equal(t, []string{"MOVE", "end"}, []string{client.receive(), client.receive()})
 	assert.Equal(t, "end", server.receive())
 	half.send("ed,t=one,d=1000")
-	assert.Regexp(t, `^BUSY`, half.receive(), "taken in during the stop, with no backend left")
-	assert.Equal(t, []string{"MOVE", "end"}, []string{begun.receive(), begun.receive()})
+	assert.Regexp(t, `^BUSY`, half.receive(), "read during the shutdown, with no backend left")
+	assert.Equal(t, []string{"MOVE", "end"}, []string{pending.receive(), pending.receive()})
 	assert.Zero(t, r.awaitExit(), r.log())
 }
 
-// A backend that never answers does not hold a stop up, nor leave its client without an answer.
+// A backend that never answers neither delays the shutdown nor leaves its client without an answer.
 func TestStopWithAnAttemptThatHangs(t *testing.T) {
 	withoutExitSleep(t)
 	b := newBackend(t, "b1")
@@ -160,14 +161,14 @@
 	assert.Less(t, time.Since(from), longestShutdown)
 }
 
-// A reload in the middle of an attempt and of a standing connection changes neither, and the new discovery is
-// heard though its first call is refused.
+// A reload disturbs neither an attempt in progress nor an established session, and the relay follows the new discovery
+// though its first watch is answered with an error.
 func TestReloadUnderRequests(t *testing.T) {
 	b1, b2 := newBackend(t, "b1"), newBackend(t, "b2")
 	r := startRelay(t, 0, b1)
 	client, server := r.establish(b1)
-	begun := r.sendRequest("9a", 2000)
-	tried, _ := b1.awaitSession()
+	pending := r.sendRequest("9a", 2000)
+	attempted, _ := b1.awaitSession()
 	next := newDiscoveryStub(t, b1, b2)
 	next.setStatus(503)
 	from := time.Now()
@@ -175,16 +176,16 @@
 	next.awaitWatch(t)
 	client.send("still here")
 	assert.Equal(t, "still here", server.receive())
-	tried.send("UP begun")
-	assert.Equal(t, "UP begun", begun.receive(), "an attempt that is out goes on")
+	attempted.send("UP begun")
+	assert.Equal(t, "UP begun", pending.receive(), "the attempt in progress goes on")
 	next.setStatus(0)
 	next.setEndpoints(next.endpoint("b1", b1.address, "leaving"), next.endpoint("b2", b2.address, "active"))
-	assert.Equal(t, []string{"MOVE", "MOVE"}, []string{client.receive(), begun.receive()}, "as their backend drains")
+	assert.Equal(t, []string{"MOVE", "MOVE"}, []string{client.receive(), pending.receive()}, "as their backend drains")
 	r.establish(b2)
 	assert.Less(t, time.Since(from), 4*time.Second)
 }
 
-// A watch that falls silent is noticed and opened anew, so that a drain is known within 6 s.
+// A watch that falls silent is detected and reopened, so that the relay learns of a drain within 6 s.
 func TestSilentWatchIsOpenedAnew(t *testing.T) {
 	b1, b2 := newBackend(t, "b1"), newBackend(t, "b2")
 	r := startRelay(t, 0, b1)
@@ -193,15 +194,15 @@
 	from := time.Now()
 	r.discovery.setEndpoints(r.discovery.endpoint("b1", b1.address, "leaving"), r.discovery.endpoint("b2", b2.address, "active"))
 	r.awaitLog(`msg="watch fell silent"`)
-	for range b2.polls { // it has the list
+	for range b2.polls { // the first poll shows that the relay has the new list
 		break
 	}
 	assert.Less(t, time.Since(from), 6*time.Second)
 	r.establish(b2)
-	assert.Empty(t, b1.requests, "nothing to one that drains")
+	assert.Empty(t, b1.requests, "no session goes to the draining backend")
 }
 
-// A list may come in any layout.
+// The endpoint list may be indented JSON over several lines.
 func TestIndentedList(t *testing.T) {
 	b1, b2 := newBackend(t, "b1"), newBackend(t, "b2")
 	r := startRelay(t, 0, b1)
@@ -213,8 +214,8 @@
 	assert.NotContains(t, r.log(), "watch failed")
 }
 
-// Idle clients take all descriptors that they can get while discovery is down; when it is back the list is heard
-// and requests are served, without anybody's help.
+// Idle clients use up all descriptors they can get while discovery is down. Once it is back, the relay still gets the
+// new list and serves requests, without any intervention.
 func TestCrowdOfIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	b1, b2 := newBackend(t, "b1"), newBackend(t, "b2")
 	r := startRelay(t, 80, b1)
@@ -223,9 +224,9 @@
 	r.discovery.setEndpoints("{")
 	r.awaitLog(`msg="watch failed" why="watch: status 503"`)
 	stop := make(chan struct{})
-	gone := make(chan struct{})
-	go func() { // always as many as are let in
-		defer close(gone)
+	stopped := make(chan struct{})
+	go func() { // keeps as many idle connections open as the relay accepts
+		defer close(stopped)
 		type idleClient struct {
 			net.Conn
 			since time.Time
@@ -247,8 +248,8 @@
 				idle = append(idle, idleClient{c, time.Now()})
 			}
 			if len(idle) > 300 {
-				// The relay evicts nobody who came within its grace of 30 ms: on a fast machine 300 dials take less,
-				// and clients that leave so soon are never in its way.
+				// The relay does not evict a client within 30 ms of its connection. On a fast machine 300 dials take less,
+				// and without this pause clients would be gone before the relay had to evict any.
 				time.Sleep(time.Until(idle[0].since.Add(200 * time.Millisecond)))
 				idle[0].Close()
 				idle = idle[1:]
@@ -257,7 +258,7 @@
 	}()
 	defer func() {
 		close(stop)
-		<-gone
+		<-stopped
 	}()
 	r.awaitLog(`msg="client rejected" why="pushed out"`)
 	r.discovery.setStatus(0)
--- a/cmd/valeshift/fleet_test.go
+++ b/cmd/valeshift/fleet_test.go
@@ -18,10 +18,11 @@
 	"valeshift/internal/fleet"
 )
 
-// The golden files are of the build of commit 32b198a.
-var update = flag.Bool("update", false, "write the golden files anew: only where a form is changed on purpose")
+// The golden files were written by the build of commit 32b198a.
+var update = flag.Bool("update", false, "rewrite the golden files; only for an intended change of the output")
 
-// `valeshift fleet` shows what a relay tells, in the form that it has always had, and with --json as it is told.
+// `valeshift fleet` prints a relay's status in the format of the golden file, and with --json exactly as the relay
+// sends it.
 func TestGoldenFleet(t *testing.T) {
 	status, err := os.ReadFile(filepath.Join("..", "..", "internal", "fleet", "testdata", "golden", "status.json"))
 	require.NoError(t, err)
@@ -51,7 +52,7 @@
 		{"as text", []string{"fleet", address}, strings.ReplaceAll(string(want), "ADDRESS", address)},
 		{"as it is told", []string{"fleet", "--json", address}, string(status) + "\n"},
 	} {
-		text, err := exec.Command(program, c.args...).Output()
+		text, err := exec.Command(programPath, c.args...).Output()
 		require.NoError(t, err, c.name)
 		assert.Equal(t, c.want, string(text), c.name)
 	}
--- a/cmd/valeshift/golden_test.go
+++ b/cmd/valeshift/golden_test.go
@@ -18,6 +18,7 @@
 	"valeshift/internal/failover"
 )
 
+// golden returns the text of a golden file.
 func golden(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile("testdata/golden/" + name)
@@ -25,8 +26,8 @@
 	return string(text)
 }
 
-// Subcommands, arguments, flags, their environment variables and defaults are those of the golden file: none
-// follows the name of a Go field.
+// Subcommands, arguments, flags, their environment variables and their defaults are those of the golden file, so
+// renaming a Go field does not change them.
 func TestGoldenCommandLine(t *testing.T) {
 	var got strings.Builder
 	for _, c := range []struct {
@@ -52,6 +53,7 @@
 	assert.Equal(t, golden(t, "commandline.txt"), got.String())
 }
 
+// describe writes the arguments and flags of a command and of its subcommands.
 func describe(to io.Writer, n *kong.Node) {
 	fmt.Fprintf(to, "%s\n", n.FullPath())
 	for _, p := range n.Positional {
@@ -61,12 +63,12 @@
 		fmt.Fprintf(to, "  flag --%s env=%v default=%q required=%t placeholder=%q\n", f.Name, f.Envs, f.Default, f.Required,
 			f.PlaceHolder)
 	}
-	for _, below := range n.Children {
-		describe(to, below)
+	for _, child := range n.Children {
+		describe(to, child)
 	}
 }
 
-// serveAnswers answers each path with a golden file, and keeps what was sent to it.
+// serveAnswers starts a server that answers each path with its text, and records the request bodies.
 func serveAnswers(t *testing.T, answers map[string]string) (address string, bodies *[]string) {
 	t.Helper()
 	bodies = &[]string{}
@@ -85,44 +87,45 @@
 	return strings.TrimPrefix(server.URL, "http://"), bodies
 }
 
+// runProgram runs the program, which must succeed, and returns its standard output.
 func runProgram(t *testing.T, arguments ...string) string {
 	t.Helper()
-	cmd := exec.Command(program, arguments...)
+	cmd := exec.Command(programPath, arguments...)
 	cmd.Env = append(os.Environ(), "USER=ops")
-	said, err := cmd.Output()
+	output, err := cmd.Output()
 	require.NoError(t, err, arguments)
-	return string(said)
+	return string(output)
 }
 
-// Records of relays are printed with the fields that they were sent with, and their holder's.
+// The export prints records with the fields that the relay sent, and the name of that relay.
 func TestGoldenHoldingsExport(t *testing.T) {
 	address, _ := serveAnswers(t, map[string]string{"/_holdings?part=0": golden(t, "page.json"), "/_holdings": "{}"})
 	assert.Equal(t, golden(t, "export.jsonl"), runProgram(t, "holdings", "export", address))
 }
 
-// What a relay says is printed as it says it.
+// With --json a relay's answer is printed unchanged, including fields that this build does not know.
 func TestGoldenFleetJSON(t *testing.T) {
 	text := `{"Name":"relay-1","Boot":3,"Other":[1,2]}`
 	address, _ := serveAnswers(t, map[string]string{"/_fleet": text})
 	assert.Equal(t, text+"\n", runProgram(t, "fleet", "show", "--json", address))
 }
 
-// A voter's answers are read, and an order is sent under the names that voters know.
+// A coordinator's answers are decoded, and an order is encoded, with the JSON names that coordinators use.
 func TestGoldenZoneAnswersAndOrder(t *testing.T) {
 	address, bodies := serveAnswers(t, map[string]string{"/status": golden(t, "status.json"),
 		"/history": golden(t, "history.json"), "/order": strings.Trim(golden(t, "history.json"), "[]\n")})
-	said := runProgram(t, "zone", "status", "--council", address)
+	output := runProgram(t, "zone", "status", "--council", address)
 	for _, want := range []string{"voter-1", "leader", "leads true", "decision 17", "set aside", "west", "north", "0.25",
 		"east 0.75", "o-1", "by ops", "upkeep"} {
-		assert.Contains(t, said, want)
+		assert.Contains(t, output, want)
 	}
-	said = runProgram(t, "zone", "history", "--council", address)
+	output = runProgram(t, "zone", "history", "--council", address)
 	for _, want := range []string{"17", "1970-01-01T00:00:05Z", "ordered", "not now"} {
-		assert.Contains(t, said, want)
+		assert.Contains(t, output, want)
 	}
-	said = runProgram(t, "zone", "empty", "west", "--council", address, "--reason", "upkeep", "--force", "--id", "o-1",
+	output = runProgram(t, "zone", "empty", "west", "--council", address, "--reason", "upkeep", "--force", "--id", "o-1",
 		"--for", "1h")
-	assert.Contains(t, said, "decision 17, order o-1\n")
+	assert.Contains(t, output, "decision 17, order o-1\n")
 	require.Len(t, *bodies, 1)
 	var fields map[string]any
 	require.NoError(t, json.Unmarshal([]byte((*bodies)[0]), &fields))
--- a/cmd/valeshift/helpers_test.go
+++ b/cmd/valeshift/helpers_test.go
@@ -22,23 +22,24 @@
 )
 
 const (
-	longWait  = 10 * time.Second // for what has to come
-	shortWait = 300 * time.Millisecond
+	longWait  = 10 * time.Second       // time limit for an event that must happen
+	shortWait = 300 * time.Millisecond // pause, or time limit for an event that may not happen
 )
 
-var program string // its path
+var programPath string // path of the program under test
 
-// longestShutdown bounds a graceful shutdown with the longest hard limit of 2 s: that and 0.4 s, 50 ms for clients to
-// close, and what a busy machine takes.
+// longestShutdown bounds a graceful shutdown where the longest hard limit is 2 s: that limit, 0.4 s, 50 ms for clients
+// to close, and a margin for a busy machine.
 const longestShutdown = 2800 * time.Millisecond
 
-// withoutExitSleep has the test's processes exit at once: the race detector's second at the exit would count as theirs.
+// withoutExitSleep makes the test's processes exit at once: otherwise the race detector sleeps for a second at the
+// exit, which would count as part of the shutdown.
 func withoutExitSleep(t *testing.T) {
 	t.Helper()
 	t.Setenv("GORACE", "atexit_sleep_ms=0")
 }
 
-// TestMain builds the program once, with the race detector, which makes it exit with 66 after a race.
+// TestMain builds the program once, with the race detector, which makes a process with a data race exit with code 66.
 func TestMain(m *testing.M) {
 	dir, err := buildProgram()
 	if err != nil {
@@ -50,21 +51,21 @@
 	os.Exit(code)
 }
 
-// buildProgram returns the folder that has the program.
+// buildProgram builds the program and returns the folder that it is in.
 func buildProgram() (dir string, err error) {
 	dir, err = os.MkdirTemp("", "valeshift")
 	if err != nil {
 		return "", err
 	}
-	program = filepath.Join(dir, "valeshift")
-	output, err := exec.Command("go", "build", "-race", "-o", program, ".").CombinedOutput()
+	programPath = filepath.Join(dir, "valeshift")
+	output, err := exec.Command("go", "build", "-race", "-o", programPath, ".").CombinedOutput()
 	if err != nil {
 		return "", fmt.Errorf("%w: %s", err, output)
 	}
 	return dir, nil
 }
 
-// peer is one end of a connection, read line by line.
+// peer is the test's end of a TCP connection, read line by line.
 type peer struct {
 	*net.TCPConn
 	t      *testing.T
@@ -83,7 +84,7 @@
 	require.NoError(p.t, err)
 }
 
-// receive returns the next line, or what ended the connection: "end" or "reset".
+// receive returns the next line, or how the connection ended: "reset", or "end" behind any incomplete line.
 func (p *peer) receive() string {
 	p.t.Helper()
 	p.SetReadDeadline(time.Now().Add(longWait))
@@ -99,19 +100,20 @@
 	return line + "end"
 }
 
+// reset closes the connection with a TCP reset.
 func (p *peer) reset() {
 	p.SetLinger(0)
 	p.Close()
 }
 
-// backend is a stand-in that answers load polls by itself, and gives the test every session that comes.
+// backend is a stub that answers load polls by itself, and hands every session that arrives to the test.
 type backend struct {
 	t        *testing.T
 	name     string
 	address  string
-	sessions chan *peer
-	requests chan string
-	polls    chan struct{}
+	sessions chan *peer    // connection of each session that arrived
+	requests chan string   // request line of each of these sessions, in the same order
+	polls    chan struct{} // a value for each load poll
 }
 
 func newBackend(t *testing.T, name string) *backend {
@@ -127,13 +129,14 @@
 			if err != nil {
 				return
 			}
-			go b.serve(newPeer(t, c))
+			go b.serveConn(newPeer(t, c))
 		}
 	}()
 	return b
 }
 
-func (b *backend) serve(p *peer) {
+// serveConn answers load polls, until a request comes or the connection ends.
+func (b *backend) serveConn(p *peer) {
 	for {
 		line, err := p.reader.ReadString('\n')
 		if err != nil {
@@ -150,109 +153,112 @@
 	}
 }
 
-// awaitSession waits for the next session to come, and returns it with its request.
+// awaitSession waits for the next session, and returns its connection and its request line.
 func (b *backend) awaitSession() (*peer, string) {
 	b.t.Helper()
 	select {
 	case head := <-b.requests:
 		return <-b.sessions, head
 	case <-time.After(longWait):
-		require.Fail(b.t, "no session came to "+b.name)
+		require.Fail(b.t, "no session arrived at "+b.name)
 		return nil, ""
 	}
 }
 
-// discoveryStub stands in for discovery.
+// discoveryStub is a discovery service whose endpoint list the test sets.
 type discoveryStub struct {
 	address       string
 	mutex         sync.Mutex
-	index         int
-	endpoints     []string
-	status        int // of the next watches, where not 0
-	watches       int
-	changed       chan struct{}
-	muted         chan struct{} // closed: open watches bring nothing more
-	layout        string        // between the entries and around them
-	adminAddress  string        // of the admin API, in configurations
-	listenAddress string        // for clients, in configurations
-}
-
-func (l *discoveryStub) endpoint(name, address, status string) string {
+	index         int           // version of the list
+	endpoints     []string      // the list's entries, as JSON
+	status        int           // HTTP status that new watches are answered with; 0: they get the list
+	watches       int           // number of watches that were opened
+	changed       chan struct{} // closed and replaced at each change of the list
+	muted         chan struct{} // closed: open watches send nothing more
+	layout        string        // whitespace between the entries and around them
+	adminAddress  string        // address of the admin API that relayConfig sets
+	listenAddress string        // address for clients that relayConfig sets
+}
+
+// endpoint returns an entry of the list.
+func (d *discoveryStub) endpoint(name, address, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"hall","group":0,"status":%q,"weight":1}`,
 		name, address, status)
 }
 
-// setEndpoints changes the list and notifies all watches.
-func (l *discoveryStub) setEndpoints(entries ...string) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.index++
-	l.endpoints = entries
-	close(l.changed)
-	l.changed = make(chan struct{})
+// setEndpoints replaces the list and notifies all watches.
+func (d *discoveryStub) setEndpoints(entries ...string) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.index++
+	d.endpoints = entries
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// setStatus has the next watches answered by that status, or by the list again (0).
-func (l *discoveryStub) setStatus(status int) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.status = status
+// setStatus makes new watches get that HTTP status, or the list again if it is 0.
+func (d *discoveryStub) setStatus(status int) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.status = status
 }
 
-// awaitWatch waits for the first watch.
-func (l *discoveryStub) awaitWatch(t *testing.T) {
+// awaitWatch waits until a watch has been opened.
+func (d *discoveryStub) awaitWatch(t *testing.T) {
 	t.Helper()
 	require.Eventually(t, func() bool {
-		l.mutex.Lock()
-		defer l.mutex.Unlock()
-		return l.watches > 0
+		d.mutex.Lock()
+		defer d.mutex.Unlock()
+		return d.watches > 0
 	}, longWait, time.Millisecond)
 }
 
-func (l *discoveryStub) encode() (string, <-chan struct{}) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return fmt.Sprintf(`{"index":%d,"snapshot":true,"endpoints":[%s]}`, l.index,
-		l.layout+strings.Join(l.endpoints, ","+l.layout)+l.layout), l.changed
+// encode returns the list as JSON, and a channel that is closed when the list changes.
+func (d *discoveryStub) encode() (string, <-chan struct{}) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return fmt.Sprintf(`{"index":%d,"snapshot":true,"endpoints":[%s]}`, d.index,
+		d.layout+strings.Join(d.endpoints, ","+d.layout)+d.layout), d.changed
 }
 
-// muteWatches has all open watches fall silent: they bring nothing more, and stay open.
-func (l *discoveryStub) muteWatches(t *testing.T) {
+// muteWatches makes all open watches fall silent: they stay open, and send neither updates nor heartbeats.
+func (d *discoveryStub) muteWatches(t *testing.T) {
 	t.Helper()
-	l.awaitWatch(t)
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	close(l.muted)
-	l.muted = make(chan struct{})
-}
-
-// indent has the list sent over several lines from now on.
-func (l *discoveryStub) indent() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.layout = "\n    "
-}
-
-func (l *discoveryStub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	l.mutex.Lock()
-	l.watches++
-	status, muted := l.status, l.muted
-	l.mutex.Unlock()
+	d.awaitWatch(t)
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	close(d.muted)
+	d.muted = make(chan struct{})
+}
+
+// indent makes the list go out over several lines from now on.
+func (d *discoveryStub) indent() {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.layout = "\n    "
+}
+
+// ServeHTTP answers a watch: it sends the list at once and at each change, and a heartbeat every 2 s in between.
+func (d *discoveryStub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	d.mutex.Lock()
+	d.watches++
+	status, muted := d.status, d.muted
+	d.mutex.Unlock()
 	if status != 0 {
 		w.WriteHeader(status)
 		return
 	}
 	for {
-		text, changed := l.encode()
+		text, changed := d.encode()
 		fmt.Fprintf(w, "%s\n", text)
 		w.(http.Flusher).Flush()
-		for quiet := true; quiet; {
+		for waiting := true; waiting; {
 			select {
 			case <-muted:
 				<-r.Context().Done()
 				return
 			case <-changed:
-				quiet = false
+				waiting = false
 			case <-time.After(2 * time.Second):
 				fmt.Fprint(w, "\n")
 				w.(http.Flusher).Flush()
@@ -263,17 +269,17 @@
 	}
 }
 
-// process is the program, started.
+// process is a running instance of the program.
 type process struct {
 	t          *testing.T
 	cmd        *exec.Cmd
-	configPath string // its path
-	address    string
-	mutex      sync.Mutex
-	output     bytes.Buffer
-	done       chan struct{}
-	discovery  *discoveryStub
-	sessions   int // that were established
+	configPath string         // path of the platform's file
+	address    string         // address that clients connect to
+	mutex      sync.Mutex     // guards output
+	output     bytes.Buffer   // the log
+	done       chan struct{}  // closed once the process has exited
+	discovery  *discoveryStub // nil if the test started discovery itself
+	sessions   int            // number of sessions opened by establish
 }
 
 const settingsJSON = `{"replicas-of-me":1,"zone":0,"localities":["hall"],"discovery":"subscribe",
@@ -287,50 +293,51 @@
 
 func newDiscoveryStub(t *testing.T, backends ...*backend) *discoveryStub {
 	t.Helper()
-	l := &discoveryStub{index: 1, changed: make(chan struct{}), muted: make(chan struct{}), listenAddress: "127.0.0.1:0"}
+	d := &discoveryStub{index: 1, changed: make(chan struct{}), muted: make(chan struct{}), listenAddress: "127.0.0.1:0"}
 	for _, b := range backends {
-		l.endpoints = append(l.endpoints, l.endpoint(b.name, b.address, "active"))
+		d.endpoints = append(d.endpoints, d.endpoint(b.name, b.address, "active"))
 	}
-	server := httptest.NewServer(l)
+	server := httptest.NewServer(d)
 	t.Cleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
 	})
-	l.address = strings.TrimPrefix(server.URL, "http://")
-	return l
+	d.address = strings.TrimPrefix(server.URL, "http://")
+	return d
 }
 
-// relayConfig returns a configuration that names this discovery.
-func (l *discoveryStub) relayConfig(sockets int) string {
-	known, _ := l.encode()
-	text, _ := json.Marshal(map[string]any{"name": "n0", "listen": l.listenAddress, "ops": l.adminAddress,
-		"discovery": l.address, "seed": "8c1f30d27a5be964",
+// relayConfig returns a platform's file that names this discovery; sockets is its limit on descriptors.
+func (d *discoveryStub) relayConfig(sockets int) string {
+	known, _ := d.encode()
+	text, _ := json.Marshal(map[string]any{"name": "n0", "listen": d.listenAddress, "ops": d.adminAddress,
+		"discovery": d.address, "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": sockets},
 		"known":  json.RawMessage(known), "settings": json.RawMessage(settingsJSON)})
 	return string(text)
 }
 
-// startRelay starts a relay whose list has the backends; sockets is its limit on descriptors.
+// startRelay starts a relay and a discovery that lists the backends, and waits until the relay serves. sockets is its
+// limit on descriptors.
 func startRelay(t *testing.T, sockets int, backends ...*backend) *process {
 	t.Helper()
-	l := newDiscoveryStub(t, backends...)
-	r := startProcess(t, l.relayConfig(sockets))
-	r.discovery = l
+	stub := newDiscoveryStub(t, backends...)
+	r := startProcess(t, stub.relayConfig(sockets))
+	r.discovery = stub
 	found := r.awaitLog(`msg=serving .*listen=(\S+)`)
 	require.NotNil(t, found, "not serving: %s", r.log())
 	r.address = found[1]
 	return r
 }
 
-// startProcess starts the program with a configuration. More is a file that it inherits as descriptor 3, or variables of
-// its environment.
+// startProcess starts the program with a platform's file. Each of more is an open file, the first of which the process
+// inherits as descriptor 3, or a variable of its environment.
 func startProcess(t *testing.T, config string, more ...any) *process {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(path, []byte(config), 0o600))
-	r := &process{t: t, cmd: exec.Command(program), configPath: path, done: make(chan struct{})}
+	r := &process{t: t, cmd: exec.Command(programPath), configPath: path, done: make(chan struct{})}
 	var file struct{ Discovery string }
-	json.Unmarshal([]byte(config), &file) // the environment has it too, as in service
+	json.Unmarshal([]byte(config), &file) // the environment names it as well, as in production
 	r.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+path, "RELAY_NAME=", "RELAY_LISTEN=", "RELAY_OPS=",
 		"RELAY_DISCOVERY="+file.Discovery)
 	for _, x := range more {
@@ -355,20 +362,23 @@
 	return r
 }
 
+// Write appends to the log; it is the process's standard error.
 func (r *process) Write(p []byte) (int, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.output.Write(p)
 }
 
+// log returns what the process has logged up to now.
 func (r *process) log() string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.output.String()
 }
 
-var patterns sync.Map // compiled, by their text
+var patterns sync.Map // compiled regular expressions by their text
 
+// compile returns the compiled pattern, which it caches.
 func compile(pattern string) *regexp.Regexp {
 	if found, known := patterns.Load(pattern); known {
 		return found.(*regexp.Regexp)
@@ -398,7 +408,7 @@
 	return newPeer(r.t, c)
 }
 
-// establish establishes a session, and returns both its ends.
+// establish opens a session that the backend accepts, and returns both ends of it.
 func (r *process) establish(b *backend) (client, server *peer) {
 	r.t.Helper()
 	client = r.dial()
@@ -410,7 +420,7 @@
 	return client, server
 }
 
-// awaitExit waits for the program's end, and returns its exit code.
+// awaitExit waits until the process exits, and returns its exit code.
 func (r *process) awaitExit() int {
 	r.t.Helper()
 	select {
@@ -421,7 +431,7 @@
 	return r.cmd.ProcessState.ExitCode()
 }
 
-// reload replaces the configuration and has the program read it.
+// reload replaces the platform's file and sends SIGHUP, at which the program reloads it.
 func (r *process) reload(config string) {
 	r.t.Helper()
 	require.NoError(r.t, os.WriteFile(r.configPath, []byte(config), 0o600))
--- a/cmd/valeshift/main_test.go
+++ b/cmd/valeshift/main_test.go
@@ -15,12 +15,13 @@
 	"github.com/stretchr/testify/require"
 )
 
+// A ping, a whole session and a shutdown, with the counters that the relay logs for them.
 func TestOneSession(t *testing.T) {
 	b := newBackend(t, "b1")
 	r := startRelay(t, 0, b)
-	front := r.dial()
-	front.send("PING")
-	assert.Equal(t, "PONG", front.receive())
+	prober := r.dial()
+	prober.send("PING")
+	assert.Equal(t, "PONG", prober.receive())
 
 	client := r.dial()
 	client.send("OPEN 9b1f 7f3a c=feed,t=one,d=2000,g=5c")
@@ -35,10 +36,10 @@
 	assert.Equal(t, []string{"BYE", "end"}, []string{client.receive(), client.receive()})
 
 	r.signal(syscall.SIGUSR1)
-	said := r.awaitLog(`msg=counters why=asked .*`)[0]
+	counters := r.awaitLog(`msg=counters why=asked .*`)[0]
 	for _, want := range []string{"in.pings=1", "in.heads=1", "sent.tries=1", "answered.satisfied=1",
 		`"endings.served out"=1`, "sockets.standing=0"} {
-		assert.Contains(t, said, want)
+		assert.Contains(t, counters, want)
 	}
 	r.awaitLog(`msg=backend name=b1 standing=0 trying=0 booked=0 "report age ms"=\S+ out=false`)
 	r.signal(syscall.SIGTERM)
@@ -46,6 +47,7 @@
 	r.awaitLog(`msg=counters why=exit .*`)
 }
 
+// The end of one connection of a session reaches the other one as what it was: an orderly end or a reset.
 func TestEndsAndResetsAreForwarded(t *testing.T) {
 	b := newBackend(t, "b1")
 	r := startRelay(t, 0, b)
@@ -58,7 +60,7 @@
 		{"client resets", func(client, server *peer) string { client.reset(); return server.receive() }, "reset"},
 		{"backend ends", func(client, server *peer) string { server.Close(); return client.receive() }, "end"},
 		{"backend resets", func(client, server *peer) string { server.reset(); return client.receive() }, "reset"},
-		// A reset right behind a line was once reported as an end.
+		// A reset right after a line must not be forwarded as an orderly end.
 		{"backend resets behind a line", func(client, server *peer) string {
 			server.send("last")
 			server.reset()
@@ -76,6 +78,7 @@
 	}
 }
 
+// However the first attempt fails, the next one goes to the other backend.
 func TestAttemptsOneAfterTheOther(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -111,6 +114,8 @@
 	}
 }
 
+// Malformed, over-long, incomplete and missing requests, and one with the ID of an open session, are refused in time
+// and not forwarded.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	b := newBackend(t, "b1")
 	r := startRelay(t, 0, b)
@@ -119,35 +124,35 @@
 		strings.Repeat("OPEN 1 2 c=feed,d=2000\r\n", 300), strings.Repeat("PING\r\n", 300),
 		strings.Repeat("x", 4096), strings.Repeat("x", 8<<20)} {
 		client := r.dial()
-		go client.Write([]byte(line + "\r\n")) // cut short by the close
-		heard := client.receive()
-		for heard == "PONG" {
-			heard = client.receive()
+		go client.Write([]byte(line + "\r\n")) // fails once the relay has closed the connection
+		received := client.receive()
+		for received == "PONG" {
+			received = client.receive()
 		}
-		assert.Equal(t, "ERR", heard, line[:8])
+		assert.Equal(t, "ERR", received, line[:8])
 		assert.NotEqual(t, "ERR", client.receive(), "closed")
 	}
-	mute, trickle := r.dial(), r.dial()
+	silent, trickling := r.dial(), r.dial()
 	go func() {
-		for _, err := trickle.Write([]byte("O")); err == nil; _, err = trickle.Write([]byte("P")) {
+		for _, err := trickling.Write([]byte("O")); err == nil; _, err = trickling.Write([]byte("P")) {
 			time.Sleep(shortWait)
 		}
 	}()
 	from := time.Now()
-	assert.Equal(t, []string{"ERR", "ERR"}, []string{mute.receive(), trickle.receive()})
-	assert.Less(t, time.Since(from), 3*time.Second, "they hold a descriptor")
+	assert.Equal(t, []string{"ERR", "ERR"}, []string{silent.receive(), trickling.receive()})
+	assert.Less(t, time.Since(from), 3*time.Second, "each of them holds a descriptor")
 	half := r.dial()
 	half.Write([]byte("OPEN 1 2 c=fe"))
 	half.CloseWrite()
-	assert.Equal(t, "end", half.receive(), "an end in mid-line")
+	assert.Equal(t, "end", half.receive(), "an end in the middle of a line")
 	client := r.dial()
 	client.send("OPEN 1 2 c=feed,t=one,d=600")
 	server, _ := b.awaitSession()
 	from = time.Now()
-	twin := r.dial()
-	twin.send("OPEN 1 2 c=feed,t=one,d=600")
-	assert.Equal(t, "ERR", twin.receive(), "the id of an open session")
-	assert.Regexp(t, `^BUSY`, client.receive(), "a backend that says nothing")
+	duplicate := r.dial()
+	duplicate.send("OPEN 1 2 c=feed,t=one,d=600")
+	assert.Equal(t, "ERR", duplicate.receive(), "the id of an open session")
+	assert.Regexp(t, `^BUSY`, client.receive(), "a backend that never answers")
 	assert.Less(t, time.Since(from), 650*time.Millisecond)
 	assert.Equal(t, "end", server.receive())
 	assert.Empty(t, b.requests, "nothing else was forwarded")
@@ -155,7 +160,7 @@
 	r.awaitLog(`"bad clients.no head"=2 "bad clients.half a head"=1 .*"bad clients.id in use"=1`)
 }
 
-// Hundreds that connect and say nothing don't keep others out.
+// Hundreds of clients that connect and send nothing don't keep other clients from being served.
 func TestSilentClientsGiveWay(t *testing.T) {
 	b := newBackend(t, "b1")
 	r := startRelay(t, 80, b)
@@ -175,6 +180,7 @@
 	assert.Less(t, time.Since(from), 5*time.Second)
 }
 
+// At SIGTERM established sessions are migrated, and a request on an open connection is still served.
 func TestGracefulShutdown(t *testing.T) {
 	withoutExitSleep(t)
 	b := newBackend(t, "b1")
@@ -197,23 +203,25 @@
 	r.awaitLog(`answered.moved=2`)
 }
 
+// After SIGKILL both ends of a session see it end, and a new process serves the returning client.
 func TestRestartAfterAKill(t *testing.T) {
 	b := newBackend(t, "b1")
 	r := startRelay(t, 0, b)
 	client, server := r.establish(b)
 	r.signal(syscall.SIGKILL)
 	r.awaitExit()
-	assert.Equal(t, []string{"end", "end"}, []string{client.receive(), server.receive()}, "nothing is left half open")
-	again := startRelay(t, 0, b)
-	before := again.dial()
-	before.send("OPEN 9b1f 7f3a c=feed,t=one,d=2000,at=b1")
+	assert.Equal(t, []string{"end", "end"}, []string{client.receive(), server.receive()}, "no connection stays half open")
+	restarted := startRelay(t, 0, b)
+	returning := restarted.dial()
+	returning.send("OPEN 9b1f 7f3a c=feed,t=one,d=2000,at=b1")
 	server, head := b.awaitSession()
 	assert.Equal(t, "OPEN 9b1f 7f3a c=feed,t=one,d=2000,at=b1", head)
 	server.send("UP receipt")
-	assert.Equal(t, "UP receipt", before.receive())
-	again.establish(b)
+	assert.Equal(t, "UP receipt", returning.receive())
+	restarted.establish(b)
 }
 
+// The sessions of a draining backend are migrated between two lines; an incomplete line is not forwarded.
 func TestDrainingBackendIsLeft(t *testing.T) {
 	b1, b2 := newBackend(t, "b1"), newBackend(t, "b2")
 	r := startRelay(t, 0, b1)
@@ -224,10 +232,11 @@
 	r.establish(b2)
 }
 
+// When the descriptors run out, new requests wait or get BUSY, none of them is lost, and established sessions go on.
 func TestDescriptorsRunOut(t *testing.T) {
 	b := newBackend(t, "b1")
-	r := startRelay(t, 44, b) // 32 of them are the relay's own, 4 for clients that are told to come again
-	<-b.polls                 // that connection counts too
+	r := startRelay(t, 44, b) // 32 are for the relay itself, and 4 for clients that are told to retry later
+	<-b.polls                 // the connection of the load poll counts as well
 	var clients, servers []*peer
 	for range 3 {
 		client, server := r.establish(b)
@@ -235,11 +244,11 @@
 	}
 	var idle []*peer
 	for i := range 20 {
-		full := r.dial()
-		full.send(fmt.Sprintf("OPEN 1%d 2 c=feed,t=one,d=2000", i))
-		idle = append(idle, full, r.dial())
+		waiting := r.dial()
+		waiting.send(fmt.Sprintf("OPEN 1%d 2 c=feed,t=one,d=2000", i))
+		idle = append(idle, waiting, r.dial())
 		if len(idle) < 9 {
-			assert.Equal(t, []string{"BUSY 900", "end"}, []string{full.receive(), full.receive()})
+			assert.Equal(t, []string{"BUSY 900", "end"}, []string{waiting.receive(), waiting.receive()})
 		}
 	}
 	clients[0].send("still here")
@@ -256,14 +265,14 @@
 		}
 	}()
 	for i := 10; i < len(idle); i += 2 {
-		assert.Contains(t, []string{"UP late", "BUSY 900"}, idle[i].receive(), "none of those that waited is lost")
+		assert.Contains(t, []string{"UP late", "BUSY 900"}, idle[i].receive(), "no waiting request is lost")
 		idle[i].Close()
 	}
 	r.signal(syscall.SIGUSR1)
 	r.awaitLog(`in.holds=[1-9]`)
 }
 
-// A reader that takes nothing in doesn't fill the relay's memory.
+// A client that stops reading is disconnected, instead of filling the relay's memory with what is sent to it.
 func TestSlowReaderIsCutOff(t *testing.T) {
 	b := newBackend(t, "b1")
 	r := startRelay(t, 0, b)
@@ -279,17 +288,18 @@
 	r.awaitLog(`"endings.slow reader"=1`)
 }
 
-// SIGHUP doesn't end the program, an invalid file takes nothing away, and the former discovery is not watched any more.
+// SIGHUP doesn't end the process, an invalid file changes nothing, and after a valid one the former discovery is not
+// watched any more.
 func TestReload(t *testing.T) {
 	b1, b2 := newBackend(t, "b1"), newBackend(t, "b2")
 	r := startRelay(t, 0, b1)
 	client, server := r.establish(b1)
-	r.discovery.setEndpoints(r.discovery.endpoint("b1", b1.address, "active")) // versions of the next count from 1
+	r.discovery.setEndpoints(r.discovery.endpoint("b1", b1.address, "active")) // version 2; the next discovery starts at 1
 	for i, c := range []struct{ text, field string }{{`{"name":`, "config.json"}, {"", "config.json"},
 		{strings.Replace(r.discovery.relayConfig(0), `"seed"`, `"seeds"`, 1), "seed"},
 		{strings.Replace(r.discovery.relayConfig(0), `"probes":true`, `"probes":7`, 1), "limits.probes"}} {
 		r.reload(c.text)
-		r.awaitLog(fmt.Sprintf(`(?s)(reload refused.*){%d}`, i+1)) // each is read before the next replaces it
+		r.awaitLog(fmt.Sprintf(`(?s)(reload refused.*){%d}`, i+1)) // wait until the file has been read, before the next one replaces it
 		r.awaitLog(`reload refused.*` + c.field)
 	}
 	former, next := r.discovery, newDiscoveryStub(t, b1, b2)
@@ -300,7 +310,7 @@
 	next.setEndpoints(next.endpoint("b1", b1.address, "active"), next.endpoint("b2", b2.address, "active"))
 	client.send("still here")
 	assert.Equal(t, "still here", server.receive())
-	former.setEndpoints(former.endpoint("b1", b1.address, "leaving")) // nobody listens to it
+	former.setEndpoints(former.endpoint("b1", b1.address, "leaving")) // must have no effect
 	next.setEndpoints(next.endpoint("b1", b1.address, "leaving"), next.endpoint("b2", b2.address, "active"))
 	assert.Equal(t, []string{"MOVE", "end"}, []string{client.receive(), client.receive()})
 	r.establish(b2)
@@ -312,11 +322,12 @@
 	r.awaitLog(`in.reloads=3 "in.bad reloads"=4`)
 }
 
+// While discovery is down the relay serves with the last list, and it follows the new list once discovery is back.
 func TestDiscoveryDown(t *testing.T) {
 	b := newBackend(t, "b1")
 	r := startRelay(t, 0, b)
 	r.establish(b)
-	r.discovery.awaitWatch(t) // a relay that finds it down from the start has no watch that could break
+	r.discovery.awaitWatch(t) // the watch must be open before discovery goes down, so that it can break
 	r.discovery.setStatus(503)
 	r.discovery.setEndpoints("{") // ends the watch with broken JSON
 	r.awaitLog(`msg="watch failed" why="list: `)
@@ -341,6 +352,7 @@
 	}
 }
 
+// With an invalid configuration the process logs the invalid field and exits with 1.
 func TestInvalidConfiguration(t *testing.T) {
 	for text, field := range map[string]string{`{`: "config.json", `{"name":"n"}`: "listen",
 		`{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{}}`: "settings: "} {
@@ -350,13 +362,13 @@
 	}
 }
 
-// The admin API answers within a second while clients flood the relay and callers stall, the metrics are what the peers
-// saw, and a relay drains and comes back into service.
+// The admin API answers within a second while clients flood the relay and other callers stall, its metrics match what
+// clients and backends saw, and it makes the relay drain and return to service.
 func TestAdminAPI(t *testing.T) {
 	b := newBackend(t, "b1")
-	l := newDiscoveryStub(t, b)
-	l.adminAddress = "127.0.0.1:0"
-	r := startProcess(t, l.relayConfig(200))
+	discovery := newDiscoveryStub(t, b)
+	discovery.adminAddress = "127.0.0.1:0"
+	r := startProcess(t, discovery.relayConfig(200))
 	address := r.awaitLog(`msg="admin API listening" listen=(\S+)`)[1]
 	r.address = r.awaitLog(`msg=serving .*listen=(\S+)`)[1]
 	client, _ := r.establish(b)
--- a/cmd/valeshift/replication_golden_test.go
+++ b/cmd/valeshift/replication_golden_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// goldenRelay answers as a relay of the build before the fields had tags did.
+// goldenRelay starts a stub that answers as a relay did before its structs had JSON tags, and returns its address.
 func goldenRelay(t *testing.T, name string) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -38,7 +38,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// The forms in which valeshift holdings, export and verify print what relays say.
+// The output of the subcommands show, export and verify of `valeshift holdings` is that of the golden files.
 func TestGoldenHoldingsCommand(t *testing.T) {
 	one, two, wrong := goldenRelay(t, "relay-1"), goldenRelay(t, "relay-2"), goldenRelay(t, "relay-wrong")
 	for _, c := range []struct {
@@ -54,7 +54,7 @@
 		{"one relay not asked", "verify-unknown.txt", []string{"verify", one}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			command := exec.Command(program, append([]string{"holdings"}, c.arguments...)...)
+			command := exec.Command(programPath, append([]string{"holdings"}, c.arguments...)...)
 			var out bytes.Buffer
 			command.Stdout = &out
 			err := command.Run()
--- a/cmd/valeshift/suspend_test.go
+++ b/cmd/valeshift/suspend_test.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	drainGrace       = 500 * time.Millisecond // after the notice, in which a draining backend may still get sessions
-	suspendedClients = 20
-	timeToAnswer     = 2 * time.Second // the requests' deadline
+	drainGrace       = 500 * time.Millisecond // how long after the notice a draining backend may still get sessions
+	suspendedClients = 20                     // requests sent while the relay is suspended
+	timeToAnswer     = 2 * time.Second        // deadline of these requests
 )
 
-// suspend stops the process, and has it go on when the returned function is called.
+// suspend stops the process by SIGSTOP, until the returned function is called.
 func (r *process) suspend() (resume func()) {
 	r.t.Helper()
 	r.signal(syscall.SIGSTOP)
@@ -26,7 +26,7 @@
 	}
 }
 
-// acceptSessions answers all sessions that come to the backend until the test ends, and sends the time of each.
+// acceptSessions accepts all sessions that arrive at the backend, and sends the time of each on the channel.
 func (b *backend) acceptSessions() <-chan time.Time {
 	arrivals := make(chan time.Time, suspendedClients)
 	go func() {
@@ -38,8 +38,8 @@
 	return arrivals
 }
 
-// A relay that was suspended reads the drain that came meanwhile before it assigns the sessions that came meanwhile,
-// also where discovery is down by then.
+// After a suspension the relay applies a drain that was announced during it before it assigns the requests that
+// arrived during it, even if discovery is down by then.
 func TestSuspendedRelayAppliesDrainFirst(t *testing.T) {
 	for _, suspended := range []time.Duration{150 * time.Millisecond, 500 * time.Millisecond, time.Second,
 		2 * time.Second, 3 * time.Second, 10 * time.Second} {
@@ -52,6 +52,8 @@
 	}
 }
 
+// testDrainDuringSuspension drains a backend while the relay is suspended. The suspension begins sinceHeartbeat after
+// the relay has opened its watch and polled both backends.
 func testDrainDuringSuspension(t *testing.T, suspended, sinceHeartbeat time.Duration) {
 	drained, kept := newBackend(t, "b1"), newBackend(t, "b2")
 	toDrained, toKept := drained.acceptSessions(), kept.acceptSessions()
@@ -75,19 +77,19 @@
 		assert.Equal(t, "UP receipt", client.receive())
 	}
 	for len(toDrained) > 0 {
-		assert.LessOrEqual(t, (<-toDrained).Sub(notified), drainGrace, "a session came to the draining backend")
+		assert.LessOrEqual(t, (<-toDrained).Sub(notified), drainGrace, "the draining backend got a session too late")
 	}
 	assert.NotEmpty(t, toKept)
 }
 
-// awaitPolls waits until each backend was polled.
+// awaitPolls waits until the relay has polled each backend.
 func (r *process) awaitPolls(backends ...*backend) {
 	r.t.Helper()
 	for _, b := range backends {
 		select {
 		case <-b.polls:
 		case <-time.After(longWait):
-			assert.Fail(r.t, "no poll came to "+b.name)
+			assert.Fail(r.t, "no load poll arrived at "+b.name)
 		}
 	}
 }
--- a/cmd/valeshift/upgrade_test.go
+++ b/cmd/valeshift/upgrade_test.go
@@ -18,13 +18,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sharedSocket is a socket that the platform holds, and the folder that a relay's processes share.
+// sharedSocket is a listening socket that the platform holds, and the folder for hot restarts, both shared by the
+// processes of one relay.
 type sharedSocket struct {
 	t         *testing.T
 	file      *os.File
 	dir       string
 	discovery *discoveryStub
-	sockets   int // the relays' limit on descriptors
+	sockets   int // limit on descriptors of each process
 }
 
 func newSharedSocket(t *testing.T, backends ...*backend) *sharedSocket {
@@ -37,27 +38,27 @@
 		l.Close()
 		f.Close()
 	})
-	g := &sharedSocket{t: t, file: f, dir: t.TempDir(), discovery: newDiscoveryStub(t, backends...), sockets: 300}
-	g.discovery.adminAddress = "127.0.0.1:0"
-	g.discovery.listenAddress = l.Addr().String()
-	return g
+	s := &sharedSocket{t: t, file: f, dir: t.TempDir(), discovery: newDiscoveryStub(t, backends...), sockets: 300}
+	s.discovery.adminAddress = "127.0.0.1:0"
+	s.discovery.listenAddress = l.Addr().String()
+	return s
 }
 
-// start starts one more process.
-func (g *sharedSocket) start() *process {
-	g.t.Helper()
-	return startProcess(g.t, g.discovery.relayConfig(g.sockets), g.file, "RELAY_SOCKET_FD=3", "TMPDIR="+g.dir)
+// start starts one more process with the shared socket.
+func (s *sharedSocket) start() *process {
+	s.t.Helper()
+	return startProcess(s.t, s.discovery.relayConfig(s.sockets), s.file, "RELAY_SOCKET_FD=3", "TMPDIR="+s.dir)
 }
 
-// startRelay starts one more process, and returns it with the address of its admin API.
-func (g *sharedSocket) startRelay() (*process, string) {
-	g.t.Helper()
-	r := g.start()
-	r.address, r.discovery = g.discovery.listenAddress, g.discovery
+// startRelay starts one more process, waits for its admin API, and returns both the process and that API's address.
+func (s *sharedSocket) startRelay() (*process, string) {
+	s.t.Helper()
+	r := s.start()
+	r.address, r.discovery = s.discovery.listenAddress, s.discovery
 	return r, r.awaitLog(`msg="admin API listening" listen=(\S+)`)[1]
 }
 
-// awaitReady waits until the process says that it is ready.
+// awaitReady waits until the admin API at that address reports that its process is ready.
 func awaitReady(t *testing.T, address string) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -77,8 +78,8 @@
 // attemptCounter counts the attempts that backends see of each session.
 type attemptCounter struct {
 	mutex    sync.Mutex
-	byID     map[string]int
-	repeated int // attempts beyond a session's first
+	byID     map[string]int // attempts by session ID
+	repeated int            // attempts beyond a session's first
 }
 
 func (a *attemptCounter) count(id string) {
@@ -90,10 +91,10 @@
 	}
 }
 
-// echo establishes each session that comes, and echoes its lines until the client has left.
+// echo accepts each session that arrives, and echoes its lines until the connection ends.
 func (b *backend) echo(attempts *attemptCounter) { b.echoAfter(attempts, 0) }
 
-// echoAfter does so after a while, of that length at the most.
+// echoAfter does what echo does, but accepts each session after a random delay of at most longest.
 func (b *backend) echoAfter(attempts *attemptCounter, longest time.Duration) {
 	for request := range b.requests {
 		p := <-b.sessions
@@ -115,45 +116,47 @@
 	}
 }
 
-// steadyClients are clients that come and go until they are stopped.
+// steadyClients are clients that open one session after the other until they are stopped.
 type steadyClients struct {
 	address    string
 	stop       chan struct{}
 	goroutines sync.WaitGroup
-	served     atomic.Int64
-	moved      atomic.Int64 // among those served
+	served     atomic.Int64 // number of clients that have finished
+	moved      atomic.Int64 // how many of these were migrated
 	failures   chan string
 }
 
+// startSteadyClients starts clients of the relay at that address.
 func startSteadyClients(address string) *steadyClients {
-	const lanes = 12
+	const workers = 12
 	c := &steadyClients{address: address, stop: make(chan struct{}), failures: make(chan string, 10000)}
-	for lane := range lanes {
-		c.goroutines.Go(func() { c.run(lane) })
+	for worker := range workers {
+		c.goroutines.Go(func() { c.runWorker(worker) })
 	}
 	return c
 }
 
-// run runs one client after the other, with a pause before each. Every third lane's clients stay.
-func (c *steadyClients) run(lane int) {
+// runWorker runs one client after the other, with a pause before each. The clients of every third worker stay until
+// they are migrated or stopped.
+func (c *steadyClients) runWorker(worker int) {
 	for n := 0; ; n++ {
 		select {
 		case <-c.stop:
 			return
-		case <-time.After(time.Duration(5*lane) * time.Millisecond):
+		case <-time.After(time.Duration(5*worker) * time.Millisecond):
 		}
-		seen := runClient(c.address, fmt.Sprintf("%d.%d", lane, n), c.stop, lane%3 == 0)
+		result := runClient(c.address, fmt.Sprintf("%d.%d", worker, n), c.stop, worker%3 == 0)
 		switch {
-		case strings.HasSuffix(seen, "UP MOVE"):
+		case strings.HasSuffix(result, "UP MOVE"):
 			c.moved.Add(1)
-		case seen != "UP":
-			c.failures <- seen
+		case result != "UP":
+			c.failures <- result
 		}
 		c.served.Add(1)
 	}
 }
 
-// end stops the clients, and returns what failed.
+// end stops the clients, and returns their failures.
 func (c *steadyClients) end() []string {
 	close(c.stop)
 	c.goroutines.Wait()
@@ -165,20 +168,20 @@
 	return failures
 }
 
-// One process after the other takes a steady stream of clients over: none of them is rejected, left unread or cut off
-// without notice, and no session has two attempts.
+// A relay's process is replaced three times under a steady stream of clients. No client is rejected, left unanswered or
+// cut off without notice, and no session has two attempts.
 func TestProcessReplaced(t *testing.T) {
 	b1, b2 := newBackend(t, "b1"), newBackend(t, "b2")
-	g := newSharedSocket(t, b1, b2)
+	shared := newSharedSocket(t, b1, b2)
 	attempts := &attemptCounter{byID: map[string]int{}}
 	go b1.echo(attempts)
 	go b2.echo(attempts)
-	parent, address := g.startRelay()
+	parent, address := shared.startRelay()
 	awaitReady(t, address)
-	clients := startSteadyClients(g.discovery.listenAddress)
+	clients := startSteadyClients(shared.discovery.listenAddress)
 	for range 3 {
 		time.Sleep(shortWait)
-		child, address := g.startRelay()
+		child, address := shared.startRelay()
 		awaitReady(t, address)
 		parent.signal(syscall.SIGTERM)
 		assert.Zero(t, parent.awaitExit(), parent.log())
@@ -193,13 +196,13 @@
 	}
 	attempts.mutex.Lock()
 	defer attempts.mutex.Unlock()
-	assert.Zero(t, attempts.repeated, "ids seen twice")
+	assert.Zero(t, attempts.repeated, "attempts beyond a session's first")
 	assert.Greater(t, clients.served.Load(), int64(100))
-	t.Logf("%d clients served, %d of them moved", clients.served.Load(), clients.moved.Load())
+	t.Logf("%d clients served, %d of them migrated", clients.served.Load(), clients.moved.Load())
 }
 
-// runClient opens a session, sends some lines and leaves; one that stays does so until it is moved or stopped. It returns
-// what it saw.
+// runClient opens a session, sends some lines and leaves; a client that stays goes on until it is migrated or stopped.
+// It returns "UP" if all went well, "UP MOVE" if it was migrated, and else what went wrong.
 func runClient(address, id string, stop <-chan struct{}, stays bool) string {
 	const lines = 4
 	conn, err := net.Dial("tcp", address)
@@ -246,16 +249,16 @@
 	return "UP"
 }
 
-// A platform that starts a process with the shared socket may have it block, and the process may die before it undoes that.
-// The shutdown of the other one ends all the same.
+// The platform may set the shared socket to blocking mode when it starts a process, and that process may die before it
+// sets it back. The other process must still be able to shut down.
 func TestShutdownWithASocketThatBlocks(t *testing.T) {
 	withoutExitSleep(t)
 	b := newBackend(t, "b1")
-	g := newSharedSocket(t, b)
-	r, address := g.startRelay()
+	shared := newSharedSocket(t, b)
+	r, address := shared.startRelay()
 	awaitReady(t, address)
-	require.NoError(t, syscall.SetNonblock(int(g.file.Fd()), false))
-	client, _ := r.establish(b) // after which the relay waits for the next client
+	require.NoError(t, syscall.SetNonblock(int(shared.file.Fd()), false))
+	client, _ := r.establish(b) // the relay now waits for the next client
 	from := time.Now()
 	r.signal(syscall.SIGTERM)
 	assert.Equal(t, []string{"MOVE", "end"}, []string{client.receive(), client.receive()})
@@ -263,29 +266,30 @@
 	assert.Less(t, time.Since(from), longestShutdown)
 }
 
-// A socket that can't be used is named, and nothing starts; a handoff of the parent that can't be read is ignored.
+// The process logs a socket descriptor that is not usable and exits; it ignores a handoff of its parent that it can't
+// parse.
 func TestInvalidSocketOrHandoff(t *testing.T) {
-	l := newDiscoveryStub(t)
+	discovery := newDiscoveryStub(t)
 	for value, want := range map[string]string{"x": "RELAY_SOCKET_FD: a descriptor from 3 on",
 		"1":  "RELAY_SOCKET_FD: a d",
 		"77": "RELAY_SOCKET_FD: a listening socket", "3": "RELAY_SOCKET_FD: a listening socket"} {
 		f, err := os.Open(os.DevNull)
 		require.NoError(t, err)
-		r := startProcess(t, l.relayConfig(300), f, "RELAY_SOCKET_FD="+value, "TMPDIR="+t.TempDir())
+		r := startProcess(t, discovery.relayConfig(300), f, "RELAY_SOCKET_FD="+value, "TMPDIR="+t.TempDir())
 		assert.Equal(t, 1, r.awaitExit(), value)
 		assert.Contains(t, r.log(), want)
 		f.Close()
 	}
 	b := newBackend(t, "b1")
-	g := newSharedSocket(t, b)
-	first, at := g.startRelay()
+	shared := newSharedSocket(t, b)
+	first, at := shared.startRelay()
 	awaitReady(t, at)
-	bad, _ := json.Marshal(map[string]any{"Version": 99})
-	require.NoError(t, os.WriteFile(g.dir+"/valeshift.2.left", bad, 0o600))
-	next, at := g.startRelay()
+	unsupported, _ := json.Marshal(map[string]any{"Version": 99})
+	require.NoError(t, os.WriteFile(shared.dir+"/valeshift.2.left", unsupported, 0o600))
+	next, at := shared.startRelay()
 	next.awaitLog(`level=WARN msg="starting without the parent's state" err="parse handoff: version 1 expected, got 99"`)
 	awaitReady(t, at)
-	next.signal(syscall.SIGKILL) // the child dies: the parent goes on, and its shutdown is a plain one
+	next.signal(syscall.SIGKILL) // the child dies: the parent goes on, and later shuts down without a handoff
 	next.awaitExit()
 	first.awaitLog(`msg="child process" alive=false`)
 	first.establish(b)
@@ -294,21 +298,21 @@
 	assert.Zero(t, first.awaitExit())
 }
 
-// An established session goes on at the child process, half a line and all, and the parent's end is nothing to it; where
-// the child can't be reached, it is moved.
+// Established sessions are transferred to the child process together with an incomplete line, and go on after the
+// parent's exit. If the child can't be reached, they are migrated instead.
 func TestEstablishedSessionIsTransferred(t *testing.T) {
 	b := newBackend(t, "b1")
-	g := newSharedSocket(t, b)
-	r, at := g.startRelay()
+	shared := newSharedSocket(t, b)
+	r, at := shared.startRelay()
 	awaitReady(t, at)
 	client, server := r.establish(b)
-	quiet, _ := r.establish(b)
+	idle, _ := r.establish(b)
 	for n := range 2 {
 		server.Write([]byte("half "))
 		client.send("ask")
 		assert.Equal(t, "ask", server.receive())
-		time.Sleep(20 * time.Millisecond) // for the half line to be there
-		next, at := g.startRelay()
+		time.Sleep(20 * time.Millisecond) // for the incomplete line to arrive at the relay
+		next, at := shared.startRelay()
 		awaitReady(t, at)
 		r.signal(syscall.SIGTERM)
 		assert.Zero(t, r.awaitExit(), r.log())
@@ -319,12 +323,12 @@
 		assert.Equal(t, "more", server.receive())
 		r = next
 	}
-	next, at := g.startRelay()
+	next, at := shared.startRelay()
 	awaitReady(t, at)
-	require.NoError(t, os.Remove(g.dir+"/valeshift.4.way"))
+	require.NoError(t, os.Remove(shared.dir+"/valeshift.4.way"))
 	r.signal(syscall.SIGTERM)
 	assert.Equal(t, []string{"MOVE", "end"}, []string{client.receive(), client.receive()})
-	assert.Equal(t, []string{"MOVE", "end"}, []string{quiet.receive(), quiet.receive()})
+	assert.Equal(t, []string{"MOVE", "end"}, []string{idle.receive(), idle.receive()})
 	assert.Zero(t, r.awaitExit(), r.log())
 	next.establish(b)
 }
--- a/cmd/valeshift/zone_test.go
+++ b/cmd/valeshift/zone_test.go
@@ -19,8 +19,8 @@
 	"valeshift/internal/failover"
 )
 
-// The golden files hold what a voter answers, and what `valeshift zone` sends and prints, as the build wrote
-// them before its fields had tags.
+// zoneGolden returns the text of a golden file: an answer of a coordinator, or what `valeshift zone` sends or prints.
+// The files were written by the build before its structs had JSON tags.
 func zoneGolden(t *testing.T, name string) string {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", "golden", "zone", name))
@@ -28,22 +28,23 @@
 	return string(data)
 }
 
-// voterStandIn answers as a voter that leads, or as one that does not, and remembers the last order it got.
-type voterStandIn struct {
-	status string
-	leads  bool
-	order  []byte
+// coordinatorStub is a coordinator that leads or does not, and records the last order that it got.
+type coordinatorStub struct {
+	status string // answer to GET /status
+	leads  bool   // whether it answers orders
+	order  []byte // body of the last order; nil: none yet
 }
 
-func (v *voterStandIn) start(t *testing.T) (address string) {
+// start serves the admin API and returns its address.
+func (v *coordinatorStub) start(t *testing.T) (address string) {
 	t.Helper()
-	calls := http.NewServeMux()
+	mux := http.NewServeMux()
 	answer := func(path, text string) {
-		calls.HandleFunc("GET "+path, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, text) })
+		mux.HandleFunc("GET "+path, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, text) })
 	}
 	answer("/status", v.status)
 	answer("/history", zoneGolden(t, "history.json"))
-	calls.HandleFunc("POST /order", func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("POST /order", func(w http.ResponseWriter, r *http.Request) {
 		if !v.leads {
 			w.WriteHeader(http.StatusMisdirectedRequest)
 			return
@@ -55,32 +56,34 @@
 		}
 		io.WriteString(w, zoneGolden(t, "order-answer.json"))
 	})
-	server := httptest.NewServer(calls)
+	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// printed gives what the command prints on standard output, with voters' addresses replaced by names.
-func printed(t *testing.T, names map[string]string, run func() error) (string, error) {
+// captureStdout runs the command, and returns what it printed on standard output, with addresses replaced by names, and
+// its error.
+func captureStdout(t *testing.T, names map[string]string, run func() error) (string, error) {
 	t.Helper()
 	reader, writer, err := os.Pipe()
 	require.NoError(t, err)
 	stdout := os.Stdout
 	os.Stdout = writer
 	defer func() { os.Stdout = stdout }()
-	failed := run()
+	runErr := run()
 	require.NoError(t, writer.Close())
 	text, err := io.ReadAll(reader)
 	require.NoError(t, err)
 	for address, name := range names {
 		text = bytes.ReplaceAll(text, []byte(address), []byte(name))
 	}
-	return string(text), failed
+	return string(text), runErr
 }
 
+// Each action of `valeshift zone` prints, and sends, what the golden files have.
 func TestZoneCommandGolden(t *testing.T) {
-	leader := &voterStandIn{status: zoneGolden(t, "status-leader.json"), leads: true}
-	other := &voterStandIn{status: zoneGolden(t, "status-other.json")}
+	leader := &coordinatorStub{status: zoneGolden(t, "status-leader.json"), leads: true}
+	other := &coordinatorStub{status: zoneGolden(t, "status-other.json")}
 	leaderAddress, otherAddress := leader.start(t), other.start(t)
 	names := map[string]string{leaderAddress: "LEADER", otherAddress: "OTHER"}
 	coordinators := []string{"--council", otherAddress, "--council", leaderAddress}
@@ -93,7 +96,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			leader.order = nil
-			text, err := printed(t, names, func() error {
+			text, err := captureStdout(t, names, func() error {
 				return runSubcommand(&zoneArguments{}, "valeshift zone", append(args, coordinators...))
 			})
 			require.NoError(t, err)
@@ -106,11 +109,12 @@
 	}
 }
 
+// With --for the order gets the time at which it expires; without --id it gets a random ID.
 func TestZoneCommandOrderEnds(t *testing.T) {
-	leader := &voterStandIn{leads: true}
+	leader := &coordinatorStub{leads: true}
 	address := leader.start(t)
 	before := time.Now().Add(time.Hour).UnixMilli()
-	_, err := printed(t, nil, func() error {
+	_, err := captureStdout(t, nil, func() error {
 		return runSubcommand(&zoneArguments{}, "valeshift zone", []string{"hold", "d", "--for=1h", "--council", address})
 	})
 	require.NoError(t, err)
@@ -118,12 +122,12 @@
 	require.NoError(t, json.Unmarshal(leader.order, &order))
 	assert.GreaterOrEqual(t, order.ExpiresAt, float64(before))
 	assert.LessOrEqual(t, order.ExpiresAt, float64(time.Now().Add(time.Hour).UnixMilli()))
-	assert.NotEmpty(t, order.ID, "drawn, as none was given")
+	assert.NotEmpty(t, order.ID, "random, as none was given")
 }
 
 func TestZoneCommandErrors(t *testing.T) {
-	leader := &voterStandIn{status: zoneGolden(t, "status-leader.json"), leads: true}
-	other := &voterStandIn{status: zoneGolden(t, "status-other.json")}
+	leader := &coordinatorStub{status: zoneGolden(t, "status-leader.json"), leads: true}
+	other := &coordinatorStub{status: zoneGolden(t, "status-other.json")}
 	leaderAddress, otherAddress := leader.start(t), other.start(t)
 	for name, c := range map[string]struct {
 		args []string
@@ -138,13 +142,13 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := printed(t, nil, func() error { return runSubcommand(&zoneArguments{}, "valeshift zone", c.args) })
+			_, err := captureStdout(t, nil, func() error { return runSubcommand(&zoneArguments{}, "valeshift zone", c.args) })
 			assert.EqualError(t, err, c.want)
 		})
 	}
 }
 
-// The names of arguments, flags and environment variables, and what help says of them.
+// The names of arguments, flags and environment variables, and their help texts, are those of the golden file.
 func TestZoneCommandHelpGolden(t *testing.T) {
 	t.Setenv("USER", "")
 	var help bytes.Buffer
