--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -1,5 +1,6 @@
-// Package adapter runs the balancer in the simulator: it answers the batches of package wire for many relays,
-// here called instances as in the protocol, keeps their sessions and timers, and decides nothing.
+// Package adapter connects the balancer to the external simulator. It answers the batches of package wire on behalf of
+// many relays, here called instances as in the protocol, and keeps their sessions and timers. All decisions are the
+// balancer's.
 package adapter
 
 import (
@@ -12,18 +13,18 @@
 
 // host runs all instances of this process.
 type host struct {
-	reader    *wire.Reader
-	writer    *wire.Writer
-	instances map[uint16]*instance
-	touched   []*instance            // that had an event in this batch, in order
-	speaking  int                    // number of the instance that the reply's actions are of; -1: none yet
-	pages     [wire.PageCount][]byte // of endpoint list entries
-	report    []float64              // buffer of the latest load report
-	now       float64                // the batch's clock, milliseconds
+	reader       *wire.Reader
+	writer       *wire.Writer
+	instances    map[uint16]*instance   // instances by number
+	touched      []*instance            // instances that had an event in this batch, in the order of their first one
+	onBehalfOf   int                    // number of the instance that the reply last named; -1: none yet
+	pages        [wire.PageCount][]byte // entries of the endpoint list, encoded, by page
+	reportBuffer []float64              // buffer that load reports are read into
+	now          float64                // time of the batch, in milliseconds
 }
 
-// Run answers batch after batch until the input ends. It returns an error where the input breaks the
-// protocol.
+// Run answers one batch after the other until the input ends. It returns an error if the input violates the protocol,
+// or can't be read, or if a reply can't be written.
 func Run(in io.Reader, out io.Writer) error {
 	h := &host{reader: wire.NewReader(in), writer: wire.NewWriter(out), instances: map[uint16]*instance{}}
 	for {
@@ -43,10 +44,10 @@
 	}
 }
 
-// handleBatch handles all records of a batch, then lets every instance that had an event do what is due.
+// handleBatch handles all records of a batch, then advances every instance that had an event.
 func (h *host) handleBatch() error {
 	h.now = h.reader.Clock
-	h.speaking = -1
+	h.onBehalfOf = -1
 	h.touched = h.touched[:0]
 	var current *instance
 	for range h.reader.Records {
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// handleRecord handles one record and returns the instance that the next ones are for.
+// handleRecord handles one record and returns the instance that the next records are for.
 func (h *host) handleRecord(current *instance) (*instance, error) {
 	offset := h.reader.Offset()
 	code := h.reader.EventCode()
@@ -88,7 +89,7 @@
 	return current, current.handleEvent(code, offset)
 }
 
-// instance returns the instance of that number, a new one where there is none.
+// instance returns the instance with that number, and creates it if there is none.
 func (h *host) instance(number uint16) *instance {
 	i := h.instances[number]
 	if i == nil {
@@ -98,7 +99,7 @@
 	return i
 }
 
-// handleRows stores a page of endpoint list entries for the updates that refer to it.
+// handleRows stores a page of endpoint list entries, which later updates refer to by its number.
 func (h *host) handleRows(offset int) error {
 	page := h.reader.Uint32()
 	rows := h.reader.Elements(int(h.reader.Uint32()), wire.EndpointSize)
@@ -112,7 +113,7 @@
 	return nil
 }
 
-// checkPage returns an error for a page number out of range, which was read at that offset.
+// checkPage returns an error if the page number, which was read at that offset, is out of range.
 func checkPage(page uint32, offset int) error {
 	if page >= wire.PageCount {
 		return fmt.Errorf("offset %d: a page number under %d expected, got %d", offset, wire.PageCount, page)
--- a/internal/adapter/adapter_test.go
+++ b/internal/adapter/adapter_test.go
@@ -16,6 +16,7 @@
 	"valeshift/internal/wire"
 )
 
+// profile has the settings of an instance. The last is one that the adapter does not know, and ignores.
 const profile = `replicas-of-me=1
 zone=0
 categories.count=1
@@ -36,7 +37,7 @@
 never.heard.of=1
 `
 
-// batch frames records, given in hex.
+// batch encodes a batch of records, whose bodies are in hex.
 func batch(clock float64, number uint32, records int, body ...string) []byte {
 	raw, err := hex.DecodeString(strings.ReplaceAll(strings.Join(body, ""), " ", ""))
 	if err != nil {
@@ -48,33 +49,37 @@
 	return append(binary.LittleEndian.AppendUint32(b, number), raw...)
 }
 
+// hello returns a Hello record with seed 5 and the settings, in hex.
 func hello(text string) string {
 	n := binary.LittleEndian.AppendUint32(nil, uint32(len(text)))
 	return "0b01 0500000000000000" + hex.EncodeToString(n) + hex.EncodeToString([]byte(text))
 }
 
+// Records in hex.
 const (
 	about  = "0701 0300"
 	page   = "0c01 00000000 01000000 00 01 0000 0000000000000000 00 0000803f 09000000"
 	cached = "0301 02 00000000 0100000000000000"
 )
 
+// incoming returns an Incoming record in hex; id is the session's, in hex too.
 func incoming(id string) string {
 	limit := binary.LittleEndian.AppendUint64(nil, math.Float64bits(3000))
 	return "0001" + id + "00 00000000 0000000000000000" + hex.EncodeToString(limit) +
 		"0000000000000000 0000000000000000 0000"
 }
 
+// A session is assigned; records for unknown sessions and timers, and for sessions from before a crash, are ignored.
 func TestConversation(t *testing.T) {
 	in := bytes.Join([][]byte{
 		batch(900, 1, 0),
 		batch(1000, 2, 6, about, hello(profile), page, cached, incoming("01000000"), "0201 01000000 0000 09000000 "+
 			"0000000000000000"),
-		// An outcome for a session never seen, a timer nobody set, a client gone that was never here.
+		// The outcome of an unknown session, a timer that was not set, and the disconnect of an unknown client.
 		batch(1100, 3, 4, about, "0d01 63000000 00 0000 09000000 0000000000000000 04 00", "0401 63000000",
 			"0101 63000000"),
 		batch(1200, 4, 2, about, "0d01 01000000 01 0000 09000000 0000000000000000 0a 00"),
-		// Killed and begun anew in one batch; the old session's outcome says nothing to it.
+		// A crash and a new start in one batch. The outcome of the old session, in the next batch, is ignored.
 		batch(1300, 5, 5, about, "0901", hello(profile), page, cached),
 		batch(1400, 6, 2, about, "0d01 01000000 00 0000 09000000 0000000000000000 04 00"),
 	}, nil)
@@ -85,7 +90,7 @@
 		"0000000000409f40"+empty(3)+empty(4)+empty(5)+empty(6), hex.EncodeToString(out.Bytes()))
 }
 
-// goldenConversation has each record that the wire knows at least once.
+// goldenConversation returns batches that contain each kind of event at least once.
 func goldenConversation() []byte {
 	f64 := func(v float64) string {
 		return hex.EncodeToString(binary.LittleEndian.AppendUint64(nil, math.Float64bits(v)))
@@ -101,8 +106,8 @@
 		return "00 01 0000" + f64(0) + "00" + f32(weight) + u32(id)
 	}
 	page := "0c01 00000000" + u32(3) + row(9, 1) + row(10, 2) + row(11, 1)
-	news := func(how string) string { return "0301" + how + "00000000 0100000000000000" }
-	arrive := func(code string, id uint32, limit, hint float64) string {
+	update := func(how string) string { return "0301" + how + "00000000 0100000000000000" }
+	arrival := func(code string, id uint32, limit, hint float64) string {
 		return code + u32(id) + "00" + u32(7) + "1100000000000000" + f64(limit) + f64(hint) + "2200000000000000 0100"
 	}
 	report := "02" + f32(0.25) + f32(3)
@@ -112,22 +117,22 @@
 	}
 	return bytes.Join([][]byte{
 		batch(900, 1, 0),
-		batch(1000, 2, 4, about, hello(settings), page, news("00")),
+		batch(1000, 2, 4, about, hello(settings), page, update("00")),
 		batch(1010, 3, 4, about, health(9, "00"), health(10, "00"), health(11, "04")),
-		batch(1020, 4, 6, about, arrive("0001", 1, 3000, 0), arrive("0001", 2, 3000, 0.5), arrive("0001", 3, 3000, 0),
-			arrive("0001", 4, 1000, 0), arrive("0501", 5, 1e9, 0)+u32(10)),
+		batch(1020, 4, 6, about, arrival("0001", 1, 3000, 0), arrival("0001", 2, 3000, 0.5), arrival("0001", 3, 3000, 0),
+			arrival("0001", 4, 1000, 0), arrival("0501", 5, 1e9, 0)+u32(10)),
 		batch(1040, 5, 4, about, "0201"+u32(1)+"0000"+u32(9)+f64(20), "0801"+u32(1)+"0000"+u32(9)+"01"+f32(850),
 			completed(2, "00", "04")),
 		batch(1060, 6, 5, about, completed(3, "01", "08"), "0101"+u32(4), "0101"+u32(2), completed(5, "01", "0a")),
-		batch(1100, 7, 4, about, news("03"), "0401"+u32(1), "0a01"+u32(4)+"0200 aabb"),
-		batch(5000, 8, 4, about, "0401"+u32(2), news("01"), arrive("0001", 6, 8000, 0)),
+		batch(1100, 7, 4, about, update("03"), "0401"+u32(1), "0a01"+u32(4)+"0200 aabb"),
+		batch(5000, 8, 4, about, "0401"+u32(2), update("01"), arrival("0001", 6, 8000, 0)),
 		batch(5100, 9, 2, about, "0901"),
-		batch(15000, 10, 5, about, hello(settings), page, news("02"), arrive("0001", 7, 18000, 0)),
+		batch(15000, 10, 5, about, hello(settings), page, update("02"), arrival("0001", 7, 18000, 0)),
 	}, nil)
 }
 
-// The simulator's frames, as they were before any name of the code changed: what comes in and what goes out,
-// byte for byte.
+// The input that goldenConversation builds and the replies to it are those of the golden files, byte for byte, which
+// were written before identifiers of the code were renamed.
 func TestGoldenConversation(t *testing.T) {
 	in, err := os.ReadFile("testdata/golden/conversation.in")
 	require.NoError(t, err)
@@ -139,6 +144,7 @@
 	assert.Equal(t, hex.EncodeToString(want), hex.EncodeToString(out.Bytes()))
 }
 
+// A malformed record ends the run with an error that has its offset, and without a reply to the batch.
 func TestMalformedRecords(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
@@ -160,6 +166,7 @@
 	}
 }
 
+// Invalid settings are answered with an InternalError action whose text names the setting.
 func TestInvalidSettings(t *testing.T) {
 	for _, c := range []struct{ old, new, key string }{
 		{"contract.cold-ms=9000\n", "", "contract.cold-ms"},
--- a/internal/adapter/instance.go
+++ b/internal/adapter/instance.go
@@ -10,32 +10,31 @@
 	"valeshift/internal/wire"
 )
 
-// maxTimer is the longest timer that the simulator sets, milliseconds.
+// maxTimer is the longest timer that the simulator sets, in milliseconds.
 const maxTimer = 3.6e6
 
-// hintScale makes a load hint, milliseconds of work a second, a load.
-const hintScale = 1000
+// loadPerHint converts a load hint, in milliseconds of work a second, to a load, in microseconds of work a second.
+const loadPerHint = 1000
 
-// session is a session of an instance.
+// session is a session of an instance, under the ID that the simulator gave it.
 type session struct {
 	dispatch.Entry
 	id uint32
 }
 
-// instance is one relay. Its reader and writer are the host's.
+// instance is one relay. It reads and writes by its host's reader and writer.
 type instance struct {
 	number     uint16
 	host       *host
-	dispatcher *dispatch.Dispatcher[*session] // nil: the instance has not begun, or was killed
-	sessions   map[uint32]*session
-	wakeAt     float64 // when the latest timer fires; +Inf: none is set
-	timerToken uint32  // of that timer: earlier ones are passed over
-	touched    bool    // the instance had an event in this batch
+	dispatcher *dispatch.Dispatcher[*session] // nil: the instance has not started, or has crashed
+	sessions   map[uint32]*session            // sessions by ID
+	wakeAt     float64                        // when the latest timer fires, in milliseconds; +Inf: no timer is set
+	timerToken uint32                         // token of the latest timer; earlier timers are ignored when they fire
+	touched    bool                           // whether the instance had an event in this batch
 }
 
-// handleEvent reads one record and reports it to the balancer. A record for an instance that never began, or
-// of a session or backend not known any more, is read and ignored. A record cut short sets the reader's
-// error.
+// handleEvent reads one record and reports it to the balancer. A record for an instance that has not started, or for a
+// session or backend that is not known any more, is read and ignored. A truncated record sets the reader's error.
 func (i *instance) handleEvent(code wire.EventCode, offset int) error {
 	reader := i.host.reader
 	switch code {
@@ -72,7 +71,7 @@
 	return nil
 }
 
-// handleHello begins the instance anew, with its own seed and settings.
+// handleHello starts or restarts the instance, with the seed and the settings of the record.
 func (i *instance) handleHello() {
 	reader := i.host.reader
 	seed := reader.Uint64()
@@ -123,7 +122,7 @@
 	return nil
 }
 
-// updateEndpoints applies the entries of a page.
+// updateEndpoints applies the entries of a page, as the whole list if full is set, or else as changes to it.
 func (i *instance) updateEndpoints(full bool, rows []byte) {
 	b := i.dispatcher.Balancer
 	b.BeginEndpointUpdate(full)
@@ -134,6 +133,7 @@
 	b.EndEndpointUpdate(i.host.now)
 }
 
+// readEndpoint reads one entry of the endpoint list.
 func readEndpoint(fields *wire.Reader) balancer.Endpoint {
 	var endpoint balancer.Endpoint
 	endpoint.Zone = int(fields.Uint8())
@@ -146,7 +146,7 @@
 	return endpoint
 }
 
-// handleIncoming assigns a session that has arrived.
+// handleIncoming has the balancer assign a new session.
 func (i *instance) handleIncoming(offset int) error {
 	s := i.readSession()
 	added, err := i.addSession(s, offset)
@@ -156,7 +156,7 @@
 	return err
 }
 
-// handleResumed adds a session that is established already.
+// handleResumed adds a session that is established already, and its backend.
 func (i *instance) handleResumed(offset int) error {
 	s := i.readSession()
 	backend := i.host.reader.Uint32()
@@ -179,12 +179,13 @@
 	s.AffinityGroup = reader.Uint64()
 	options := reader.Uint16()
 	if options&wire.OptionHintValid != 0 && hint > 0 {
-		s.LoadHint = hint * hintScale
+		s.LoadHint = hint * loadPerHint
 	}
 	return s
 }
 
-// addSession adds the session if it was read whole and the instance has begun, and reports whether it did.
+// addSession adds the session if it was read whole and the instance is running, and reports whether it did. It returns
+// an error for an unknown class.
 func (i *instance) addSession(s *session, offset int) (added bool, err error) {
 	if i.host.reader.Err != nil || i.dispatcher == nil {
 		return false, nil
@@ -196,8 +197,8 @@
 	return true, nil
 }
 
-// readAttempt reads the session and number of an attempt, and returns the session if that is its latest
-// attempt.
+// readAttempt reads the ID of a session and the number of an attempt, and returns the session if that is its latest
+// attempt, or else nil.
 func (i *instance) readAttempt() *session {
 	s := i.sessions[i.host.reader.Uint32()]
 	attempt := int(i.host.reader.Uint16())
@@ -207,7 +208,7 @@
 	return s
 }
 
-// handleAccepted reports that an attempt is established.
+// handleAccepted reports that a backend has accepted an attempt, so that the session is established.
 func (i *instance) handleAccepted() {
 	reader := i.host.reader
 	s := i.readAttempt()
@@ -239,12 +240,12 @@
 	backend := reader.Uint32()
 	reader.Float64() // the time since the attempt began
 	reason := wire.Reason(reader.Uint8())
-	i.host.report = reader.LoadReport(i.host.report)
+	i.host.reportBuffer = reader.LoadReport(i.host.reportBuffer)
 	if reader.Err != nil {
 		return
 	}
-	if i.dispatcher != nil && len(i.host.report) > 0 {
-		i.dispatcher.Balancer.LoadReported(i.host.now, backend, i.host.report)
+	if i.dispatcher != nil && len(i.host.reportBuffer) > 0 {
+		i.dispatcher.Balancer.LoadReported(i.host.now, backend, i.host.reportBuffer)
 	}
 	if s != nil && s.Attempt == attempt {
 		i.dispatcher.AttemptFinished(i.host.now, s, outcomeOf(reason), last)
@@ -262,19 +263,20 @@
 	}
 }
 
-// handleHealth reports the answer to a poll.
+// handleHealth reports the outcome of a load poll.
 func (i *instance) handleHealth() {
 	reader := i.host.reader
 	backend := reader.Uint32()
 	reader.Float64() // the time since the poll was sent
 	reason := wire.Reason(reader.Uint8())
-	i.host.report = reader.LoadReport(i.host.report)
+	i.host.reportBuffer = reader.LoadReport(i.host.reportBuffer)
 	if reader.Err == nil && i.dispatcher != nil {
-		i.dispatcher.PollFinished(i.host.now, backend, reason == wire.ReasonOK, i.host.report)
+		i.dispatcher.PollFinished(i.host.now, backend, reason == wire.ReasonOK, i.host.reportBuffer)
 	}
 }
 
-// outcomeOf is the balancer's outcome for a reason; one not known may have had the request executed.
+// outcomeOf returns the balancer's outcome for a reason. An unknown reason is OutcomeFailed, after which the request
+// counts as possibly executed.
 func outcomeOf(reason wire.Reason) balancer.AttemptOutcome {
 	switch reason {
 	case wire.ReasonOK:
@@ -296,7 +298,7 @@
 	}
 }
 
-// advance does what is due, and sets a timer for the next time where none fires before.
+// advance has the dispatcher do what is due, and sets a timer for its next wake-up unless a timer fires before that.
 func (i *instance) advance() {
 	if i.dispatcher == nil {
 		return
@@ -311,7 +313,7 @@
 	i.begin(wire.Schedule).Float64(min(max(wake-now, 0), maxTimer)).Uint32(i.timerToken)
 }
 
-// Execute writes the action for a decision.
+// Execute writes the action that carries out a decision, and forgets the session unless it was assigned.
 func (i *instance) Execute(s *session, decision balancer.Decision) {
 	switch decision.Kind {
 	case balancer.Assign:
@@ -325,22 +327,23 @@
 	i.forget(s)
 }
 
-// Poll writes the action that polls a backend.
+// Poll writes the action that polls the load of a backend.
 func (i *instance) Poll(id uint32) { i.begin(wire.Test).Uint32(id) }
 
-// Subscribe writes the action that watches the endpoint list.
+// Subscribe writes the action that opens a watch on the endpoint list.
 func (i *instance) Subscribe() { i.begin(wire.Subscribe).Uint8(1) }
 
-// begin begins an action of the instance.
+// begin begins an action of the instance. It writes an OnBehalf record first if the reply's last action was another
+// instance's.
 func (i *instance) begin(code wire.ActionCode) *wire.Writer {
-	if i.host.speaking != int(i.number) {
-		i.host.speaking = int(i.number)
+	if i.host.onBehalfOf != int(i.number) {
+		i.host.onBehalfOf = int(i.number)
 		i.host.writer.Begin(wire.OnBehalf).Uint16(i.number)
 	}
 	return i.host.writer.Begin(code)
 }
 
-// forget removes a session that is over.
+// forget removes a session that has ended.
 func (i *instance) forget(s *session) {
 	i.dispatcher.Forget(s)
 	delete(i.sessions, s.id)
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -1,6 +1,6 @@
-// Package wire reads and writes the simulator's protocol: little-endian frames, each a batch of events that
-// is answered by one reply of actions. It knows frames, fields and codes, and leaves to package adapter which
-// fields a record has.
+// Package wire reads and writes the simulator's protocol. Its frames are little-endian: each holds a batch of events or
+// the reply to a batch, which consists of actions. The package implements frames, fields and codes; which fields a
+// record has is up to package adapter.
 package wire
 
 import (
@@ -13,40 +13,40 @@
 	"math"
 )
 
-// batchHeaderSize is the length of a batch's header, in bytes: records, frame length, clock, number.
+// batchHeaderSize is the length of a batch's header in bytes: number of records, frame length, clock, batch number.
 const batchHeaderSize = 20
 
-// readBufferSize is how many bytes are read at once.
+// readBufferSize is the size of the input buffer, in bytes.
 const readBufferSize = 1 << 16
 
-// ErrEndOfInput says that the input ended between two batches.
+// ErrEndOfInput is returned when the input has ended between two batches.
 var ErrEndOfInput = errors.New("end of input")
 
-// Reader reads one batch after the other, and the fields of the batch that was read last. The first field
-// that is not there whole sets Err; every later read returns zero.
+// Reader reads one batch after the other, and the fields of the batch that was read last. The first field that is
+// truncated sets Err; that read and all later ones return zero.
 type Reader struct {
-	Err     error   // the first error while the batch's fields were read
-	Records int     // of the batch
-	Clock   float64 // of the batch, milliseconds
-	Number  uint32  // of the batch
+	Err     error   // first error in reading the batch's fields
+	Records int     // number of records in the batch
+	Clock   float64 // time of the batch, in milliseconds
+	Number  uint32  // number of the batch
 
 	in     *bufio.Reader
 	frame  bytes.Buffer
 	header [batchHeaderSize]byte
-	body   []byte // of the frame, behind the header
-	offset int    // of the next field in the body
+	body   []byte // the frame without its header
+	offset int    // position of the next field in body
 }
 
-// NewReader returns a Reader of batches from in.
+// NewReader returns a Reader that reads batches from in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(in, readBufferSize)}
 }
 
-// NewFieldReader returns a Reader of fields that were read before as bytes.
+// NewFieldReader returns a Reader for the fields in a byte slice, without a batch.
 func NewFieldReader(fields []byte) *Reader { return &Reader{body: fields} }
 
-// ReadBatch reads the next batch whole, so that nothing is acted on before all of it is here. It returns
-// ErrEndOfInput where the input ends instead.
+// ReadBatch reads the whole next batch, so that a truncated batch has no effect. It returns ErrEndOfInput if the input
+// ends instead.
 func (r *Reader) ReadBatch() error {
 	n, err := io.ReadFull(r.in, r.header[:])
 	if err == io.EOF {
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// readBody reads what follows the header of a frame of that size. The buffer grows with the bytes that
-// arrive, not with the claimed size, which may be wrong.
+// readBody reads what follows the header of a frame of that size. The buffer grows with the bytes that arrive, not to
+// the claimed size, which may be wrong.
 func (r *Reader) readBody(size int64) error {
 	if size < batchHeaderSize {
 		return fmt.Errorf("offset 4: a frame length of %d or more expected, got %d", batchHeaderSize, size)
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// CheckEnd returns an error unless the records filled the frame to its end.
+// CheckEnd returns an error if a field could not be read, or if bytes of the frame are left.
 func (r *Reader) CheckEnd() error {
 	if r.Err == nil && r.offset != len(r.body) {
 		return fmt.Errorf("offset %d: the end of the frame expected, %d bytes are left", r.Offset(),
@@ -97,10 +97,10 @@
 	return r.Err
 }
 
-// Offset is where the next field begins, from the start of the frame.
+// Offset returns the position of the next field, counted from the start of the frame.
 func (r *Reader) Offset() int { return batchHeaderSize + r.offset }
 
-// Bytes returns the next n bytes; they are good until the next batch.
+// Bytes returns the next n bytes, or nil if fewer are left. The slice is valid until the next batch is read.
 func (r *Reader) Bytes(n int) []byte {
 	if r.Err == nil && n > len(r.body)-r.offset {
 		r.Err = fmt.Errorf("offset %d: %d bytes of a record expected, %d are left", r.Offset(), n,
@@ -114,7 +114,8 @@
 	return field
 }
 
-// Elements returns that many elements of the given size, whose count was read before.
+// Elements returns the bytes of the next count elements of size bytes each. The count may come from the input, so it is
+// checked against the bytes that are left.
 func (r *Reader) Elements(count, size int) []byte {
 	if r.Err == nil && count > (len(r.body)-r.offset)/size {
 		r.Err = fmt.Errorf("offset %d: %d elements of %d bytes expected, %d bytes are left", r.Offset(), count, size,
@@ -165,7 +166,8 @@
 // Float64 reads a float of eight bytes.
 func (r *Reader) Float64() float64 { return math.Float64frombits(r.Uint64()) }
 
-// LoadReport reads a load report into buffer and returns it.
+// LoadReport reads a load report: a count and as many floats of four bytes. It returns them in buffer, extended if
+// necessary.
 func (r *Reader) LoadReport(buffer []float64) []float64 {
 	buffer = buffer[:0]
 	for count := int(r.Uint8()); count > 0 && r.Err == nil; count-- {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// ParseSettings parses an instance's settings: lines of path=value. A line without '=' is ignored.
+// ParseSettings parses an instance's settings, which are lines of path=value. It ignores lines without '='.
 func ParseSettings(text string) map[string]string {
 	settings := make(map[string]string, strings.Count(text, "\n")+1)
 	for line := range strings.Lines(text) {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -9,6 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// A malformed frame is an error that has the offset of what is wrong.
 func TestMalformedFrames(t *testing.T) {
 	for _, c := range []struct{ name, frame, want string }{
 		{"short header", "0000000014", "offset 5: a batch header of 20 bytes expected"},
@@ -25,6 +26,7 @@
 	}
 }
 
+// Fields that are written can be read again, and a read past the end sets the reader's error.
 func TestFieldsRoundTrip(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out)
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	replyHeaderSize = 12 // bytes: frame length, records, number of the batch
-	firstReplySize  = 1 << 12
+	replyHeaderSize = 12      // length of a reply's header in bytes: frame length, number of records, batch number
+	firstReplySize  = 1 << 12 // capacity of the first reply's buffer, in bytes
 )
 
-// Writer builds one reply after the other. Its methods return it, so that fields can be written in a chain.
+// Writer builds one reply after the other. Its methods return it, so that calls can be chained.
 type Writer struct {
 	out     io.Writer
-	buffer  []byte
-	records uint32
+	buffer  []byte // the reply so far, beginning with room for the header
+	records uint32 // number of actions in the reply so far
 }
 
-// NewWriter returns a Writer of replies to out.
+// NewWriter returns a Writer that sends replies to out.
 func NewWriter(out io.Writer) *Writer {
 	return &Writer{out: out, buffer: make([]byte, replyHeaderSize, firstReplySize)}
 }
 
-// Begin begins an action.
+// Begin starts an action by writing its code.
 func (w *Writer) Begin(code ActionCode) *Writer {
 	w.records++
 	return w.Uint16(uint16(code))
@@ -53,7 +53,7 @@
 	return w
 }
 
-// Text writes a text behind its length, cut to the longest that can be.
+// Text writes a text after its length, which takes two bytes. A text of more than 65535 bytes is truncated.
 func (w *Writer) Text(text string) *Writer {
 	text = text[:min(len(text), math.MaxUint16)]
 	w.Uint16(uint16(len(text)))
@@ -61,7 +61,7 @@
 	return w
 }
 
-// SendReply sends the reply to the batch of that number and begins the next one.
+// SendReply sends the reply to the batch with that number, and starts the next reply.
 func (w *Writer) SendReply(number uint32) error {
 	binary.LittleEndian.PutUint32(w.buffer[0:], uint32(len(w.buffer)))
 	binary.LittleEndian.PutUint32(w.buffer[4:], w.records)
