--- a/cmd/valeshift-testbed/check.go
+++ b/cmd/valeshift-testbed/check.go
@@ -10,7 +10,7 @@
 	File string `arg:"" name:"file" help:"The experiment, in TOML."`
 }
 
-// Run reads the file and says what it holds, or which field is wrong.
+// Run parses the file and prints a summary of it, or returns an error that names the invalid field.
 func (c *checkCommand) Run() error {
 	x, err := experiment.ReadFile(c.File)
 	if err != nil {
--- a/cmd/valeshift-testbed/cost.go
+++ b/cmd/valeshift-testbed/cost.go
@@ -10,12 +10,12 @@
 	"valeshift/internal/testbed/cost"
 )
 
-// forwardCommand is the bare forwarder that costCommand starts as a process of its own.
+// forwardCommand is the plain TCP forwarder that costCommand runs as a separate process, to compare the relay with.
 type forwardCommand struct {
 	Address string `arg:"" name:"address" help:"Where to listen."`
 }
 
-// Run forwards until it is stopped.
+// Run forwards connections until it is stopped.
 func (c *forwardCommand) Run(ctx context.Context) error {
 	return cost.RunForwarder(ctx, os.Stdin, c.Address)
 }
@@ -32,7 +32,7 @@
 	JSON           string        `name:"json" help:"Write the figures to this file." type:"path"`
 }
 
-// Run measures each size of the fleet.
+// Run measures each fleet size, prints the results, and writes them to a JSON file if one is named.
 func (c *costCommand) Run(ctx context.Context) error {
 	own, err := os.Executable()
 	if err != nil {
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	dir, err := os.MkdirTemp("", tempPattern)
+	dir, err := os.MkdirTemp("", tempDirPrefix)
 	if err != nil {
 		return err
 	}
@@ -79,6 +79,7 @@
 	return os.WriteFile(c.JSON, text, 0o644)
 }
 
+// printCost prints a result as one line.
 func printCost(r *cost.Result) {
 	fmt.Printf("%5d backends  %-9s %7.0f set-ups/s (%d failed) %7.0f a CPU second  line p50 %.3f p99 %.3f "+
 		"p99.9 %.3f ms  %.1f us CPU a line  %.0f bytes a session (%d)\n",
--- a/cmd/valeshift-testbed/hunt.go
+++ b/cmd/valeshift-testbed/hunt.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	processAttempts   = 2 // to play an experiment for which the machine was too slow
-	printedViolations = 3 // of each finding
-	progressInterval  = time.Second
+	processAttempts   = 2           // most runs of an experiment for which the machine is too slow
+	printedViolations = 3           // most violations printed for each finding
+	progressInterval  = time.Second // least time between two progress lines
 )
 
 type huntCommand struct {
@@ -31,10 +31,10 @@
 	Parallelism int    `name:"side" default:"4" help:"With processes: so many schedules side by side."`
 	Relay       string `name:"relay" help:"With processes: the relay's program; valeshift-faultdisk beside this one, if none is named." type:"path"`
 
-	behindSchedule atomic.Int64 // experiments that are not counted, as the machine was too slow for them
+	behindSchedule atomic.Int64 // number of experiments not counted because the machine was too slow for them
 }
 
-// Run draws and plays the experiments, and writes the findings as files.
+// Run generates and runs an experiment per seed, and writes those that break a rule as files.
 func (c *huntCommand) Run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -51,13 +51,13 @@
 			return err
 		}
 		exploration.Generate = explore.GenerateForProcesses
-		exploration.Play = func(x *experiment.Experiment) *explore.Finding { return c.playProcesses(ctx, x) }
+		exploration.Play = func(x *experiment.Experiment) *explore.Finding { return c.runProcesses(ctx, x) }
 		exploration.Parallelism = c.Parallelism
 	}
 	var findings []*explore.Finding
 	exploration.OnFinding = func(f *explore.Finding) {
 		findings = append(findings, f)
-		printFinding(f) // before it is shrunk, which may take long
+		printFinding(f) // before shrinking, which may take long
 		if len(findings) >= c.MaxFindings {
 			stop()
 		}
@@ -77,12 +77,12 @@
 	fmt.Printf("%d seeds from %d on in %.1f s: %d break a rule\n", played, c.From, time.Since(began).Seconds(),
 		len(findings))
 	if n := c.behindSchedule.Load(); n > 0 {
-		fmt.Printf("%d of them were too much for this machine, and are not counted\n", n)
+		fmt.Printf("%d of them are not counted, as this machine was too slow for them\n", n)
 	}
 	return c.writeFindings(findings, exploration.Play)
 }
 
-// writeFindings shrinks the findings and writes them. It returns an error where there are any.
+// writeFindings shrinks the findings and writes them to files. It returns an error if there are any findings.
 func (c *huntCommand) writeFindings(findings []*explore.Finding, play explore.Player) error {
 	for _, f := range findings {
 		if c.Shrink > 0 {
@@ -98,6 +98,7 @@
 	return nil
 }
 
+// writeFinding writes a finding as an experiment file, and prints its path and violations.
 func (c *huntCommand) writeFinding(f *explore.Finding) error {
 	text, err := f.Text()
 	if err != nil {
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// printFinding prints which rules an experiment breaks.
+// printFinding prints how often an experiment broke each rule, and its first violations.
 func printFinding(f *explore.Finding) {
 	fmt.Printf("seed %d: %v %s\n", f.Seed, f.Counts, f.Panic)
 	for _, v := range f.Violations[:min(len(f.Violations), printedViolations)] {
@@ -123,9 +124,10 @@
 	}
 }
 
-// playProcesses plays an experiment with relay processes. One that the machine was too slow for, again and
-// again, is not counted. Logs and disks stay of what breaks a rule.
-func (c *huntCommand) playProcesses(ctx context.Context, x *experiment.Experiment) *explore.Finding {
+// runProcesses runs an experiment with relay processes. It repeats a run for which the machine was too slow; if that
+// happens in each of processAttempts runs, the experiment is not counted. The relays' logs and disks are kept only if
+// the experiment breaks a rule or can't be run.
+func (c *huntCommand) runProcesses(ctx context.Context, x *experiment.Experiment) *explore.Finding {
 	dir := filepath.Join(c.Out, x.Name)
 	for range processAttempts {
 		os.RemoveAll(dir)
--- a/cmd/valeshift-testbed/load.go
+++ b/cmd/valeshift-testbed/load.go
@@ -14,6 +14,7 @@
 	"valeshift/internal/testbed/report"
 )
 
+// errBehindSchedule is returned for a run that started its actions too late.
 var errBehindSchedule = errors.New("the machine was too slow for the schedule: the run is not counted")
 
 type loadCommand struct {
@@ -23,24 +24,25 @@
 	Logs  string `name:"logs" help:"The folder for the relays' logs and configurations." type:"path"`
 }
 
-// Run plays the relay's own policy on sockets.
+// Run runs the experiment with relay processes on loopback sockets, which use the relay's own policy only.
 func (c *loadCommand) Run(ctx context.Context) error {
 	x, err := experiment.ReadFile(c.File)
 	if err != nil {
 		return err
 	}
-	return c.play(ctx, x)
+	return c.runExperiment(ctx, x)
 }
 
-// play plays an experiment with relay processes, and writes its report.
-func (c *loadCommand) play(ctx context.Context, x *experiment.Experiment) error {
+// runExperiment runs an experiment with relay processes, prints its result and writes its report. It returns an error
+// if a rule is broken or the machine was too slow.
+func (c *loadCommand) runExperiment(ctx context.Context, x *experiment.Experiment) error {
 	relay, err := relayPath(c.Relay)
 	if err != nil {
 		return err
 	}
 	dir := c.Logs
 	if dir == "" {
-		if dir, err = os.MkdirTemp("", tempPattern); err != nil {
+		if dir, err = os.MkdirTemp("", tempDirPrefix); err != nil {
 			return err
 		}
 		defer os.RemoveAll(dir)
@@ -66,9 +68,9 @@
 	run.Memory = result.Memory
 	run.CPU = result.CPU
 	printRun(run, fmt.Sprintf("(%.0f ms behind its schedule at the most)", result.Metrics.MaxLag))
-	var broken error
+	var violation error
 	if !run.IsLate {
-		broken = checkRules(run)
+		violation = checkRules(run)
 	}
 	if err := c.write(r); err != nil {
 		return err
@@ -76,10 +78,10 @@
 	if run.IsLate {
 		return errBehindSchedule
 	}
-	return broken
+	return violation
 }
 
-// showProgress prints each second how much of a run is over, until stop is called.
+// showProgress prints the elapsed time of a run every second, until stop is called.
 func showProgress(totalSeconds float64) (stop func()) {
 	done := make(chan struct{})
 	var task sync.WaitGroup
@@ -107,8 +109,8 @@
 	loadCommand
 }
 
-// Run plays the file with relays that know of each other and have disks, whatever it says of that. Their logs
-// and disks stay in the folder that is named, or else in a temporary one.
+// Run runs the experiment with relays that form a fleet and have disks, whatever the file sets. Their logs and disks
+// are kept in the folder for logs, or in a temporary folder if none is named.
 func (c *fleetCommand) Run(ctx context.Context) error {
 	x, err := experiment.ReadFile(c.File)
 	if err != nil {
@@ -125,9 +127,11 @@
 		return err
 	}
 	fmt.Printf("logs, operators' files and disks of the machines: %s\n", c.Logs)
-	return c.play(ctx, x)
+	return c.runExperiment(ctx, x)
 }
 
+// demo is the experiment file of the demo command.
+//
 //go:embed demo.toml
 var demo []byte
 
@@ -136,12 +140,12 @@
 	Out   string `name:"out" default:"demo" help:"Where the report goes: NAME.html and NAME.json." placeholder:"NAME" type:"path"`
 }
 
-// Run plays the experiment that is built in.
+// Run runs the built-in experiment.
 func (c *demoCommand) Run(ctx context.Context) error {
 	x, err := experiment.Parse(demo)
 	if err != nil {
 		return err
 	}
 	load := &loadCommand{reportFlag: reportFlag{Report: c.Out}, Relay: c.Relay}
-	return load.play(ctx, x)
+	return load.runExperiment(ctx, x)
 }
--- a/cmd/valeshift-testbed/main.go
+++ b/cmd/valeshift-testbed/main.go
@@ -1,4 +1,5 @@
-// Command valeshift-testbed plays experiments on the relay: under virtual time, or on loopback sockets.
+// Command valeshift-testbed runs experiments on the relay: simulated in virtual time, or with relay processes on
+// loopback sockets.
 package main
 
 import (
@@ -12,7 +13,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// commandLine has the subcommands. Scripts use their names and flags, so each is spelled out.
+// commandLine has the subcommands. Scripts depend on the names of subcommands and flags, so each name is set explicitly
+// instead of derived from the field.
 type commandLine struct {
 	Fleet   fleetCommand   `cmd:"" name:"fleet" help:"Play it with machines: relay processes with disks, networks and clocks of their own, which know of each other."`
 	Sim     simCommand     `cmd:"" name:"sim" help:"Play an experiment file under virtual time: the relay's own state machines on a simulated network."`
@@ -37,12 +39,12 @@
 }
 
 const (
-	relayProgram    = "valeshift"
-	faultDiskSuffix = "-faultdisk" // of the relay's program whose disk loses what was not synced
-	tempPattern     = "valeshift-testbed"
+	relayProgram    = "valeshift"         // file name of the relay's program
+	faultDiskSuffix = "-faultdisk"        // suffix of that name for the build with disk fault injection
+	tempDirPrefix   = "valeshift-testbed" // prefix of the names of temporary folders
 )
 
-// relayPath returns the relay's program: the one that is named, or the one beside this program.
+// relayPath returns the path of the relay's program: the one that is named, or else the one in this program's folder.
 func relayPath(named string) (string, error) {
 	if named != "" {
 		return named, nil
@@ -51,7 +53,8 @@
 	return filepath.Join(filepath.Dir(own), relayProgram), err
 }
 
-// faultDiskRelayPath does so for the relay that is built with a disk that can be made to fail.
+// faultDiskRelayPath does the same for the relay that is built with the tag faultdisk, whose disk can be made to fail
+// and loses what was not synced.
 func faultDiskRelayPath(named string) (string, error) {
 	if named != "" {
 		return named, nil
@@ -60,14 +63,14 @@
 	return path + faultDiskSuffix, err
 }
 
-// findFaultDiskRelay does so as well; where there is no such program, the error says how to build it.
+// findFaultDiskRelay returns that path if the program exists, or else an error that says how to build it.
 func findFaultDiskRelay(named string) (string, error) {
 	path, err := faultDiskRelayPath(named)
 	if err != nil {
 		return "", err
 	}
 	if _, err := os.Stat(path); err != nil {
-		return "", fmt.Errorf("%w; build it by: go build -tags faultdisk -o %s ./cmd/valeshift", err, path)
+		return "", fmt.Errorf("%w; build it with: go build -tags faultdisk -o %s ./cmd/valeshift", err, path)
 	}
 	return path, nil
 }
--- a/cmd/valeshift-testbed/main_test.go
+++ b/cmd/valeshift-testbed/main_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Scripts use the names of subcommands, arguments and flags, so they stay whatever the fields are called.
+// Scripts depend on the names of subcommands, arguments and flags, so renaming a field must not change them.
 func TestCommandLineKeepsItsNames(t *testing.T) {
 	var commands commandLine
 	parser, err := kong.New(&commands, kong.BindTo(context.Background(), (*context.Context)(nil)))
@@ -39,6 +39,7 @@
 	}, got)
 }
 
+// The relay's program is the one that is named, or else the one in this program's folder.
 func TestRelayPath(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -59,7 +60,7 @@
 	}
 }
 
-// The program with a disk that fails is not among those that README builds, so the error says how to build it.
+// The build commands in README don't build the relay with the faulty disk, so the error says how to build it.
 func TestMissingFaultDiskRelay(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "valeshift-faultdisk")
 	_, err := findFaultDiskRelay(missing)
--- a/cmd/valeshift-testbed/report.go
+++ b/cmd/valeshift-testbed/report.go
@@ -7,12 +7,12 @@
 	"valeshift/internal/testbed/report"
 )
 
-// reportFlag says where a report goes.
+// reportFlag is the flag that names where a report is written.
 type reportFlag struct {
 	Report string `name:"report" help:"Write the report to this path, as NAME.html and NAME.json." placeholder:"NAME" type:"path"`
 }
 
-// write writes the report, where a path was given.
+// write writes the report as HTML and JSON if a path was given.
 func (f reportFlag) write(r *report.Report) error {
 	if f.Report == "" {
 		return nil
@@ -32,14 +32,13 @@
 	return os.WriteFile(f.Report+".json", text, 0o644)
 }
 
-// printRun prints a run, with a remark.
+// printRun prints the result of a run as one line that ends with a remark.
 func printRun(r *report.Run, remark string) {
 	fmt.Printf("%-12s %s: service %.4f, worst second %.3f, answers %v, rules broken %v %s\n", r.Variant, r.Mode,
 		r.ServedShare, r.WorstSecond, r.Answers, r.ViolationCounts, remark)
 }
 
-// checkRules prints the violations of a run that is held to the rules, and returns an error where there are
-// any.
+// checkRules prints the violations of a run, and returns an error if there are any.
 func checkRules(r *report.Run) error {
 	if len(r.ViolationCounts) == 0 {
 		return nil
--- a/cmd/valeshift-testbed/sim.go
+++ b/cmd/valeshift-testbed/sim.go
@@ -17,7 +17,7 @@
 	Trace string  `name:"trace" help:"Write what passes on the network, event by event, to this file." placeholder:"FILE"`
 }
 
-// Run plays all variants, one after the other. Only the first is traced and held to the rules.
+// Run simulates all variants, one after the other. Only the first is traced and checked against the rules.
 func (c *simCommand) Run() error {
 	x, err := experiment.ReadFile(c.File)
 	if err != nil {
@@ -27,25 +27,25 @@
 		x.Seed = *c.Seed
 	}
 	r := report.New(x)
-	var broken error
+	var violation error
 	for i, variant := range x.Variants {
 		isFirst := i == 0
-		run, err := c.play(x, variant, isFirst, r)
+		run, err := c.runVariant(x, variant, isFirst, r)
 		if err != nil {
 			return err
 		}
 		if isFirst {
-			broken = checkRules(run)
+			violation = checkRules(run)
 		}
 	}
 	if err := c.write(r); err != nil {
 		return err
 	}
-	return broken
+	return violation
 }
 
-// play plays one variant and adds its run to the report.
-func (c *simCommand) play(x *experiment.Experiment, variant string, traced bool, r *report.Report) (*report.Run,
+// runVariant simulates one variant and adds its run to the report.
+func (c *simCommand) runVariant(x *experiment.Experiment, variant string, traced bool, r *report.Report) (*report.Run,
 	error) {
 	var trace io.Writer
 	if c.Trace != "" && traced {
