--- a/cmd/valeshift-coordinator/main.go
+++ b/cmd/valeshift-coordinator/main.go
@@ -108,7 +108,7 @@
 		}
 		next, err := config.Reload(configPath)
 		if err != nil {
-			log.Error("nothing is changed", "err", err)
+			log.Error("reload refused, nothing is changed", "err", err)
 			continue
 		}
 		config = next
