--- a/internal/testbed/sim/coordinator.go
+++ b/internal/testbed/sim/coordinator.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	coordinatorTick          = 10.0 // ms
-	askLeaderEveryTicks      = 25
+	coordinatorTick          = 10.0 // milliseconds of virtual time between two ticks of a coordinator
+	askLeaderEveryTicks      = 25   // ticks between two requests for the leader's announcement
 	relayAddressPrefix       = "peer-"
 	coordinatorAddressPrefix = "voter-"
 )
 
-// coordinatorProcess is a coordinator that runs beside a relay's process: what kills one kills both, and the
+// coordinatorProcess is a coordinator that runs beside a relay's process. Whatever kills one kills both, and the
 // simulated network treats them as one machine.
 type coordinatorProcess struct {
 	sim      *Sim
-	machine  int
-	process  *relayProcess
+	machine  int           // number of the machine and of its relay
+	process  *relayProcess // process of the relay on the same machine
 	core     *coordinator.Core
-	disk     []byte // durable state
-	isSaving bool   // nothing more is sent until the state is durable
+	disk     []byte // state that was made durable last
+	isSaving bool   // a save is in progress; nothing is sent until the state is durable
 }
 
 func coordinatorAddress(machine int) string { return fmt.Sprint(coordinatorAddressPrefix, machine) }
 
-// coordinatorMembers are the voters that the experiment asks for, one on each of the first machines.
+// coordinatorMembers returns the voters of the experiment, one on each of the first machines.
 func (s *Sim) coordinatorMembers() (members []consensus.Member) {
 	for machine := range s.experiment.Relays.Coordinators {
 		members = append(members, consensus.Member{
@@ -49,15 +49,15 @@
 	return addresses
 }
 
-// zonesToDecideOn are the zones as a coordinator's configuration names them.
-func (s *Sim) zonesToDecideOn() (zones []failover.Zone) {
+// configuredZones returns the zones as a coordinator's configuration lists them.
+func (s *Sim) configuredZones() (zones []failover.Zone) {
 	for zone := range s.experiment.Fleet.Zones {
 		zones = append(zones, failover.Zone{Name: experiment.Zone(zone), Region: s.experiment.Region(zone)})
 	}
 	return zones
 }
 
-// startCoordinator starts the coordinator of a machine with what its disk holds.
+// startCoordinator starts the coordinator of a machine with the state on its disk.
 func (s *Sim) startCoordinator(machine int, p *relayProcess) {
 	var disk []byte
 	if former := s.coordinatorProcesses[machine]; former != nil {
@@ -65,7 +65,7 @@
 	}
 	members := s.coordinatorMembers()
 	rng := s.experiment.Rand("voter", 1000*machine+s.machines[machine].starts)
-	core, err := coordinator.New(p.clock(), members[machine], members, s.zonesToDecideOn(), disk, rng)
+	core, err := coordinator.New(p.clock(), members[machine], members, s.configuredZones(), disk, rng)
 	if err != nil {
 		panic(fmt.Sprintf("start coordinator %d with the disk that it wrote: %v", machine, err))
 	}
@@ -74,7 +74,7 @@
 	c.tick()
 }
 
-// tick has the coordinator go on with time, until its process ends.
+// tick advances the coordinator and schedules the next tick, until its process ends. A frozen process skips its ticks.
 func (c *coordinatorProcess) tick() {
 	if c.process.isExited {
 		return
@@ -83,12 +83,12 @@
 		now := c.process.clock()
 		c.core.Tick(now, c.sim.wallClock(c.machine))
 		c.askLeader(now)
-		c.performEffects()
+		c.processReady()
 	}
 	c.sim.network.after(coordinatorTick, c.tick)
 }
 
-// askLeader asks the leader for its announcement, if another coordinator leads.
+// askLeader requests the leader's announcement from time to time, if another coordinator leads.
 func (c *coordinatorProcess) askLeader(now float64) {
 	leader := c.core.AnnouncementSource(now)
 	if leader != "" && int(now/coordinatorTick)%askLeaderEveryTicks == 0 {
@@ -96,8 +96,8 @@
 	}
 }
 
-// performEffects saves and sends what the core has ready, in this order.
-func (c *coordinatorProcess) performEffects() {
+// processReady saves the core's pending state and sends its pending messages, in this order.
+func (c *coordinatorProcess) processReady() {
 	for !c.isSaving {
 		ready := c.core.Ready()
 		if ready.DurableState != nil {
@@ -111,7 +111,7 @@
 	}
 }
 
-// save makes the state durable after the time that a disk takes; a process that ends before loses it.
+// save makes the state durable after diskSyncTime. A process that ends before that loses it.
 func (c *coordinatorProcess) save(ready consensus.Ready) {
 	c.isSaving = true
 	c.sim.network.after(diskSyncTime, func() {
@@ -122,7 +122,7 @@
 		c.isSaving = false
 		c.sendMessages(ready.Messages)
 		c.core.Advance()
-		c.performEffects()
+		c.processReady()
 	})
 }
 
@@ -132,7 +132,7 @@
 	}
 }
 
-// send sends to another coordinator; these datagrams are not sealed here.
+// send sends a datagram to another coordinator. These datagrams are not sealed in the simulation.
 func (c *coordinatorProcess) send(to string, kind byte, content []byte) {
 	c.sendDatagram(to, append([]byte{kind}, content...))
 }
@@ -141,7 +141,7 @@
 	c.sim.sendDatagram(c.machine, membership.Datagram{To: to, Data: data}, coordinatorAddress(c.machine))
 }
 
-// receive takes a datagram from another coordinator, or a sealed one from a relay.
+// receive handles a datagram from another coordinator, or a sealed one from a relay.
 func (c *coordinatorProcess) receive(from string, data []byte) {
 	isFromRelay := strings.HasPrefix(from, relayAddressPrefix)
 	if isFromRelay {
@@ -164,10 +164,11 @@
 	case failover.AnnouncementDatagram:
 		c.core.ReceiveAnnouncement(now, content)
 	}
-	c.performEffects()
+	c.processReady()
 }
 
-// answer sends the announcement to whoever reported or asked: sealed to a relay.
+// answer sends the announcement to the relay or coordinator that sent observations or asked for it. Only what is sent
+// to a relay is sealed.
 func (c *coordinatorProcess) answer(to string, isRelay bool, announcement []byte) {
 	if !isRelay {
 		c.send(to, failover.AnnouncementDatagram, announcement)
--- a/internal/testbed/sim/datagrams.go
+++ b/internal/testbed/sim/datagrams.go
@@ -7,10 +7,10 @@
 	"valeshift/internal/membership"
 )
 
-// reorderDelay is by how much a datagram is late that others overtake, in ms.
+// reorderDelay is the extra delay of a reordered datagram, in milliseconds.
 const reorderDelay = 30.0
 
-// machineNumber returns the number at the end of a machine's address; -1: there is none.
+// machineNumber returns the number at the end of a machine's address, or -1 if there is none.
 func machineNumber(address string) int {
 	_, text, _ := strings.Cut(address, "-")
 	number, err := strconv.Atoi(text)
@@ -20,8 +20,8 @@
 	return number
 }
 
-// reachableProcess returns the relay's process on the machine of that address, and the machine's number. The
-// process is nil where it can't be reached from that machine now.
+// reachableProcess returns the relay process at an address and the number of its machine. The process is nil if it has
+// exited, is frozen or can't be reached from machine from.
 func (s *Sim) reachableProcess(from int, address string) (*relayProcess, int) {
 	to := machineNumber(address)
 	if to < 0 || to >= len(s.machines) {
@@ -34,7 +34,7 @@
 	return p, to
 }
 
-// reachableNode returns the fleet's node at an address; nil: there is none that can be reached from that machine.
+// reachableNode returns the fleet node at an address, or nil if there is none that machine from can reach.
 func (s *Sim) reachableNode(from int, address string) *fleetNode {
 	if p, _ := s.reachableProcess(from, address); p != nil {
 		return p.fleetNode
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// sendDatagram carries a datagram from a machine to whatever is at its address when it arrives. Sender is the
-// address that it comes from.
+// sendDatagram sends a datagram from a machine to the process that is at its destination when it arrives, with the
+// impairments of the path. Sender is its source address.
 func (s *Sim) sendDatagram(from int, d membership.Datagram, sender string) {
 	impairment := s.impairments[[2]int{from, machineNumber(d.To)}]
 	if impairment.Cut || s.draw() < impairment.Loss {
@@ -54,7 +54,7 @@
 		copies = 2
 	}
 	for range copies {
-		delay := s.network.drawTravelTime() + float64(impairment.Delay) + float64(impairment.Jitter)*s.draw()
+		delay := s.network.drawDelay() + float64(impairment.Delay) + float64(impairment.Jitter)*s.draw()
 		if s.draw() < impairment.Reorder {
 			delay += reorderDelay
 		}
@@ -75,5 +75,5 @@
 	}
 }
 
-// draw returns a random number from 0 to 1.
+// draw returns a random number from 0 up to but not including 1.
 func (s *Sim) draw() float64 { return s.network.rng.Float64() }
--- a/internal/testbed/sim/disks.go
+++ b/internal/testbed/sim/disks.go
@@ -8,22 +8,21 @@
 	"valeshift/internal/testbed/faultdisk"
 )
 
-// Times are milliseconds of the virtual clock.
 const (
-	diskReadTime     = 5.0
-	slowDiskReadTime = 10000.0
-	diskSyncTime     = 1.0
-	diskMaxBytes     = 64 << 20
+	diskReadTime     = 5.0      // milliseconds of virtual time to read a disk
+	slowDiskReadTime = 10000.0  // milliseconds of virtual time to read a disk with the fault DiskSlow
+	diskSyncTime     = 1.0      // milliseconds of virtual time to sync a write
+	diskMaxBytes     = 64 << 20 // bytes that a relay's store may take on its disk
 )
 
-// simulatedDisk is one relay's disk.
+// simulatedDisk is the disk of one relay, held in memory.
 type simulatedDisk struct {
-	memory *store.MemoryFS
-	older  *store.MemoryFS // as it was early in the run
-	fault  experiment.DiskFault
+	memory    *store.MemoryFS
+	olderCopy *store.MemoryFS // copy of an early state of the disk, for the fault DiskOlder; nil until it is taken
+	fault     experiment.DiskFault
 }
 
-// readTime is how long it takes to read the disk.
+// readTime returns how many milliseconds it takes to read the disk.
 func (d *simulatedDisk) readTime() float64 {
 	if d.fault == experiment.DiskSlow {
 		return slowDiskReadTime
@@ -31,12 +30,12 @@
 	return diskReadTime
 }
 
-// losePower takes what was not synced from a relay's disk.
+// losePower drops a random part of the data that a relay had not synced to its disk.
 func (s *Sim) losePower(relay int) {
 	s.machines[relay].disk.memory.LosePower(func(unsynced int) int { return s.network.rng.Intn(unsynced + 1) })
 }
 
-// DamageDisk does something to the disk of a relay that is down.
+// DamageDisk applies a disk fault to a relay that is down.
 func (s *Sim) DamageDisk(relay int, fault experiment.DiskFault) {
 	d := s.machines[relay].disk
 	d.fault = fault
@@ -49,8 +48,8 @@
 	case experiment.DiskFlipped:
 		d.memory.MutateFiles(func(_ string, data []byte) []byte { return faultdisk.FlipBits(data, rng) })
 	case experiment.DiskOlder:
-		if d.older != nil {
-			d.memory = d.older.Clone()
+		if d.olderCopy != nil {
+			d.memory = d.olderCopy.Clone()
 		}
 	case experiment.DiskAnothers:
 		another := s.machines[(relay+1)%len(s.machines)].disk
@@ -60,7 +59,7 @@
 	}
 }
 
-// failWrites fails the calls that a full disk fails.
+// failWrites fails the calls that write data, as a full or read-only disk does.
 func failWrites(call string) error {
 	if call == "write" || call == "append" {
 		return store.ErrNoSpace
--- a/internal/testbed/sim/faulty_test.go
+++ b/internal/testbed/sim/faulty_test.go
@@ -13,11 +13,11 @@
 	"valeshift/internal/testbed/audit"
 )
 
-// faultyStateMachine breaks a rule on purpose, for tests of the auditor.
+// faultyStateMachine injects a fault into a relay's state machine, for tests of the auditor.
 type faultyStateMachine struct {
 	StateMachine
-	before func(e relay.Event) relay.Event
-	after  func(all []relay.Effect) []relay.Effect
+	before func(e relay.Event) relay.Event         // if not nil, changes each event
+	after  func(all []relay.Effect) []relay.Effect // if not nil, changes each event's effects
 }
 
 func (s *faultyStateMachine) Handle(now float64, e relay.Event) []relay.Effect {
@@ -31,8 +31,8 @@
 	return all
 }
 
-// each changes effects one by one.
-func each(change func(f relay.Effect) []relay.Effect) func([]relay.Effect) []relay.Effect {
+// mapEffects returns a function that replaces each effect by what change returns for it.
+func mapEffects(change func(f relay.Effect) []relay.Effect) func([]relay.Effect) []relay.Effect {
 	return func(all []relay.Effect) (out []relay.Effect) {
 		for _, f := range all {
 			out = append(out, change(f)...)
@@ -41,32 +41,32 @@
 	}
 }
 
-// text is what the effect writes, if it does.
-func text(f relay.Effect) string {
+// writtenText returns the text that an effect writes to a connection, or "" if it is not a write.
+func writtenText(f relay.Effect) string {
 	if write, ok := f.(*relay.Write); ok {
 		return string(bytes.Join(write.Chunks, nil))
 	}
 	return ""
 }
 
-// writeTo is an effect that writes the text to the connection.
+// writeTo returns an effect that writes a text to a connection.
 func writeTo(conn uint64, text string) *relay.Write {
 	return &relay.Write{Conn: conn, Chunks: [][]byte{[]byte(text)}}
 }
 
-// toClient is the write of an effect that writes to a client; else nil.
-func toClient(f relay.Effect) *relay.Write {
+// clientWrite returns the effect if it is a write to a client, else nil.
+func clientWrite(f relay.Effect) *relay.Write {
 	if write, ok := f.(*relay.Write); ok && write.Conn < 1<<63 {
 		return write
 	}
 	return nil
 }
 
-const twoFree = 1 << 62 // numbers that no state machine gives
+const firstUnusedConn = 1 << 62 // state machines use no connection numbers from here on, below those that they dial
 
-// Each relay here is broken on purpose, and the auditor must say in what way.
+// The auditor reports the right violation for each of several faulty relays, and none for relays without a fault.
 func TestAuditorCatchesBrokenRelays(t *testing.T) {
-	const trouble = calm + `
+	const faulty = calm + `
 [[fault]]
 kind = "drain"
 at = "6s"
@@ -87,14 +87,14 @@
 share = 1
 `
 	for _, c := range []struct {
-		name string
-		rule audit.Rule
-		says string
-		wrap func() *faultyStateMachine
+		name   string
+		rule   audit.Rule
+		detail string
+		wrap   func() *faultyStateMachine
 	}{
 		{"answers twice", audit.FinalAnswer, "BUSY after UP", func() *faultyStateMachine {
-			return &faultyStateMachine{after: each(func(f relay.Effect) []relay.Effect {
-				if write := toClient(f); write != nil && strings.HasPrefix(text(f), "UP") {
+			return &faultyStateMachine{after: mapEffects(func(f relay.Effect) []relay.Effect {
+				if write := clientWrite(f); write != nil && strings.HasPrefix(writtenText(f), "UP") {
 					return []relay.Effect{f, writeTo(write.Conn, "BUSY 5\r\n")}
 				}
 				return []relay.Effect{f}
@@ -102,8 +102,8 @@
 		}},
 		{"says nothing", audit.FinalAnswer, "no answer", func() *faultyStateMachine {
 			n := 0
-			return &faultyStateMachine{after: each(func(f relay.Effect) []relay.Effect {
-				if toClient(f) != nil && strings.HasPrefix(text(f), "UP") {
+			return &faultyStateMachine{after: mapEffects(func(f relay.Effect) []relay.Effect {
+				if clientWrite(f) != nil && strings.HasPrefix(writtenText(f), "UP") {
 					if n++; n%20 == 0 {
 						return nil
 					}
@@ -113,8 +113,8 @@
 		}},
 		{"closes without an answer", audit.FinalAnswer, "ended without an answer", func() *faultyStateMachine {
 			n := 0
-			return &faultyStateMachine{after: each(func(f relay.Effect) []relay.Effect {
-				if write := toClient(f); write != nil && strings.HasPrefix(text(f), "UP") {
+			return &faultyStateMachine{after: mapEffects(func(f relay.Effect) []relay.Effect {
+				if write := clientWrite(f); write != nil && strings.HasPrefix(writtenText(f), "UP") {
 					if n++; n%20 == 0 {
 						return []relay.Effect{&relay.Close{Conn: write.Conn}}
 					}
@@ -128,9 +128,9 @@
 		{"sends two attempts", audit.AtMostOnce, "out at once", func() *faultyStateMachine {
 			var dialed []string
 			second := map[uint64]uint64{}
-			next := uint64(twoFree)
+			next := uint64(firstUnusedConn)
 			s := &faultyStateMachine{}
-			s.after = each(func(f relay.Effect) []relay.Effect {
+			s.after = mapEffects(func(f relay.Effect) []relay.Effect {
 				switch f := f.(type) {
 				case *relay.Dial:
 					dialed = append(dialed, f.Address)
@@ -138,7 +138,7 @@
 					second[f.Conn] = next
 					return []relay.Effect{f, &relay.Dial{Conn: next, Address: dialed[len(dialed)/2]}}
 				case *relay.Write:
-					if strings.HasPrefix(text(f), "OPEN") {
+					if strings.HasPrefix(writtenText(f), "OPEN") {
 						return []relay.Effect{f, &relay.Write{Conn: second[f.Conn], Chunks: f.Chunks}}
 					}
 				}
@@ -161,8 +161,8 @@
 					replaced = true
 				}
 				return e
-			}, after: each(func(f relay.Effect) []relay.Effect {
-				if write := toClient(f); replaced && write != nil && strings.HasPrefix(text(f), "UP") {
+			}, after: mapEffects(func(f relay.Effect) []relay.Effect {
+				if write := clientWrite(f); replaced && write != nil && strings.HasPrefix(writtenText(f), "UP") {
 					return []relay.Effect{&relay.Close{Conn: write.Conn}}
 				}
 				return []relay.Effect{f}
@@ -183,24 +183,24 @@
 			}}
 		}},
 		{"ignores slow start", audit.SlowStart, "was sent", func() *faultyStateMachine {
-			only := ""
+			coldAddress := ""
 			return &faultyStateMachine{before: func(e relay.Event) relay.Event {
 				if updated, ok := e.(relay.EndpointsUpdated); ok {
 					news := *updated.Update
 					news.Endpoints = slices.Clone(news.Endpoints)
 					for i := range news.Endpoints {
 						if news.Endpoints[i].StartedAt > 0 {
-							news.Endpoints[i].StartedAt, only = 0, news.Endpoints[i].Address
+							news.Endpoints[i].StartedAt, coldAddress = 0, news.Endpoints[i].Address
 						}
 					}
 					updated.Update = &news
 					return updated
 				}
 				return e
-			}, after: each(func(f relay.Effect) []relay.Effect {
-				if dial, ok := f.(*relay.Dial); ok && only != "" {
+			}, after: mapEffects(func(f relay.Effect) []relay.Effect {
+				if dial, ok := f.(*relay.Dial); ok && coldAddress != "" {
 					changed := *dial
-					changed.Address = only
+					changed.Address = coldAddress
 					return []relay.Effect{&changed}
 				}
 				return []relay.Effect{f}
@@ -208,8 +208,8 @@
 		}},
 		{"loses lines", audit.LineDelivery, "lost before", func() *faultyStateMachine {
 			n := 0
-			return &faultyStateMachine{after: each(func(f relay.Effect) []relay.Effect {
-				if toClient(f) != nil && strings.HasPrefix(text(f), "R ") {
+			return &faultyStateMachine{after: mapEffects(func(f relay.Effect) []relay.Effect {
+				if clientWrite(f) != nil && strings.HasPrefix(writtenText(f), "R ") {
 					if n++; n%50 == 0 {
 						return nil
 					}
@@ -219,8 +219,8 @@
 		}},
 		{"duplicates lines", audit.LineDelivery, "came again", func() *faultyStateMachine {
 			n := 0
-			return &faultyStateMachine{after: each(func(f relay.Effect) []relay.Effect {
-				if strings.HasPrefix(text(f), "M ") {
+			return &faultyStateMachine{after: mapEffects(func(f relay.Effect) []relay.Effect {
+				if strings.HasPrefix(writtenText(f), "M ") {
 					if n++; n%50 == 0 {
 						return []relay.Effect{f, f}
 					}
@@ -230,8 +230,8 @@
 		}},
 		{"resets sessions", audit.LineDelivery, "cut off without MOVE", func() *faultyStateMachine {
 			n := 0
-			return &faultyStateMachine{after: each(func(f relay.Effect) []relay.Effect {
-				if write := toClient(f); write != nil && strings.HasPrefix(text(f), "R ") {
+			return &faultyStateMachine{after: mapEffects(func(f relay.Effect) []relay.Effect {
+				if write := clientWrite(f); write != nil && strings.HasPrefix(writtenText(f), "R ") {
 					if n++; n%500 == 0 {
 						return []relay.Effect{f, &relay.Reset{Conn: write.Conn}}
 					}
@@ -242,12 +242,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s := New(parse(t, trouble), "module", nil)
+			s := New(parse(t, faulty), "module", nil)
 			s.WrapStateMachine = func(_ int, stateMachine StateMachine) StateMachine {
 				broken := c.wrap()
 				broken.StateMachine = stateMachine
 				if c.name == "makes answers up" {
-					broken.before, broken.after = madeUp()
+					broken.before, broken.after = answerWithoutBackend()
 				}
 				return broken
 			}
@@ -255,16 +255,17 @@
 			require.NoError(t, err)
 			require.NotZero(t, r.Auditor.Counts[c.rule], "not caught: %v", r.Auditor.Counts)
 			assert.True(t, slices.ContainsFunc(r.Auditor.Violations, func(b audit.Violation) bool {
-				return b.Rule == c.rule && strings.Contains(b.Detail, c.says)
+				return b.Rule == c.rule && strings.Contains(b.Detail, c.detail)
 			}), "%v", r.Auditor.Violations[:min(len(r.Auditor.Violations), 5)])
 		})
 	}
-	whole := play(t, trouble, "module")
-	assert.Zero(t, whole.Auditor.ViolationCount(), "%v", whole.Auditor.Violations)
+	intact := run(t, faulty, "module")
+	assert.Zero(t, intact.Auditor.ViolationCount(), "%v", intact.Auditor.Violations)
 }
 
-// madeUp answers each head by itself as soon as it comes.
-func madeUp() (func(e relay.Event) relay.Event, func([]relay.Effect) []relay.Effect) {
+// answerWithoutBackend returns the functions of a faultyStateMachine that answers each request UP as soon as it
+// arrives, before any backend has.
+func answerWithoutBackend() (func(e relay.Event) relay.Event, func([]relay.Effect) []relay.Effect) {
 	var conn uint64
 	return func(e relay.Event) relay.Event {
 			conn = 0
--- a/internal/testbed/sim/fleet.go
+++ b/internal/testbed/sim/fleet.go
@@ -13,41 +13,39 @@
 	"valeshift/internal/testbed/experiment"
 )
 
-// Times are milliseconds of the virtual clock.
 const (
-	fleetTick    = 50.0 // between two ticks of a relay's part in the fleet, as fleet.Node does
-	queryTimeout = 500.0
-	maxSeeds     = 12   // as operators would name some relays, not all
-	minTimer     = 0.01 // against a timer that is due at once, again and again
+	fleetTick        = 50.0  // milliseconds of virtual time between two ticks of a fleet.Core, as in fleet.Node
+	queryTimeout     = 500.0 // milliseconds of virtual time after which a query counts as unanswered
+	maxSeedAddresses = 12    // relays that a relay knows at its start, as operators would name some relays, not all
+	minTimerDelay    = 0.01  // least delay of a timer in milliseconds; a timer due at once could stop virtual time
 )
 
 // fleetKey is the key that all relays of a run share.
 var fleetKey = []byte("the key of the lab's fleet")
 
-// errNoAnswer tells that a query was not answered in time.
+// errNoAnswer is the error of a query that was not answered in time.
 var errNoAnswer = errors.New("no answer in time")
 
-// fleetNode drives one incarnation of a relay's part in the fleet under virtual time, as fleet.Node does with sockets and a
-// disk.
+// fleetNode runs the fleet.Core of one relay process in virtual time, as fleet.Node does with sockets and a disk.
 type fleetNode struct {
 	sim              *Sim
-	number           int
+	number           int // number of the relay and of its machine
 	process          *relayProcess
 	core             *fleet.Core
-	store            *store.Store // nil: not read yet, or there is none
-	replicationDueAt float64      // 0: no timer is set
+	store            *store.Store // nil until the disk has been read, or if there is none
+	replicationDueAt float64      // time in milliseconds of the replication timer by the process's clock; 0 if none is set
 }
 
 func peerAddress(number int) string { return fmt.Sprint(relayAddressPrefix, number) }
 
-// startFleetNode gives a process its part in the fleet, where the experiment has relays know of each other or have
-// disks.
+// startFleetNode starts a process's fleetNode, and the coordinator on its machine if there is one. It does nothing if
+// the experiment has neither membership nor disks.
 func (s *Sim) startFleetNode(number int, p *relayProcess) {
 	relays := s.experiment.Relays
 	if !relays.Membership && !relays.Disk {
 		return
 	}
-	// The label is part of the seed: runs repeat by it.
+	// The label "mates" is part of the seed: with another label, every run would change.
 	rng := s.experiment.Rand("mates", number*1000+s.machines[number].starts)
 	own := membership.MemberState{Name: fmt.Sprintf("relay-%d", number),
 		Zone: experiment.Zone(number % s.experiment.Fleet.Zones), Incarnation: rng.Uint64()}
@@ -77,11 +75,11 @@
 	n.tick()
 }
 
-// seedsOf returns the addresses of other relays that a relay knows from the start.
+// seedsOf returns the addresses of other relays that a relay knows at its start.
 func (s *Sim) seedsOf(number int) []string {
 	var seeds []string
 	for other := range s.experiment.Relays.Count {
-		if other != number && len(seeds) < maxSeeds {
+		if other != number && len(seeds) < maxSeedAddresses {
 			seeds = append(seeds, peerAddress(other))
 		}
 	}
@@ -101,7 +99,7 @@
 	n.execute(n.core.Restore(n.process.clock(), opened, found, err))
 }
 
-// tick advances the core, until its process ends. A process that is stopped skips its ticks.
+// tick advances the core and schedules the next tick, until the process ends. A frozen process skips its ticks.
 func (n *fleetNode) tick() {
 	if n.process.isExited {
 		return
@@ -124,14 +122,14 @@
 	}
 }
 
-// setDraining gives the relay an operators' order.
+// setDraining passes the core an operators' order to drain, or to serve again.
 func (n *fleetNode) setDraining(draining bool) {
 	record, actions := n.core.SetDraining(n.process.clock(), draining)
 	n.execute(actions)
 	n.put(record, nil)
 }
 
-// replicate handles a request of the relay, though not within the event that makes it.
+// replicate passes the core a request of the relay, after the event that the relay is handling.
 func (n *fleetNode) replicate(r relay.ReplicationRequest) {
 	n.sim.network.after(0, func() {
 		if !n.process.isExited {
@@ -140,7 +138,7 @@
 	})
 }
 
-// execute does what the core asks for.
+// execute performs the core's actions.
 func (n *fleetNode) execute(actions []fleet.Action) {
 	for _, a := range actions {
 		switch {
@@ -159,7 +157,7 @@
 	n.setReplicationTimer()
 }
 
-// persist has an action's record written, and tells the core what came of it where it waits for that.
+// persist writes an action's record to the store, and reports the outcome to the core if the action awaits it.
 func (n *fleetNode) persist(a fleet.Action) {
 	if !a.AwaitsPersistence() {
 		n.put(*a.Persist, nil)
@@ -172,7 +170,7 @@
 	})
 }
 
-// put has a record written. Without a store nothing is.
+// put writes a record to the store and calls finish, if not nil, with the outcome. Without a store it does nothing.
 func (n *fleetNode) put(record store.Record, finish func(error)) {
 	if n.store == nil {
 		return
@@ -180,12 +178,12 @@
 	n.store.Put(record, finish)
 	n.sim.network.after(diskSyncTime, func() {
 		if !n.process.isExited {
-			n.store.Flush() // finish takes the error
+			n.store.Flush() // its error goes to finish
 		}
 	})
 }
 
-// setReplicationTimer has replication go on when it is due, where it isn't due before.
+// setReplicationTimer sets a timer for the core's next replication tick, unless an earlier one is set.
 func (n *fleetNode) setReplicationTimer() {
 	now := n.process.clock()
 	wait := n.core.ReplicationDelay(now)
@@ -193,7 +191,7 @@
 	if math.IsInf(wait, 1) || isSetBefore {
 		return
 	}
-	dueAt := now + max(wait, minTimer)
+	dueAt := now + max(wait, minTimerDelay)
 	n.replicationDueAt = dueAt
 	n.sim.network.after(dueAt-now, func() {
 		if n.process.isExited || n.replicationDueAt != dueAt {
@@ -206,7 +204,7 @@
 	})
 }
 
-// query puts a query to another relay. An answer that comes late counts as none.
+// query sends a query to another relay. An answer after queryTimeout is ignored.
 func (n *fleetNode) query(q fleet.Query) {
 	isFinished := false
 	finish := func(text []byte, err error) {
@@ -218,21 +216,21 @@
 	net := n.sim.network
 	net.after(queryTimeout, func() { finish(nil, errNoAnswer) })
 	to := machineNumber(q.Address)
-	there, back := n.sim.impairments[[2]int{n.number, to}], n.sim.impairments[[2]int{to, n.number}]
-	if there.Cut || back.Cut || there.Reset || back.Reset {
+	requestPath, answerPath := n.sim.impairments[[2]int{n.number, to}], n.sim.impairments[[2]int{to, n.number}]
+	if requestPath.Cut || answerPath.Cut || requestPath.Reset || answerPath.Reset {
 		return
 	}
-	net.after(net.drawTravelTime()+float64(there.Delay), func() {
+	net.after(net.drawDelay()+float64(requestPath.Delay), func() {
 		other := n.sim.reachableNode(n.number, q.Address)
 		if other == nil {
 			return
 		}
 		text := other.core.AnswerQuery(other.process.clock(), n.sim.machines[to].stateMachine.Snapshot())
-		net.after(net.drawTravelTime()+float64(back.Delay), func() { finish(text, nil) })
+		net.after(net.drawDelay()+float64(answerPath.Delay), func() { finish(text, nil) })
 	})
 }
 
-// Phases returns how many of the relays that are alive are in each phase of their recovery.
+// Phases returns the number of running relays in each phase of the recovery.
 func (s *Sim) Phases() [recovery.Normal + 1]int {
 	var count [recovery.Normal + 1]int
 	for _, m := range s.machines {
--- a/internal/testbed/sim/network.go
+++ b/internal/testbed/sim/network.go
@@ -1,6 +1,7 @@
-// Package sim runs an experiment in virtual time: the relays' real state machines, unchanged, on a simulated
-// network, among the testbed's model. Nothing runs concurrently and nothing reads a clock, so one seed gives the
-// same run, event by event. Every byte that clients, backends and relays exchange goes through the state machines.
+// Package sim runs an experiment in virtual time. The relays' real state machines run unchanged on a simulated network,
+// with the clients, backends and discovery service of package model. Nothing runs concurrently and no event depends on
+// the real time, so the same seed gives the same run, event by event. Every byte between clients and backends goes
+// through the relays' state machines.
 package sim
 
 import (
@@ -14,24 +15,24 @@
 )
 
 const (
-	startMillis = 1e9     // the time at the beginning of a run, in milliseconds: late enough that 0 is long ago
-	dialTimeout = 10000.0 // milliseconds after which the kernel would give up a dial
+	startMillis = 1e9     // virtual time in milliseconds at which a run starts; late, so that time 0 is long past
+	dialTimeout = 10000.0 // milliseconds after which a dial times out, in place of the kernel's own timeout
 )
 
-// event is something that happens at a time; those of one time happen in the order of their numbers.
+// event is a call scheduled at a virtual time. Events of the same time run in the order of their sequence numbers.
 type event struct {
-	at  float64
+	at  float64 // milliseconds
 	seq uint64
 	do  func()
 }
 
-// queue is a heap of events, the next one first.
+// queue is a heap of events, the earliest first.
 type queue []event
 
 // Len implements heap.Interface.
 func (q queue) Len() int { return len(q) }
 
-// Less implements heap.Interface: the earlier one comes first.
+// Less implements heap.Interface. It orders events by time, then by sequence number.
 func (q queue) Less(i, j int) bool {
 	return q[i].at < q[j].at || (q[i].at == q[j].at && q[i].seq < q[j].seq)
 }
@@ -51,57 +52,57 @@
 	return x
 }
 
-// network is the virtual time, all hosts and their connections.
+// network holds the virtual time, the scheduled events and all nodes with their connections.
 type network struct {
-	now              float64
-	seq              uint64
+	now              float64 // virtual time in milliseconds
+	seq              uint64  // sequence number of the event that was scheduled last
 	queue            queue
 	rng              *rand.Rand
-	delay, jitter    float64
-	splitProbability float64
-	nodes            map[string]*node
-	nodeList         []*node
-	isolatedZones    map[int]bool      // zones
-	delayed          []delayedDelivery // what waits for its path to be open again
-	trace            io.Writer
-	bytes            int
-	events           int
+	delay, jitter    float64           // milliseconds; each piece of data takes delay plus up to twice jitter
+	splitProbability float64           // probability that a write arrives in two pieces
+	nodes            map[string]*node  // by address
+	nodeList         []*node           // in the order in which they were added
+	isolatedZones    map[int]bool      // by zone: whether it is cut off from the other zones
+	blocked          []blockedDelivery // deliveries that wait for their path to open
+	trace            io.Writer         // nil if no trace is written
+	bytes            int               // bytes written to connections so far
+	events           int               // events run so far
 }
 
-// node is a host on the network. Its actor is called for its connections.
+// node is a host on the network. Its actor is called back about its connections.
 type node struct {
 	network        *network
 	address        string
 	zone           int
 	actor          model.Actor
 	sides          map[uint64]*side
-	lastNumber     uint64 // connection
-	isUnreachable  bool
-	isRefusing     bool
-	isAcceptPaused bool // accepts nobody for now; who connects waits
+	lastConn       uint64 // number of the node's newest connection
+	isUnreachable  bool   // nothing passes to or from the node
+	isRefusing     bool   // new connections are refused
+	isAcceptPaused bool   // new connections wait until the node accepts again
 }
 
-// side is one side of a connection, as its node sees it.
+// side is one of the two sides of a connection.
 type side struct {
 	node        *node
-	number      uint64
-	peer        *side
+	connNumber  uint64 // number of the connection at its node
+	peer        *side  // the other side; nil until the dial has arrived there
 	isOpen      bool
-	isAccepted  bool     // by an actor that accepted it, or whose dial is up
-	lastArrival float64  // when the latest that was sent to it arrives
-	waiting     []func() // what has arrived before it was taken
+	isAccepted  bool     // the node's actor knows the connection: it accepted it, or its dial was established
+	lastArrival float64  // virtual time in milliseconds at which the latest delivery to this side arrives
+	undelivered []func() // deliveries that arrived before isAccepted was set
 }
 
-// delayedDelivery is a delivery that waits for its path.
-type delayedDelivery struct {
+// blockedDelivery is a delivery that waits for its path to open.
+type blockedDelivery struct {
 	from, to *node
 	do       func()
 }
 
-func newNetwork(chance *rand.Rand, delay, jitter, split float64) *network {
+func newNetwork(random *rand.Rand, delay, jitter, split float64) *network {
 	return &network{
 		now:              startMillis,
-		rng:              chance,
+		rng:              random,
 		delay:            delay,
 		jitter:           jitter,
 		splitProbability: split,
@@ -110,13 +111,13 @@
 	}
 }
 
-// after has do called once wait milliseconds have passed.
+// after schedules a call of do in wait milliseconds.
 func (n *network) after(wait float64, do func()) {
 	n.seq++
 	heap.Push(&n.queue, event{n.now + max(wait, 0), n.seq, do})
 }
 
-// run goes on until that time.
+// run runs all events up to a virtual time.
 func (n *network) run(until float64) {
 	for len(n.queue) > 0 && n.queue[0].at <= until {
 		e := heap.Pop(&n.queue).(event)
@@ -127,7 +128,7 @@
 	n.now = until
 }
 
-// logf writes a line of the trace.
+// logf writes a line to the trace, if there is one.
 func (n *network) logf(format string, args ...any) {
 	if n.trace != nil {
 		fmt.Fprintf(n.trace, "%.4f ", n.now-startMillis)
@@ -135,7 +136,7 @@
 	}
 }
 
-// addNode adds a node.
+// addNode adds a node in a zone; a zone below 0 stands for none.
 func (n *network) addNode(address string, zone int) *node {
 	d := &node{network: n, address: address, zone: zone, sides: map[uint64]*side{}}
 	n.nodes[address] = d
@@ -143,8 +144,8 @@
 	return d
 }
 
-// drawTravelTime draws how many milliseconds a piece of data travels.
-func (n *network) drawTravelTime() float64 { return n.delay + 2*n.jitter*n.rng.Float64() }
+// drawDelay draws the network delay of a piece of data, in milliseconds.
+func (n *network) drawDelay() float64 { return n.delay + 2*n.jitter*n.rng.Float64() }
 
 // isPathOpen reports whether the path between two nodes is open. Zones below 0 are never cut off.
 func (n *network) isPathOpen(a, b *node) bool {
@@ -155,38 +156,39 @@
 	return isWithinZone || !(n.isolatedZones[a.zone] || n.isolatedZones[b.zone])
 }
 
-// whenPathOpen calls do once the path from one node to another is open.
+// whenPathOpen calls do at once if the path between two nodes is open, else once it has opened.
 func (n *network) whenPathOpen(from, to *node, do func()) {
 	if !n.isPathOpen(from, to) {
-		n.delayed = append(n.delayed, delayedDelivery{from, to, do})
+		n.blocked = append(n.blocked, blockedDelivery{from, to, do})
 		return
 	}
 	do()
 }
 
-// deliverDelayed delivers what was held where the path is open now.
-func (n *network) deliverDelayed() {
-	waiting := n.delayed
-	n.delayed = nil
+// deliverUnblocked makes the blocked deliveries whose path is open now.
+func (n *network) deliverUnblocked() {
+	waiting := n.blocked
+	n.blocked = nil
 	for _, h := range waiting {
 		if n.isPathOpen(h.from, h.to) {
 			n.after(0, h.do)
 		} else {
-			n.delayed = append(n.delayed, h)
+			n.blocked = append(n.blocked, h)
 		}
 	}
 }
 
-// deliver has do called at a side, behind all that was sent there before.
+// deliver schedules a call of do when something sent now arrives at a side, after all that was sent there earlier. The
+// call is dropped if the side is closed by then.
 func (n *network) deliver(to *side, do func()) {
-	to.lastArrival = max(n.now+n.drawTravelTime(), to.lastArrival)
+	to.lastArrival = max(n.now+n.drawDelay(), to.lastArrival)
 	from := to.peer.node
 	n.after(to.lastArrival-n.now, func() {
 		n.whenPathOpen(from, to.node, func() {
 			switch {
 			case !to.isOpen:
 			case !to.isAccepted:
-				to.waiting = append(to.waiting, do)
+				to.undelivered = append(to.undelivered, do)
 			default:
 				do()
 			}
@@ -194,56 +196,57 @@
 	})
 }
 
-// dial connects to an address; the actor learns of the outcome by OnConnect or OnClose.
+// dial connects to an address. The actor's OnConnect or OnClose is called with the outcome.
 func (d *node) dial(conn uint64, address string) {
 	n := d.network
-	own := &side{node: d, number: conn, isOpen: true}
-	d.sides[conn] = own
+	dialer := &side{node: d, connNumber: conn, isOpen: true}
+	d.sides[conn] = dialer
 	n.after(dialTimeout, func() {
-		if !own.isAccepted {
-			own.dialFailed()
+		if !dialer.isAccepted {
+			dialer.dialFailed()
 		}
 	})
-	n.after(n.drawTravelTime(), func() {
+	n.after(n.drawDelay(), func() {
 		to := n.nodes[address]
 		if to == nil {
-			n.after(n.drawTravelTime(), own.dialFailed)
+			n.after(n.drawDelay(), dialer.dialFailed)
 			return
 		}
-		n.whenPathOpen(d, to, func() { own.reach(to) })
+		n.whenPathOpen(d, to, func() { dialer.dialArrived(to) })
 	})
 }
 
-// dialFailed tells the actor that its dial has failed, unless it was given up or is up.
+// dialFailed tells the actor that its dial has failed, unless the connection has been closed already.
 func (s *side) dialFailed() {
 	if !s.isOpen {
 		return
 	}
 	s.isOpen = false
-	delete(s.node.sides, s.number)
-	s.node.network.logf("%s %d never up", s.node.address, s.number)
-	s.node.actor.OnClose(s.number, true)
+	delete(s.node.sides, s.connNumber)
+	s.node.network.logf("%s %d never up", s.node.address, s.connNumber)
+	s.node.actor.OnClose(s.connNumber, true)
 }
 
-// reach has a dial arrive at the node that it goes to.
-func (s *side) reach(to *node) {
+// dialArrived handles the arrival of a dial at the dialed node.
+func (s *side) dialArrived(to *node) {
 	n := s.node.network
 	if to.isRefusing {
-		n.after(n.drawTravelTime(), func() { n.whenPathOpen(to, s.node, s.dialFailed) })
+		n.after(n.drawDelay(), func() { n.whenPathOpen(to, s.node, s.dialFailed) })
 		return
 	}
-	to.lastNumber++
-	peer := &side{node: to, number: to.lastNumber, peer: s, isOpen: true}
+	to.lastConn++
+	peer := &side{node: to, connNumber: to.lastConn, peer: s, isOpen: true}
 	s.peer = peer
-	to.sides[peer.number] = peer
+	to.sides[peer.connNumber] = peer
 	if !to.isAcceptPaused {
 		peer.accept()
 	}
-	s.lastArrival = n.now + n.drawTravelTime()
+	s.lastArrival = n.now + n.drawDelay()
 	n.after(s.lastArrival-n.now, func() { n.whenPathOpen(to, s.node, s.established) })
 }
 
-// established tells the actor that its dial is up, or the other side that it was given up meanwhile.
+// established tells the dialing actor that its connection is established. If that actor has closed the connection
+// meanwhile, the other side is told of the close.
 func (s *side) established() {
 	n := s.node.network
 	switch {
@@ -251,41 +254,41 @@
 		n.deliverClose(s.peer, false)
 	case !s.isAccepted:
 		s.isAccepted = true
-		n.logf("%s %d up", s.node.address, s.number)
-		s.node.actor.OnConnect(s.number)
+		n.logf("%s %d up", s.node.address, s.connNumber)
+		s.node.actor.OnConnect(s.connNumber)
 		s.flush()
 	}
 }
 
-// accept hands a connection to the actor that it was dialed to.
+// accept hands an incoming connection to the dialed node's actor.
 func (s *side) accept() {
 	s.isAccepted = true
-	s.node.network.logf("%s %d opened", s.node.address, s.number)
-	s.node.actor.OnAccept(s.number)
+	s.node.network.logf("%s %d opened", s.node.address, s.connNumber)
+	s.node.actor.OnAccept(s.connNumber)
 	s.flush()
 }
 
-// flush delivers what has arrived before the side was taken.
+// flush makes the deliveries that arrived before isAccepted was set.
 func (s *side) flush() {
-	for len(s.waiting) > 0 && s.isOpen {
-		do := s.waiting[0]
-		s.waiting = s.waiting[1:]
+	for len(s.undelivered) > 0 && s.isOpen {
+		do := s.undelivered[0]
+		s.undelivered = s.undelivered[1:]
 		do()
 	}
-	s.waiting = nil
+	s.undelivered = nil
 }
 
-// deliverClose has the close of a connection arrive at a side.
-func (n *network) deliverClose(s *side, broken bool) {
+// deliverClose sends a side the close of its connection, or its reset if broken is true.
+func (n *network) deliverClose(s *side, reset bool) {
 	n.deliver(s, func() {
 		s.isOpen = false
-		delete(s.node.sides, s.number)
-		n.logf("%s %d over %t", s.node.address, s.number, broken)
-		s.node.actor.OnClose(s.number, broken)
+		delete(s.node.sides, s.connNumber)
+		n.logf("%s %d over %t", s.node.address, s.connNumber, reset)
+		s.node.actor.OnClose(s.connNumber, reset)
 	})
 }
 
-// write sends data, now and then in two pieces.
+// write sends data on a connection, in two pieces with the network's splitProbability.
 func (d *node) write(conn uint64, data []byte) {
 	s := d.sides[conn]
 	if s == nil || !s.isOpen || s.peer == nil || len(data) == 0 {
@@ -308,14 +311,14 @@
 	copied := bytes.Clone(data)
 	n.deliver(to, func() {
 		if n.trace != nil {
-			n.logf("%s %d came %q", to.node.address, to.number, copied)
+			n.logf("%s %d came %q", to.node.address, to.connNumber, copied)
 		}
-		to.node.actor.OnData(to.number, copied)
+		to.node.actor.OnData(to.connNumber, copied)
 	})
 }
 
-// closeSide closes or resets a connection from this side, at once.
-func (d *node) closeSide(conn uint64, broken bool) {
+// closeSide closes a connection at this node at once, or resets it if broken is true.
+func (d *node) closeSide(conn uint64, reset bool) {
 	s := d.sides[conn]
 	if s == nil || !s.isOpen {
 		return
@@ -323,24 +326,24 @@
 	s.isOpen = false
 	delete(d.sides, conn)
 	if s.peer != nil {
-		d.network.deliverClose(s.peer, broken)
+		d.network.deliverClose(s.peer, reset)
 	}
 }
 
-// nodeHost is a node as the model's actors see it; it implements model.Host.
+// nodeHost implements model.Host on a node, for the model's actors.
 type nodeHost struct{ *node }
 
-// Now returns the time in milliseconds.
+// Now returns the virtual time in milliseconds.
 func (h nodeHost) Now() float64 { return h.network.now }
 
-// After has do called once wait milliseconds have passed.
+// After schedules a call of do in wait milliseconds.
 func (h nodeHost) After(wait float64, do func()) { h.network.after(wait, do) }
 
 // Dial opens a connection and returns its number.
 func (h nodeHost) Dial(address string) uint64 {
-	h.lastNumber++
-	h.dial(h.lastNumber, address)
-	return h.lastNumber
+	h.lastConn++
+	h.dial(h.lastConn, address)
+	return h.lastConn
 }
 
 // Write sends data on a connection.
--- a/internal/testbed/sim/relayprocess.go
+++ b/internal/testbed/sim/relayprocess.go
@@ -13,30 +13,31 @@
 )
 
 const (
-	transferTime = 0.5  // milliseconds for one session to go from one process to the other
-	siblingDelay = 50.0 // milliseconds until one process sees what the other one did
-	exitTime     = 1.0  // milliseconds
+	transferTime = 0.5  // milliseconds to transfer one session from a relay's process to its sibling
+	siblingDelay = 50.0 // milliseconds until a process notices what its sibling did
+	exitTime     = 1.0  // milliseconds from the state machine's Exit effect to the end of the process
 )
 
-func sorted[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
+// sortedKeys returns the keys of a map in a fixed order, so that a run does not depend on the order of iteration.
+func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// StateMachine is what a relay runs on: its state machine, or one with a fault, for tests of the auditor.
+// StateMachine is the relay's state machine, or a wrapper around it that injects faults in tests of the auditor.
 type StateMachine interface {
 	Handle(now float64, e relay.Event) []relay.Effect
 }
 
-// relayProcess is one process of a relay: it carries out the state machine's effects on the simulated network, as
-// the relay's socket driver does on real connections.
+// relayProcess is one process of a relay. It performs the state machine's effects on the simulated network, as the
+// relay's socket driver does on real connections.
 type relayProcess struct {
 	*node
-	number       int
+	number       int // number of the relay and of its machine
 	stateMachine StateMachine
 	discovery    *model.Discovery
-	impairments  map[[2]int]experiment.Impairment // of the paths between machines, shared by the run
+	impairments  map[[2]int]experiment.Impairment // of the paths between machines; shared by all processes of the run
 	observer     model.Observer
 	onExit       func()
-	clockOffset  float64    // of the machine's clock at the start, ahead of the true time
-	fleetNode    *fleetNode // nil: the relay has no disk and knows no other
+	clockOffset  float64    // milliseconds that the machine's clock was ahead of the true time when the process started
+	fleetNode    *fleetNode // nil if the experiment has neither membership nor disks
 
 	eventLoop
 	connNumbers
@@ -44,35 +45,36 @@
 	siblingState
 }
 
-// eventLoop is the process's handling of events, one after the other.
+// eventLoop is the state of a process's event loop, which handles one event at a time.
 type eventLoop struct {
 	isExited      bool
-	isFrozen      bool
-	isHandling    bool          // an event; those raised meanwhile are queued
-	pendingEvents []relay.Event // queued
-	timerID       uint64        // of the timer that is set; earlier ones do nothing
+	isFrozen      bool          // the process is suspended and handles no events
+	isHandling    bool          // the state machine is handling an event; further events are queued
+	pendingEvents []relay.Event // events to be handled
+	timerID       uint64        // ID of the timer that was set last; earlier timers do nothing
 }
 
-// connNumbers maps the numbers of connections: those of the node, which outlive a process, and the state machine's.
+// connNumbers translates between a node's connection numbers, which stay the same when a session moves to another
+// process, and those of the process's state machine.
 type connNumbers struct {
-	nodeConns   map[uint64]uint64 // the node's by the state machine's
-	relayConns  map[uint64]uint64 // and back
-	clientCount uint64            // of clients accepted
+	nodeConns      map[uint64]uint64 // the node's number by the state machine's number
+	relayConns     map[uint64]uint64 // the state machine's number by the node's number
+	lastClientConn uint64            // the state machine's number of the client connection accepted last
 }
 
 // endpointWatch is the process's watch of the endpoint list.
 type endpointWatch struct {
-	openWatch *watch          // nil: none
-	notified  map[string]bool // the backends that the relay was notified of
+	openWatch *watch          // nil if no watch is open
+	notified  map[string]bool // names of the backends that the relay was told about
 }
 
-// siblingState is what the process has to do with another one on the same socket.
+// siblingState is the state that a process shares with its sibling, the other process on the same socket.
 type siblingState struct {
-	sibling             *relayProcess // nil: there is none
+	sibling             *relayProcess // nil if there is none
 	acceptPaused        bool
-	handoff             *relay.Handoff            // for the new process
-	detachedSession     *relay.TransferredSession // that is being transferred
-	acceptedBackendConn uint64                    // of a session that was received; 0: it was rejected
+	handoff             *relay.Handoff            // handoff for the new process
+	detachedSession     *relay.TransferredSession // session that is being transferred to the sibling
+	acceptedBackendConn uint64                    // backend connection of the session received last; 0 if it was rejected
 	onReady             func()
 }
 
@@ -91,18 +93,19 @@
 	}
 }
 
-// handle gives the state machine one event and carries out its effects; events raised meanwhile are queued.
+// handle has the state machine handle an event and performs its effects. Events that these raise are queued.
 func (p *relayProcess) handle(e relay.Event) {
 	p.pendingEvents = append(p.pendingEvents, e)
 	p.handlePending()
 }
 
-// freeze suspends the process, or has it go on; the kernel goes on accepting and receiving for it.
-func (p *relayProcess) freeze(on bool) {
-	p.isFrozen = on
+// freeze suspends or resumes the process. Connections and data that arrive meanwhile are queued, as the kernel does.
+func (p *relayProcess) freeze(frozen bool) {
+	p.isFrozen = frozen
 	p.handlePending()
 }
 
+// clock returns the time in milliseconds by the process's clock.
 func (p *relayProcess) clock() float64 { return p.network.now + p.clockOffset }
 
 func (p *relayProcess) handlePending() {
@@ -120,7 +123,7 @@
 	p.isHandling = false
 }
 
-// execute carries out one effect of the state machine.
+// execute performs one effect of the state machine.
 func (p *relayProcess) execute(effect relay.Effect) {
 	if p.isExited {
 		return
@@ -170,16 +173,16 @@
 	}
 }
 
-// dialFor dials for a connection that the state machine numbered.
-func (p *relayProcess) dialFor(own uint64, address string) {
-	p.lastNumber++
-	p.nodeConns[own] = p.lastNumber
-	p.relayConns[p.lastNumber] = own
-	p.dial(p.lastNumber, address)
+// dialFor dials an address for a new connection of the state machine.
+func (p *relayProcess) dialFor(relayConn uint64, address string) {
+	p.lastConn++
+	p.nodeConns[relayConn] = p.lastConn
+	p.relayConns[p.lastConn] = relayConn
+	p.dial(p.lastConn, address)
 }
 
-func (p *relayProcess) writeChunks(own uint64, chunks [][]byte) {
-	conn, isOpen := p.nodeConns[own]
+func (p *relayProcess) writeChunks(relayConn uint64, chunks [][]byte) {
+	conn, isOpen := p.nodeConns[relayConn]
 	if isOpen {
 		p.write(conn, bytes.Join(chunks, nil))
 	}
@@ -187,22 +190,22 @@
 
 func (p *relayProcess) setTimer(at float64) {
 	p.timerID++
-	alarm := p.timerID
+	id := p.timerID
 	p.network.after(at-p.clock(), func() {
-		if p.timerID == alarm && !p.isExited {
+		if p.timerID == id && !p.isExited {
 			p.handle(relay.TimerFired{})
 		}
 	})
 }
 
-// startWatch opens a watch of the endpoint list in place of any other.
+// startWatch opens a watch of the endpoint list and closes any earlier one.
 func (p *relayProcess) startWatch(number, after uint64) {
 	p.closeWatch()
-	w := &watch{process: p, relayNumber: number}
+	w := &watch{process: p, relayWatchID: number}
 	p.openWatch = w
 	p.sendOverPath(p.number, experiment.Discovery, func() {
 		if p.openWatch == w {
-			w.discoveryID = p.discovery.Watch(after, w)
+			w.discoveryWatchID = p.discovery.Watch(after, w)
 		}
 	})
 }
@@ -230,23 +233,23 @@
 	})
 }
 
-// closeConn closes or resets a connection, by the state machine's number.
-func (p *relayProcess) closeConn(own uint64, broken bool) {
-	if conn, open := p.nodeConns[own]; open {
-		p.closeSide(conn, broken)
-		delete(p.nodeConns, own)
+// closeConn closes a connection of the state machine, or resets it if broken is true.
+func (p *relayProcess) closeConn(relayConn uint64, reset bool) {
+	if conn, open := p.nodeConns[relayConn]; open {
+		p.closeSide(conn, reset)
+		delete(p.nodeConns, relayConn)
 		delete(p.relayConns, conn)
 	}
 }
 
-// listen has this process accept at the node's socket.
+// listen makes this process the one that accepts on the node's socket.
 func (p *relayProcess) listen() {
 	p.node.actor = p
 	p.node.isRefusing = false
 	p.updateAccept()
 }
 
-// updateAccept accepts waiting clients, or pauses, if this is the process that accepts.
+// updateAccept accepts waiting clients, or pauses accepting, if this process is the one that accepts.
 func (p *relayProcess) updateAccept() {
 	if p.node.actor == p {
 		p.node.isAcceptPaused = p.acceptPaused
@@ -254,7 +257,7 @@
 	}
 }
 
-// transfer hands an established session to the sibling process, in the form that it has between two real ones.
+// transfer hands an established session to the sibling process, in the encoding that real processes use.
 func (p *relayProcess) transfer(client, backend uint64) {
 	if p.isExited || p.sibling == nil {
 		return
@@ -264,36 +267,36 @@
 	if p.detachedSession == nil {
 		return
 	}
-	next := p.sibling
-	accepted := !next.isExited && next.receive(decodeSession(encodeSession(p.detachedSession)))
+	target := p.sibling
+	accepted := !target.isExited && target.receive(decodeSession(encodeSession(p.detachedSession)))
 	if accepted {
-		p.moveConnection(next, client, next.clientCount)
-		p.moveConnection(next, backend, next.acceptedBackendConn)
+		p.moveConnection(target, client, target.lastClientConn)
+		p.moveConnection(target, backend, target.acceptedBackendConn)
 	}
 	p.handle(relay.SessionTransferred{Conn: client, Accepted: accepted})
 }
 
-// receive takes in a session of the sibling process; false: it was not accepted.
+// receive takes over a session of the sibling process, and reports whether it was accepted.
 func (p *relayProcess) receive(session *relay.TransferredSession) bool {
-	p.clientCount++
+	p.lastClientConn++
 	p.acceptedBackendConn = 0
-	p.handle(relay.SessionReceived{Conn: p.clientCount, Session: session})
+	p.handle(relay.SessionReceived{Conn: p.lastClientConn, Session: session})
 	return p.acceptedBackendConn != 0
 }
 
-// moveConnection makes the connection that is own here the other process's, under that process's number.
-func (p *relayProcess) moveConnection(to *relayProcess, own, number uint64) {
-	conn := p.nodeConns[own]
-	delete(p.nodeConns, own)
+// moveConnection moves a connection to another process, whose state machine knows it as otherRelayConn.
+func (p *relayProcess) moveConnection(to *relayProcess, relayConn, otherRelayConn uint64) {
+	conn := p.nodeConns[relayConn]
+	delete(p.nodeConns, relayConn)
 	delete(p.relayConns, conn)
-	to.nodeConns[number] = conn
-	to.relayConns[conn] = number
+	to.nodeConns[otherRelayConn] = conn
+	to.relayConns[conn] = otherRelayConn
 }
 
 func encodeSession(session *relay.TransferredSession) []byte {
 	text, err := json.Marshal(session)
 	if err != nil {
-		panic(err) // of plain values
+		panic(err) // can't fail: a session has only plain values
 	}
 	return text
 }
@@ -301,26 +304,26 @@
 func decodeSession(text []byte) *relay.TransferredSession {
 	session := &relay.TransferredSession{}
 	if err := json.Unmarshal(text, session); err != nil {
-		panic(err) // it was encoded just now
+		panic(err) // can't fail: the text comes from encodeSession
 	}
 	return session
 }
 
 func (p *relayProcess) closeWatch() {
 	if p.openWatch != nil {
-		p.discovery.Unwatch(p.openWatch.discoveryID)
+		p.discovery.Unwatch(p.openWatch.discoveryWatchID)
 		p.openWatch = nil
 	}
 }
 
-// exitNow ends the process: the kernel closes its connections.
+// exitNow ends the process and closes its connections, as the kernel does; killed says that they are reset.
 func (p *relayProcess) exitNow(killed bool) {
 	p.isExited = true
 	p.closeWatch()
 	if p.node.actor == p {
 		p.isRefusing = true
 	}
-	for _, conn := range sorted(p.sides) {
+	for _, conn := range sortedKeys(p.sides) {
 		if p.relayConns[conn] != 0 || p.node.actor == p && (p.sibling == nil || p.sibling.relayConns[conn] == 0) {
 			p.closeSide(conn, killed)
 		}
@@ -328,7 +331,7 @@
 }
 
 func (p *relayProcess) acceptWaiting() {
-	for _, conn := range sorted(p.sides) {
+	for _, conn := range sortedKeys(p.sides) {
 		if s := p.sides[conn]; s != nil && !s.isAccepted && s.peer != nil && p.ownerOf(conn).relayConns[conn] == 0 &&
 			!p.isAcceptPaused && !p.isExited {
 			s.accept()
@@ -336,15 +339,15 @@
 	}
 }
 
-// OnAccept is called for a client that connects.
+// OnAccept is called when a client has connected.
 func (p *relayProcess) OnAccept(conn uint64) {
-	p.clientCount++
-	p.nodeConns[p.clientCount] = conn
-	p.relayConns[conn] = p.clientCount
-	p.handle(relay.ConnAccepted{Conn: p.clientCount})
+	p.lastClientConn++
+	p.nodeConns[p.lastClientConn] = conn
+	p.relayConns[conn] = p.lastClientConn
+	p.handle(relay.ConnAccepted{Conn: p.lastClientConn})
 }
 
-// ownerOf returns the process that has the connection: this one or its sibling.
+// ownerOf returns the process that has a connection of the node: this one or its sibling.
 func (p *relayProcess) ownerOf(conn uint64) *relayProcess {
 	if p.relayConns[conn] == 0 && p.sibling != nil && p.sibling.relayConns[conn] != 0 {
 		return p.sibling
@@ -352,23 +355,23 @@
 	return p
 }
 
-// OnConnect is called when a dial is up.
+// OnConnect is called when a dialed connection is established.
 func (p *relayProcess) OnConnect(conn uint64) {
 	p = p.ownerOf(conn)
 	p.handle(relay.ConnEstablished{Conn: p.relayConns[conn]})
 }
 
-// OnData is called for data that has arrived.
+// OnData is called when data has arrived.
 func (p *relayProcess) OnData(conn uint64, data []byte) {
 	p = p.ownerOf(conn)
 	p.handle(relay.DataReceived{Conn: p.relayConns[conn], Data: data})
 }
 
 // OnClose is called when the other side has closed or reset a connection.
-func (p *relayProcess) OnClose(conn uint64, broken bool) {
+func (p *relayProcess) OnClose(conn uint64, reset bool) {
 	p = p.ownerOf(conn)
-	of := p.relayConns[conn]
+	relayConn := p.relayConns[conn]
 	delete(p.relayConns, conn)
-	delete(p.nodeConns, of)
-	p.handle(relay.ConnClosed{Conn: of, Reset: broken})
+	delete(p.nodeConns, relayConn)
+	p.handle(relay.ConnClosed{Conn: relayConn, Reset: reset})
 }
--- a/internal/testbed/sim/replacement.go
+++ b/internal/testbed/sim/replacement.go
@@ -6,9 +6,10 @@
 	"valeshift/internal/relay"
 )
 
-const readyDelay = 20.0 // milliseconds until the platform sees that the new process is ready
+const readyDelay = 20.0 // milliseconds until the platform notices that the new process is ready
 
-// ReplaceRelay starts a new process beside a relay's; once that is ready, the old one is stopped as planned.
+// ReplaceRelay starts a new process beside a relay's process and shuts that down once the new one is ready. It calls
+// done once only the new process is left.
 func (s *Sim) ReplaceRelay(i int, done func()) {
 	s.network.logf("relay %d is replaced", i)
 	parent := s.machines[i].process
@@ -20,15 +21,15 @@
 	})
 }
 
-// startChild starts the new process with what the old one has left.
+// startChild starts the new process with the old one's handoff.
 func (s *Sim) startChild(i int, parent *relayProcess, done func()) {
 	handoff, err := s.passHandoff(i, parent)
-	if err != nil { // as its machine's clock was set meanwhile: the child starts without
+	if err != nil { // e.g. because the machine's clock was changed meanwhile; the child starts without a handoff
 		s.network.logf("relay %d: %v", i, err)
 	}
 	child, err := s.newProcess(i, parent, handoff)
 	if err != nil {
-		panic(err) // it was built from the same configuration before
+		panic(err) // can't fail: the old process was built from the same configuration
 	}
 	parent.sibling = child
 	child.onReady = func() {
@@ -38,7 +39,7 @@
 	child.handle(relay.TimerFired{})
 }
 
-// passHandoff returns the old process's handoff in the form that it has between two real processes.
+// passHandoff encodes and decodes the old process's handoff, as real processes do.
 func (s *Sim) passHandoff(i int, parent *relayProcess) (*relay.Handoff, error) {
 	text, err := json.Marshal(parent.handoff)
 	if err != nil {
@@ -51,7 +52,8 @@
 	return handoff, nil
 }
 
-// stopParent stops the old process, and tells the new one once it is gone.
+// stopParent shuts the old process down, or kills it after the platform's time limit, and tells the new one once it has
+// exited.
 func (s *Sim) stopParent(i int, parent, child *relayProcess, done func()) {
 	if parent.isExited || child.isExited {
 		return
--- a/internal/testbed/sim/replication_test.go
+++ b/internal/testbed/sim/replication_test.go
@@ -11,16 +11,13 @@
 	"valeshift/internal/replication"
 )
 
-// These experiments run fleets whose relays replicate records at each other, while machines, disks and the network
-// fail.
-
-// The kinds of records as the status names them.
+// The kinds of records, as the fleet status names them.
 const (
 	reservations = "places"
 	markers      = "marks"
 )
 
-// runReplicated runs an experiment. No rule of the audit may be broken.
+// runReplicated runs an experiment with replication and checks that it breaks no rule.
 func runReplicated(t *testing.T, text string) (*Sim, *Result) {
 	t.Helper()
 	s := New(parse(t, text), "module", nil)
@@ -30,7 +27,7 @@
 	return s, r
 }
 
-// replicationStatuses returns the status of each relay that is up at the end and replicates.
+// replicationStatuses returns the replication status of each relay that runs at the end.
 func (s *Sim) replicationStatuses() []*fleet.ReplicationStatus {
 	var statuses []*fleet.ReplicationStatus
 	for _, m := range s.machines {
@@ -45,7 +42,7 @@
 	return statuses
 }
 
-// replicationCounts sums a kind's counts over the relays that are up at the end.
+// replicationCounts sums the counts of one kind of record over the relays that run at the end.
 func (s *Sim) replicationCounts(kind string) replication.Counts {
 	sum := replication.Counts{}
 	for _, status := range s.replicationStatuses() {
@@ -54,7 +51,7 @@
 	return sum
 }
 
-// storedRecords returns how many records of each kind are stored at the end, without those of which there are none.
+// storedRecords returns how many records of each kind are stored at the end. Kinds without records are left out.
 func (s *Sim) storedRecords() map[string]int {
 	stored := map[string]int{}
 	for _, status := range s.replicationStatuses() {
@@ -67,8 +64,8 @@
 	return stored
 }
 
-// While the fleet recovers from a power loss, clients find their reservations at any relay, also with machines lost
-// with their disks, and partitions; and no record is left behind.
+// While the fleet recovers from a power loss, clients find their reservations at any relay, even if machines are lost
+// with their disks or the network is partitioned. No record is left at the end.
 func TestReservationsAreFound(t *testing.T) {
 	text := strings.NewReplacer("disk = true", "disk = true\nholdings = 3", "honours-busy = 0.5",
 		"honours-busy = 0.9",
@@ -77,7 +74,7 @@
 	for _, c := range []struct {
 		name           string
 		faults         string
-		maxMissedShare float64 // of the reservations that were found, those that were not acquired
+		maxMissedShare float64 // greatest share of the reservations found that may fail to be acquired in time
 	}{
 		{"no other fault", "", 0.01},
 		{"two machines lost with their disks, one after the other", fault("relay-kill", "13500ms",
@@ -92,7 +89,8 @@
 			assert.Zero(t, r.SlowStartOverloads, "backends overloaded until they failed")
 			counts := s.replicationCounts(reservations)
 			stored := s.storedRecords()
-			t.Logf("%+v, stored at the end %v, service %.4f", counts, stored, r.Metrics.ServedShare(12000, 24000))
+			t.Logf("reservations %+v, stored at the end %v, service %.4f", counts, stored,
+				r.Metrics.ServedShare(12000, 24000))
 			assert.Greater(t, counts.Replicated, uint64(30))
 			assert.Greater(t, counts.Found, uint64(10))
 			assert.LessOrEqual(t, float64(counts.Missed), c.maxMissedShare*float64(counts.Found+counts.Missed))
@@ -101,9 +99,9 @@
 	}
 }
 
-// Where backends do what a single-use session asks for and break before they say so, its client retries at whatever
-// relay. With markers next to nothing is begun a second time, also with machines lost with their disks, a lossy
-// network and paused relays; without, it is each time.
+// Backends carry out single-use sessions but fail before they answer, and the clients retry at any relay. Attempt
+// markers prevent almost all repeated effects, even if machines are lost with their disks, the network loses datagrams
+// or relays are paused. Without markers effects are repeated.
 func TestMarkersPreventRepeatedEffects(t *testing.T) {
 	answersLost := fault("answers-lost", "6s", "for = \"14s\"\nshare = 1.0\nfactor = 0.4")
 	without := strings.Replace(machines, `length = "34s"`, `length = "24s"`, 1) + answersLost
@@ -130,16 +128,17 @@
 			assert.LessOrEqual(t, r.Auditor.RepeatedEffects, c.maxRepeated)
 			assert.GreaterOrEqual(t, r.Auditor.RepeatedEffects, c.minRepeated)
 			counts := s.replicationCounts(markers)
-			t.Logf("repeated %d, %+v, service %.4f", r.Auditor.RepeatedEffects, counts, r.Metrics.ServedShare(6000, 20000))
+			t.Logf("%d effects repeated, markers %+v, service %.4f", r.Auditor.RepeatedEffects, counts,
+				r.Metrics.ServedShare(6000, 20000))
 			if c.minRepeated == 0 {
-				assert.Greater(t, counts.Found, uint64(20), "retries that met a marker")
+				assert.Greater(t, counts.Found, uint64(20), "too few retries found an attempt marker")
 			}
 		})
 	}
 }
 
-// Clients whose relay is lost with its disk return to the backends where they were, as other relays know of them;
-// without affinities they do by chance.
+// Clients whose relay is lost with its disk return to their former backends, because other relays have replicas of the
+// affinity records. Without replicated affinities they return there only by chance.
 func TestClientsReturnToTheirBackends(t *testing.T) {
 	relaysLost := fault("relay-kill", "12s", "share = 0.34\ndisk = \"wiped\"")
 	without := strings.Replace(machines, `length = "34s"`, `length = "20s"`, 1) + relaysLost
@@ -148,8 +147,8 @@
 	for _, c := range []struct {
 		name     string
 		text     string
-		minShare float64 // of the clients that return, those that do so to their backend
-		maxShare float64
+		minShare float64 // least share of the returning clients that reach their former backend
+		maxShare float64 // greatest share of the returning clients that reach their former backend
 	}{
 		{"without affinities", without, 0, 0.3},
 		{"with affinities", with, 0.95, 1},
@@ -162,7 +161,8 @@
 			_, r := runReplicated(t, c.text)
 			assert.Zero(t, r.SlowStartOverloads, "backends overloaded until they failed")
 			share := float64(r.Auditor.AffineReconnects) / float64(r.Auditor.Reconnects)
-			t.Logf("%d of %d, service %.4f", r.Auditor.AffineReconnects, r.Auditor.Reconnects, r.Metrics.ServedShare(12000, 20000))
+			t.Logf("%d of %d clients back at their backends, service %.4f", r.Auditor.AffineReconnects,
+				r.Auditor.Reconnects, r.Metrics.ServedShare(12000, 20000))
 			assert.Greater(t, r.Auditor.Reconnects, 60)
 			assert.GreaterOrEqual(t, share, c.minShare)
 			assert.LessOrEqual(t, share, c.maxShare)
@@ -170,11 +170,11 @@
 	}
 }
 
-// Three hundred relays and 120 backends, nine machines lost with their disks: effects are not begun again, clients
-// return to their backends, no rule is broken.
+// With 300 relays and 120 backends, of which nine relays are lost with their disks, attempt markers and affinities work
+// as in small fleets: few effects are repeated, clients return to their backends, and no rule is broken.
 func TestReplicationAtThreeHundredRelays(t *testing.T) {
 	if testing.Short() {
-		t.Skip("one goroutine, and minutes under the race detector")
+		t.Skip("runs in one goroutine, for minutes under the race detector")
 	}
 	text := strings.NewReplacer("disk = true", "disk = true\nholdings = 3\nremember = \"10s\"\nstood = true",
 		"count = 9", "count = 300", "servers = 12", "servers = 120", "honours-busy = 0.5", "honours-busy = 0.9",
@@ -185,8 +185,8 @@
 	s, r := runReplicated(t, text)
 	assert.Zero(t, r.SlowStartOverloads, "backends overloaded until they failed")
 	counts := s.replicationCounts(markers)
-	t.Logf("markers %+v; begun again %d; %d of %d back at their backends; service %.4f", counts, r.Auditor.RepeatedEffects,
-		r.Auditor.AffineReconnects, r.Auditor.Reconnects, r.Metrics.ServedShare(4500, 8000))
+	t.Logf("markers %+v; %d effects repeated; %d of %d clients back at their backends; service %.4f", counts,
+		r.Auditor.RepeatedEffects, r.Auditor.AffineReconnects, r.Auditor.Reconnects, r.Metrics.ServedShare(4500, 8000))
 	assert.Greater(t, counts.Found, uint64(20))
 	assert.LessOrEqual(t, float64(r.Auditor.RepeatedEffects), 2+0.1*float64(counts.Found))
 	assert.Greater(t, r.Auditor.Reconnects, 40)
--- a/internal/testbed/sim/sim_test.go
+++ b/internal/testbed/sim/sim_test.go
@@ -10,6 +10,7 @@
 	"valeshift/internal/testbed/experiment"
 )
 
+// calm is an experiment without faults.
 const calm = `
 name = "calm"
 seed = 4
@@ -45,18 +46,19 @@
 	return x
 }
 
-func play(t *testing.T, text, variant string) *Result {
+func run(t *testing.T, text, variant string) *Result {
 	t.Helper()
 	r, err := Run(parse(t, text), variant, nil)
 	require.NoError(t, err)
 	return r
 }
 
-// On a calm day every policy serves nearly all and keeps the rules; those that see loads spread them better.
-func TestCalm(t *testing.T) {
+// Without faults every policy serves nearly all requests and breaks no rule. Policies that see the backends' loads
+// spread them more evenly.
+func TestPoliciesWithoutFaults(t *testing.T) {
 	spread := map[string]float64{}
 	for _, variant := range experiment.Policies {
-		r := play(t, calm, variant)
+		r := run(t, calm, variant)
 		assert.Zero(t, r.Auditor.ViolationCount(), "%s: %v", variant, r.Auditor.Violations)
 		assert.Greater(t, r.Metrics.ServedShare(3000, 20000), 0.98, variant)
 		assert.Greater(t, r.Metrics.Answers["UP"], 800, variant)
@@ -69,12 +71,12 @@
 	assert.Less(t, spread["sight"], spread["random"])
 }
 
-// Each kind of fault, alone, on one seed: the run comes to its end with the rules kept.
+// With a single fault of any kind the run breaks no rule, and most requests are served after the fault has ended.
 func TestEachFault(t *testing.T) {
 	for kind := range experiment.FaultKinds {
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
-			r := play(t, calm+"[[fault]]\nkind = \""+string(kind)+"\"\nat = \"6s\"\nfor = \"4s\"\nshare = 0.3\n", "module")
+			r := run(t, calm+"[[fault]]\nkind = \""+string(kind)+"\"\nat = \"6s\"\nfor = \"4s\"\nshare = 0.3\n", "module")
 			assert.Zero(t, r.Auditor.ViolationCount(), "%v", r.Auditor.Violations)
 			require.Len(t, r.FaultSpans, 1)
 			assert.Greater(t, r.Metrics.ServedShare(14000, 20000), 0.7)
@@ -82,19 +84,19 @@
 	}
 }
 
-// While discovery is away, relays that are back serve by the list that the platform keeps for them, and
-// nobody where nothing keeps it. Against a simulation that knows more than processes do.
-func TestBackWithoutList(t *testing.T) {
+// While discovery is down, restarted relays serve with the endpoint list that the platform kept for them, and serve
+// nobody if it kept none. This guards against a simulation whose relays know more than real processes would.
+func TestRestartWhileDiscoveryIsDown(t *testing.T) {
 	setups := map[bool]int{}
-	for _, known := range []bool{false, true} {
+	for _, isKnown := range []bool{false, true} {
 		x := parse(t, calm+"[[fault]]\nkind = \"relay-kill\"\nat = \"6s\"\nshare = 1\n"+
 			"[[fault]]\nkind = \"discovery-down\"\nat = \"6s\"\nfor = \"6s\"\n")
-		x.Relays.KnowsEndpoints = known
+		x.Relays.KnowsEndpoints = isKnown
 		r, err := Run(x, "module", nil)
 		require.NoError(t, err)
 		assert.Zero(t, r.Auditor.ViolationCount())
 		for _, s := range r.Metrics.Seconds[8:11] {
-			setups[known] += s.Established
+			setups[isKnown] += s.Established
 		}
 	}
 	assert.Zero(t, setups[false])
--- a/internal/testbed/sim/simulation.go
+++ b/internal/testbed/sim/simulation.go
@@ -12,7 +12,7 @@
 	"valeshift/internal/testbed/model"
 )
 
-// Result is the outcome of one run.
+// Result is the outcome of one run: what the model, the auditor and the relays counted.
 type Result struct {
 	Variant            string
 	Metrics            *model.Metrics
@@ -21,38 +21,38 @@
 	SlowStartOverloads int
 	Events             int
 	Bytes              int
-	RealTime           time.Duration // that the run took; the only figure that differs from run to run
+	RealTime           time.Duration // wall-clock time of the run; nothing else differs between runs
 	Relays             []relay.Counters
 }
 
-// Sim is one run of one variant. It implements model.Infrastructure.
+// Sim is one run of an experiment under one variant. It implements model.Infrastructure.
 type Sim struct {
 	experiment           *experiment.Experiment
 	variant              string
 	network              *network
 	environment          *model.Environment
 	auditor              *audit.Auditor
-	machines             []*machine // one for each relay
-	impairments          map[[2]int]experiment.Impairment
-	coordinatorProcesses map[int]*coordinatorProcess // by their machines
-	// WrapStateMachine, where set, wraps each relay's state machine, for tests of the auditor.
+	machines             []*machine                       // one for each relay, by the relay's number
+	impairments          map[[2]int]experiment.Impairment // of the network, by the machines {from, to}
+	coordinatorProcesses map[int]*coordinatorProcess      // by the number of their machine
+	// WrapStateMachine, if not nil, wraps each relay's state machine. Tests of the auditor use it to inject faults.
 	WrapStateMachine func(relay int, stateMachine StateMachine) StateMachine
 }
 
-// machine is a relay's machine, with what outlives a process of the relay.
+// machine is the machine of one relay, with the state that outlives the relay's processes.
 type machine struct {
-	process        *relayProcess       // the relay's present one, or its last
-	stateMachine   *relay.StateMachine // of that process
-	starts         int                 // processes started so far
-	knownEndpoints *relay.EndpointUpdate
-	formerCounters relay.Counters // of the process that exited last
+	process        *relayProcess         // the relay's current process, or the last one if none runs
+	stateMachine   *relay.StateMachine   // state machine of the process that was started last
+	starts         int                   // number of processes started so far
+	knownEndpoints *relay.EndpointUpdate // endpoint list that the next process starts with
+	formerCounters relay.Counters        // counters of the process that exited last
 	disk           *simulatedDisk
-	clockOffset    float64 // milliseconds ahead of the true time
+	clockOffset    float64 // milliseconds that the machine's clock is ahead of the true time
 }
 
-const settleTime = 4000.0 // milliseconds after the last arrival, for what is still under way
+const settleTime = 4000.0 // milliseconds that a run goes on after arrivals end, for requests still in progress
 
-// New makes a run of one variant.
+// New prepares a run of one variant. It writes a trace of the run to trace, unless that is nil.
 func New(x *experiment.Experiment, variant string, trace io.Writer) *Sim {
 	network := newNetwork(x.Rand("network", 0), float64(x.Network.Delay), float64(x.Network.Jitter),
 		x.Network.SplitProbability)
@@ -73,7 +73,7 @@
 	return New(x, variant, trace).Run()
 }
 
-// Run runs it.
+// Run runs the experiment to its end.
 func (s *Sim) Run() (*Result, error) {
 	startedAt := time.Now()
 	addresses, err := s.setUp()
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	s.environment.Start(addresses)
-	s.network.after(float64(s.experiment.Warmup)/2, s.copyDisks)
+	s.network.after(float64(s.experiment.Warmup)/2, s.snapshotDisks)
 	s.network.run(startMillis + float64(s.experiment.Length))
 	s.environment.Workload.Close()
 	s.network.run(startMillis + float64(s.experiment.Length) + settleTime)
@@ -89,7 +89,7 @@
 	return s.result(time.Since(startedAt)), nil
 }
 
-// setUp makes the environment and starts the relays; it returns their addresses.
+// setUp creates the environment, starts the relays and returns their addresses.
 func (s *Sim) setUp() (addresses []string, err error) {
 	s.environment = model.NewEnvironment(s.experiment, s, nodeHost{s.network.addNode("world", -1)}, s.auditor)
 	s.auditor.IsSameZone = s.environment.IsSameZone
@@ -100,7 +100,7 @@
 		addresses = append(addresses, n.address)
 		s.machines = append(s.machines, &machine{
 			process:        &relayProcess{node: n, eventLoop: eventLoop{isExited: true}},
-			knownEndpoints: s.endpointsToKeep(),
+			knownEndpoints: s.savedEndpoints(),
 			disk:           &simulatedDisk{memory: store.NewMemoryFS()},
 		})
 		if err := s.startProcess(i); err != nil {
@@ -110,10 +110,10 @@
 	return addresses, nil
 }
 
-// copyDisks keeps each disk as it is now, for faults that bring an older one back.
-func (s *Sim) copyDisks() {
+// snapshotDisks copies all disks, for faults that restore an older state of a disk.
+func (s *Sim) snapshotDisks() {
 	for _, m := range s.machines {
-		m.disk.older = m.disk.memory.Clone()
+		m.disk.olderCopy = m.disk.memory.Clone()
 	}
 }
 
@@ -138,7 +138,7 @@
 	return r
 }
 
-// startProcess starts a relay.
+// startProcess starts a process of a relay that has none.
 func (s *Sim) startProcess(i int) error {
 	p, err := s.newProcess(i, nil, nil)
 	if err != nil {
@@ -151,7 +151,8 @@
 	return nil
 }
 
-// newProcess makes a process of a relay; beside an old one (parent, else nil), with its handoff.
+// newProcess creates a process of a relay. When it replaces a running process, parent is that process and handoff is
+// its handoff; otherwise both are nil.
 func (s *Sim) newProcess(i int, parent *relayProcess, handoff *relay.Handoff) (*relayProcess, error) {
 	x := s.experiment
 	machine := s.machines[i]
@@ -190,12 +191,12 @@
 
 func (s *Sim) relayExited(i int) {
 	s.machines[i].formerCounters = s.machines[i].stateMachine.Counters
-	s.machines[i].knownEndpoints = s.endpointsToKeep()
+	s.machines[i].knownEndpoints = s.savedEndpoints()
 	s.environment.RelayExited(i)
 }
 
-// endpointsToKeep returns the endpoint list that the platform keeps for a relay that ends now.
-func (s *Sim) endpointsToKeep() *relay.EndpointUpdate {
+// savedEndpoints returns the endpoint list that the platform keeps for the next process of a relay that exits now.
+func (s *Sim) savedEndpoints() *relay.EndpointUpdate {
 	if !s.experiment.Relays.KnowsEndpoints {
 		return &relay.EndpointUpdate{Complete: true}
 	}
--- a/internal/testbed/sim/variant.go
+++ b/internal/testbed/sim/variant.go
@@ -9,10 +9,10 @@
 	"valeshift/internal/testbed/experiment"
 )
 
-const loadOfUnreachable = 1e6 // above that of any backend that can be reached
+const loadOfUnreachable = 1e6 // utilization reported for a dead backend, above that of any live one
 
-// Policy makes the balancer of one relay for a variant: the program's own, or a baseline, which may ask for a
-// backend's true load and for whether it has capacity for one more session.
+// Policy creates the balancer of one relay for a variant: the relay's own, or a baseline. A baseline may look up a
+// backend's true load and whether it has capacity for one more session, by the backend's ID.
 func Policy(x *experiment.Experiment, variant string, zone int, config *relay.Config,
 	loadOf func(uint32) float64, hasCapacity func(uint32) bool) (dispatch.Balancer, error) {
 	if variant == experiment.Policies[0] {
@@ -47,7 +47,7 @@
 	return classes
 }
 
-// loadOf returns a backend's true load; one that is dead counts as full.
+// loadOf returns a backend's true utilization, or loadOfUnreachable for one that is dead or unknown.
 func (s *Sim) loadOf(id uint32) float64 {
 	for _, b := range s.environment.Backends {
 		if relay.BackendID(b.Name) == id && !b.Dead {
--- a/internal/testbed/sim/watch.go
+++ b/internal/testbed/sim/watch.go
@@ -10,82 +10,86 @@
 var errReset = errors.New("watch: connection reset")
 
 const (
-	pathCheckInterval = 5.0  // milliseconds between two looks at a path that is cut
-	endpointListBytes = 4096 // of a list, on a path of limited bandwidth
+	pathCheckInterval = 5.0  // milliseconds between two checks of a path that is cut
+	endpointListBytes = 4096 // assumed size in bytes of any message on a path of limited bandwidth
 )
 
-// watch is one open watch of the endpoint list: what discovery sends arrives in order.
+// watch is one open watch of the endpoint list. What discovery sends on it arrives in order.
 type watch struct {
-	process     *relayProcess
-	relayNumber uint64
-	discoveryID uint64
-	lastArrival float64
-	inOrder     inOrder
+	process          *relayProcess
+	relayWatchID     uint64  // the watch's ID in the relay's state machine
+	discoveryWatchID uint64  // the watch's ID at the discovery service
+	lastArrival      float64 // virtual time in milliseconds at which the latest message has crossed the network
+	orderedStream    orderedStream
 }
 
+// deliver has do called when a message that discovery sends now has arrived, unless the watch is closed by then.
 func (w *watch) deliver(do func()) {
-	arrive := w.inOrder.next(func() {
+	arrive := w.orderedStream.send(func() {
 		if w.process.openWatch == w && !w.process.isExited {
 			do()
 		}
 	})
-	w.lastArrival = max(w.lastArrival, w.process.network.now+w.process.network.drawTravelTime())
+	w.lastArrival = max(w.lastArrival, w.process.network.now+w.process.network.drawDelay())
 	w.process.network.after(w.lastArrival-w.process.network.now, func() {
 		w.process.sendOverPath(experiment.Discovery, w.process.number, arrive)
 	})
 }
 
-// inOrder has what is sent over one connection be received in that order, whatever the path does to each part.
-type inOrder struct {
-	sent     int
-	received int
-	early    map[int]func() // that has arrived before what was sent ahead of it, by its number
+// orderedStream delivers the messages of one connection in the order in which they were sent, although the path may
+// delay each by a different time.
+type orderedStream struct {
+	nextSent     int            // number of the next message to be sent
+	nextReceived int            // number of the next message to be received
+	outOfOrder   map[int]func() // by number, messages that arrived before one that was sent earlier
 }
 
-// next numbers what is sent now, and returns what to call when it arrives.
-func (o *inOrder) next(receive func()) (arrive func()) {
-	number := o.sent
-	o.sent++
+// send numbers a message and returns the function to call when it arrives. That calls receive once all earlier messages
+// have been received.
+func (o *orderedStream) send(receive func()) (arrive func()) {
+	number := o.nextSent
+	o.nextSent++
 	return func() {
-		if o.early == nil {
-			o.early = map[int]func(){}
+		if o.outOfOrder == nil {
+			o.outOfOrder = map[int]func(){}
 		}
-		o.early[number] = receive
-		for o.early[o.received] != nil {
-			receive := o.early[o.received]
-			delete(o.early, o.received)
-			o.received++
+		o.outOfOrder[number] = receive
+		for o.outOfOrder[o.nextReceived] != nil {
+			receive := o.outOfOrder[o.nextReceived]
+			delete(o.outOfOrder, o.nextReceived)
+			o.nextReceived++
 			receive()
 		}
 	}
 }
 
-// sendOverPath carries bytes from one machine to another, as the path between them allows: held while it is cut.
+// sendOverPath sends a message of a watch from one machine to another and calls do when it arrives. It applies the
+// path's impairments; while the path is cut, the message waits.
 func (p *relayProcess) sendOverPath(from, to int, do func()) {
-	way := p.impairments[[2]int{from, to}]
+	impairment := p.impairments[[2]int{from, to}]
 	switch {
-	case way.Cut || p.impairments[[2]int{to, from}].Cut: // no answer comes either, so nothing more is sent
+	case impairment.Cut || p.impairments[[2]int{to, from}].Cut: // no TCP acknowledgement returns, so nothing gets through
 		p.network.after(pathCheckInterval, func() { p.sendOverPath(from, to, do) })
-	case way.Reset:
+	case impairment.Reset:
 		p.resetWatch()
-	case way.Delay > 0 || way.Jitter > 0:
-		p.network.after(float64(way.Delay)+float64(way.Jitter)*p.network.rng.Float64(), do)
-	case way.BytesPerSecond > 0:
-		p.network.after(endpointListBytes*1000/float64(way.BytesPerSecond), do)
+	case impairment.Delay > 0 || impairment.Jitter > 0:
+		p.network.after(float64(impairment.Delay)+float64(impairment.Jitter)*p.network.rng.Float64(), do)
+	case impairment.BytesPerSecond > 0:
+		p.network.after(endpointListBytes*1000/float64(impairment.BytesPerSecond), do)
 	default:
-		p.network.after(p.network.drawTravelTime(), do)
+		p.network.after(p.network.drawDelay(), do)
 	}
 }
 
-// resetWatch ends the watch, as its connection was reset.
+// resetWatch ends the open watch with a connection reset.
 func (p *relayProcess) resetWatch() {
 	if w := p.openWatch; w != nil {
 		p.closeWatch()
-		p.handle(relay.WatchFailed{Watch: w.relayNumber, Err: errReset})
+		p.handle(relay.WatchFailed{Watch: w.relayWatchID, Err: errReset})
 	}
 }
 
-// OnUpdate delivers the endpoint list or its changes.
+// OnUpdate sends the relay the endpoint list or its changes.
 func (w *watch) OnUpdate(update *relay.EndpointUpdate) {
 	w.deliver(func() {
 		p := w.process
@@ -93,11 +97,12 @@
 		p.network.logf("%s news %d of %d", p.address, len(update.Endpoints), update.Index)
 		dated := *update
 		dated.DiscoveryTime = p.network.now
-		p.handle(relay.EndpointsUpdated{Watch: w.relayNumber, Update: &dated})
+		p.handle(relay.EndpointsUpdated{Watch: w.relayWatchID, Update: &dated})
 	})
 }
 
-// notifyObserver tells the observer what the relay is notified of by an update.
+// notifyObserver reports to the observer each endpoint that an update tells the relay about, and those that a complete
+// list leaves out as left.
 func (p *relayProcess) notifyObserver(update *relay.EndpointUpdate) {
 	listed := map[string]bool{}
 	for _, e := range update.Endpoints {
@@ -108,22 +113,22 @@
 	if !update.Complete {
 		return
 	}
-	for _, name := range sorted(p.notified) {
+	for _, name := range sortedKeys(p.notified) {
 		if !listed[name] {
 			p.observer.EndpointUpdated(p.network.now, p.number, name, "left", 0)
 		}
 	}
 }
 
-// OnHeartbeat delivers an empty line.
+// OnHeartbeat sends the relay a heartbeat, an empty line.
 func (w *watch) OnHeartbeat() {
-	w.deliver(func() { w.process.handle(relay.WatchHeartbeat{Watch: w.relayNumber}) })
+	w.deliver(func() { w.process.handle(relay.WatchHeartbeat{Watch: w.relayWatchID}) })
 }
 
-// OnFailure delivers the end of the watch.
+// OnFailure tells the relay that the watch has failed.
 func (w *watch) OnFailure(err error) {
 	w.deliver(func() {
 		w.process.openWatch = nil
-		w.process.handle(relay.WatchFailed{Watch: w.relayNumber, Err: err})
+		w.process.handle(relay.WatchFailed{Watch: w.relayWatchID, Err: err})
 	})
 }
--- a/internal/testbed/sim/watch_test.go
+++ b/internal/testbed/sim/watch_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A watch is one connection: a later list that overtook an earlier one would look like a discovery that counts anew.
+// A watch is one TCP connection, so its messages must arrive in the order in which they were sent. If a later list
+// overtook an earlier one, the relay would take the earlier for that of a discovery whose versions start again.
 func TestWatchKeepsItsOrder(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -19,11 +20,11 @@
 		{"one is under way", []int{0, 2}, []int{0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var order inOrder
+			var order orderedStream
 			var received []int
 			var arrive []func()
 			for number := range 3 {
-				arrive = append(arrive, order.next(func() { received = append(received, number) }))
+				arrive = append(arrive, order.send(func() { received = append(received, number) }))
 			}
 			for _, number := range c.arrivals {
 				arrive[number]()
