--- a/internal/testbed/experiment/complete.go
+++ b/internal/testbed/experiment/complete.go
@@ -7,27 +7,27 @@
 	"strings"
 )
 
-// Bounds on an experiment's size, against a slip that takes the machine down.
+// Bounds on an experiment's size. They keep a mistyped number from exhausting the machine.
 const (
 	maxBackends     = 20000
 	maxRelays       = 2000
 	maxClients      = 5e6
 	maxCoordinators = 7
 	maxReplicas     = 7
-	maxZones        = 26 // a letter each
+	maxZones        = 26 // each zone is named by one letter
 
 	hourMillis   = 3.6e6
 	minuteMillis = 60000.0
 )
 
-// check is a field and the range that its value must be in.
+// check is the value of a field and the range that it must be in.
 type check struct {
 	field    string
 	value    float64
 	min, max float64
 }
 
-// Complete fills in what traffic and faults leave out, and names the first field that is out of bounds.
+// Complete fills in the defaults of variants, traffic and faults. It returns an error for the first wrong field.
 func (x *Experiment) Complete() error {
 	if len(x.Variants) == 0 {
 		x.Variants = []string{Policies[0]}
@@ -40,7 +40,7 @@
 	if err := x.Relays.checkDependencies(); err != nil {
 		return err
 	}
-	checks := x.sizeChecks()
+	checks := x.rangeChecks()
 	for i := range x.Traffic {
 		more, err := x.Traffic[i].complete(i)
 		if err != nil {
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// expectedClients is how many clients come, about.
+// expectedClients returns the expected number of clients of a run.
 func (x *Experiment) expectedClients() (clients float64) {
 	for _, t := range x.Traffic {
 		clients += float64(t.InitialClients) + t.Rate*float64(x.Length)/1000
@@ -73,25 +73,25 @@
 	return clients
 }
 
-// checkDependencies names the first field that needs another one.
+// checkDependencies returns an error for the first field whose value another field does not allow.
 func (r *Relays) checkDependencies() error {
 	if n := r.Coordinators; n > 0 && (n%2 == 0 || !r.Membership) {
-		return fmt.Errorf("relays.council: an odd number, and relays.peers, expected, got %d", n)
+		return fmt.Errorf("relays.council: an odd number with relays.peers set expected, got %d", n)
 	}
 	if n := r.Replicas; n > 0 && (n%2 == 0 || n > maxReplicas || !r.Membership || !r.Disk) {
-		return fmt.Errorf("relays.holdings: 1, 3, 5 or 7, and relays.peers and .disk, expected, got %d", n)
+		return fmt.Errorf("relays.holdings: 1, 3, 5 or 7 with relays.peers and relays.disk set expected, got %d", n)
 	}
 	if m := r.MarkerRetention; m < 0 || m > minuteMillis || (m > 0 && r.Replicas == 0) {
-		return fmt.Errorf("relays.remember: 0 to 60 s, and relays.holdings, expected, got %.0f ms", float64(m))
+		return fmt.Errorf("relays.remember: 0 to 60 s with relays.holdings set expected, got %.0f ms", float64(m))
 	}
 	if r.ReplicatesAffinity && r.Replicas == 0 {
-		return fmt.Errorf("relays.stood: relays.holdings expected beside it, got nothing")
+		return fmt.Errorf("relays.stood: relays.holdings above 0 expected, got 0")
 	}
 	return nil
 }
 
-// sizeChecks are the ranges of all but traffic and faults.
-func (x *Experiment) sizeChecks() []check {
+// rangeChecks returns the checks of all fields but those of traffic and faults.
+func (x *Experiment) rangeChecks() []check {
 	r, n, f := &x.Relays, &x.Network, &x.Fleet
 	return []check{
 		{"length", float64(x.Length), 1000, hourMillis},
@@ -123,7 +123,7 @@
 	}
 }
 
-// complete fills in the traffic of that number, and returns its ranges.
+// complete fills in the defaults of the traffic with that number and returns the checks of its fields.
 func (t *Traffic) complete(number int) ([]check, error) {
 	t.fillIn(number)
 	field := fmt.Sprintf("traffic.%d.", number)
@@ -131,7 +131,7 @@
 		return nil, fmt.Errorf("%seffect: replayable, referenced or single-use expected, got %q", field, t.Effect)
 	}
 	for _, name := range []struct{ field, value string }{{"category", t.Class}, {"party", t.Tenant}} {
-		if strings.ContainsFunc(name.value, isNoNameCharacter) {
+		if strings.ContainsFunc(name.value, isInvalidInName) {
 			return nil, fmt.Errorf("%s%s: a name of plain letters expected, got %q", field, name.field, name.value)
 		}
 	}
@@ -151,10 +151,10 @@
 	}, nil
 }
 
-// isNoNameCharacter tells whether a character can't stand in the attributes of a request.
-func isNoNameCharacter(r rune) bool { return r <= ' ' || r > '~' || r == ',' || r == '=' }
+// isInvalidInName reports whether a character can't occur in an attribute of a request.
+func isInvalidInName(r rune) bool { return r <= ' ' || r > '~' || r == ',' || r == '=' }
 
-// fillIn sets what a file left out of the traffic of that number.
+// fillIn sets the fields that a file leaves out of the traffic with that number.
 func (t *Traffic) fillIn(number int) {
 	t.Class = cmp.Or(t.Class, fmt.Sprintf("kind%d", number))
 	t.Tenant = cmp.Or(t.Tenant, "all")
@@ -168,7 +168,7 @@
 	t.RetryDelay = cmp.Or(t.RetryDelay, 200)
 }
 
-// complete fills in the fault of that number, and returns its ranges.
+// complete fills in the defaults of the fault with that number and returns the checks of its fields.
 func (f *Fault) complete(number int, x *Experiment) ([]check, error) {
 	f.fillIn()
 	field := fmt.Sprintf("fault.%d.", number)
@@ -191,7 +191,7 @@
 	}, nil
 }
 
-// diskFaultNames lists the disk faults that a file can name.
+// diskFaultNames returns the names of the disk faults, separated by commas.
 func diskFaultNames() string {
 	var names []string
 	for _, f := range DiskFaults[1:] {
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -73,7 +73,8 @@
 	}
 }
 
-// What one part draws changes no other part's draws, and is the same every time.
+// Random numbers for one use are the same in every run and don't depend on what other uses draw. They change with the
+// seed and the number.
 func TestRandIsPerUse(t *testing.T) {
 	x, y := Default(), Default()
 	x.Rand("one use", 0).Float64()
@@ -83,7 +84,7 @@
 	assert.NotEqual(t, x.Rand("another use", 1).Float64(), y.Rand("another use", 1).Float64())
 }
 
-// Whatever is read can be used: a relay's settings come of it.
+// Parse returns an experiment or an error, never both, and each experiment gives a relay its settings.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(traffic))
 	f.Add([]byte("length = \"5s\"\n[relays]\ncount = 2\n[[traffic]]\nstanding = 5\nlife = \"1s\"\n"))
@@ -92,10 +93,10 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		x, err := Parse(text)
 		if (x == nil) == (err == nil) {
-			t.Fatal("one of experiment and error expected")
+			t.Fatal("either an experiment or an error expected")
 		}
 		if x != nil && len(x.RelaySettings(0)) == 0 {
-			t.Fatal("no settings")
+			t.Fatal("a parsed experiment gives a relay no settings")
 		}
 	})
 }
--- a/internal/testbed/experiment/golden_test.go
+++ b/internal/testbed/experiment/golden_test.go
@@ -12,11 +12,11 @@
 	"valeshift/internal/config"
 )
 
-var update = flag.Bool("update", false, "write the golden file anew, from what the code writes now")
+var update = flag.Bool("update", false, "rewrite the golden file from what the code writes now")
 
 const goldenFile = "testdata/golden/experiment.toml"
 
-// goldenExperiment has no field left zero.
+// goldenExperiment returns an experiment in which no field is zero, so that the golden file shows every field.
 func goldenExperiment() *Experiment {
 	return &Experiment{
 		Name:     "golden",
@@ -91,7 +91,8 @@
 	}
 }
 
-// An experiment is written as the same bytes as before, and read as what it was written from.
+// The file format of experiments stays the same: an experiment is written as the golden file, and the golden file is
+// read as that experiment.
 func TestGoldenExperiment(t *testing.T) {
 	text, err := toml.Marshal(goldenExperiment())
 	require.NoError(t, err)
--- a/internal/testbed/experiment/impairment.go
+++ b/internal/testbed/experiment/impairment.go
@@ -5,45 +5,46 @@
 	"slices"
 )
 
-// Discovery is the number of the discovery service where machines are numbered. Relays are numbered from 0.
+// Discovery is the machine number of the discovery service. Relays are numbered from 0.
 const Discovery = -1
 
-// The places that a fault may name beside relay-N and zone-X.
+// The places that a fault may name, besides relay-N and zone-X.
 const (
 	placeRelays    = "relays"
 	placeDiscovery = "discovery"
-	placeHalf      = "half" // the relays of even numbers
-	placeRest      = "rest" // and of odd ones
+	placeHalf      = "half" // the relays with even numbers
+	placeRest      = "rest" // the relays with odd numbers
 )
 
-// Impairment is what one direction between two machines does to what passes. The zero value passes all at once.
+// Impairment describes how the network between two machines is impaired in one direction. The zero value impairs
+// nothing.
 type Impairment struct {
-	Cut            bool    // nothing passes: bytes wait, datagrams are lost
-	Delay          Millis  // of each piece
-	Jitter         Millis  // up to which comes on top, at random
-	Loss           float64 // of datagrams, the part that is lost
-	Duplicate      float64 // the part that arrives twice
-	Reorder        float64 // the part that is overtaken
-	Reset          bool    // connections are reset as soon as anything would pass
-	BytesPerSecond int     // of a connection; 0: any
-	MaxPiece       int     // bytes that a connection passes at once; 0: any
+	Cut            bool    // nothing passes: bytes of connections wait, datagrams are lost
+	Delay          Millis  // delay of each piece of data
+	Jitter         Millis  // greatest random delay that is added to Delay
+	Loss           float64 // share of datagrams that are lost
+	Duplicate      float64 // share of datagrams that arrive twice
+	Reorder        float64 // share of datagrams that later ones overtake
+	Reset          bool    // connections are reset as soon as any data would pass
+	BytesPerSecond int     // limit on a connection's rate; 0: none
+	MaxPiece       int     // limit on the bytes that a connection passes in one piece; 0: none
 }
 
-// impairments are the kinds of fault that impair the network, by what a factor makes of them.
+// impairments maps each kind of fault that impairs the network to the impairment that a factor stands for.
 var impairments = map[FaultKind]func(factor float64) Impairment{
-	FaultWayCut: func(float64) Impairment { return Impairment{Cut: true} },
-	FaultWayDelay: func(seconds float64) Impairment {
+	FaultPathCut: func(float64) Impairment { return Impairment{Cut: true} },
+	FaultPathDelay: func(seconds float64) Impairment {
 		return Impairment{Delay: Millis(seconds * 1000), Jitter: Millis(seconds * 500)}
 	},
-	FaultWayLoss:    func(share float64) Impairment { return Impairment{Loss: share} },
-	FaultWayDouble:  func(share float64) Impairment { return Impairment{Duplicate: share} },
-	FaultWayReorder: func(share float64) Impairment { return Impairment{Reorder: share} },
-	FaultWayReset:   func(float64) Impairment { return Impairment{Reset: true} },
-	FaultWayTrickle: func(rate float64) Impairment { return Impairment{BytesPerSecond: int(rate)} },
-	FaultWayPieces:  func(bytes float64) Impairment { return Impairment{MaxPiece: int(bytes)} },
+	FaultPathLoss:        func(share float64) Impairment { return Impairment{Loss: share} },
+	FaultPathDuplicate:   func(share float64) Impairment { return Impairment{Duplicate: share} },
+	FaultPathReorder:     func(share float64) Impairment { return Impairment{Reorder: share} },
+	FaultPathReset:       func(float64) Impairment { return Impairment{Reset: true} },
+	FaultPathRateLimit:   func(rate float64) Impairment { return Impairment{BytesPerSecond: int(rate)} },
+	FaultPathSmallPieces: func(bytes float64) Impairment { return Impairment{MaxPiece: int(bytes)} },
 }
 
-// Impairment returns what a fault does to the network between machines; false where it does nothing to it.
+// Impairment returns the impairment of a fault, and whether the fault's kind impairs the network at all.
 func (f *Fault) Impairment() (impairment Impairment, impairs bool) {
 	impair := impairments[f.Kind]
 	if impair == nil {
@@ -52,7 +53,7 @@
 	return impair(f.Factor), true
 }
 
-// AffectsLink tells whether a fault that impairs the network does so from one machine to another.
+// AffectsLink reports whether a fault that impairs the network affects the direction from one machine to another.
 func (x *Experiment) AffectsLink(f *Fault, from, to int) bool {
 	isAt := func(place string, machine int) bool { return isMachineAt(place, machine, x.Fleet.Zones) }
 	switch {
@@ -64,8 +65,8 @@
 	return f.Bidirectional && isAt(f.From, to) && isAt(f.To, from)
 }
 
-// isMachineAt tells whether a machine belongs to a place that a fault names, such as relays, discovery,
-// relay-3, zone-b (the relays there), half or rest.
+// isMachineAt reports whether a machine belongs to a place as a fault names it: relays, discovery, relay-3, zone-b (the
+// relays of that zone), half or rest.
 func isMachineAt(place string, machine, zones int) bool {
 	if machine == Discovery {
 		return place == placeDiscovery
@@ -82,7 +83,7 @@
 	return place == fmt.Sprintf("relay-%d", machine) || place == "zone-"+Zone(machine%zones)
 }
 
-// checkPlaces names the first end of a fault that impairs the network which is no place.
+// checkPlaces returns an error for the first field of a network fault, from or to, that names no place.
 func (f *Fault) checkPlaces(field string, x *Experiment) error {
 	if _, impairs := f.Impairment(); !impairs {
 		return nil
@@ -96,6 +97,7 @@
 	return nil
 }
 
+// isPlace reports whether a name is a place of the experiment; relay-N and zone-X need a relay there.
 func (x *Experiment) isPlace(name string) bool {
 	if slices.Contains([]string{placeDiscovery, placeHalf, placeRest}, name) {
 		return true
--- a/internal/testbed/experiment/millis.go
+++ b/internal/testbed/experiment/millis.go
@@ -8,12 +8,12 @@
 	"valeshift/internal/config"
 )
 
-const maxLength = 24 * time.Hour
+const maxLength = 24 * time.Hour // longest duration that an experiment file may give
 
-// Millis is a length of time in milliseconds, written like "1.5s".
+// Millis is a duration in milliseconds. Experiment files write it like "1.5s".
 type Millis float64
 
-// UnmarshalText reads a length such as "250ms".
+// UnmarshalText reads a duration such as "250ms".
 func (m *Millis) UnmarshalText(text []byte) error {
 	millis, ok := config.ParseMilliseconds(text, maxLength)
 	if !ok {
@@ -23,7 +23,7 @@
 	return nil
 }
 
-// MarshalText writes the length as it is read.
+// MarshalText writes the duration in the format that UnmarshalText reads.
 func (m Millis) MarshalText() ([]byte, error) {
 	duration := time.Duration(math.Round(float64(m) * float64(time.Millisecond)))
 	return []byte(duration.String()), nil
--- a/internal/testbed/experiment/settings.go
+++ b/internal/testbed/experiment/settings.go
@@ -7,17 +7,18 @@
 	"strings"
 )
 
-// maxReportDelay is how long a load report is on its way at the most, in milliseconds.
+// maxReportDelay is the longest time that a load report takes to arrive, in milliseconds.
 const maxReportDelay = 50.0
 
-// effectSettings are the settings' words for what a second run of a session would do.
+// effectSettings maps each effect to its name in a relay's settings.
 var effectSettings = map[Effect]string{
 	EffectReplayable: "idempotent",
 	EffectReferenced: "deduplicated",
 	EffectSingleUse:  "at_most_once",
 }
 
-// MaxReportAge returns what relays are told of how old load reports may be, in milliseconds; 0: nothing.
+// MaxReportAge returns the greatest age of load reports that relays are told, in milliseconds, or 0 if they are told
+// none.
 func (x *Experiment) MaxReportAge() float64 {
 	if !x.Relays.AnnouncesReportAge {
 		return 0
@@ -25,7 +26,7 @@
 	return float64(x.Fleet.MaxReportAge) + maxReportDelay
 }
 
-// RelaySettings returns what the platform would tell a relay in that zone, under the paths of its settings.
+// RelaySettings returns the settings that the platform would give a relay in a zone, by their paths.
 func (x *Experiment) RelaySettings(zone int) map[string]string {
 	r, f := &x.Relays, &x.Fleet
 	settings := map[string]string{
@@ -77,7 +78,7 @@
 	}
 }
 
-// formatNumber writes a number as settings have it.
+// formatNumber formats a number as settings write it.
 func formatNumber(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 
 func (x *Experiment) zoneNames() (names []string) {
@@ -87,7 +88,7 @@
 	return names
 }
 
-// Classes returns the traffic by class: of several kinds with one class, the first.
+// Classes returns one traffic of each class, the first where several have the same class.
 func (x *Experiment) Classes() (classes []Traffic) {
 	seen := map[string]bool{}
 	for _, t := range x.Traffic {
@@ -99,7 +100,7 @@
 	return classes
 }
 
-// Tenants returns the names of the tenants.
+// Tenants returns the names of all tenants, each once.
 func (x *Experiment) Tenants() (names []string) {
 	for _, t := range x.Traffic {
 		if !slices.Contains(names, t.Tenant) {
--- a/internal/testbed/explore/explore.go
+++ b/internal/testbed/explore/explore.go
@@ -1,5 +1,5 @@
-// Package explore looks for faults at random: it draws experiments, plays each, and shrinks those that break a
-// rule to the smallest that still do. One seed draws one experiment, on any machine.
+// Package explore searches for violations of the audit's rules: it generates random experiments, runs each, and shrinks
+// those that break a rule to smaller ones that still break it. A seed generates the same experiment on any machine.
 package explore
 
 import (
@@ -14,16 +14,16 @@
 	"valeshift/internal/testbed/sim"
 )
 
-// Finding is an experiment that breaks a rule.
+// Finding is an experiment that breaks a rule, or whose run did not end normally.
 type Finding struct {
-	Seed       uint64
+	Seed       uint64 // seed that generated the experiment, or the one that it was shrunk from
 	Experiment *experiment.Experiment
 	Violations []audit.Violation
-	Counts     map[audit.Rule]int
-	Panic      string // why it could not be played to its end; empty: it was
+	Counts     map[audit.Rule]int // number of violations of each rule that was broken
+	Panic      string             // panic or error that ended the run early; empty if there was none
 }
 
-// NewFinding returns what a run broke, or nil.
+// NewFinding returns the finding of a run that broke a rule, or nil if it broke none.
 func NewFinding(x *experiment.Experiment, a *audit.Auditor) *Finding {
 	if a.ViolationCount() == 0 {
 		return nil
@@ -37,11 +37,11 @@
 	return f
 }
 
-// Text returns the experiment as a file.
+// Text returns the text of the experiment's file.
 func (f *Finding) Text() ([]byte, error) { return toml.Marshal(f.Experiment) }
 
-// isLike tells whether both break one rule in common, or neither could be played to its end.
-func (f *Finding) isLike(other *Finding) bool {
+// hasSameFailure reports whether both findings break a rule in common, or both runs ended early.
+func (f *Finding) hasSameFailure(other *Finding) bool {
 	if f == nil || other == nil || (f.Panic == "") != (other.Panic == "") {
 		return false
 	}
@@ -53,10 +53,10 @@
 	return f.Panic != ""
 }
 
-// Player plays an experiment and returns what it broke, or nil.
+// Player runs an experiment and returns its finding, or nil if there is none.
 type Player func(*experiment.Experiment) *Finding
 
-// Play plays an experiment under virtual time. It is a Player.
+// Play runs an experiment in virtual time, under its first variant. It is a Player.
 func Play(x *experiment.Experiment) (f *Finding) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -70,20 +70,20 @@
 	return NewFinding(x, result.Auditor)
 }
 
-// Exploration is a range of seeds whose experiments are drawn and played.
+// Exploration generates and runs the experiments of a range of seeds.
 type Exploration struct {
-	From, To    uint64 // seeds, without To
+	From, To    uint64 // range of seeds, including From and excluding To
 	Generate    func(seed uint64) *experiment.Experiment
 	Play        Player
-	Parallelism int // experiments that are played side by side; below 1 none is played
+	Parallelism int // number of experiments that run at the same time; below 1 none runs
 
-	// OnFinding is called for each experiment that breaks a rule, in the order in which they are met, and
-	// OnPlayed after each that was played, with their number. No two calls are made at once.
+	// OnFinding is called with each finding, in the order in which they are found, and OnPlayed after each experiment,
+	// with the number of experiments run so far. The calls are not concurrent.
 	OnFinding func(*Finding)
 	OnPlayed  func(played int)
 }
 
-// Run plays the experiments, until all are or the context is done.
+// Run runs the experiments until all have run or the context is done.
 func (e *Exploration) Run(ctx context.Context) {
 	if e.Parallelism < 1 {
 		return
@@ -100,7 +100,7 @@
 			}
 		}
 	})
-	var mutex sync.Mutex // over played and the calls back
+	var mutex sync.Mutex // guards played and the calls of OnFinding and OnPlayed
 	played := 0
 	for range e.Parallelism {
 		tasks.Go(func() {
--- a/internal/testbed/explore/explore_test.go
+++ b/internal/testbed/explore/explore_test.go
@@ -17,14 +17,14 @@
 	"valeshift/internal/testbed/experiment"
 )
 
-// What is drawn keeps the rules: 200 experiments by the command, which is built without the race detector, as
-// one run is one goroutine; and some of them here.
+// Generated experiments break no rule. The command runs 200 of them; it is built without the race detector, as a run is
+// a single goroutine. Some of them run here as well.
 func TestDrawnExperimentsKeepTheRules(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "valeshift-testbed")
 	output, err := exec.Command("go", "build", "-o", binary, "valeshift/cmd/valeshift-testbed").CombinedOutput()
 	require.NoError(t, err, "%s", output)
 	cmd := exec.Command(binary, "hunt", "--count", "200", "--shrink", "0", "--out", t.TempDir())
-	cmd.Env = append(os.Environ(), "GOMAXPROCS=3") // other packages' tests run beside this one
+	cmd.Env = append(os.Environ(), "GOMAXPROCS=3") // leaves cores to the tests of other packages that run at this time
 	output, err = cmd.CombinedOutput()
 	require.NoError(t, err, "%s", output)
 	assert.Contains(t, string(output), "200 seeds from 1 on")
@@ -46,10 +46,10 @@
 	assert.Equal(t, 12, playedLast)
 }
 
-// Seeds that once broke a rule keep all of them.
+// Seeds whose experiments once broke a rule break none any more.
 func TestFormerFindingsKeepTheRules(t *testing.T) {
 	for _, seed := range []uint64{
-		42274, // a relay whose clock is ahead took a backend in slow start for a warm one
+		42274, // a relay whose clock was ahead took a backend in slow start for a warm one
 	} {
 		finding := Play(Generate(seed))
 		if finding != nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-// Five relays in an overload after a power loss spend their whole budget of slow starts, and overload no backend.
+// In an overload after a power loss, five relays use up their whole slow-start budget but overload no backend.
 func TestSlowStartInAnOverload(t *testing.T) {
 	const seed = 920299
 	if finding := Play(Generate(seed)); finding != nil {
@@ -66,7 +66,8 @@
 	}
 }
 
-// A discovery that is back with an older version tells of backends that leave: the relay sends nothing more to them.
+// A discovery service that restarts with an older version of its list announces backends that leave. The relay must not
+// ignore that list, and sends these backends nothing more.
 func TestDrainsOfADiscoveryThatCountsAnew(t *testing.T) {
 	const seed = 5000944
 	if finding := Play(Generate(seed)); finding != nil {
@@ -74,8 +75,8 @@
 	}
 }
 
-// Findings are noted by their seed, so a seed must draw the same experiment for good. The sums are of the files
-// of the seeds below 1000, or of what the seeds below 100 are shrunk to in one step.
+// Findings are recorded by their seed, so a seed must generate the same experiment forever. The hashes are of the files
+// of the seeds below 1000, or of all experiments to which those of the seeds below 100 can shrink in one step.
 func TestSeedsDrawTheSame(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -109,7 +110,7 @@
 	}
 }
 
-// What was found is written as a file that is read as the same experiment.
+// A generated experiment is written as a file that is read back as the same experiment.
 func TestDrawnExperimentsAreFiles(t *testing.T) {
 	for seed := range uint64(200) {
 		text, err := (&Finding{Experiment: Generate(seed)}).Text()
@@ -122,11 +123,11 @@
 	}
 }
 
-// Shrinking takes away what does not matter: here from a fleet whose cold backends are pushed over by the first
-// sessions, whatever else goes wrong.
+// Shrinking removes what a violation does not depend on. In this experiment the first sessions overload backends in
+// slow start, whatever other faults there are, so only the fault that adds such backends may remain.
 func TestShrink(t *testing.T) {
 	x := Generate(3)
-	x.Variants = []string{"random"} // which knows nothing of slow start
+	x.Variants = []string{"random"} // a policy that ignores slow start
 	x.Fleet.SlowStartFrom = 0.05
 	x.Fleet.SlowStart = 12000
 	x.Fleet.OverloadMultiple = 0.2
--- a/internal/testbed/explore/generate.go
+++ b/internal/testbed/explore/generate.go
@@ -10,8 +10,8 @@
 	"valeshift/internal/testbed/experiment"
 )
 
-// laterKinds are the kinds of fault that came after the first experiments were drawn. They are drawn by steps
-// of their own, so that the seeds before them draw the same.
+// laterKinds are the kinds of fault that were added after seeds had been recorded. They are drawn in separate steps, so
+// that the recorded seeds still generate the same experiments.
 var laterKinds = []experiment.FaultKind{
 	experiment.FaultZoneGrey,
 	experiment.FaultRegionLost,
@@ -19,17 +19,17 @@
 	experiment.FaultAnswersLost,
 }
 
-// drawnKinds are the other kinds of fault, in one order, so that a seed draws the same each time.
+// drawnKinds are the other kinds of fault. They are sorted, so that a seed draws the same kinds each time.
 var drawnKinds = slices.DeleteFunc(slices.Sorted(maps.Keys(experiment.FaultKinds)),
 	func(kind experiment.FaultKind) bool { return slices.Contains(laterKinds, kind) })
 
-// generator draws one experiment. The order of its draws must stay as it is, as seeds are noted elsewhere.
+// generator draws one experiment. The order of its draws must not change, as findings are recorded by their seeds.
 type generator struct {
 	rng *rand.Rand
 	x   *experiment.Experiment
 }
 
-// Generate draws the experiment of a seed.
+// Generate returns the random experiment of a seed.
 func Generate(seed uint64) *experiment.Experiment {
 	g := generator{rng: rand.New(rand.NewSource(int64(seed))), x: experiment.Default()}
 	g.x.Name = fmt.Sprintf("drawn-%d", seed)
@@ -55,34 +55,35 @@
 	return g.x
 }
 
-// mustComplete completes an experiment that was drawn. It panics where that is out of bounds: the drawing is
-// wrong then.
+// mustComplete completes a generated experiment. It panics if a field is out of bounds, as that is a bug of the
+// generator.
 func mustComplete(x *experiment.Experiment, seed uint64) {
 	if err := x.Complete(); err != nil {
 		panic(fmt.Sprintf("seed %d: %v", seed, err))
 	}
 }
 
+// between draws a number from low to high.
 func (g *generator) between(low, high float64) float64 { return low + (high-low)*g.rng.Float64() }
 
-// oneIn draws true once in so many times.
+// oneIn returns true with a probability of 1/n.
 func (g *generator) oneIn(n int) bool { return g.rng.Intn(n) == 0 }
 
-// millis draws whole milliseconds.
+// millis draws a duration in whole milliseconds.
 func (g *generator) millis(low, high float64) experiment.Millis {
 	return experiment.Millis(math.Round(g.between(low, high)))
 }
 
-// fineMillis draws thousandths of milliseconds, which a file can still express.
+// fineMillis draws a duration in whole microseconds, which an experiment file can still express.
 func (g *generator) fineMillis(low, high float64) experiment.Millis {
 	return experiment.Millis(math.Round(g.between(low, high)*1000) / 1000)
 }
 
-// pick draws one of all.
+// pick draws an element of a slice.
 func pick[T any](g *generator, all []T) T { return all[g.rng.Intn(len(all))] }
 
-// timeOfRun draws a time that is so far from the run's start and end, at the least.
-func (g *generator) timeOfRun(fromStart, beforeEnd float64) experiment.Millis {
+// faultTime draws a time of the run at least fromStart milliseconds after its start and beforeEnd before its end.
+func (g *generator) faultTime(fromStart, beforeEnd float64) experiment.Millis {
 	return g.millis(fromStart, float64(g.x.Length)-beforeEnd)
 }
 
@@ -157,22 +158,22 @@
 func (g *generator) drawFaults() {
 	for range 1 + g.rng.Intn(5) {
 		f := experiment.Fault{Kind: pick(g, drawnKinds)}
-		f.At = g.timeOfRun(500, 1000)
+		f.At = g.faultTime(500, 1000)
 		f.Duration = g.millis(50, 10000)
 		f.Share = g.between(0.05, 1)
 		g.addFault(f)
 	}
 }
 
-// drawPowerLoss has relays keep something or know of each other, and lose power, also a second time during the
-// recovery.
+// drawPowerLoss draws a power loss, in some experiments followed by a second one during the recovery. It also draws
+// whether relays have membership and disks, which most experiments with a power loss give them.
 func (g *generator) drawPowerLoss() {
 	r := &g.x.Relays
 	r.Membership = !g.oneIn(4)
 	r.Disk = !g.oneIn(4)
 	r.KnowsEndpoints = g.oneIn(2)
 	loss := experiment.Fault{Kind: experiment.FaultPowerLoss}
-	loss.At = g.timeOfRun(3000, 3000)
+	loss.At = g.faultTime(3000, 3000)
 	loss.Duration = g.millis(200, 4000)
 	loss.Share = g.between(0.3, 1)
 	loss.ReturnSpread = g.millis(0, 4000)
@@ -186,7 +187,7 @@
 	}
 }
 
-// drawPlaces draws for half of the faults that impair the network what they impair.
+// drawPlaces draws the affected paths of half of the faults that impair the network.
 func (g *generator) drawPlaces() {
 	places := []string{"relays", "half", "rest", "zone-a", "relay-0"}
 	for i := range g.x.Faults {
@@ -201,7 +202,7 @@
 	}
 }
 
-// drawCoordinators has relays decide on zones in common, and draws something to decide on.
+// drawCoordinators adds coordinators, and a fault of a zone for them to decide on.
 func (g *generator) drawCoordinators() {
 	count := g.x.Relays.Count
 	g.x.Relays.Coordinators = 1 + 2*g.rng.Intn((count+1)/2)
@@ -211,14 +212,14 @@
 		experiment.FaultZoneLost,
 		experiment.FaultZoneCut,
 	})}
-	f.At = g.timeOfRun(2000, 3000)
+	f.At = g.faultTime(2000, 3000)
 	f.Duration = g.millis(500, 8000)
 	f.Factor = g.between(0.2, 1)
 	g.addFault(f)
 }
 
-// adjustFaults has no fault be longer than the run, and draws clocks that are wrong by seconds up to hours,
-// either way.
+// adjustFaults limits faults to the length of the run, and draws by how much wrong clocks are ahead or behind, from a
+// second to hours.
 func (g *generator) adjustFaults() {
 	for i := range g.x.Faults {
 		f := &g.x.Faults[i]
@@ -231,7 +232,8 @@
 	}
 }
 
-// drawReplicas has relays replicate what they promise, and as a rule mark attempts whose answers are lost.
+// drawReplicas has relays replicate records. In two of three experiments it also adds attempt markers and a fault in
+// which backends carry out attempts but fail before they answer.
 func (g *generator) drawReplicas() {
 	r := &g.x.Relays
 	r.Replicas = 1 + 2*g.rng.Intn(3)
@@ -241,26 +243,26 @@
 	}
 	r.MarkerRetention = g.millis(1000, 20000)
 	f := experiment.Fault{Kind: experiment.FaultAnswersLost}
-	f.At = g.timeOfRun(500, 1000)
+	f.At = g.faultTime(500, 1000)
 	f.Duration = min(g.millis(500, 10000), g.x.Length)
 	f.Share = g.between(0.2, 1)
 	f.Factor = g.between(0.1, 1)
 	g.addFault(f)
 }
 
-// The bounds of an experiment that is played with relay processes.
+// Bounds of an experiment that runs with relay processes. Durations are in milliseconds.
 const (
-	processesLength       = experiment.Millis(11000)
-	processesMaxDuration  = experiment.Millis(3000)
-	processesMaxSpread    = experiment.Millis(2000)
-	processesMaxSetupWork = experiment.Millis(10)
-	processesMaxClients   = 80
-	processesMaxRate      = 15
-	processesSeedOffset   = 1 << 40 // of what is drawn beside the seed's experiment
+	processesLength       = experiment.Millis(11000) // length of the run
+	processesMaxDuration  = experiment.Millis(3000)  // longest duration of a fault
+	processesMaxSpread    = experiment.Millis(2000)  // longest time over which relays and backends return
+	processesMaxSetupWork = experiment.Millis(10)    // greatest set-up work of an attempt
+	processesMaxClients   = 80                       // greatest number of initial clients of each traffic
+	processesMaxRate      = 15                       // greatest rate of new clients per second of each traffic
+	processesSeedOffset   = 1 << 40                  // added to the seed for draws that Generate does not make
 )
 
-// GenerateForProcesses draws an experiment for relay processes with disks and membership: the one that Generate
-// draws, at a size that a machine plays in seconds.
+// GenerateForProcesses returns an experiment for relay processes with disks and membership: the one that Generate
+// returns, reduced to a size that one machine runs in seconds.
 func GenerateForProcesses(seed uint64) *experiment.Experiment {
 	x := Generate(seed)
 	rng := rand.New(rand.NewSource(int64(seed) + processesSeedOffset))
--- a/internal/testbed/explore/shrink.go
+++ b/internal/testbed/explore/shrink.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	minShrunkLength = 2500.0 // milliseconds
-	minTimeLeft     = 500.0  // after the last fault's begin, and by which a shorter run must be shorter
-	minDuration     = 200.0  // of a fault that is halved
-	minShare        = 0.1    // of a fault that is halved
+	minShrunkLength = 2500.0 // milliseconds that a shortened run lasts at least
+	minTimeLeft     = 500.0  // milliseconds: least time after the last fault's begin, and least cut of a run's length
+	minDuration     = 200.0  // milliseconds; a fault's duration is halved only if it is longer
+	minShare        = 0.1    // a fault's share is halved only if it is greater
 )
 
-// Shrink makes what was found smaller, step by step, as long as it still breaks a rule that it broke at first.
-// It plays budget experiments at the most.
+// Shrink makes the experiment of a finding smaller, step by step. Each step must still break a rule that the experiment
+// before it broke. Shrink runs at most budget experiments.
 func Shrink(f *Finding, budget int, play Player) *Finding {
 	for budget > 0 {
 		smaller := shrinkOnce(f, &budget, play)
@@ -28,7 +28,7 @@
 	return f
 }
 
-// shrinkOnce returns the first smaller experiment that breaks the same, or nil.
+// shrinkOnce returns the finding of the first smaller experiment that breaks a rule in common, or nil.
 func shrinkOnce(f *Finding, budget *int, play Player) *Finding {
 	for _, x := range smallerExperiments(f.Experiment) {
 		if *budget == 0 {
@@ -38,17 +38,17 @@
 		if x.Complete() != nil {
 			continue
 		}
-		if smaller := play(x); f.isLike(smaller) {
+		if smaller := play(x); f.hasSameFailure(smaller) {
 			return smaller
 		}
 	}
 	return nil
 }
 
-// change makes an experiment smaller.
+// change is a step that makes an experiment smaller.
 type change func(*experiment.Experiment)
 
-// smallerExperiments are experiments that are a little smaller, the boldest cuts first.
+// smallerExperiments returns experiments with one step each taken, those with the largest effect first.
 func smallerExperiments(x *experiment.Experiment) (all []*experiment.Experiment) {
 	changes := slices.Concat(
 		dropFaultsAndTraffic(x),
@@ -81,7 +81,7 @@
 	return changes
 }
 
-// shorten cuts half of what follows the last fault's begin.
+// shorten cuts half of the run after the last fault's begin.
 func shorten(x *experiment.Experiment) []change {
 	lastFault := 0.0
 	for _, f := range x.Faults {
@@ -146,7 +146,7 @@
 	return changes
 }
 
-// simplify takes away what may be none.
+// simplify sets optional features of the network, the backends and the relays to none.
 func simplify(x *experiment.Experiment) (changes []change) {
 	if x.Network.SplitProbability != 0 {
 		changes = append(changes, func(y *experiment.Experiment) { y.Network.SplitProbability = 0 })
