--- a/internal/hotrestart/listener.go
+++ b/internal/hotrestart/listener.go
@@ -9,7 +9,7 @@
 )
 
 // ErrNotListener is returned for a descriptor that is not a listening TCP socket.
-var ErrNotListener = errors.New("not a listening TCP socket")
+var ErrNotListener = errors.New("a listening socket expected")
 
 // CheckListener returns an error that wraps ErrNotListener unless the descriptor is a listening socket. It
 // does not change the descriptor.
