--- a/internal/testbed/faultdisk/faultdisk.go
+++ b/internal/testbed/faultdisk/faultdisk.go
@@ -1,6 +1,5 @@
-// Package faultdisk is the disk of the programs that are built with the tag faultdisk. What was not synced is
-// gone when the process is killed, as at a power loss, and a file beside the store's own has the disk be full,
-// read-only or slow.
+// Package faultdisk is the disk of programs built with the tag faultdisk. Data that was not synced is lost when the
+// process is killed, as in a power loss, and a file in the store's folder makes the disk full, read-only or slow.
 package faultdisk
 
 import (
@@ -15,11 +14,11 @@
 	"valeshift/internal/store"
 )
 
-// FaultsFile is the name of the file, in the store's folder, that names what is wrong with the disk: any of the
-// words full, read-only and slow.
+// FaultsFile is the name of the file in the store's folder that contains the disk's faults: any of the words full,
+// read-only and slow.
 const FaultsFile = "faults"
 
-// fault is a word of the faults file.
+// fault is a word in the faults file.
 type fault string
 
 const (
@@ -28,11 +27,11 @@
 	faultSlow     fault = "slow"
 )
 
-const slowDelay = 10 * time.Second
+const slowDelay = 10 * time.Second // delay of each ListFiles on a slow disk
 
-const flippedBits = 8 // in each file, at most
+const flippedBits = 8 // in each file; fewer if a bit is chosen twice
 
-// FlipBits spoils the data of a file, which it returns, by some bits.
+// FlipBits flips random bits of a file's data, which it changes in place and returns.
 func FlipBits(data []byte, rng *rand.Rand) []byte {
 	if len(data) == 0 {
 		return data
@@ -43,18 +42,19 @@
 	return data
 }
 
-// folder is a folder of the file system that fails as its faults file says.
+// folder is a folder of the file system with the faults that its faults file contains.
 type folder struct{ store.DirFS }
 
-// New returns the folder at a path as a disk with faults.
+// New returns the folder at a path as a disk that can have faults.
 func New(path string) store.FS { return folder{store.DirFS(path)} }
 
+// has reports whether the faults file contains a fault. The file is read each time, so that faults can change.
 func (f folder) has(wanted fault) bool {
 	text, err := os.ReadFile(filepath.Join(string(f.DirFS), FaultsFile))
 	return err == nil && strings.Contains(string(text), string(wanted))
 }
 
-// writeError returns the error that a write gets, or nil.
+// writeError returns the error with which the disk's faults make writes fail, or nil.
 func (f folder) writeError() error {
 	switch {
 	case f.has(faultFull):
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// ListFiles leaves the faults file out. It is the call that a slow disk delays.
+// ListFiles returns the names of all files but the faults file. It is the only call that a slow disk delays.
 func (f folder) ListFiles() (names []string, err error) {
 	if f.has(faultSlow) {
 		time.Sleep(slowDelay)
@@ -79,7 +79,7 @@
 	return names, err
 }
 
-// OpenAppend opens a file that loses what is not synced.
+// OpenAppend opens a file whose unsynced data is lost if the process is killed.
 func (f folder) OpenAppend(name string) (store.File, error) {
 	if err := f.writeError(); err != nil {
 		return nil, err
@@ -91,7 +91,7 @@
 	return &file{File: opened, folder: f}, nil
 }
 
-// Rename gives a file another name.
+// Rename renames a file. It fails if the disk is full or read-only.
 func (f folder) Rename(from, to string) error {
 	if err := f.writeError(); err != nil {
 		return err
@@ -99,14 +99,14 @@
 	return f.DirFS.Rename(from, to)
 }
 
-// file holds back what is written until it is synced.
+// file keeps written data in memory until it is synced.
 type file struct {
 	store.File
 	folder   folder
 	unsynced []byte
 }
 
-// Write holds the data back until the next Sync.
+// Write keeps the data in memory until the next Sync.
 func (f *file) Write(data []byte) (int, error) {
 	if err := f.folder.writeError(); err != nil {
 		return 0, err
@@ -115,7 +115,7 @@
 	return len(data), nil
 }
 
-// Sync writes what was held back, and makes it durable.
+// Sync writes the data kept in memory to the file, and makes it durable.
 func (f *file) Sync() error {
 	if err := f.folder.writeError(); err != nil {
 		return err
@@ -127,8 +127,8 @@
 	return f.File.Sync()
 }
 
-// ReadClockOffset returns by how much a machine's clock is off: the milliseconds that the file at the path
-// holds, or zero where it can't be read.
+// ReadClockOffset returns by how much a machine's clock is ahead, or behind if negative. It reads the offset from the
+// file at the path, which holds a number of milliseconds, and returns zero if that can't be read or parsed.
 func ReadClockOffset(path string) time.Duration {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/testbed/netem/main_test.go
+++ b/internal/testbed/netem/main_test.go
@@ -6,7 +6,7 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain fails when a test leaves a goroutine behind.
+// TestMain fails if goroutines still run after the tests.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m)
 }
--- a/internal/testbed/netem/netem_test.go
+++ b/internal/testbed/netem/netem_test.go
@@ -14,10 +14,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echoServer answers TCP connections and datagrams with what they say, at the address that it returns.
+// echoServer echoes the data of TCP connections and UDP datagrams at the address that it returns.
 func echoServer(t *testing.T) (address string) {
 	t.Helper()
-	listener, socket, err := listenBoth("127.0.0.1")
+	listener, socket, err := listenTCPAndUDP("127.0.0.1")
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		listener.Close()
@@ -48,7 +48,7 @@
 	return listener.Addr().String()
 }
 
-// startProxy returns a proxy to an echo server.
+// startProxy starts a proxy to an echo server.
 func startProxy(t *testing.T) *Proxy {
 	t.Helper()
 	p, err := New("127.0.0.1", echoServer(t), rand.New(rand.NewSource(1)))
@@ -104,7 +104,7 @@
 	}
 }
 
-// What is cut comes once the direction is open again: a connection is half open, not lost.
+// A cut direction holds back the data of a connection and delivers it once it is open again: the connection isn't lost.
 func TestConnectionSurvivesCut(t *testing.T) {
 	p := startProxy(t)
 	conn, err := net.Dial("tcp", p.Address)
@@ -146,8 +146,8 @@
 			conn, err := net.Dial("udp", p.Address)
 			require.NoError(t, err)
 			defer conn.Close()
-			var answers []byte    // a number each
-			for i := range sent { // one by one, so that no socket's buffer runs over
+			var answers []byte    // each byte is the number of the datagram that was echoed
+			for i := range sent { // sent slowly, so that no socket's receive buffer overflows
 				conn.Write([]byte{byte(i)})
 				answers = append(answers, readAnswers(conn, 2*time.Millisecond)...)
 			}
@@ -159,7 +159,7 @@
 	}
 }
 
-// readAnswers returns what comes until nothing has come for that time.
+// readAnswers returns what is received until nothing has been received for as long as wait.
 func readAnswers(conn net.Conn, wait time.Duration) (answers []byte) {
 	buffer := make([]byte, 10)
 	for {
--- a/internal/testbed/netem/proxy.go
+++ b/internal/testbed/netem/proxy.go
@@ -1,6 +1,6 @@
-// Package netem emulates the network between two machines of the testbed: a Proxy forwards TCP connections and
-// UDP datagrams to one address, and each of its two directions can be cut, delayed, thinned out and so on while
-// it runs. It knows nothing of what passes.
+// Package netem emulates the network between two machines of the testbed. A Proxy forwards TCP connections and UDP
+// datagrams to one address, and each of its two directions can be impaired while it runs: it can be cut, delay data,
+// lose datagrams and so on. The proxy does not interpret the data that it forwards.
 package netem
 
 import (
@@ -14,23 +14,23 @@
 	"valeshift/internal/testbed/experiment"
 )
 
-// Impairment is what one direction does to what passes.
+// Impairment is what one direction does to the data that it forwards.
 type Impairment = experiment.Impairment
 
 const (
-	// cutPollInterval is how often a direction that is cut is looked at for whether it is open again.
+	// cutPollInterval is how often a proxy checks whether a cut direction is open again.
 	cutPollInterval = 5 * time.Millisecond
 
-	portAttempts = 50 // to find a port that is free for TCP and UDP
+	portAttempts = 50 // attempts to find a port that is free for both TCP and UDP
 )
 
-// direction is one of the two that a proxy forwards.
+// direction is one of the two directions that a proxy forwards in.
 type direction uint8
 
 const (
 	outbound direction = iota // towards the target
-	inbound                   // back
-	directions
+	inbound                   // from the target
+	directionCount
 )
 
 // Proxy forwards TCP and UDP from its own address to a target. It is safe for concurrent use.
@@ -43,18 +43,18 @@
 	cancel   context.CancelFunc
 	tasks    sync.WaitGroup // all goroutines of the proxy
 
-	mutex       sync.Mutex // over what follows
+	mutex       sync.Mutex // guards the fields below
 	closed      bool
-	impairments [directions]Impairment
+	impairments [directionCount]Impairment
 	rng         *rand.Rand
 	conns       map[net.Conn]bool
-	udpFlows    map[string]*net.UDPConn // to the target, by the sender's address
+	udpFlows    map[string]*net.UDPConn // sockets connected to the target, by the sender's address
 }
 
-// New listens on a free port of a loopback address and forwards to the target until it is closed. The random
-// source is the proxy's own from then on.
+// New returns a proxy that listens on a free port of a loopback address and forwards to the target until it is closed.
+// The caller must not use the random source any more.
 func New(host, target string, rng *rand.Rand) (*Proxy, error) {
-	listener, socket, err := listenBoth(host)
+	listener, socket, err := listenTCPAndUDP(host)
 	if err != nil {
 		return nil, err
 	}
@@ -74,8 +74,9 @@
 	return p, nil
 }
 
-// listenBoth listens for TCP and UDP on one port: one that is free for the one need not be for the other.
-func listenBoth(host string) (net.Listener, *net.UDPConn, error) {
+// listenTCPAndUDP listens on one port for both TCP and UDP. It tries several, as a port that is free for TCP may be
+// taken for UDP.
+func listenTCPAndUDP(host string) (net.Listener, *net.UDPConn, error) {
 	for range portAttempts {
 		listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 		if err != nil {
@@ -91,7 +92,7 @@
 	return nil, nil, errors.New("listen for TCP and UDP: no port is free for both")
 }
 
-// SetImpairments changes what the two directions do from now on: outbound, towards the target, and inbound.
+// SetImpairments sets the impairments of the two directions: out towards the target, in from it.
 func (p *Proxy) SetImpairments(out, in Impairment) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -99,7 +100,7 @@
 	p.impairments[inbound] = in
 }
 
-// Close ends all that passes, and returns once the proxy's goroutines have ended.
+// Close closes all sockets and connections, and returns once the proxy's goroutines have ended.
 func (p *Proxy) Close() {
 	p.closeAll()
 	p.tasks.Wait()
@@ -129,20 +130,20 @@
 	return p.impairments[d]
 }
 
-// draw returns a random number in [0, 1).
-func (p *Proxy) draw() float64 {
+// randomFloat returns a random number in [0, 1) from the proxy's source.
+func (p *Proxy) randomFloat() float64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.rng.Float64()
 }
 
-// drawDelay returns by how much one piece or datagram is delayed.
-func (p *Proxy) drawDelay(i Impairment) time.Duration {
-	millis := float64(i.Delay) + float64(i.Jitter)*p.draw()
+// randomDelay returns the delay of one piece or datagram, with its jitter.
+func (p *Proxy) randomDelay(i Impairment) time.Duration {
+	millis := float64(i.Delay) + float64(i.Jitter)*p.randomFloat()
 	return time.Duration(millis * float64(time.Millisecond))
 }
 
-// sleep waits, and tells whether the proxy is still open.
+// sleep waits for a duration. It returns false if the proxy was closed meanwhile.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return true
--- a/internal/testbed/netem/tcp.go
+++ b/internal/testbed/netem/tcp.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	readBufferBytes = 16 << 10
-	dialTimeout     = 2 * time.Second
-	trickleParts    = 20 // a limited rate passes in so many pieces a second
+	readBufferBytes        = 16 << 10        // size of the read buffer of one direction of a connection
+	dialTimeout            = 2 * time.Second // for a connection to the target
+	limitedPiecesPerSecond = 20              // pieces a second that data is split into where the rate is limited
 )
 
 func (p *Proxy) acceptLoop(ctx context.Context) {
@@ -24,8 +24,8 @@
 	}
 }
 
-// connect dials the target for an accepted connection and forwards both directions. A direction that is cut has
-// the connection accepted and silent, as a machine that is unreachable behind a router does.
+// connect dials the target for an accepted connection and forwards both directions. While either direction is cut, it
+// does not dial: the connection stays accepted and silent, like one to a machine that can't be reached behind a router.
 func (p *Proxy) connect(ctx context.Context, client net.Conn) {
 	p.track(client)
 	defer p.untrack(client)
@@ -42,7 +42,7 @@
 	}
 	p.track(target)
 	defer p.untrack(target)
-	// Both ends are closed once both directions have ended, so that what is on its way still arrives.
+	// Both connections are closed only once both directions have ended, so that data in transit still arrives.
 	back := make(chan struct{})
 	p.tasks.Go(func() {
 		defer close(back)
@@ -52,7 +52,7 @@
 	<-back
 }
 
-// track has Close close a connection, and closes it where that is over.
+// track registers a connection for Close to close, or closes it if the proxy is closed already.
 func (p *Proxy) track(c net.Conn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -63,7 +63,7 @@
 	p.conns[c] = true
 }
 
-// untrack closes a connection that is done with.
+// untrack closes a connection and unregisters it.
 func (p *Proxy) untrack(c net.Conn) {
 	c.Close()
 	p.mutex.Lock()
@@ -71,7 +71,7 @@
 	delete(p.conns, c)
 }
 
-// reset closes a connection by a RST.
+// reset closes a connection with a RST.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
@@ -79,7 +79,7 @@
 	c.Close()
 }
 
-// forward copies one direction until it ends.
+// forward forwards one direction of a connection until it ends.
 func (p *Proxy) forward(ctx context.Context, from, to net.Conn, d direction) {
 	buffer := make([]byte, readBufferBytes)
 	for {
@@ -94,8 +94,8 @@
 	}
 }
 
-// deliver passes data on, piece by piece, each under the impairment that holds when its turn comes. It returns
-// false once the direction has ended.
+// deliver forwards data piece by piece, each with the impairment that is set when its turn comes. It returns false
+// once the direction has ended.
 func (p *Proxy) deliver(ctx context.Context, data []byte, from, to net.Conn, d direction) bool {
 	for len(data) > 0 {
 		impairment := p.impairment(d)
@@ -123,21 +123,21 @@
 	return true
 }
 
-// nextPiece returns how many of the bytes are passed on at once, and after what delay.
+// nextPiece returns how many of the bytes are forwarded as the next piece, and after what delay.
 func (p *Proxy) nextPiece(bytes int, i Impairment) (size int, delay time.Duration) {
 	size = bytes
 	if i.MaxPiece > 0 {
 		size = min(size, i.MaxPiece)
 	}
-	delay = p.drawDelay(i)
+	delay = p.randomDelay(i)
 	if i.BytesPerSecond > 0 {
-		size = min(size, max(i.BytesPerSecond/trickleParts, 1))
+		size = min(size, max(i.BytesPerSecond/limitedPiecesPerSecond, 1))
 		delay += time.Duration(size) * time.Second / time.Duration(i.BytesPerSecond)
 	}
 	return size, delay
 }
 
-// propagateEnd ends the other connection as the one that was read from has ended: in order, or by a reset.
+// propagateEnd ends the connection to in the way in which the one that was read from has ended: by a FIN or a RST.
 func propagateEnd(to net.Conn, readErr error) {
 	tcp, isTCP := to.(*net.TCPConn)
 	if isTCP && errors.Is(readErr, io.EOF) && !errors.Is(readErr, net.ErrClosed) {
--- a/internal/testbed/netem/udp.go
+++ b/internal/testbed/netem/udp.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	maxDatagramBytes = 64 << 10
-	overtakeDelay    = 30 * time.Millisecond // of a datagram that is overtaken
-	flowIdleTimeout  = 30 * time.Second      // after which the way back to a sender is forgotten
+	maxDatagramBytes = 64 << 10              // size of a receive buffer
+	reorderDelay     = 30 * time.Millisecond // added to a datagram that later ones are to overtake
+	flowIdleTimeout  = 30 * time.Second      // without replies to a sender, after which its flow is closed
 )
 
-// datagramLoop forwards what comes, through a socket of its own for each sender.
+// datagramLoop forwards received datagrams to the target, for each sender through a flow of its own.
 func (p *Proxy) datagramLoop() {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
@@ -34,7 +34,8 @@
 	}
 }
 
-// flow returns the socket to the target that stands for a sender, or nil where none can be had.
+// flow returns the socket that forwards a sender's datagrams to the target. It opens one for a new sender, and returns
+// nil if it can't.
 func (p *Proxy) flow(sender *net.UDPAddr) *net.UDPConn {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -54,12 +55,12 @@
 		return nil
 	}
 	p.udpFlows[sender.String()] = flow
-	p.tasks.Go(func() { p.answerLoop(flow, sender) })
+	p.tasks.Go(func() { p.replyLoop(flow, sender) })
 	return flow
 }
 
-// answerLoop forwards to a sender what the target answers it.
-func (p *Proxy) answerLoop(flow *net.UDPConn, sender *net.UDPAddr) {
+// replyLoop forwards the target's replies to a sender, until the flow is idle for flowIdleTimeout.
+func (p *Proxy) replyLoop(flow *net.UDPConn, sender *net.UDPAddr) {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
 		flow.SetReadDeadline(time.Now().Add(flowIdleTimeout))
@@ -68,9 +69,9 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			p.forgetFlow(flow, sender)
+			p.closeFlow(flow, sender)
 			return
-		case err != nil: // nobody listens at the target now
+		case err != nil: // nothing listens at the target at present
 			continue
 		}
 		data := slices.Clone(buffer[:n])
@@ -78,27 +79,28 @@
 	}
 }
 
-func (p *Proxy) forgetFlow(flow *net.UDPConn, sender *net.UDPAddr) {
+func (p *Proxy) closeFlow(flow *net.UDPConn, sender *net.UDPAddr) {
 	p.mutex.Lock()
 	delete(p.udpFlows, sender.String())
 	p.mutex.Unlock()
 	flow.Close()
 }
 
-// sendDatagram has a datagram arrive as its direction's impairment has it: never, later, twice or out of order.
+// sendDatagram calls send as the direction's impairment has it: at once, not at all, later or twice. A datagram
+// that is to arrive out of order is sent later than those that follow it.
 func (p *Proxy) sendDatagram(d direction, send func()) {
 	impairment := p.impairment(d)
-	if impairment.Cut || p.draw() < impairment.Loss {
+	if impairment.Cut || p.randomFloat() < impairment.Loss {
 		return
 	}
 	copies := 1
-	if p.draw() < impairment.Duplicate {
+	if p.randomFloat() < impairment.Duplicate {
 		copies = 2
 	}
 	for range copies {
-		delay := p.drawDelay(impairment)
-		if p.draw() < impairment.Reorder {
-			delay += overtakeDelay
+		delay := p.randomDelay(impairment)
+		if p.randomFloat() < impairment.Reorder {
+			delay += reorderDelay
 		}
 		if delay <= 0 {
 			send()
--- a/internal/testbed/procstat/loopback.go
+++ b/internal/testbed/procstat/loopback.go
@@ -10,53 +10,54 @@
 	"syscall"
 )
 
-// Each network is a /16 of the loopback range, by its second octet. 127.0.0.0/16 is left out: outgoing
-// connections and everybody's 127.0.0.1 are there.
+// Each network is a /16 of the loopback range, identified by its second octet. 127.0.0.0/16 is left out, since outgoing
+// connections and other programs use 127.0.0.1.
 const (
 	firstNetwork = 1
 	lastNetwork  = 250
 )
 
-// Ports that are assigned lie below those that the kernel gives to outgoing connections and to listeners on port
-// 0 (32768 and up, see ip_local_port_range in ip(7)). It never gives one of them away while a process that is to
-// listen there doesn't run, be it not yet or not now.
+// Assigned ports are below those that the kernel picks for outgoing connections and for listeners on port 0 (32768 and
+// up, see ip_local_port_range in ip(7)). So the kernel never gives an assigned port to others before its process has
+// started, or while that process is down.
 const (
-	claimPort = 19999 // listened on by who holds the network
-	firstPort = 20000
-	lastPort  = 31999
+	claimPort = 19999 // port that the holder of a network listens on
+	firstPort = 20000 // lowest port that is assigned
+	lastPort  = 31999 // highest port that is assigned
 )
 
-const machinesPerOctet = 200
+const machinesPerOctet = 200 // machines whose addresses have the same third octet
 
 var (
 	errAllNetworksHeld = errors.New("claim a loopback network: all are held")
 	errPortsUsedUp     = errors.New("assign a loopback address: no port is left")
 )
 
-// claimCount spreads the claims of this process: a network that was released is not claimed again at once, as
-// processes of its former holder may still be ending.
+// claimCount has each claim of this process start its search at another network. So a network that was just released is
+// not claimed again at once, while processes of its last holder may still be ending.
 var claimCount atomic.Int64
 
-// LoopbackNetwork is a range of loopback addresses that one run holds alone, also where runs of several processes
-// go on side by side. It assigns no address twice, so one stays its owner's while nobody listens on it. It is safe
-// for concurrent use.
+// LoopbackNetwork is a range of loopback addresses that one run holds exclusively, also among runs of other processes
+// on the machine. It assigns no address twice, so an address stays reserved for its owner even while nothing listens on
+// it. It is safe for concurrent use.
 type LoopbackNetwork struct {
 	secondOctet int
-	claim       net.Listener
+	claim       net.Listener // on claimPort, open while the network is held
 
-	mutex    sync.Mutex // over what follows
+	mutex    sync.Mutex // guards the fields below
 	nextPort int
 }
 
-// runPidfdProbe has package os run its probe for pidfds now, which it does once a process. The probe forks a child without
-// syscall.ForkLock, on which isFree relies.
+// runPidfdProbe makes package os run its probe for pidfds now. It runs that once per process, and the probe forks a
+// child without holding syscall.ForkLock, on which isFree relies.
 func runPidfdProbe() {
 	if self, err := os.FindProcess(os.Getpid()); err == nil {
 		self.Release()
 	}
 }
 
-// ClaimLoopbackNetwork claims a network that nobody holds, until it is closed or this process ends.
+// ClaimLoopbackNetwork claims a network that no run on this machine holds. It is held until it is closed or this
+// process ends.
 func ClaimLoopbackNetwork() (*LoopbackNetwork, error) {
 	runPidfdProbe()
 	const count = lastNetwork - firstNetwork + 1
@@ -71,14 +72,14 @@
 	return nil, errAllNetworksHeld
 }
 
-// Close releases the network. Whoever listens on its addresses has to be ended before.
+// Close releases the network. The processes that listen on its addresses must have ended before.
 func (n *LoopbackNetwork) Close() error { return n.claim.Close() }
 
 // MachineHost returns a machine's own host address, without a port. Machines count from 0.
 func (n *LoopbackNetwork) MachineHost(machine int) string { return n.host(1, machine) }
 
-// ProxyHost returns the host address where the proxies that a machine dials listen. It is apart from the
-// machine's own, as proxies take any port.
+// ProxyHost returns the host address, without a port, on which the proxies that a machine dials listen. It differs from
+// the machine's own host address because proxies listen on any free port.
 func (n *LoopbackNetwork) ProxyHost(machine int) string { return n.host(101, machine) }
 
 func (n *LoopbackNetwork) host(thirdOctet, machine int) string {
@@ -86,8 +87,8 @@
 		1+machine%machinesPerOctet)
 }
 
-// AssignAddress returns an address of a machine, with a port that no other address of this network has and that
-// is free for TCP and UDP.
+// AssignAddress returns an address of a machine with a port that is free for both TCP and UDP and was not assigned
+// before in this network.
 func (n *LoopbackNetwork) AssignAddress(machine int) (string, error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -101,9 +102,9 @@
 	return "", errPortsUsedUp
 }
 
-// isFree is whether an address can be listened on for both TCP and UDP. Somebody who listens on all of the host's
-// addresses takes it too. No process is forked meanwhile: until it executes its program, the child would hold copies
-// of the sockets and go on listening on the address.
+// isFree reports whether a process can listen on an address for both TCP and UDP. It can't if some process listens on
+// the port at all addresses of the host. isFree holds syscall.ForkLock, so that this process forks no child meanwhile:
+// until it executes its program, the child would hold copies of the sockets and keep listening on the address.
 func isFree(address string) bool {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
--- a/internal/testbed/procstat/loopback_test.go
+++ b/internal/testbed/procstat/loopback_test.go
@@ -12,6 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// claim claims a network and releases it at the end of the test.
 func claim(t *testing.T) *LoopbackNetwork {
 	t.Helper()
 	network, err := ClaimLoopbackNetwork()
@@ -60,7 +61,7 @@
 	network := claim(t)
 	seen := map[string]bool{}
 	for i := range 1000 {
-		address := assign(t, network, i%3) // none is listened on
+		address := assign(t, network, i%3) // nothing listens on the addresses
 		assert.False(t, seen[address], address)
 		seen[address] = true
 		assert.True(t, strings.HasPrefix(address, network.MachineHost(i%3)+":"), address)
@@ -102,7 +103,8 @@
 	}
 }
 
-// Relays of parallel tests are started while others get their addresses: no child may go on listening on one.
+// Parallel tests start relay processes while other tests are assigned addresses. A child that inherited the sockets of
+// the check whether an address is free would keep listening on that address.
 func TestAssignedAddressStaysFreeWhileProcessesStart(t *testing.T) {
 	const (
 		starters  = 4
--- a/internal/testbed/procstat/procstat.go
+++ b/internal/testbed/procstat/procstat.go
@@ -1,5 +1,5 @@
-// Package procstat has what the testbed needs of the machine to run programs beside itself: addresses to listen
-// on, and what a process has used.
+// Package procstat helps the testbed to run other programs on the same machine: it assigns them loopback addresses to
+// listen on, and reads the CPU time and the memory that they use.
 package procstat
 
 import (
@@ -9,7 +9,7 @@
 	"strconv"
 )
 
-// The fields of /proc/PID/stat that are read, counted from the one behind the program's name (see proc(5)).
+// The fields of /proc/PID/stat that are read, as indexes from the field after the program's name (see proc(5)).
 const (
 	userTicksField     = 11
 	systemTicksField   = 12
@@ -18,14 +18,14 @@
 	ticksPerSecond = 100 // USER_HZ, the same on all Linux platforms that Go runs on
 )
 
-// Usage returns the CPU time that a process has used, in seconds, and the memory that it holds, in bytes; zeros
-// for a process that has ended.
+// Usage returns the CPU time that a process has used, in seconds, and its resident memory, in bytes. Both are zero if
+// the process has ended.
 func Usage(pid int) (cpuSeconds float64, residentBytes int64) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, 0
 	}
-	// The program's name is in parentheses and may hold any character.
+	// The program's name is in parentheses and may contain any character, also a closing parenthesis.
 	fields := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:])
 	number := func(field int) int64 {
 		n, _ := strconv.ParseInt(string(fields[field]), 10, 64)
