--- a/internal/testbed/cost/backends.go
+++ b/internal/testbed/cost/backends.go
@@ -7,7 +7,7 @@
 	"net"
 )
 
-// backends are stand-ins on loopback, which establish every session, echo its lines and answer load polls.
+// backends are stand-ins for backends, on loopback. They establish every session, echo its lines and answer load polls.
 type backends struct {
 	addresses []string
 	listeners []net.Listener
@@ -34,7 +34,7 @@
 	}
 }
 
-// acceptSessions ends with the listener.
+// acceptSessions serves each accepted connection, until the listener is closed.
 func acceptSessions(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -45,10 +45,10 @@
 	}
 }
 
-// maxLineBytes is beyond any line that a measurement sends.
+// maxLineBytes is longer than any line that a measurement sends.
 const maxLineBytes = 512
 
-// serveSession ends with the connection.
+// serveSession answers the lines of a connection until it ends.
 func serveSession(conn net.Conn) {
 	defer conn.Close()
 	in := bufio.NewReaderSize(conn, maxLineBytes)
@@ -63,7 +63,7 @@
 	}
 }
 
-// answer is what a backend answers to one line.
+// answer returns a backend's answer to a line: to a request, to a load poll, or the line itself as an echo.
 func answer(line []byte) []byte {
 	switch {
 	case bytes.HasPrefix(line, []byte("OPEN")):
--- a/internal/testbed/cost/cost.go
+++ b/internal/testbed/cost/cost.go
@@ -1,7 +1,7 @@
-// Package cost measures on loopback what a relay adds, beside a bare forwarder, which picks a backend at random
-// and copies bytes, and beside direct connections, in one run: session set-ups per second of its CPU, the time
-// of a line there and back, and the memory of an established session. What the figures are is the machine's;
-// they are to be compared within one run.
+// Package cost measures on loopback what a relay costs, compared with a bare forwarder, which picks a backend at random
+// and copies bytes, and with direct connections. It measures session set-ups per CPU second, the round-trip time of a
+// line and the memory of an established session. The figures depend on the machine: only those of one run can be
+// compared.
 package cost
 
 import (
@@ -14,7 +14,7 @@
 	"valeshift/internal/testbed/procstat"
 )
 
-// Result is what one path came to.
+// Result holds the figures of one path.
 type Result struct {
 	Path               string  `json:"way"`
 	Backends           int     `json:"servers"`
@@ -22,31 +22,31 @@
 	Failed             int     `json:"failed"`
 	SetupsPerSecond    float64 `json:"setups-a-second"`
 	SetupsPerCPUSecond float64 `json:"setups-a-cpu-second,omitempty"` // 0: the path has no process of its own
-	LineP50Millis      float64 `json:"P50"`                           // of a line there and back
+	LineP50Millis      float64 `json:"P50"`                           // round-trip time of a line
 	LineP99Millis      float64 `json:"P99"`
 	LineP999Millis     float64 `json:"P999"`
 	Lines              int64   `json:"lines"`
 	CPUMicrosPerLine   float64 `json:"cpu-microseconds-a-line,omitempty"`
 	BytesPerSession    float64 `json:"bytes-a-link,omitempty"`
-	IdleSessions       int     `json:"links-for-that,omitempty"` // established to measure BytesPerSession
+	IdleSessions       int     `json:"links-for-that,omitempty"` // sessions established to measure BytesPerSession
 }
 
-// Plan says how much is measured.
+// Plan says which programs are measured, and with what load.
 type Plan struct {
 	RelayCommand     []string
-	ForwarderCommand []string // its listening address is appended; it reads the backends from standard input
-
-	Servers        int           // stand-in backends
-	Clients        int           // that open and reset sessions one after another
-	Duration       time.Duration // of each measurement
-	ActiveSessions int           // that send lines
-	LineInterval   time.Duration // between the lines of a session
-	IdleSessions   int           // to measure memory with; 0: it is not measured
-	Rounds         int           // in which the paths take turns
-	Dir            string        // for configuration and logs
+	ForwarderCommand []string // the address to listen at is appended; the backends' are written to standard input
+
+	Servers        int           // number of stand-in backends
+	Clients        int           // number of clients, each of which opens and resets one session after another
+	Duration       time.Duration // duration of each measurement
+	ActiveSessions int           // number of sessions that send lines
+	LineInterval   time.Duration // time between two lines of a session
+	IdleSessions   int           // number of sessions to measure memory with; 0: memory is not measured
+	Rounds         int           // number of rounds, in each of which every path is measured in turn
+	Dir            string        // folder for configuration and logs
 }
 
-// measurement gathers what one path comes to over all rounds.
+// measurement accumulates the figures of one path over all rounds.
 type measurement struct {
 	path            *path
 	result          *Result
@@ -56,7 +56,7 @@
 	lineCPUSeconds  float64
 }
 
-// Measure runs the plan and returns the results of the relay, the forwarder and direct connections.
+// Measure runs the plan and returns the results of the relay, the forwarder and direct connections, in that order.
 func Measure(ctx context.Context, plan Plan) ([]*Result, error) {
 	backends, err := startBackends(plan.Servers)
 	if err != nil {
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer loopback.Close() // once the programs have ended
+	defer loopback.Close() // runs after the programs are stopped
 	forwarder, err := startForwarder(ctx, plan, backends, loopback)
 	if err != nil {
 		return nil, err
@@ -99,7 +99,8 @@
 	return results, nil
 }
 
-// newMeasurement measures the memory of sessions, before all else, as a process keeps what it once had.
+// newMeasurement measures the memory of sessions. That comes before all other measurements, since a process keeps
+// memory that it has once allocated.
 func newMeasurement(p *path, plan Plan) (*measurement, error) {
 	m := &measurement{
 		path:       p,
@@ -114,20 +115,20 @@
 	return m, err
 }
 
-// measureRound gives each path one turn of set-ups, and then one of lines.
+// measureRound measures the set-ups of each path in turn, and then the lines of each.
 func measureRound(ctx context.Context, plan Plan, all []*measurement) error {
 	for _, m := range all {
-		m.addSetups(ctx, plan)
+		m.measureSetups(ctx, plan)
 	}
 	for _, m := range all {
-		if err := m.addLines(ctx, plan); err != nil {
+		if err := m.measureLines(ctx, plan); err != nil {
 			return fmt.Errorf("measure %s: %w", m.path.name, err)
 		}
 	}
 	return nil
 }
 
-func (m *measurement) addSetups(ctx context.Context, plan Plan) {
+func (m *measurement) measureSetups(ctx context.Context, plan Plan) {
 	cpuBefore, _ := m.path.usage()
 	started := time.Now()
 	succeeded, failed := m.path.runSetups(ctx, plan)
@@ -138,7 +139,7 @@
 	m.setupSeconds += time.Since(started).Seconds()
 }
 
-func (m *measurement) addLines(ctx context.Context, plan Plan) error {
+func (m *measurement) measureLines(ctx context.Context, plan Plan) error {
 	cpuBefore, _ := m.path.usage()
 	if err := m.path.runLines(ctx, plan, m.lineMicros); err != nil {
 		return err
--- a/internal/testbed/cost/cost_test.go
+++ b/internal/testbed/cost/cost_test.go
@@ -15,14 +15,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A short measurement runs to its end with nothing failed, and has a result for each path. What the figures
-// are is the machine's.
+// A short measurement completes without a failed set-up and has a result for each path. The figures themselves depend
+// on the machine.
 func TestMeasure(t *testing.T) {
 	dir := t.TempDir()
 	for _, name := range []string{"valeshift", "valeshift-testbed"} {
-		said, err := exec.Command("go", "build", "-o", filepath.Join(dir, name),
+		output, err := exec.Command("go", "build", "-o", filepath.Join(dir, name),
 			"valeshift/cmd/"+name).CombinedOutput()
-		require.NoError(t, err, "%s", said)
+		require.NoError(t, err, "%s", output)
 	}
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
@@ -56,7 +56,7 @@
 	assert.ErrorIs(t, RunForwarder(context.Background(), in, "127.0.0.1:0"), errNoBackends)
 }
 
-// A line that is lost ends the measurement: its time must not be missing among the figures unnoticed.
+// A lost line ends the measurement with an error, since leaving its time out of the figures would go unnoticed.
 func TestLostLineIsReported(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/testbed/cost/forwarder.go
+++ b/internal/testbed/cost/forwarder.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// acceptRetryDelay passes before the next connection is accepted, if there was no descriptor for the last.
+// acceptRetryDelay is the wait after a failed accept, as when no file descriptor is free.
 const acceptRetryDelay = 10 * time.Millisecond
 
 var errNoBackends = errors.New("backends' addresses expected on standard input, got none")
 
-// RunForwarder is the bare forwarder: it reads the backends' addresses, one a line, and serves at the address
-// until the context ends.
+// RunForwarder runs the bare forwarder: it reads the backends' addresses, one per line, and serves at the address until
+// the context ends.
 func RunForwarder(ctx context.Context, in io.Reader, address string) error {
 	text, err := io.ReadAll(in)
 	if err != nil {
--- a/internal/testbed/cost/golden_test.go
+++ b/internal/testbed/cost/golden_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The result of a measurement as the build wrote it to a file before all fields had tags.
+// A result is encoded to the same JSON as before all of its fields had tags, and decoded from it.
 func TestResultGolden(t *testing.T) {
 	want := Result{
 		Path:               "relay",
--- a/internal/testbed/cost/path.go
+++ b/internal/testbed/cost/path.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	openTimeout  = 5 * time.Second
-	maxPathReply = 256 // bytes of a line to the client
+	openTimeout   = 5 * time.Second // for a connection, and again for the answer to the request
+	maxReplyBytes = 256             // longest line that a client receives
 )
 
-// path is one way from the clients to the backends.
+// path is one of the ways to connect clients to backends that are compared: the relay, the forwarder or directly.
 type path struct {
 	name    string
-	address func() string // to open the next session at
+	address func() string // returns the address for the next session
 	cmd     *exec.Cmd     // nil: the path has no process of its own
-	release func()        // ends what the process needed; nil: nothing
+	release func()        // stops the services that the process used; nil: there are none
 }
 
-// directPath has clients connect to backends, drawn at random.
+// directPath returns the path on which clients connect to backends directly, each time to a random one.
 func directPath(b *backends) *path {
 	var mutex sync.Mutex
 	rng := rand.New(rand.NewSource(1))
@@ -38,7 +38,8 @@
 	}}
 }
 
-// usage is the CPU that the path's process has used, in seconds, and the memory that it holds, in bytes.
+// usage returns the CPU time of the path's process, in seconds, and its resident memory, in bytes. Both are zero if the
+// path has no process.
 func (p *path) usage() (cpuSeconds, residentBytes float64) {
 	if p.cmd == nil {
 		return 0, 0
@@ -47,10 +48,10 @@
 	return cpu, float64(resident)
 }
 
-// sessionIDs are drawn from one counter, so that no two sessions have the same.
+// sessionIDs counts the sessions of all paths, so that each gets an ID of its own.
 var sessionIDs atomic.Uint64
 
-// open establishes one session.
+// open connects to the path and establishes one session.
 func (p *path) open() (net.Conn, *bufio.Reader, error) {
 	conn, err := net.DialTimeout("tcp", p.address(), openTimeout)
 	if err != nil {
@@ -67,7 +68,7 @@
 func establish(conn net.Conn) (*bufio.Reader, error) {
 	conn.SetDeadline(time.Now().Add(openTimeout))
 	fmt.Fprintf(conn, "OPEN %x %x c=chat,t=all,d=3000\r\n", sessionIDs.Add(1)|1<<60, sessionIDs.Load())
-	in := bufio.NewReaderSize(conn, maxPathReply)
+	in := bufio.NewReaderSize(conn, maxReplyBytes)
 	line, err := in.ReadString('\n')
 	if err != nil {
 		return nil, fmt.Errorf("open session: %w", err)
@@ -79,7 +80,7 @@
 	return in, nil
 }
 
-// stop kills the path's process.
+// stop kills the path's process, and releases what it used.
 func (p *path) stop() {
 	p.cmd.Process.Kill()
 	p.cmd.Wait()
--- a/internal/testbed/cost/programs.go
+++ b/internal/testbed/cost/programs.go
@@ -19,28 +19,28 @@
 )
 
 const (
-	startTimeout      = 20 * time.Second
-	startPollInterval = 20 * time.Millisecond
-	heartbeatInterval = 2 * time.Second // of the endpoint list
+	startTimeout      = 20 * time.Second      // for a program to establish its first session
+	startPollInterval = 20 * time.Millisecond // between two attempts to establish it
+	heartbeatInterval = 2 * time.Second       // between two heartbeats of discovery
 )
 
-// The machines of the loopback network that programs listen on.
+// Machines of the loopback network that the programs' addresses belong to.
 const (
 	forwarderMachine = iota
 	relayMachine
 )
 
-// program is a process that is to serve at an address.
+// program is a program to be started, which serves sessions at an address.
 type program struct {
 	name    string
 	command []string
-	env     []string // added to the environment
+	env     []string // variables added to the testbed's environment
 	stdin   io.Reader
 	address string
 	logFile string
 }
 
-// start starts the program and waits until it serves.
+// start starts the program and waits until a session can be established.
 func (g program) start(ctx context.Context) (*path, error) {
 	cmd := exec.CommandContext(ctx, g.command[0], g.command[1:]...)
 	cmd.Env = append(os.Environ(), g.env...)
@@ -85,7 +85,7 @@
 	}.start(ctx)
 }
 
-// startRelay starts a relay, and a discovery service that lists the backends to it.
+// startRelay starts a relay, and a discovery service that sends it the list of backends.
 func startRelay(ctx context.Context, plan Plan, b *backends, loopback *procstat.LoopbackNetwork) (*path, error) {
 	address, err := loopback.AssignAddress(relayMachine)
 	if err != nil {
@@ -160,8 +160,8 @@
 	server  *http.Server
 }
 
-// startDiscovery sends the list to whoever subscribes, and heartbeats after it. It ends with the context or by
-// close.
+// startDiscovery starts a discovery service that answers every watch with the list, followed by heartbeats. It runs
+// until the context ends or close is called.
 func startDiscovery(ctx context.Context, list []byte) (*discovery, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -191,7 +191,7 @@
 // relayConfig is the platform's configuration of a relay.
 type relayConfig struct {
 	Discovery string          `json:"discovery"`
-	Known     json.RawMessage `json:"known"` // the endpoint list that the platform last saw
+	Known     json.RawMessage `json:"known"` // the endpoint list that the relay had last, as stored by the platform
 	Limits    relayLimits     `json:"limits"`
 	Listen    string          `json:"listen"`
 	Name      string          `json:"name"`
@@ -203,7 +203,7 @@
 	Cores int `json:"cores"`
 }
 
-// writeRelayConfig returns the path of the file.
+// writeRelayConfig writes the relay's configuration file and returns its path.
 func writeRelayConfig(dir, listen, discovery string, list []byte) (string, error) {
 	x := experiment.Default()
 	x.Relays.Count = 1
--- a/internal/testbed/cost/workload.go
+++ b/internal/testbed/cost/workload.go
@@ -14,14 +14,15 @@
 )
 
 const (
-	failedSetupPause = time.Millisecond
-	lineTimeout      = 10 * time.Second
-	settleTime       = 500 * time.Millisecond // before the memory of sessions is read
+	failedSetupPause = time.Millisecond       // of a client after a failed set-up
+	lineTimeout      = 10 * time.Second       // for a line to come back
+	settleTime       = 500 * time.Millisecond // from the last set-up until the memory of sessions is read
 )
 
 var testLine = []byte("M 1 0123456789 0123456789 0123456789\r\n")
 
-// runSetups has clients open and reset sessions one after another.
+// runSetups has each client open and reset one session after another for the plan's duration. It returns how many
+// set-ups succeeded and failed.
 func (p *path) runSetups(ctx context.Context, plan Plan) (succeeded, failed int) {
 	var clients sync.WaitGroup
 	var successes, failures atomic.Int64
@@ -52,11 +53,11 @@
 	return nil
 }
 
-// runLines has sessions send a line each at set times, and records how long it takes to come back.
+// runLines has each active session send lines at set times, and records how long each takes to come back.
 func (p *path) runLines(ctx context.Context, plan Plan, lineMicros *hdrhistogram.Histogram) error {
 	var sessions sync.WaitGroup
 	defer sessions.Wait()
-	var mutex sync.Mutex // for failures and lineMicros
+	var mutex sync.Mutex // guards failures and lineMicros
 	var failures error
 	end := time.Now().Add(plan.Duration)
 	for i := range plan.ActiveSessions {
@@ -81,8 +82,8 @@
 	return failures
 }
 
-// sendLines sends a line at each interval and awaits it. The lateness of the timer itself is left out: it is
-// the testbed's, the same for all paths.
+// sendLines sends a line once per interval, waits for it to come back, and records the time from the sending. By how
+// much the testbed's timer is late is left out, since that is the same for all paths.
 func sendLines(ctx context.Context, conn net.Conn, in *bufio.Reader, start, end time.Time,
 	interval time.Duration) (*hdrhistogram.Histogram, error) {
 	lineMicros := newLineHistogram()
@@ -101,8 +102,8 @@
 	return lineMicros, nil
 }
 
-// measureMemory returns how many bytes more the path's process holds for each established session, and for how
-// many sessions: as many as asked for, or as its descriptors allow.
+// measureMemory returns by how many bytes per established session the memory of the path's process grows. It opens the
+// given number of sessions, or fewer if one fails, such as for want of file descriptors, and returns that number too.
 func (p *path) measureMemory(sessions int) (bytesPerSession float64, established int, err error) {
 	_, before := p.usage()
 	var open []net.Conn
--- a/internal/testbed/report/golden_test.go
+++ b/internal/testbed/report/golden_test.go
@@ -16,7 +16,7 @@
 
 const goldenFile = "testdata/golden/report.json"
 
-// goldenReport has no field left zero.
+// goldenReport returns a report in which every field has a value other than zero.
 func goldenReport() *Report {
 	recovered := 1250.5
 	return &Report{
@@ -58,7 +58,7 @@
 	}
 }
 
-// A report is written as the same bytes as before, and read as what it was written from.
+// A report is encoded to the bytes of the golden file, and decoded from them to the same report.
 func TestGoldenReport(t *testing.T) {
 	text, err := goldenReport().JSON()
 	require.NoError(t, err)
--- a/internal/testbed/report/page.go
+++ b/internal/testbed/report/page.go
@@ -13,23 +13,23 @@
 //go:embed page.html
 var pageTemplate string
 
-// pageData is what the page's template is given.
+// pageData is the input of the page's template.
 type pageData struct {
 	Report *Report
 	Charts []chart
 }
 
-// chart is one plot of the page.
+// chart is one plot on the page.
 type chart struct {
 	Title string
 	SVG   template.HTML
 }
 
-// plottedFigure is a figure of each second that the page plots.
+// plottedFigure is a figure that the page plots over time, with one value for each second of a run.
 type plottedFigure struct {
 	title string
 	unit  string
-	value func(model.Second) float64 // NaN: none
+	value func(model.Second) float64 // NaN: the second has no value
 }
 
 var plottedFigures = []plottedFigure{
@@ -57,7 +57,7 @@
 	return float64(s.Errored + s.Disconnected + s.Unanswered)
 }
 
-// HTML returns the page, with its plots inside.
+// HTML returns the report as an HTML page, for people. The plots are embedded.
 func (r *Report) HTML() ([]byte, error) {
 	data := pageData{Report: r}
 	for _, f := range plottedFigures {
--- a/internal/testbed/report/plot.go
+++ b/internal/testbed/report/plot.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	plotWidth    = vg.Length(620) // points
-	plotHeight   = vg.Length(190)
-	lineWidth    = vg.Length(1.4)
-	minFaultBand = 150.0 // milliseconds: a shorter fault would not be seen
-	topMargin    = 1.05  // of the highest value
-	minTop       = 1e-3
+	plotWidth    = vg.Length(620) // in points
+	plotHeight   = vg.Length(190) // in points
+	lineWidth    = vg.Length(1.4) // in points
+	minFaultBand = 150.0          // minimum width of a fault's band in milliseconds, so that it can be seen
+	topMargin    = 1.05           // top of the Y axis, as a multiple of the highest value
+	minTop       = 1e-3           // lowest top of the Y axis, for runs whose values are all zero
 )
 
-// runColors are the colors of the runs, in turn.
+// runColors are the colors of the runs' lines. They repeat if there are more runs.
 var runColors = []color.RGBA{
 	{0x1f, 0x5f, 0xa8, 255},
 	{0xc2, 0x4a, 0x1c, 255},
@@ -39,13 +39,13 @@
 
 func runColor(run int) color.RGBA { return runColors[run%len(runColors)] }
 
-// cssColor returns the color of the run of that number, for the page.
+// cssColor returns a run's color in CSS notation, by the run's index.
 func cssColor(run int) template.CSS {
 	c := runColor(run)
 	return template.CSS(fmt.Sprintf("#%02x%02x%02x", c.R, c.G, c.B))
 }
 
-// plot draws one figure over time, a line for each run, with the faults marked.
+// plot returns an SVG image that plots one figure over time, with a line for each run and a band for each fault.
 func (r *Report) plot(f plottedFigure) (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text = "seconds"
@@ -67,13 +67,13 @@
 		return "", err
 	}
 	text := out.Bytes()
-	if at := bytes.Index(text, []byte("<svg")); at > 0 { // the page is one document
+	if at := bytes.Index(text, []byte("<svg")); at > 0 { // leaves out the XML prolog, as the image is embedded
 		text = text[at:]
 	}
 	return template.HTML(text), nil
 }
 
-// addLines adds a line for each run that has the figure, and returns the highest value.
+// addLines adds a line for each run that has values of the figure, and returns the highest of them.
 func (r *Report) addLines(p *plot.Plot, f plottedFigure) (highest float64, err error) {
 	for i, run := range r.Runs {
 		points := seriesOf(run.Seconds, f)
@@ -94,7 +94,7 @@
 	return highest, nil
 }
 
-// seriesOf returns the figure in the middle of each second that has it.
+// seriesOf returns the values of the figure, each in the middle of its second. Seconds without a value are left out.
 func seriesOf(seconds []model.Second, f plottedFigure) (points plotter.XYs) {
 	for i, s := range seconds {
 		if v := f.value(s); !math.IsNaN(v) {
@@ -104,7 +104,7 @@
 	return points
 }
 
-// addFaults adds a band for each fault.
+// addFaults adds a band of the height top for each fault.
 func (r *Report) addFaults(p *plot.Plot, top float64) error {
 	for _, f := range r.Faults {
 		from := f.From / 1000
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes what the runs of one experiment came to: JSON for programs, and one self-contained HTML
-// page for people with the variants side by side and the faults marked on the time axis.
+// Package report writes the results of an experiment's runs: as JSON for programs, and as a self-contained HTML page
+// for people, with the variants side by side and the faults marked on the time axis.
 package report
 
 import (
@@ -15,11 +15,11 @@
 )
 
 const (
-	maxViolations     = 20   // that a report lists
-	recoveryTolerance = 0.05 // of the served share before the first fault: within it the fleet has recovered
+	maxViolations     = 20   // number of violations that a report lists for each run
+	recoveryTolerance = 0.05 // part of the served share before the first fault that may be lacking once recovered
 )
 
-// Mode is how a run was played.
+// Mode is the kind of environment that a run took place in.
 type Mode string
 
 // The modes.
@@ -28,7 +28,7 @@
 	OnSockets Mode = "on sockets"
 )
 
-// Report is an experiment with its runs. Times are milliseconds of the run.
+// Report is an experiment with the results of its runs. Times are in milliseconds from the start of a run.
 type Report struct {
 	Name   string            `json:"name"`
 	Seed   uint64            `json:"seed"`
@@ -37,31 +37,31 @@
 	Runs   []Run             `json:"runs"`
 }
 
-// Run is one variant's run. Times are milliseconds, latencies too.
+// Run is the result of one variant's run. Times and latencies are in milliseconds, except for the CPU time.
 type Run struct {
 	Variant            string              `json:"variant"`
 	Mode               Mode                `json:"how"`
 	ServedShare        float64             `json:"service"`
-	WorstSecond        float64             `json:"worst-second"` // lowest served share of a second
-	Answers            map[string]int      `json:"answers"`      // by verb
-	ViolationCounts    map[string]int      `json:"rules-broken"` // by rule
+	WorstSecond        float64             `json:"worst-second"` // lowest served share of any second
+	Answers            map[string]int      `json:"answers"`      // number of answers, by verb
+	ViolationCounts    map[string]int      `json:"rules-broken"` // number of violations, by rule
 	Violations         []string            `json:"breaks,omitempty"`
 	SlowStartOverloads int                 `json:"cold-servers-fallen"`
-	RecoveryTime       *float64            `json:"recovered-after-last-fault,omitempty"` // nil: never, or there was no fault
+	RecoveryTime       *float64            `json:"recovered-after-last-fault,omitempty"` // nil: no recovery, or no fault
 	Classes            map[string]*Latency `json:"categories"`
 	Seconds            []model.Second      `json:"seconds"`
-	IsLate             bool                `json:"late"`                        // the machine was too slow: the run does not count
-	Memory             map[int]int64       `json:"relay-memory,omitempty"`      // bytes, by relay
-	CPU                map[int]float64     `json:"relay-cpu-seconds,omitempty"` // by relay
+	IsLate             bool                `json:"late"`                        // machine too slow: the run does not count
+	Memory             map[int]int64       `json:"relay-memory,omitempty"`      // resident bytes, by relay number
+	CPU                map[int]float64     `json:"relay-cpu-seconds,omitempty"` // CPU time in seconds, by relay number
 }
 
-// Latency is how long the sessions of one class took.
+// Latency holds the latencies of the sessions of one class.
 type Latency struct {
-	Line  Quantiles `json:"line"`  // from when a line was due to its answer
-	Setup Quantiles `json:"setup"` // from when a session was wanted until it was established
+	Line  Quantiles `json:"line"`  // from the time at which a line was due until its answer
+	Setup Quantiles `json:"setup"` // from the time at which a session was due until it was established
 }
 
-// Quantiles are figures of one histogram, in milliseconds.
+// Quantiles holds the count and the quantiles of one histogram. The quantiles are in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"P50,omitempty"`
@@ -69,7 +69,7 @@
 	P999  float64 `json:"P999,omitempty"`
 }
 
-// Outcome is what one run of an experiment came to.
+// Outcome is what a run of an experiment returns to be reported.
 type Outcome struct {
 	Variant            string
 	Mode               Mode
@@ -84,7 +84,8 @@
 	return &Report{Name: x.Name, Seed: x.Seed, Warmup: float64(x.Warmup)}
 }
 
-// AddRun adds a run of the experiment, and returns it for what the caller has to add to it.
+// AddRun adds a run of the experiment. It returns the run, for the caller to set the fields that Outcome lacks. The
+// pointer is valid until the next AddRun.
 func (r *Report) AddRun(x *experiment.Experiment, o Outcome) *Run {
 	from, to := float64(x.Warmup), float64(x.Length)
 	m := o.Metrics
@@ -121,7 +122,7 @@
 	return &r.Runs[len(r.Runs)-1]
 }
 
-// worstSecond returns the lowest served share of the whole seconds between two times.
+// worstSecond returns the lowest served share of any whole second between two times.
 func worstSecond(m *model.Metrics, from, to float64) float64 {
 	worst := 1.0
 	for i := int(from / 1000); i < int(to/1000); i++ {
@@ -131,8 +132,8 @@
 	return worst
 }
 
-// recoveryTime returns how long after the last fault the served share is back for good; nil where it never is
-// or no second is left to see it.
+// recoveryTime returns how long after the end of the last fault the served share has recovered for good. It returns nil
+// if it never has, there was no fault, or no more than a second is left after the last one.
 func recoveryTime(m *model.Metrics, faults []model.FaultSpan, end float64) *float64 {
 	first, last := math.Inf(1), 0.0
 	for _, f := range faults {
@@ -159,10 +160,10 @@
 	}
 }
 
-// JSON returns the report for programs.
+// JSON returns the report as JSON, for programs.
 func (r *Report) JSON() ([]byte, error) { return json.MarshalIndent(r, "", "  ") }
 
-// ClassNames returns the classes of all runs, in order.
+// ClassNames returns the names of the classes in any run, sorted.
 func (r *Report) ClassNames() (names []string) {
 	for _, run := range r.Runs {
 		for class := range run.Classes {
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -30,7 +30,7 @@
 for = "1s"
 `
 
-// playReport simulates two variants and returns their report.
+// playReport simulates an experiment with two variants and returns its report.
 func playReport(t *testing.T) *Report {
 	t.Helper()
 	x, err := experiment.Parse([]byte(twoVariants))
@@ -64,7 +64,7 @@
 	require.NotNil(t, read.Runs[0].RecoveryTime)
 }
 
-// The page needs nothing else, and each of its plots is well formed.
+// The page refers to no other file, and each of its plots is well-formed XML.
 func TestPageIsSelfContained(t *testing.T) {
 	html, err := playReport(t).HTML()
 	require.NoError(t, err)
