--- a/internal/testbed/live/coordinator.go
+++ b/internal/testbed/live/coordinator.go
@@ -10,15 +10,15 @@
 	"valeshift/internal/testbed/experiment"
 )
 
-// coordinatorProcess is a coordinator that runs beside a relay's process: what kills one kills both, and the
-// emulated network treats them as one machine.
+// coordinatorProcess is a coordinator on the machine of the relay with the same number: the two are killed and frozen
+// together, and the emulated network treats them as one machine.
 type coordinatorProcess struct {
 	configFile string
 	cmd        *exec.Cmd // nil: it does not run
 }
 
-// configureCoordinators writes the coordinators' files, and returns the addresses by which each relay reaches
-// them. Each pair of machines has a proxy of its own.
+// configureCoordinators writes the coordinators' configuration files. It returns the quoted addresses by which each
+// relay reaches them, by relay number. Machines reach each other's coordinators through a proxy for each pair.
 func (r *Run) configureCoordinators() (addresses [][]string, err error) {
 	listen, err := r.coordinatorListenAddresses()
 	if err != nil {
@@ -32,12 +32,12 @@
 		r.coordinators = append(r.coordinators, process)
 	}
 	for relay := range r.relays {
-		reached, err := r.reachCoordinators(relay, listen)
+		coordinatorAddresses, err := r.coordinatorAddressesFor(relay, listen)
 		if err != nil {
 			return nil, err
 		}
 		var quoted []string
-		for _, address := range reached {
+		for _, address := range coordinatorAddresses {
 			quoted = append(quoted, fmt.Sprintf("%q", address))
 		}
 		addresses = append(addresses, quoted)
@@ -57,9 +57,9 @@
 	return listen, nil
 }
 
-// reachCoordinators returns the addresses by which a machine reaches each coordinator: its own directly, the
-// others by proxies.
-func (r *Run) reachCoordinators(from int, listen []string) (addresses []string, err error) {
+// coordinatorAddressesFor returns the addresses by which a machine reaches each coordinator: its own directly, the
+// others through proxies, which it starts.
+func (r *Run) coordinatorAddressesFor(from int, listen []string) (addresses []string, err error) {
 	for to := range listen {
 		if from == to {
 			addresses = append(addresses, listen[to])
@@ -74,7 +74,7 @@
 	return addresses, nil
 }
 
-// configureCoordinator writes the file of one machine's coordinator, and makes its folder.
+// configureCoordinator writes the configuration file of one machine's coordinator, and creates its data folder.
 func (r *Run) configureCoordinator(machine int, listen []string) (*coordinatorProcess, error) {
 	folder := filepath.Join(r.dir, fmt.Sprintf("voter-%d", machine))
 	if err := os.MkdirAll(folder, 0o700); err != nil {
@@ -84,26 +84,26 @@
 	if err != nil {
 		return nil, fmt.Errorf("admin address of coordinator %d: %w", machine, err)
 	}
-	reached, err := r.reachCoordinators(machine, listen)
+	coordinatorAddresses, err := r.coordinatorAddressesFor(machine, listen)
 	if err != nil {
 		return nil, err
 	}
 	process := &coordinatorProcess{configFile: filepath.Join(r.dir, fmt.Sprintf("voter-%d.toml", machine))}
-	text := r.coordinatorConfig(machine, folder, adminAddress, reached)
+	text := r.coordinatorConfig(machine, folder, adminAddress, coordinatorAddresses)
 	if err := os.WriteFile(process.configFile, []byte(text), 0o600); err != nil {
 		return nil, fmt.Errorf("configuration of coordinator %d: %w", machine, err)
 	}
 	return process, nil
 }
 
-// coordinatorConfig is a coordinator's file, in TOML.
-func (r *Run) coordinatorConfig(machine int, folder, adminAddress string, reached []string) string {
+// coordinatorConfig returns the content of a coordinator's configuration file, in TOML.
+func (r *Run) coordinatorConfig(machine int, folder, adminAddress string, coordinatorAddresses []string) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "name = \"v%d\"\n", machine)
 	fmt.Fprintf(&text, "ops = %q\n", adminAddress)
 	fmt.Fprintf(&text, "key-file = %q\n", filepath.Join(r.dir, "key"))
 	fmt.Fprintf(&text, "folder = %q\n", folder)
-	for to, address := range reached {
+	for to, address := range coordinatorAddresses {
 		fmt.Fprintf(&text, "[[voter]]\nname = \"v%d\"\naddress = %q\n", to, address)
 	}
 	for zone := range r.experiment.Fleet.Zones {
@@ -130,11 +130,12 @@
 		return fmt.Errorf("start coordinator %d: %w", machine, err)
 	}
 	process.cmd = cmd
-	go cmd.Wait() // ends with the process
+	go cmd.Wait() // reaps the process once it ends
 	return nil
 }
 
-// coordinatorBinary is of the same build as the relays' binary, and lies beside it.
+// coordinatorBinary returns the path of the coordinator's binary, which is built together with the relay's and lies in
+// the same folder.
 func (r *Run) coordinatorBinary() string {
 	name := strings.Replace(filepath.Base(r.relayBinary), "valeshift", "valeshift-coordinator", 1)
 	return filepath.Join(filepath.Dir(r.relayBinary), name)
--- a/internal/testbed/live/discovery.go
+++ b/internal/testbed/live/discovery.go
@@ -12,23 +12,26 @@
 )
 
 const (
-	deliveryCheckInterval = 50 * time.Millisecond // of a path that was impaired
-	deliveryDelay         = 6 * deliveryCheckInterval
+	// deliveryCheckInterval is how often a watch checks whether the path to its relay is impaired.
+	deliveryCheckInterval = 50 * time.Millisecond
+
+	// deliveryDelay is how long the path must have been clear before the updates written to it count as delivered.
+	deliveryDelay = 6 * deliveryCheckInterval
 )
 
-// discoveryServer is discovery over HTTP, for one relay.
+// discoveryServer serves discovery over HTTP to one relay.
 type discoveryServer struct {
 	run         *Run
 	relayNumber int
 }
 
-// watcher queues what discovery announces for one open watch.
+// watcher queues the lines that discovery sends to one open watch. It implements model.EndpointWatcher.
 type watcher struct {
 	mutex   sync.Mutex
 	lines   [][]byte
-	updates []*relay.EndpointUpdate // as long as lines; nil where a line is no update
-	ended   bool
-	wake    chan struct{}
+	updates []*relay.EndpointUpdate // the update in each of lines; nil for a line that is no update
+	ended   bool                    // the watch ends after these lines
+	wake    chan struct{}           // signals that something was queued
 }
 
 func (w *watcher) add(line []byte, update *relay.EndpointUpdate, ended bool) {
@@ -55,13 +58,13 @@
 // OnUpdate queues an update of the endpoint list.
 func (w *watcher) OnUpdate(update *relay.EndpointUpdate) { w.add(encodeUpdate(update), update, false) }
 
-// OnHeartbeat queues an empty line.
+// OnHeartbeat queues an empty line, which is a heartbeat to the relay.
 func (w *watcher) OnHeartbeat() { w.add([]byte("\n"), nil, false) }
 
-// OnFailure ends the watch.
+// OnFailure ends the watch once the queued lines are written.
 func (w *watcher) OnFailure(error) { w.add(nil, nil, true) }
 
-// encodeUpdate writes an update as discovery does, a JSON object on a line.
+// encodeUpdate returns an update as discovery sends it: a JSON object on one line.
 func encodeUpdate(update *relay.EndpointUpdate) []byte {
 	type endpoint struct {
 		Name    string  `json:"name"`
@@ -81,11 +84,11 @@
 		all.Endpoints = append(all.Endpoints, endpoint{e.Name, e.Address, e.Zone, e.Group, e.Status, e.Weight,
 			e.StartedAt})
 	}
-	text, _ := json.Marshal(all) // of plain values: it can't fail
+	text, _ := json.Marshal(all) // can't fail: it holds strings and finite numbers only
 	return append(text, '\n')
 }
 
-// ServeHTTP serves one watch until the relay or discovery ends it.
+// ServeHTTP serves one watch, until the relay or the model's discovery ends it.
 func (s *discoveryServer) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	after, _ := strconv.ParseUint(request.URL.Query().Get("after"), 10, 64)
 	watch := &watcher{wake: make(chan struct{}, 1)}
@@ -111,39 +114,40 @@
 		for i, line := range lines {
 			w.Write(line)
 			if updates[i] != nil {
-				delivery.written(updates[i])
+				delivery.addWritten(updates[i])
 			}
 		}
 		if len(lines) > 0 {
 			w.(http.Flusher).Flush()
 		}
-		delivery.check()
+		delivery.notifyArrived()
 		if ended {
 			return
 		}
 	}
 }
 
-// delivery tells the auditor what a relay has been notified of by one watch. What is written while the path is
-// impaired has not arrived; and once the path is clear, the relay may have given this watch up meanwhile, whose
-// end is known here a moment later.
+// delivery tells the auditor which updates have reached a relay by one watch. An update written while the path is
+// impaired has not arrived yet. It does not count as soon as the path is clear either: the relay may have given up
+// this watch meanwhile, which the server learns only a moment later.
 type delivery struct {
 	run         *Run
 	relayNumber int
-	notified    map[string]bool // by backend
-	undelivered []*relay.EndpointUpdate
-	impairedAt  time.Time // when the path was last seen impaired
+	notified    map[string]bool         // names of the backends in all updates that the auditor was told of
+	undelivered []*relay.EndpointUpdate // written, and not known to have arrived
+	impairedAt  time.Time               // when the path was last seen impaired
 }
 
-// written records an update that was written to the watch. What permits more counts from then on, what forbids
-// only from its arrival.
-func (d *delivery) written(update *relay.EndpointUpdate) {
+// addWritten records an update that was written to the watch. The auditor is told at once of endpoints that the relay
+// may use, since it may use them from now on. It is told of the rest, such as endpoints that drain, once the update has
+// arrived, since only then must the relay obey it.
+func (d *delivery) addWritten(update *relay.EndpointUpdate) {
 	d.undelivered = append(d.undelivered, update)
 	d.run.notifyAuditor(d.relayNumber, permissivePart(update), d.notified)
 }
 
-// check counts updates as arrived once the path has been clear for long enough.
-func (d *delivery) check() {
+// notifyArrived tells the auditor of all written updates once the path has been clear for deliveryDelay.
+func (d *delivery) notifyArrived() {
 	if !d.run.isDeliveredAtOnce(d.relayNumber) {
 		d.impairedAt = time.Now()
 		return
@@ -157,7 +161,7 @@
 	d.undelivered = nil
 }
 
-// permissivePart is the part of an update that permits more: active endpoints.
+// permissivePart returns the part of an update that allows a relay to use endpoints: the active ones.
 func permissivePart(update *relay.EndpointUpdate) *relay.EndpointUpdate {
 	part := &relay.EndpointUpdate{Index: update.Index}
 	for _, e := range update.Endpoints {
@@ -168,7 +172,8 @@
 	return part
 }
 
-// unchangedPart is the part of an update that no later one has changed.
+// unchangedPart returns the endpoints of an update that no later update contains. It is a complete list only if there
+// is no later update.
 func unchangedPart(update *relay.EndpointUpdate, later []*relay.EndpointUpdate) *relay.EndpointUpdate {
 	part := &relay.EndpointUpdate{Index: update.Index, Complete: update.Complete && len(later) == 0}
 	for _, e := range update.Endpoints {
@@ -182,7 +187,8 @@
 	return part
 }
 
-// notifyAuditor tells the auditor what a relay was notified of; notified has the backends of its earlier updates.
+// notifyAuditor tells the auditor which endpoints a relay was notified of. Notified holds the names of the backends in
+// earlier updates and gets those of this one; backends that a complete update leaves out are reported as left.
 func (r *Run) notifyAuditor(relayNumber int, update *relay.EndpointUpdate, notified map[string]bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/testbed/live/disks.go
+++ b/internal/testbed/live/disks.go
@@ -9,16 +9,16 @@
 	"valeshift/internal/testbed/faultdisk"
 )
 
-// A relay's disk is a folder. Errors of the testbed's own file operations are passed over: the folder may lack any
-// file, and a relay that finds less than it left is what these faults are about.
+// This file damages relays' disks. A relay's disk is a folder. Errors of the testbed's own file operations are ignored:
+// any file may be missing from the folder, and these faults test relays that find less on their disk than they wrote.
 
 const (
-	storeLockFile = "lock"   // the store's
-	olderSuffix   = ".older" // of the copy that DiskOlder restores
+	storeLockFile = "lock"   // name of the store's lock file
+	olderSuffix   = ".older" // suffix of the folder with the copy that experiment.DiskOlder restores
 )
 
-// copyDisksForLater keeps a copy of each disk as it is now, for machines that return with an older one.
-func (r *Run) copyDisksForLater() {
+// saveDiskCopies copies each disk as it is now, for machines that later restart with an older disk.
+func (r *Run) saveDiskCopies() {
 	for _, p := range r.relays {
 		if p.diskFolder != "" {
 			copyDisk(p.diskFolder, p.diskFolder+olderSuffix)
@@ -26,7 +26,8 @@
 	}
 }
 
-// DamageDisk does something to the disk of a relay that is down.
+// DamageDisk applies a fault to the disk of a relay that is down, if it has one. The fault's name is written to the
+// faults file too, by which a disk that is full, read-only or slow fails once the relay runs.
 func (r *Run) DamageDisk(i int, fault experiment.DiskFault) {
 	p := r.relays[i]
 	if p.diskFolder == "" {
@@ -48,7 +49,7 @@
 	}
 }
 
-// storeFiles returns the names of the store's files, without its lock and the testbed's own file.
+// storeFiles returns the names of the store's files, without its lock file and the testbed's faults file.
 func storeFiles(folder string) []string {
 	entries, _ := os.ReadDir(folder)
 	var names []string
@@ -60,6 +61,7 @@
 	return names
 }
 
+// copyDisk replaces the folder to by one with copies of the store's files in the folder from.
 func copyDisk(from, to string) {
 	os.RemoveAll(to)
 	os.MkdirAll(to, 0o700)
@@ -76,7 +78,7 @@
 	}
 }
 
-// rewriteFiles changes the content of each file that has any.
+// rewriteFiles changes the content of each of the store's files that is not empty.
 func rewriteFiles(folder string, change func(data []byte) []byte) {
 	for _, name := range storeFiles(folder) {
 		path := filepath.Join(folder, name)
--- a/internal/testbed/live/fleet.go
+++ b/internal/testbed/live/fleet.go
@@ -11,11 +11,11 @@
 	"valeshift/internal/testbed/experiment"
 )
 
-// fleetKey is the key that all relays of a run share.
+// fleetKey is the content of the key file that all relays and coordinators of a run share.
 const fleetKey = "the key of the testbed's fleet"
 
-// configureFleet writes each relay's operators' file, where the experiment has relays know of each other, have
-// disks or be told the age of load reports. A folder is a relay's disk; a proxy stands between each two relays.
+// configureFleet writes each relay's operators' file if the experiment has relays know of each other, have disks or be
+// told how old load reports may be. A relay's disk is a folder, and it reaches each other relay through a proxy.
 func (r *Run) configureFleet() error {
 	relays := r.experiment.Relays
 	if !relays.Membership && !relays.Disk && !relays.AnnouncesReportAge {
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// configureRelay writes one relay's operators' file. Addresses are where the relays listen for each other, by
-// number; voters, where each reaches the coordinators.
+// configureRelay writes one relay's operators' file. Addresses are those where the relays listen for each other, and
+// voters the quoted addresses by which each relay reaches the coordinators, both by relay number.
 func (r *Run) configureRelay(i int, keyFile string, addresses []string, voters [][]string) error {
 	relays := r.experiment.Relays
 	text := fmt.Sprintf("[log]\nlevel = \"info\"\n[servers]\nreport-age = \"%.0fms\"\n", r.experiment.MaxReportAge())
@@ -78,7 +78,7 @@
 	return os.WriteFile(p.operatorFile, []byte(text), 0o600)
 }
 
-// proxiesToOthers starts a proxy from a relay to each other one, and returns their quoted addresses.
+// proxiesToOthers starts a proxy from a relay to each other relay, and returns the proxies' quoted addresses.
 func (r *Run) proxiesToOthers(from int, addresses []string) ([]string, error) {
 	var seeds []string
 	for to, address := range addresses {
@@ -94,7 +94,8 @@
 	return seeds, nil
 }
 
-// fleetStatuses returns what each relay that is alive answers to GET /_fleet, by its number.
+// fleetStatuses returns the answers to GET /_fleet by relay number. It leaves out relays that are not alive, have no
+// operators' file or can't be reached.
 func (r *Run) fleetStatuses() map[int][]byte {
 	statuses := map[int][]byte{}
 	for _, p := range r.relays {
@@ -105,7 +106,7 @@
 		if err != nil {
 			continue
 		}
-		statuses[p.number], _ = io.ReadAll(answer.Body) // a status cut short is reported as it is
+		statuses[p.number], _ = io.ReadAll(answer.Body) // on a read error, the part that was read is kept
 		answer.Body.Close()
 	}
 	return statuses
--- a/internal/testbed/live/live_test.go
+++ b/internal/testbed/live/live_test.go
@@ -15,8 +15,8 @@
 	"valeshift/internal/testbed/experiment"
 )
 
-// smallFleet is what both experiments play on, with so many new chats a second.
-func smallFleet(chats int) string {
+// smallFleet returns the backends and the traffic of an experiment, with that many new chat clients a second.
+func smallFleet(chatsPerSecond int) string {
 	return fmt.Sprintf(`[fleet]
 servers = 6
 cores = 2
@@ -35,7 +35,7 @@
 life = "2s"
 load = 5
 every = "400ms"
-`, chats)
+`, chatsPerSecond)
 }
 
 const killAndDrain = `
@@ -65,7 +65,7 @@
 share = 1
 `
 
-const replaceAndEmpty = `
+const replaceAndDrain = `
 name = "replace and empty"
 seed = 3
 length = "15s"
@@ -83,7 +83,7 @@
 share = 0.5
 `
 
-// nineRelays know of each other, have disks and are told no list.
+// nineRelays has relays that know of each other and have disks, and that start without an endpoint list.
 const nineRelays = `[relays]
 count = 9
 known = false
@@ -91,7 +91,7 @@
 disk = true
 `
 
-const brokenWays = `
+const impairedNetwork = `
 name = "ways and power"
 seed = 4
 length = "18s"
@@ -141,36 +141,37 @@
 never = 1
 `
 
-// Relay processes on loopback keep the rules through a drain, a kill, a reload and a planned stop; and while
-// they are replaced, without a move, or emptied and taken back.
+// Relay processes on loopback break no audit rule, first while backends drain and relays are killed, shut down and
+// reloaded, then while relays are replaced without migrating sessions or are drained and taken back, and last with
+// impaired network paths, frozen relays and power losses that damage disks.
 func TestKillAndDrain(t *testing.T) {
 	for _, c := range []struct {
-		text  string
-		kinds []string
-		least float64 // service
+		text       string
+		faults     []string
+		minService float64 // lowest share of the offered weight that is served after the warm-up
 	}{
 		{fmt.Sprintf(killAndDrain, smallFleet(6)), []string{"drain", "relay-kill", "relay-restart", "reload"}, 0.7},
-		{fmt.Sprintf(replaceAndEmpty, smallFleet(20)), []string{"relay-replace", "relay-drain"}, 0.9},
-		{fmt.Sprintf(brokenWays, smallFleet(20)), []string{"way-cut", "drain", "relay-freeze", "way-pieces",
+		{fmt.Sprintf(replaceAndDrain, smallFleet(20)), []string{"relay-replace", "relay-drain"}, 0.9},
+		{fmt.Sprintf(impairedNetwork, smallFleet(20)), []string{"way-cut", "drain", "relay-freeze", "way-pieces",
 			"power-loss",
 			"way-cut", "power-loss"}, 0.3},
 	} {
-		livePlay(t, c.text, c.kinds, c.least)
+		checkExperiment(t, c.text, c.faults, c.minService)
 	}
 }
 
-// buildRelay builds the relay and the coordinator with a faultdisk.
+// buildRelay builds the relay and the coordinator with the tag faultdisk, and returns the path of the relay's binary.
 func buildRelay(t *testing.T, flags ...string) string {
 	dir := t.TempDir()
 	build := append([]string{"build", "-tags", "faultdisk", "-o", dir}, flags...)
-	said, err := exec.Command("go", append(build, "valeshift/cmd/valeshift",
+	output, err := exec.Command("go", append(build, "valeshift/cmd/valeshift",
 		"valeshift/cmd/valeshift-coordinator")...).CombinedOutput()
-	require.NoError(t, err, "%s", said)
+	require.NoError(t, err, "%s", output)
 	return filepath.Join(dir, "valeshift")
 }
 
-// played plays an experiment; nil where the machine is too slow for it to count.
-func played(t *testing.T, binary, text string) *Result {
+// playExperiment runs an experiment. It returns nil if the machine was too slow for the run to count.
+func playExperiment(t *testing.T, binary, text string) *Result {
 	x, err := experiment.Parse([]byte(text))
 	require.NoError(t, err)
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
@@ -181,29 +182,30 @@
 		t.Log(b)
 	}
 	if r.BehindSchedule {
-		t.Logf("%.0f ms behind the schedule: the machine is too slow for this run to count", r.Metrics.MaxLag)
+		t.Logf("%.0f ms behind schedule: the machine is too slow for this run to count", r.Metrics.MaxLag)
 		return nil
 	}
 	return r
 }
 
-func livePlay(t *testing.T, text string, want []string, least float64) {
-	r := played(t, buildRelay(t, "-race"), text)
+// checkExperiment runs an experiment and checks that it breaks no rule, serves enough and has the faults wanted.
+func checkExperiment(t *testing.T, text string, wantFaults []string, minService float64) {
+	r := playExperiment(t, buildRelay(t, "-race"), text)
 	if r == nil {
 		return
 	}
 	assert.Zero(t, r.Auditor.ViolationCount())
 	assert.Greater(t, r.Metrics.Answers["UP"], 100)
-	assert.Greater(t, r.Metrics.ServedShare(3000, 15000), least)
+	assert.Greater(t, r.Metrics.ServedShare(3000, 15000), minService)
 	var kinds []string
 	for _, m := range r.FaultSpans {
 		kinds = append(kinds, m.Text)
 	}
-	assert.ElementsMatch(t, want, kinds)
+	assert.ElementsMatch(t, wantFaults, kinds)
 }
 
-// A relay that ends before the run begins is named, with its last words: before, the run ended in a nil
-// pointer.
+// A relay process that ends before the run begins fails the run with an error that has its number, its exit status and
+// the end of its log. Such a process once caused a nil pointer dereference.
 func TestEndsEarly(t *testing.T) {
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "relay")
--- a/internal/testbed/live/machines_test.go
+++ b/internal/testbed/live/machines_test.go
@@ -12,8 +12,10 @@
 	"valeshift/internal/fleet"
 )
 
-// nine is a fleet of nine relays that know of each other and have disks; power returns with clients waiting.
-const nine = `
+// nineRelaysUnderLoad is an experiment with nine relays that know of each other and have disks. Clients keep arriving
+// during a power loss, so that many of them wait when power returns. HONOURED stands for the share of clients that wait
+// as long as Retry-After says.
+const nineRelaysUnderLoad = `
 name = "hard case"
 seed = 6
 length = "20s"
@@ -43,31 +45,32 @@
 every = "400ms"
 `
 
+// fault returns one fault of an experiment, in TOML.
 func fault(kind, at, rest string) string {
 	return fmt.Sprintf("[[fault]]\nkind = %q\nat = %q\n%s\n", kind, at, rest)
 }
 
-// Hard cases of a power loss by nine processes under load, faults between them: no rule is broken, no server
-// pushed over, nobody stays in a phase, and service is back at the end.
+// Nine relay processes under load recover from a power loss combined with other faults: no audit rule is broken, no
+// backend is overloaded in slow start, every relay has ended its recovery, and clients are served at the end.
 func TestHardCasesByProcesses(t *testing.T) {
 	binary := buildRelay(t)
 	loss := func(rest string) string {
 		return fault("power-loss", "5s", "for = \"1s\"\nspread = \"500ms\"\nshare = 1.0\n"+rest)
 	}
-	ten := ""
+	tenLosses := ""
 	for i := range 10 {
-		ten += fault("power-loss", fmt.Sprintf("%dms", 9500+550*i),
+		tenLosses += fault("power-loss", fmt.Sprintf("%dms", 9500+550*i),
 			"for = \"250ms\"\nspread = \"150ms\"\nshare = 1.0")
 	}
-	side := make(chan struct{}, 4) // as many at once as leave each its schedule
+	slots := make(chan struct{}, 4) // limits the runs at once, so that each of them keeps its schedule
 	for _, c := range []struct {
-		name, faults string
-		honoured     float64
+		name, faults     string
+		honorsRetryAfter float64 // share of the clients that do
 	}{
 		{"half returns and serves, then the other half with older disks",
 			fault("power-loss", "5s", "for = \"500ms\"\nshare = 0.5") +
 				fault("power-loss", "5010ms", "for = \"3s\"\nshare = 1.0\ndisk = \"older\""), 0.5},
-		{"ten times over", ten, 0.5},
+		{"ten times over", tenLosses, 0.5},
 		{"two never return, nobody honours its time", loss("never = 2"), 0},
 		{"two islands recover apart and meet", loss("") +
 			fault("way-cut", "5s", "for = \"5s\"\nfrom = \"half\"\nto = \"rest\"\nboth = true"), 0.5},
@@ -88,15 +91,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			side <- struct{}{}
-			defer func() { <-side }()
-			text := strings.Replace(nine, "HONOURED", fmt.Sprintf("%.1f", c.honoured), 1) + c.faults
-			r := played(t, binary, text)
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			text := strings.Replace(nineRelaysUnderLoad, "HONOURED", fmt.Sprintf("%.1f", c.honorsRetryAfter), 1) + c.faults
+			r := playExperiment(t, binary, text)
 			if r == nil {
 				return
 			}
 			assert.Zero(t, r.Auditor.ViolationCount(), "%v", r.Auditor.Violations)
-			assert.Zero(t, r.SlowStartOverloads, "servers pushed over")
+			assert.Zero(t, r.SlowStartOverloads, "backends overloaded in slow start")
 			assert.Greater(t, r.Metrics.ServedShare(17000, 20000), 0.8)
 			for i, text := range r.FleetStatus {
 				var s fleet.Status
@@ -107,14 +110,14 @@
 	}
 }
 
-// What nine processes tell their clients while they recover lies at three machines each: clients find their
-// places at any relay, with machines lost with their disks meanwhile, ways cut and relays that sleep.
+// Nine relay processes that recover give clients reservations, each replicated on three machines: clients can use them
+// at any relay, even if machines are lost with their disks, network paths are cut or relays are frozen meanwhile.
 func TestPlacesByProcesses(t *testing.T) {
 	binary := buildRelay(t)
-	side := make(chan struct{}, 4)
+	slots := make(chan struct{}, 4) // limits the runs at once
 	for _, c := range []struct {
 		name, faults string
-		missed       float64 // of those that found a place, the most that did not get it
+		missed       float64 // largest share of the reservations found that may not be acquired in time
 	}{
 		{"nothing more", "", 0.15},
 		{"a machine lost with its disk, and another", fault("relay-kill", "7s", "share = 0.12\ndisk = \"wiped\"") +
@@ -128,44 +131,45 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			side <- struct{}{}
-			defer func() { <-side }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			text := strings.NewReplacer("HONOURED", "0.9", "disk = true", "disk = true\nholdings = 3", "rate = 8",
 				"rate = 16",
-				"standing = 140", "standing = 220").Replace(nine) +
+				"standing = 140", "standing = 220").Replace(nineRelaysUnderLoad) +
 				fault("power-loss", "5s", "for = \"1s\"\nspread = \"500ms\"\nshare = 1.0") + c.faults
-			r := played(t, binary, text)
+			r := playExperiment(t, binary, text)
 			if r == nil {
 				return
 			}
 			assert.Zero(t, r.Auditor.ViolationCount(), "%v", r.Auditor.Violations)
-			assert.Zero(t, r.SlowStartOverloads, "servers pushed over")
-			var promised, took, again, missed uint64
+			assert.Zero(t, r.SlowStartOverloads, "backends overloaded in slow start")
+			var reserved, found, alreadyUsed, missed uint64
 			for _, text := range r.FleetStatus {
 				var s fleet.Status
 				require.NoError(t, json.Unmarshal(text, &s))
 				n := s.Replication.Counts["places"]
-				promised, took, again, missed = promised+n.Replicated, took+n.Found, again+n.AlreadyUsed, missed+n.Missed
-				t.Logf("relay: words held after %.1f ms, p99 %.1f", s.Replication.P50Millis, s.Replication.P99Millis)
+				reserved, found, alreadyUsed, missed = reserved+n.Replicated, found+n.Found, alreadyUsed+n.AlreadyUsed,
+					missed+n.Missed
+				t.Logf("relay: records replicated in %.1f ms, p99 %.1f", s.Replication.P50Millis, s.Replication.P99Millis)
 			}
-			t.Logf("promised %d, took %d, again %d, missed %d", promised, took, again, missed)
-			assert.Greater(t, promised, uint64(5))
-			assert.Greater(t, took, uint64(2))
-			assert.LessOrEqual(t, float64(missed), 1+c.missed*float64(took+missed))
+			t.Logf("reservations: %d replicated, %d acquired, %d already used, %d missed", reserved, found, alreadyUsed, missed)
+			assert.Greater(t, reserved, uint64(5))
+			assert.Greater(t, found, uint64(2))
+			assert.LessOrEqual(t, float64(missed), 1+c.missed*float64(found+missed))
 		})
 	}
 }
 
-// Where servers do what a single-use link asks for and break before they say so, clients try again at any of
-// nine processes: next to none of it is begun a second time, with machines lost with their disks, words lost
-// between them and processes that sleep.
+// Backends start single-use sessions but break before they answer, and the clients retry at any of nine relay
+// processes: their attempt markers keep nearly all of these sessions from being started a second time, even if machines
+// are lost with their disks, datagrams between relays are lost or processes are frozen.
 func TestMarksByProcesses(t *testing.T) {
 	binary := buildRelay(t)
-	side := make(chan struct{}, 3)
+	slots := make(chan struct{}, 3) // limits the runs at once
 	for _, c := range []struct {
-		name, faults string
-		repeated     float64 // of the tries that meet a mark, the most that are begun again
-		stood        bool    // clients of lost relays return to the servers where they stood
+		name, faults     string
+		maxRepeatedShare float64 // most sessions that may start again, as a share of the retries that meet a marker
+		checksAffinity   bool    // clients of lost relays must return to the backends that they were connected to
 	}{
 		{"nothing more", "", 0.1, false},
 		{"a machine lost with its disk, and another", fault("relay-kill", "7s", "share = 0.12\ndisk = \"wiped\"") +
@@ -175,33 +179,33 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			side <- struct{}{}
-			defer func() { <-side }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			text := strings.NewReplacer("HONOURED", "0.9", "disk = true",
 				"disk = true\nholdings = 3\nremember = \"20s\"\nstood = true",
-				"rate = 4", "rate = 12").Replace(nine) +
+				"rate = 4", "rate = 12").Replace(nineRelaysUnderLoad) +
 				fault("answers-lost", "5s", "for = \"10s\"\nshare = 1.0\nfactor = 0.5") + c.faults
-			r := played(t, binary, text)
+			r := playExperiment(t, binary, text)
 			if r == nil {
 				return
 			}
 			assert.Zero(t, r.Auditor.ViolationCount(), "%v", r.Auditor.Violations)
-			if c.stood {
-				t.Logf("returned to where they stood %d of %d", r.Auditor.AffineReconnects, r.Auditor.Reconnects)
+			if c.checksAffinity {
+				t.Logf("returned to their backends: %d of %d", r.Auditor.AffineReconnects, r.Auditor.Reconnects)
 				assert.Greater(t, r.Auditor.Reconnects, 5)
 				assert.GreaterOrEqual(t, float64(r.Auditor.AffineReconnects), 0.3*float64(r.Auditor.Reconnects))
 			}
-			met := 0
+			found := 0
 			for _, text := range r.FleetStatus {
 				var s fleet.Status
 				require.NoError(t, json.Unmarshal(text, &s))
 				n := s.Replication.Counts["marks"]
-				t.Logf("relay: marks %+v, held after %.1f ms, p99 %.1f", n, s.Replication.P50Millis, s.Replication.P99Millis)
-				met += int(n.Found)
+				t.Logf("relay: markers %+v, replicated in %.1f ms, p99 %.1f", n, s.Replication.P50Millis, s.Replication.P99Millis)
+				found += int(n.Found)
 			}
-			t.Logf("further tries that met a mark %d, begun again %d", met, r.Auditor.RepeatedEffects)
-			assert.Greater(t, met, 10)
-			assert.LessOrEqual(t, float64(r.Auditor.RepeatedEffects), 1+c.repeated*float64(met))
+			t.Logf("retries that met a marker: %d, effects repeated: %d", found, r.Auditor.RepeatedEffects)
+			assert.Greater(t, found, 10)
+			assert.LessOrEqual(t, float64(r.Auditor.RepeatedEffects), 1+c.maxRepeatedShare*float64(found))
 		})
 	}
 }
--- a/internal/testbed/live/relayprocess.go
+++ b/internal/testbed/live/relayprocess.go
@@ -21,33 +21,33 @@
 )
 
 const (
-	startTimeout       = 10 * time.Second
-	startCheckInterval = 20 * time.Millisecond
-	readyCheckInterval = 20.0 // milliseconds
-	maxLogTailBytes    = 400
+	startTimeout       = 10 * time.Second      // for a relay to answer PING after its launch
+	startCheckInterval = 20 * time.Millisecond // between two PINGs to a relay that starts
+	readyCheckInterval = 20.0                  // milliseconds between two readiness checks of a replacing process
+	maxLogTailBytes    = 400                   // bytes of a relay's log that an error quotes
 )
 
-// relayProcess is one relay over all its starts.
+// relayProcess is one relay of the experiment. Its process can be started several times during a run.
 type relayProcess struct {
 	number             int
-	address            string
-	discoveryAddresses [2]string
-	currentDiscovery   int // of those
-	cmd                *exec.Cmd
-	alive              bool
-	launches           int
+	address            string    // where clients connect
+	discoveryAddresses [2]string // of the proxies in front of its two discovery servers
+	currentDiscovery   int       // index in discoveryAddresses of the one that it is configured with
+	cmd                *exec.Cmd // the process started last
+	alive              bool      // the process started last runs, and the run has not killed it
+	launches           int       // number of processes started so far
 	log                *os.File
-	listenSocket       *os.File  // the clients', owned here where a process can be replaced; else nil
-	parent             *exec.Cmd // the old process, while it is being replaced
-	adminAddress       string
-	knownEndpoints     []byte // the list that the platform keeps for it, in discovery's form
-	earlyExit          string // why it ended before the run began
-	diskFolder         string // empty: none
-	operatorFile       string // empty: none
+	listenSocket       *os.File  // for clients, inherited by all its processes; nil unless relays are replaced
+	parent             *exec.Cmd // the old process, while a new one replaces it
+	adminAddress       string    // of the process started last
+	knownEndpoints     []byte    // endpoint list that the platform stores for the relay, as discovery encodes it
+	earlyExit          string    // exit status of a process that ended before the run began; empty: none did
+	diskFolder         string    // empty: the relay has no disk
+	operatorFile       string    // path of its operators' file; empty: it has none
 }
 
-// prepare gives a relay its address, its log and two discovery servers of its own, so that each knows whom it
-// notifies.
+// prepare gives a relay its address, its log and two discovery servers. No other relay uses these servers, so each
+// server knows which relay it notifies.
 func (r *Run) prepare(p *relayProcess) error {
 	if err := r.assignAddress(p); err != nil {
 		return err
@@ -65,7 +65,8 @@
 	return err
 }
 
-// assignAddress picks the clients' address; where relays are replaced, the listening socket stays open here.
+// assignAddress chooses the address where clients connect. If the experiment replaces relays, the testbed opens the
+// listening socket itself and keeps it open, for all processes of the relay to inherit.
 func (r *Run) assignAddress(p *relayProcess) error {
 	isReplaced := slices.ContainsFunc(r.experiment.Faults, func(f experiment.Fault) bool {
 		return f.Kind == "relay-replace"
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// serveDiscovery starts the relay's discovery server of that index behind a proxy.
+// serveDiscovery starts one of the relay's two discovery servers, by index, and a proxy in front of it.
 func (r *Run) serveDiscovery(p *relayProcess, index int) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -105,15 +106,15 @@
 	return nil
 }
 
-// saveKnownEndpoints has the platform keep the endpoint list as it is now for a relay, where the experiment says
-// that it does.
+// saveKnownEndpoints stores the current endpoint list, which the relay's next start is given, if the experiment has
+// relays start with the list that they had last.
 func (r *Run) saveKnownEndpoints(p *relayProcess) {
 	if r.experiment.Relays.KnowsEndpoints {
 		p.knownEndpoints = encodeUpdate(r.environment.Discovery.FullUpdate())
 	}
 }
 
-// relayConfig is a relay's configuration file.
+// relayConfig is the platform's configuration file of a relay.
 type relayConfig struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -122,7 +123,7 @@
 	Seed      string          `json:"seed"` // hexadecimal
 	Limits    relayLimits     `json:"limits"`
 	Settings  any             `json:"settings"`
-	Known     json.RawMessage `json:"known,omitempty"`
+	Known     json.RawMessage `json:"known,omitempty"` // the endpoint list that the relay had last
 }
 
 type relayLimits struct {
@@ -153,12 +154,12 @@
 	return filepath.Join(r.dir, fmt.Sprintf("relay-%d.json", p.number))
 }
 
-// sharedDir is the folder that two processes of one relay share.
+// sharedDir returns the temporary folder that the old and the new process of a relay share during a replacement.
 func (r *Run) sharedDir(p *relayProcess) string {
 	return filepath.Join(r.dir, fmt.Sprintf("relay-%d", p.number))
 }
 
-// launch starts a process of the relay.
+// launch starts a new process of the relay, and the coordinator on its machine if that does not run.
 func (r *Run) launch(p *relayProcess) error {
 	p.launches++
 	if err := r.startCoordinator(p.number); err != nil {
@@ -184,14 +185,15 @@
 		}
 	}
 	if err := p.cmd.Start(); err != nil {
-		return fmt.Errorf("relay: %w", err)
+		return fmt.Errorf("start relay process: %w", err)
 	}
 	p.alive = true
 	go r.awaitExit(p, p.cmd, p.launches)
 	return nil
 }
 
-// awaitExit waits for a process to end, and tells the model if it ended by itself: a shutdown or a crash.
+// awaitExit waits for a process to end. It reports the end to the model unless the run has killed or replaced the
+// process: what remains is a graceful shutdown, a crash, or a kill because the shutdown took too long.
 func (r *Run) awaitExit(p *relayProcess, cmd *exec.Cmd, launch int) {
 	err := cmd.Wait()
 	r.mutex.Lock()
@@ -200,7 +202,7 @@
 		return
 	}
 	p.alive = false
-	if r.environment.Workload == nil { // the run is over before it begins
+	if r.environment.Workload == nil { // the workload has not started: awaitReady fails the run
 		p.earlyExit = fmt.Sprint(cmp.Or(err, errors.New("exit status 0")))
 		return
 	}
@@ -208,7 +210,7 @@
 	r.environment.RelayExited(p.number)
 }
 
-// awaitReady waits until a relay answers PING.
+// awaitReady waits until a relay answers PING. It fails if the process ends, or after startTimeout.
 func (r *Run) awaitReady(ctx context.Context, p *relayProcess) error {
 	for until := time.Now().Add(startTimeout); time.Now().Before(until); time.Sleep(startCheckInterval) {
 		r.mutex.Lock()
@@ -228,10 +230,10 @@
 			return ctx.Err()
 		}
 	}
-	return fmt.Errorf("relay %d does not serve: %s", p.number, r.logTail(p))
+	return fmt.Errorf("relay %d does not answer PING; its log ends with: %s", p.number, r.logTail(p))
 }
 
-// answersPing reports whether a relay answers PING; an error: it can't be reached.
+// answersPing reports whether a relay answers PING. It returns an error if the relay can't be reached.
 func answersPing(address string) (bool, error) {
 	const pong = "PONG\r\n"
 	c, err := net.DialTimeout("tcp", address, time.Second)
@@ -246,14 +248,14 @@
 	return string(answer[:n]) == pong, nil
 }
 
-// logTail is the end of a relay's log.
+// logTail returns the end of a relay's log.
 func (r *Run) logTail(p *relayProcess) string {
 	text, _ := os.ReadFile(p.log.Name())
 	text = bytes.TrimSpace(text)
 	return string(text[max(len(text)-maxLogTailBytes, 0):])
 }
 
-// KillRelay ends a relay at once, and the voter on its machine.
+// KillRelay kills all processes of a relay, and the coordinator on its machine.
 func (r *Run) KillRelay(i int) {
 	p := r.relays[i]
 	p.alive = false
@@ -265,7 +267,7 @@
 	}
 }
 
-// FreezeRelay stops a machine's processes by SIGSTOP, or has them go on.
+// FreezeRelay suspends a machine's relay and coordinator by SIGSTOP, or resumes them by SIGCONT.
 func (r *Run) FreezeRelay(i int, on bool) {
 	signal := syscall.SIGCONT
 	if on {
@@ -279,14 +281,16 @@
 	}
 }
 
-// SetClockOffset sets a machine's clock ahead by so many milliseconds.
+// SetClockOffset sets the clock of a machine's relay ahead by that many milliseconds, or back if negative. The relay
+// reads the offset from a file; the machine's coordinator does not.
 func (r *Run) SetClockOffset(i int, aheadMillis float64) {
 	file := r.clockFile(i)
 	os.WriteFile(file+".new", fmt.Append(nil, aheadMillis), 0o600)
-	os.Rename(file+".new", file) // so that nobody reads half of it
+	os.Rename(file+".new", file) // replaced as a whole, so that the relay never reads a part of it
 }
 
-// callAdmin calls a relay's admin API in the background; then is called under the mutex with whether it succeeded.
+// callAdmin sends a request to a relay's admin API in the background. It then calls then under the mutex, unless the
+// run has ended, and tells it whether the request succeeded.
 func (r *Run) callAdmin(address, method, path string, then func(succeeded bool)) {
 	go func() {
 		succeeded := r.requestAdmin(address, method, path)
@@ -312,7 +316,7 @@
 	return answer.StatusCode < 300
 }
 
-// DrainRelay has operators drain a relay, or take it back to work.
+// DrainRelay starts or ends the draining of a relay by a request to its admin API, as operators do.
 func (r *Run) DrainRelay(i int, on bool) {
 	path := "/_lameduck/off"
 	if on {
@@ -321,7 +325,7 @@
 	r.callAdmin(r.relays[i].adminAddress, http.MethodPost, path, func(bool) {})
 }
 
-// ReplaceRelay starts a new process beside a relay's; once that is ready, the old one is stopped.
+// ReplaceRelay starts a new process of a relay on the same socket, and stops the old one once the new one is ready.
 func (r *Run) ReplaceRelay(i int, done func()) {
 	p := r.relays[i]
 	parent := p.cmd
@@ -345,7 +349,8 @@
 	checkReady()
 }
 
-// stopParent ends the old process of a relay; done is called once the platform would have killed it.
+// stopParent shuts down the old process of a relay by SIGTERM. It calls done at the time at which the platform would
+// kill that process.
 func (r *Run) stopParent(p *relayProcess, parent *exec.Cmd, launch int, done func()) {
 	parent.Process.Signal(syscall.SIGTERM)
 	r.killLater(p, parent, launch)
@@ -357,14 +362,15 @@
 	})
 }
 
-// StopRelay has a relay shut down gracefully, and kills it when the platform would.
+// StopRelay asks a relay to shut down by SIGTERM, and kills it if it takes longer than the platform allows.
 func (r *Run) StopRelay(i int) {
 	p := r.relays[i]
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	r.killLater(p, p.cmd, p.launches)
 }
 
-// killLater kills a process that was told to stop, if it has not by the time that the platform gives.
+// killLater kills a process that was told to shut down, if it still runs after the time that the platform allows
+// (Experiment.KillAfter).
 func (r *Run) killLater(p *relayProcess, cmd *exec.Cmd, launch int) {
 	r.after(r.experiment.KillAfter(), func() {
 		if p.launches == launch && (p.alive || cmd != p.cmd) {
@@ -373,14 +379,15 @@
 	})
 }
 
-// StartRelay starts a relay again.
+// StartRelay starts a relay that has ended.
 func (r *Run) StartRelay(i int) {
 	if err := r.launch(r.relays[i]); err != nil {
 		panic(err)
 	}
 }
 
-// ReloadRelay gives a relay the other address of discovery, by SIGHUP.
+// ReloadRelay writes the address of the relay's other discovery server to its configuration, and has it reload by
+// SIGHUP.
 func (r *Run) ReloadRelay(i int) {
 	p := r.relays[i]
 	p.currentDiscovery = 1 - p.currentDiscovery
--- a/internal/testbed/live/run.go
+++ b/internal/testbed/live/run.go
@@ -1,6 +1,7 @@
-// Package live runs an experiment on loopback sockets: relay processes, the model's backends and clients on
-// connections of their own, and discovery over HTTP. Arrivals keep their schedule however late anything else is,
-// and the result says how far behind its schedule the machine was. One mutex guards the whole model.
+// Package live runs an experiment in real time on loopback sockets: relays run as processes, the backends and clients
+// of package model use TCP connections, and discovery is served over HTTP. The workload is open-loop: clients arrive on
+// a fixed schedule however slow anything else is, and the result says how far the testbed fell behind that schedule.
+// One mutex guards the whole model.
 package live
 
 import (
@@ -17,25 +18,25 @@
 )
 
 const (
-	auditSlackMillis = 100.0 // that the testbed itself may be late by
-	maxLagMillis     = 250.0 // behind its schedule by more than this a run is not counted
-	settleTime       = 4 * time.Second
+	auditSlackMillis = 100.0           // milliseconds by which the testbed itself may see an event late
+	maxLagMillis     = 250.0           // milliseconds behind schedule; a run that lagged by more is not counted
+	settleTime       = 4 * time.Second // from the close of the workload to the end of the audit
 )
 
-// Result is the outcome of a run.
+// Result holds the metrics, the audit and the process figures of a run.
 type Result struct {
 	Metrics            *model.Metrics
 	FaultSpans         []model.FaultSpan
 	Auditor            *audit.Auditor
 	SlowStartOverloads int
-	BehindSchedule     bool // the machine was too slow to keep the schedule: the figures don't count
-	Logs               string
-	Memory             map[int]int64   // resident bytes of each relay at the end
-	CPU                map[int]float64 // seconds of each relay at the end
-	FleetStatus        map[int][]byte  // what each relay says of the others, as JSON
+	BehindSchedule     bool            // the machine was too slow to keep the schedule: the figures don't count
+	Logs               string          // folder of the logs and configuration files
+	Memory             map[int]int64   // resident memory at the end, in bytes, by relay number
+	CPU                map[int]float64 // CPU time used by the end, in seconds, by relay number
+	FleetStatus        map[int][]byte  // answer to GET /_fleet at the end, as JSON, by relay number
 }
 
-// Run is one run on sockets. It implements model.Infrastructure.
+// Run is one run of an experiment on loopback sockets. It implements model.Infrastructure.
 type Run struct {
 	*network
 	experiment   *experiment.Experiment
@@ -45,19 +46,19 @@
 	dir          string
 	relayBinary  string
 	loopback     *procstat.LoopbackNetwork
-	coordinators []*coordinatorProcess // on the first machines
+	coordinators []*coordinatorProcess // by machine; the first machines have one each
 
-	impairments map[[2]int]experiment.Impairment // as they are, by sender and receiver
-	proxies     map[[2]int][]*netem.Proxy        // by who dials and who is dialed
+	impairments map[[2]int]experiment.Impairment // current impairments, by sending and receiving machine
+	proxies     map[[2]int][]*netem.Proxy        // by the machine that dials and the machine that is dialed
 }
 
-// Play runs an experiment with relays of that program; files and logs go to dir.
+// Play runs an experiment with relays started from the binary. Configuration files, disks and logs are written to dir.
 func Play(ctx context.Context, x *experiment.Experiment, binary, dir string) (*Result, error) {
 	loopback, err := procstat.ClaimLoopbackNetwork()
 	if err != nil {
 		return nil, err
 	}
-	defer loopback.Close() // once nobody of the run listens
+	defer loopback.Close() // runs last, when no process of the run listens any more
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	r := newRun(ctx, x, loopback, binary, dir)
@@ -68,7 +69,7 @@
 	if err := r.startRelays(ctx); err != nil {
 		return nil, err
 	}
-	r.begin()
+	r.startWorkload()
 	if err := sleep(ctx, time.Duration(float64(x.Length)*float64(time.Millisecond))); err != nil {
 		return nil, err
 	}
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// startRelays starts all relays and waits until each of them answers.
+// startRelays starts all relays and waits until each of them answers PING.
 func (r *Run) startRelays(ctx context.Context) error {
 	for i := range r.experiment.Relays.Count {
 		p := &relayProcess{number: i}
@@ -141,8 +142,8 @@
 	return nil
 }
 
-// begin starts the clients' schedule.
-func (r *Run) begin() {
+// startWorkload starts the clients' schedule, and has disk copies saved after half the warm-up.
+func (r *Run) startWorkload() {
 	var addresses []string
 	for _, p := range r.relays {
 		addresses = append(addresses, p.address)
@@ -151,7 +152,7 @@
 	defer r.mutex.Unlock()
 	r.environment.Metrics.Start = r.now()
 	r.environment.Start(addresses)
-	r.after(float64(r.experiment.Warmup)/2, r.copyDisksForLater)
+	r.after(float64(r.experiment.Warmup)/2, r.saveDiskCopies)
 }
 
 func (r *Run) measureProcesses(result *Result) {
@@ -162,7 +163,7 @@
 	}
 }
 
-// finish has the auditor judge the run and completes the result.
+// finish ends the audit and completes the result.
 func (r *Run) finish(result *Result) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -205,8 +206,8 @@
 	}
 }
 
-// newProxy puts a proxy between machine from, which dials it, and the target of machine to; stream numbers its
-// random source.
+// newProxy starts a proxy that the machine from dials to reach target, an address of the machine to. Stream selects
+// the proxy's random source.
 func (r *Run) newProxy(from, to int, target string, stream int) (*netem.Proxy, error) {
 	proxy, err := netem.New(r.loopback.ProxyHost(from), target, r.experiment.Rand("way", stream))
 	if err != nil {
@@ -218,27 +219,28 @@
 	return proxy, nil
 }
 
-// NewHost opens an address for an actor.
+// NewHost opens an address for an actor in a zone.
 func (r *Run) NewHost(zone int) (model.Host, string) {
 	h, err := r.newHost(zone)
 	if err != nil {
-		panic(fmt.Sprintf("no port on loopback: %v", err)) // no experiment can go on
+		panic(fmt.Sprintf("no port on loopback: %v", err)) // the experiment can't continue without the actor
 	}
 	return h, h.address
 }
 
-// Bind makes an actor the owner of an address.
+// Bind has the events of an address's connections delivered to an actor.
 func (r *Run) Bind(address string, actor model.Actor) { r.hosts[address].actor = actor }
 
-// SetUnreachable stops all traffic to and from an address, or lets it pass again.
+// SetUnreachable holds back all traffic to and from an address, or lets it pass again.
 func (r *Run) SetUnreachable(address string, unreachable bool) {
 	r.hosts[address].setUnreachable(unreachable)
 }
 
-// SetRefusing closes an address for new connections, or opens it again.
+// SetRefusing has an address refuse new connections, or accept them again.
 func (r *Run) SetRefusing(address string, refuse bool) { r.hosts[address].setRefusing(refuse) }
 
-// IsolateZone stops all traffic to and from a zone's backends; on loopback its own relays lose them too.
+// IsolateZone holds back all traffic to and from a zone's backends, or lets it pass again. Unlike in a real network
+// split, the relays of the same zone can't reach them either.
 func (r *Run) IsolateZone(zone int, isolate bool) {
 	for _, h := range r.hosts {
 		if h.zone == zone {
@@ -247,7 +249,7 @@
 	}
 }
 
-// SetImpairment impairs the network between two machines in that direction.
+// SetImpairment sets the impairment of the network in one direction, from one machine to another.
 func (r *Run) SetImpairment(from, to int, impairment experiment.Impairment) {
 	r.impairments[[2]int{from, to}] = impairment
 	for _, pair := range [][2]int{{from, to}, {to, from}} {
@@ -258,17 +260,17 @@
 	}
 }
 
-// isDeliveredAtOnce reports whether what discovery writes to a relay arrives at once.
+// isDeliveredAtOnce reports whether the path between discovery and a relay delays and loses nothing, either way.
 func (r *Run) isDeliveredAtOnce(relayNumber int) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	forward := r.impairments[[2]int{experiment.Discovery, relayNumber}]
 	back := r.impairments[[2]int{relayNumber, experiment.Discovery}]
-	forward.MaxPiece, back.MaxPiece = 0, 0 // pieces arrive at once all the same
+	forward.MaxPiece, back.MaxPiece = 0, 0 // data split into pieces is not delayed
 	return forward == experiment.Impairment{} && back == experiment.Impairment{}
 }
 
-// clockFile is where a machine's clock offset stands.
+// clockFile returns the path of the file that holds the clock offset of a machine's relay.
 func (r *Run) clockFile(relayNumber int) string {
 	return filepath.Join(r.dir, fmt.Sprintf("clock-%d", relayNumber))
 }
--- a/internal/testbed/live/sockets.go
+++ b/internal/testbed/live/sockets.go
@@ -13,42 +13,42 @@
 
 const (
 	dialTimeout     = 10 * time.Second
-	readBufferBytes = 16 << 10
-	relistenDelay   = 20.0 // milliseconds
+	readBufferBytes = 16 << 10 // size of a connection's read buffer
+	relistenDelay   = 20.0     // milliseconds until the next attempt to listen again at an address
 )
 
-// network is the loopback network that a run's actors use. Its mutex guards the whole model.
+// network holds the loopback addresses and connections of a run's actors. Its mutex guards the whole model.
 type network struct {
 	mutex           sync.Mutex
 	startedAt       time.Time
-	startedAtMillis float64 // Unix time
-	hosts           map[string]*socketHost
+	startedAtMillis float64                // startedAt in Unix milliseconds
+	hosts           map[string]*socketHost // by address
 	closed          bool
 	ctx             context.Context
 }
 
-// socketHost is one actor's address and connections; it implements model.Host.
+// socketHost holds one actor's address and connections. It implements model.Host.
 type socketHost struct {
 	network     *network
 	zone        int
 	address     string
 	listener    net.Listener
 	actor       model.Actor
-	connections map[uint64]*connection
-	lastNumber  uint64
-	unreachable bool
-	reachable   *sync.Cond
+	connections map[uint64]*connection // by number
+	lastNumber  uint64                 // number of the connection added last
+	unreachable bool                   // all traffic is held back
+	reachable   *sync.Cond             // signals that unreachable changed or the network is closed
 }
 
-// connection is one connection of an actor, read and written by a goroutine each.
+// connection is one connection of an actor. One goroutine reads it and one writes it.
 type connection struct {
 	host       *socketHost
 	number     uint64
 	socket     *net.TCPConn // nil while it is being dialed
 	pending    []byte       // bytes to be written
-	wakeWriter *sync.Cond
-	closing    bool
-	closed     bool
+	wakeWriter *sync.Cond   // signals the writing goroutine
+	closing    bool         // to be closed once pending is written
+	closed     bool         // removed from its host
 }
 
 func newNetwork(ctx context.Context) *network {
@@ -61,7 +61,8 @@
 	}
 }
 
-// now returns the time in Unix milliseconds, carried on by the monotonic clock.
+// now returns the time in Unix milliseconds. It advances by the monotonic clock, whatever is done to the system's
+// clock during the run.
 func (n *network) now() float64 {
 	return n.startedAtMillis + float64(time.Since(n.startedAt))/float64(time.Millisecond)
 }
@@ -77,7 +78,7 @@
 	})
 }
 
-// newHost listens on a free port for an actor of that zone.
+// newHost listens on a free port for an actor in a zone.
 func (n *network) newHost(zone int) (*socketHost, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -108,7 +109,8 @@
 	}
 }
 
-// acceptOne hands an accepted connection to the actor; false: the network is closed.
+// acceptOne gives an accepted connection to the actor, once the host is reachable. It returns false if the network is
+// closed.
 func (h *socketHost) acceptOne(socket *net.TCPConn) bool {
 	h.network.mutex.Lock()
 	defer h.network.mutex.Unlock()
@@ -132,7 +134,7 @@
 		return
 	}
 	listener, err := net.Listen("tcp", h.address)
-	if err != nil { // an outgoing connection has that port just now
+	if err != nil { // an outgoing connection uses that port at present
 		h.network.after(relistenDelay, func() { h.setRefusing(false) })
 		return
 	}
@@ -140,7 +142,7 @@
 	go h.accept(listener)
 }
 
-// setUnreachable stops all traffic to and from the host, or lets what was held back pass.
+// setUnreachable holds back all traffic to and from the host, or lets it pass again, including what was held back.
 func (h *socketHost) setUnreachable(unreachable bool) {
 	h.unreachable = unreachable
 	h.reachable.Broadcast()
@@ -162,7 +164,7 @@
 // After calls do under the mutex once wait milliseconds have passed.
 func (h *socketHost) After(wait float64, do func()) { h.network.after(wait, do) }
 
-// Dial opens a connection and returns its number; OnConnect or OnClose tells the actor how that ended.
+// Dial begins to open a connection and returns its number. The actor's OnConnect or OnClose is called with the outcome.
 func (h *socketHost) Dial(address string) uint64 {
 	c := h.addConnection()
 	go func() {
@@ -186,7 +188,7 @@
 	return c.number
 }
 
-// Write appends data to what the connection is to write.
+// Write queues data to be written to the connection.
 func (h *socketHost) Write(number uint64, data []byte) {
 	if c := h.connections[number]; c != nil {
 		c.pending = append(c.pending, data...)
@@ -194,21 +196,21 @@
 	}
 }
 
-// Close closes the connection once all is written.
+// Close closes the connection once all queued data is written.
 func (h *socketHost) Close(number uint64) {
 	if c := h.connections[number]; c != nil {
 		c.close()
 	}
 }
 
-// Reset drops what is not written yet and resets the connection.
+// Reset discards data that is not written yet, and resets the connection.
 func (h *socketHost) Reset(number uint64) {
 	if c := h.connections[number]; c != nil {
 		c.reset()
 	}
 }
 
-// start begins to read and write.
+// start starts the goroutines that read and write the connection.
 func (c *connection) start(socket *net.TCPConn) {
 	c.socket = socket
 	go c.read()
@@ -225,7 +227,8 @@
 	}
 }
 
-// deliver passes what a read brought to the actor, once the host is reachable; false: the connection is over.
+// deliver gives the result of a read to the actor, once the host is reachable. It returns false if the connection is
+// closed.
 func (c *connection) deliver(data []byte, err error) bool {
 	network := c.host.network
 	network.mutex.Lock()
@@ -260,7 +263,8 @@
 	}
 }
 
-// nextWrite waits for bytes to be written; stop: the connection is closing and all of them are written.
+// nextWrite waits for bytes to be written and returns them. Stop is true once the connection is closing and all bytes
+// are written.
 func (c *connection) nextWrite() (data []byte, stop bool) {
 	network := c.host.network
 	network.mutex.Lock()
@@ -289,7 +293,7 @@
 	c.remove()
 }
 
-// remove drops a connection from its host; both its goroutines end.
+// remove removes a connection from its host and has its goroutines end.
 func (c *connection) remove() {
 	c.closed = true
 	delete(c.host.connections, c.number)
--- a/internal/testbed/live/zones_test.go
+++ b/internal/testbed/live/zones_test.go
@@ -16,7 +16,8 @@
 	"valeshift/internal/testbed/experiment"
 )
 
-// twoRegions is nine relays and five voters, fourteen processes in two regions of three zones.
+// twoRegions is an experiment with fourteen processes, nine relays and five coordinators, in two regions of three zones
+// each.
 const twoRegions = `
 name = "zones"
 seed = SEED
@@ -54,34 +55,35 @@
 every = "400ms"
 `
 
-// decision is one as a relay followed it: its number, and which zones take others' links.
+// decision is a decision that a relay applied, as its log has it.
 type decision struct {
-	at     time.Time
-	number uint64
-	open   string
-	none   bool
+	at        time.Time
+	number    uint64
+	openZones string // names, of one letter each, of the zones that accept overflow from others
+	isEmpty   bool   // it has no zone weights
 }
 
 var (
-	decided = regexp.MustCompile(`time=(\S+) .*decision (\d+): \[(.*)\]`)
-	zoned   = regexp.MustCompile(`\{(\w+) \S+ (\w+)\}`)
+	decisionLine   = regexp.MustCompile(`time=(\S+) .*decision (\d+): \[(.*)\]`)
+	zoneInDecision = regexp.MustCompile(`\{(\w+) \S+ (\w+)\}`) // a relay.ZoneWeight: name, share, accepts overflow
 )
 
-func followed(t *testing.T, dir string, relay int) (all []decision) {
+// decisionsInLog returns the decisions in a relay's log, over all its starts.
+func decisionsInLog(t *testing.T, dir string, relay int) (all []decision) {
 	text, err := os.ReadFile(filepath.Join(dir, fmt.Sprintf("relay-%d.log", relay)))
 	require.NoError(t, err)
 	for _, line := range strings.Split(string(text), "\n") {
-		m := decided.FindStringSubmatch(line)
+		m := decisionLine.FindStringSubmatch(line)
 		if m == nil {
 			continue
 		}
 		at, err := time.Parse(time.RFC3339, m[1])
 		require.NoError(t, err)
-		d := decision{at: at, none: m[3] == ""}
+		d := decision{at: at, isEmpty: m[3] == ""}
 		d.number, _ = strconv.ParseUint(m[2], 10, 64)
-		for _, z := range zoned.FindAllStringSubmatch(m[3], -1) {
+		for _, z := range zoneInDecision.FindAllStringSubmatch(m[3], -1) {
 			if z[2] == "true" {
-				d.open += z[1]
+				d.openZones += z[1]
 			}
 		}
 		all = append(all, d)
@@ -89,12 +91,13 @@
 	return all
 }
 
-// Zones decided in common by fourteen processes, faults between them: one picture to a number, no relay back
-// in number also over its starts, no rule broken, and what each case is about.
+// Nine relays and five coordinators agree on zones while faults occur: decisions of the same number open the same zones
+// at all relays, no relay goes back to a lower number, even after a restart, and no audit rule is broken. Each case
+// also checks whether a zone stops accepting overflow, and the share served at the end.
 func TestZonesByProcesses(t *testing.T) {
 	binary := buildRelay(t)
-	side := make(chan struct{}, 3)
-	many := func(kind string, from, step, n int, rest string) (text string) {
+	slots := make(chan struct{}, 3)
+	repeatFault := func(kind string, from, step, n int, rest string) (text string) {
 		for i := range n {
 			text += fault(kind, fmt.Sprintf("%dms", from+i*step), rest)
 		}
@@ -102,14 +105,14 @@
 	}
 	for _, c := range []struct {
 		name, faults string
-		emptied      string // how a zone is at some time: yes, no, either
-		service      float64
+		zoneClosed   string  // whether some decision has a zone that accepts no overflow: yes, no or either
+		minService   float64 // lowest share of the offered weight that is served at the end
 	}{
 		{"a zone lost and back", fault("zone-lost", "7s", `for = "5s"`), "yes", 0.9},
 		{"a zone grey: one in three tries breaks, health calls are fine", fault("zone-grey", "7s",
 			"for = \"8s\"\nfactor = 0.5"), "yes", 0.9},
 		{"a store that is slow for all", fault("slow-store", "7s", "for = \"5s\"\nfactor = 0.1"), "no", 0},
-		{"a zone that flaps every second", many("zone-grey", 7000, 2000, 6, "for = \"1s\"\nfactor = 1"), "either",
+		{"a zone that flaps every second", repeatFault("zone-grey", 7000, 2000, 6, "for = \"1s\"\nfactor = 1"), "either",
 			0.8},
 		{"half of the machines cut off from the rest, and a zone lost", fault("way-cut", "7s",
 			"for = \"6s\"\nfrom = \"half\"\nto = \"rest\"\nboth = true") + fault("zone-lost", "8s", `for = "6s"`),
@@ -138,39 +141,40 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			side <- struct{}{}
-			defer func() { <-side }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			// The seed depends on the length of the case's name.
 			text := strings.Replace(twoRegions, "SEED", fmt.Sprint(7+len(c.name)), 1)
 			if strings.Contains(c.name, "no servers") {
 				text = strings.Replace(text, "servers = 12", "servers = 6\ncold = \"3s\"", 1) + fault("drain", "3s",
-					"for = \"20s\"\nshare = 0.15") // of one server a zone
+					"for = \"20s\"\nshare = 0.15") // each zone has one backend
 			}
-			r := played(t, binary, text+c.faults)
+			r := playExperiment(t, binary, text+c.faults)
 			if r == nil {
 				return
 			}
 			assert.Zero(t, r.Auditor.ViolationCount(), "%v", r.Auditor.Violations)
-			assert.Zero(t, r.SlowStartOverloads, "servers pushed over")
-			assert.Greater(t, r.Metrics.ServedShare(19000, 24000), c.service)
-			pictures := map[uint64]string{}
-			emptied := false
+			assert.Zero(t, r.SlowStartOverloads, "backends overloaded in slow start")
+			assert.Greater(t, r.Metrics.ServedShare(19000, 24000), c.minService)
+			openByNumber := map[uint64]string{}
+			zoneClosed := false
 			for i := range 9 {
 				last := uint64(0)
-				for _, d := range followed(t, r.Logs, i) {
-					assert.GreaterOrEqual(t, d.number, last, "relay %d went back", i)
-					if last = d.number; d.none {
+				for _, d := range decisionsInLog(t, r.Logs, i) {
+					assert.GreaterOrEqual(t, d.number, last, "relay %d went back to an earlier decision", i)
+					if last = d.number; d.isEmpty {
 						continue
 					}
-					if was, there := pictures[d.number]; there {
-						assert.Equal(t, was, d.open, "decision %d", d.number)
+					if was, there := openByNumber[d.number]; there {
+						assert.Equal(t, was, d.openZones, "decision %d", d.number)
 					}
-					pictures[d.number] = d.open
-					emptied = emptied || len(d.open) < 6
+					openByNumber[d.number] = d.openZones
+					zoneClosed = zoneClosed || len(d.openZones) < 6
 				}
-				assert.NotZero(t, last, "relay %d follows", i)
+				assert.NotZero(t, last, "relay %d applied no decision", i)
 			}
-			if c.emptied != "either" {
-				assert.Equal(t, c.emptied == "yes", emptied, "%v", pictures)
+			if c.zoneClosed != "either" {
+				assert.Equal(t, c.zoneClosed == "yes", zoneClosed, "%v", openByNumber)
 			}
 		})
 	}
