--- a/internal/testbed/model/observer.go
+++ b/internal/testbed/model/observer.go
@@ -32,7 +32,7 @@
 	LineSent(now float64, id string, toClient bool, number int)
 	LineReceived(now float64, id string, toClient bool, number int, sentAt float64)
 
-	// EndpointUpdated: the endpoint list has delivered an endpoint to a relay; since is the backend's start time.
+	// EndpointUpdated: the endpoint list has delivered an endpoint to a relay; startTime is the backend's start time.
 	EndpointUpdated(now float64, relay int, backend, status string, startTime float64)
 	// RelayChanged: a relay was killed or has exited (false), or serves (true). A relay that is stopping still
 	// counts as serving.
