--- a/internal/testbed/explore/generate.go
+++ b/internal/testbed/explore/generate.go
@@ -13,7 +13,7 @@
 // laterKinds are the kinds of fault that were added after seeds had been recorded. They are drawn in separate steps, so
 // that the recorded seeds still generate the same experiments.
 var laterKinds = []experiment.FaultKind{
-	experiment.FaultZoneGrey,
+	experiment.FaultZoneFailingAttempts,
 	experiment.FaultRegionLost,
 	experiment.FaultZoneBusy,
 	experiment.FaultAnswersLost,
@@ -208,7 +208,7 @@
 	g.x.Relays.Coordinators = 1 + 2*g.rng.Intn((count+1)/2)
 	g.x.Fleet.Regions = 1 + g.rng.Intn(2)
 	f := experiment.Fault{Kind: pick(g, []experiment.FaultKind{
-		experiment.FaultZoneGrey,
+		experiment.FaultZoneFailingAttempts,
 		experiment.FaultZoneLost,
 		experiment.FaultZoneCut,
 	})}
--- a/internal/testbed/live/disks.go
+++ b/internal/testbed/live/disks.go
@@ -44,7 +44,7 @@
 		rewriteFiles(p.diskFolder, func(data []byte) []byte { return faultdisk.FlipBits(data, rng) })
 	case experiment.DiskOlder:
 		copyDisk(p.diskFolder+olderSuffix, p.diskFolder)
-	case experiment.DiskAnothers:
+	case experiment.DiskOfAnotherRelay:
 		copyDisk(r.relays[(i+1)%len(r.relays)].diskFolder, p.diskFolder)
 	}
 }
--- a/internal/testbed/model/faults.go
+++ b/internal/testbed/model/faults.go
@@ -24,7 +24,7 @@
 	experiment.FaultRefuse:       (*Environment).refuseAtBackends,
 	experiment.FaultSlow:         (*Environment).slowBackends,
 	experiment.FaultStalls:       (*Environment).stallBackends,
-	experiment.FaultNeighbour:    (*Environment).stealCores,
+	experiment.FaultStolenCores:  (*Environment).stealCores,
 	experiment.FaultSlowStore:    (*Environment).slowSessionStore,
 	experiment.FaultDrain:        (*Environment).drainBackends,
 	experiment.FaultLeave:        (*Environment).removeBackends,
@@ -33,16 +33,16 @@
 	experiment.FaultAddressTaken: (*Environment).replaceBackends,
 	experiment.FaultAnswersLost:  (*Environment).loseAnswers,
 
-	experiment.FaultZoneLost:   (*Environment).loseZone,
-	experiment.FaultRegionLost: (*Environment).loseRegion,
-	experiment.FaultZoneGrey:   (*Environment).failAttemptsInZone,
-	experiment.FaultZoneBusy:   (*Environment).stealCoresInZone,
-	experiment.FaultZoneCut:    (*Environment).isolateZone,
+	experiment.FaultZoneLost:            (*Environment).loseZone,
+	experiment.FaultRegionLost:          (*Environment).loseRegion,
+	experiment.FaultZoneFailingAttempts: (*Environment).failAttemptsInZone,
+	experiment.FaultZoneBusy:            (*Environment).stealCoresInZone,
+	experiment.FaultZoneCut:             (*Environment).isolateZone,
 
-	experiment.FaultDiscoveryLate:  (*Environment).delayDiscovery,
-	experiment.FaultDiscoveryDown:  (*Environment).stopDiscovery,
-	experiment.FaultDiscoveryLying: (*Environment).hideBackends,
-	experiment.FaultDiscoveryBack:  (*Environment).resetDiscovery,
+	experiment.FaultDiscoveryLate:       (*Environment).delayDiscovery,
+	experiment.FaultDiscoveryDown:       (*Environment).stopDiscovery,
+	experiment.FaultDiscoveryIncomplete: (*Environment).hideBackends,
+	experiment.FaultDiscoveryReset:      (*Environment).resetDiscovery,
 
 	experiment.FaultPowerLoss:    (*Environment).losePower,
 	experiment.FaultRelayFreeze:  (*Environment).freezeRelays,
@@ -53,8 +53,8 @@
 	experiment.FaultRelayReplace: (*Environment).replaceRelays,
 	experiment.FaultReload:       (*Environment).reloadRelays,
 
-	experiment.FaultWave:  (*Environment).resetClientConnections,
-	experiment.FaultBurst: (*Environment).raiseArrivalRate,
+	experiment.FaultClientReconnects: (*Environment).resetClientConnections,
+	experiment.FaultBurst:            (*Environment).raiseArrivalRate,
 }
 
 // startFault records a fault, starts it and schedules its end.
--- a/internal/testbed/sim/disks.go
+++ b/internal/testbed/sim/disks.go
@@ -51,7 +51,7 @@
 		if d.olderCopy != nil {
 			d.memory = d.olderCopy.Clone()
 		}
-	case experiment.DiskAnothers:
+	case experiment.DiskOfAnotherRelay:
 		another := s.machines[(relay+1)%len(s.machines)].disk
 		d.memory = another.memory.Clone()
 	case experiment.DiskFull, experiment.DiskReadOnly:
