--- a/internal/testbed/sim/faulty_test.go
+++ b/internal/testbed/sim/faulty_test.go
@@ -62,7 +62,9 @@
 	return nil
 }
 
-const firstUnusedConn = 1 << 62 // state machines use no connection numbers from here on, below those that they dial
+// firstUnusedConn begins a range of connection numbers that no state machine uses: those of clients count from 1, those
+// of dialed connections from 1<<63.
+const firstUnusedConn = 1 << 62
 
 // The auditor reports the right violation for each of several faulty relays, and none for relays without a fault.
 func TestAuditorCatchesBrokenRelays(t *testing.T) {
@@ -171,12 +173,12 @@
 		{"ignores drains", audit.Drain, "leaving for", func() *faultyStateMachine {
 			return &faultyStateMachine{before: func(e relay.Event) relay.Event {
 				if updated, ok := e.(relay.EndpointsUpdated); ok {
-					news := *updated.Update
-					news.Endpoints = slices.Clone(news.Endpoints)
-					for i := range news.Endpoints {
-						news.Endpoints[i].Status = "active"
+					update := *updated.Update
+					update.Endpoints = slices.Clone(update.Endpoints)
+					for i := range update.Endpoints {
+						update.Endpoints[i].Status = "active"
 					}
-					updated.Update = &news
+					updated.Update = &update
 					return updated
 				}
 				return e
@@ -186,14 +188,14 @@
 			coldAddress := ""
 			return &faultyStateMachine{before: func(e relay.Event) relay.Event {
 				if updated, ok := e.(relay.EndpointsUpdated); ok {
-					news := *updated.Update
-					news.Endpoints = slices.Clone(news.Endpoints)
-					for i := range news.Endpoints {
-						if news.Endpoints[i].StartedAt > 0 {
-							news.Endpoints[i].StartedAt, coldAddress = 0, news.Endpoints[i].Address
+					update := *updated.Update
+					update.Endpoints = slices.Clone(update.Endpoints)
+					for i := range update.Endpoints {
+						if update.Endpoints[i].StartedAt > 0 {
+							update.Endpoints[i].StartedAt, coldAddress = 0, update.Endpoints[i].Address
 						}
 					}
-					updated.Update = &news
+					updated.Update = &update
 					return updated
 				}
 				return e
--- a/internal/testbed/sim/network.go
+++ b/internal/testbed/sim/network.go
@@ -21,7 +21,7 @@
 
 // event is a call scheduled at a virtual time. Events of the same time run in the order of their sequence numbers.
 type event struct {
-	at  float64 // milliseconds
+	at  float64 // virtual time in milliseconds
 	seq uint64
 	do  func()
 }
@@ -60,11 +60,11 @@
 	rng              *rand.Rand
 	delay, jitter    float64           // milliseconds; each piece of data takes delay plus up to twice jitter
 	splitProbability float64           // probability that a write arrives in two pieces
-	nodes            map[string]*node  // by address
-	nodeList         []*node           // in the order in which they were added
-	isolatedZones    map[int]bool      // by zone: whether it is cut off from the other zones
+	nodes            map[string]*node  // nodes by address
+	nodeList         []*node           // nodes in the order in which they were added
+	isolatedZones    map[int]bool      // zones that are cut off from the other zones
 	blocked          []blockedDelivery // deliveries that wait for their path to open
-	trace            io.Writer         // nil if no trace is written
+	trace            io.Writer         // trace of the run; nil if none is written
 	bytes            int               // bytes written to connections so far
 	events           int               // events run so far
 }
--- a/internal/testbed/sim/relayprocess.go
+++ b/internal/testbed/sim/relayprocess.go
@@ -33,7 +33,7 @@
 	number       int // number of the relay and of its machine
 	stateMachine StateMachine
 	discovery    *model.Discovery
-	impairments  map[[2]int]experiment.Impairment // of the paths between machines; shared by all processes of the run
+	impairments  map[[2]int]experiment.Impairment // impairments of network paths, shared by all processes
 	observer     model.Observer
 	onExit       func()
 	clockOffset  float64    // milliseconds that the machine's clock was ahead of the true time when the process started
--- a/internal/testbed/sim/simulation.go
+++ b/internal/testbed/sim/simulation.go
@@ -21,7 +21,7 @@
 	SlowStartOverloads int
 	Events             int
 	Bytes              int
-	RealTime           time.Duration // wall-clock time of the run; nothing else differs between runs
+	RealTime           time.Duration // wall-clock time of the run, the only field that differs from run to run
 	Relays             []relay.Counters
 }
 
@@ -33,8 +33,8 @@
 	environment          *model.Environment
 	auditor              *audit.Auditor
 	machines             []*machine                       // one for each relay, by the relay's number
-	impairments          map[[2]int]experiment.Impairment // of the network, by the machines {from, to}
-	coordinatorProcesses map[int]*coordinatorProcess      // by the number of their machine
+	impairments          map[[2]int]experiment.Impairment // impairments of network paths, by their machines {from, to}
+	coordinatorProcesses map[int]*coordinatorProcess      // coordinators by the number of their machine
 	// WrapStateMachine, if not nil, wraps each relay's state machine. Tests of the auditor use it to inject faults.
 	WrapStateMachine func(relay int, stateMachine StateMachine) StateMachine
 }
