--- a/cmd/valeshift/soak_test.go
+++ b/cmd/valeshift/soak_test.go
@@ -211,8 +211,8 @@
 	return c
 }
 
-// watchLateness measures the scheduling delay of this machine, which the relay does not cause and receive therefore
-// tolerates.
+// watchLateness measures the scheduling delay of this machine. The relay does not cause it, so it is added to the time
+// limits that the relay has to keep.
 func (c *soakClients) watchLateness() {
 	const interval = 10 * time.Millisecond
 	for {
--- a/internal/replication/guarantee_test.go
+++ b/internal/replication/guarantee_test.go
@@ -250,7 +250,7 @@
 	return s.checkAll()
 }
 
-// randomSchedules is the number of seeds that a test run tries. A thousand were tried in a manual run.
+// randomSchedules is the number of seeds that a test run tries.
 const randomSchedules = 60
 
 // The guarantees hold in random schedules of faults, in fleets of 9, 60 and 300 relays.
--- a/internal/testbed/sim/recovery_test.go
+++ b/internal/testbed/sim/recovery_test.go
@@ -111,7 +111,7 @@
 			assert.Zero(t, r.SlowStartOverloads, "backends overloaded until they failed")
 			minService := 0.9
 			if strings.Contains(c.faults, "wiped") || strings.Contains(c.faults, "another's") {
-				minService = 0.85 // without stored capacities of backends, 0.86 to 1 were measured over six seeds
+				minService = 0.85 // no capacities of backends are known from before the power loss
 			}
 			assert.Greater(t, r.Metrics.ServedShare(30000, 33000), minService)
 			phases, live := s.Phases(), 0
